--- /dev/null
+++ b/test/gossip-format.test.ts
@@ -0,0 +1,264 @@
+/**
+ * The bytes of every message between controllers, with each field set to a value of its own. Controllers of two versions run
+ * side by side while a deployment is renewed: whatever the program calls a field inside, these bytes stay.
+ */
+import assert from 'node:assert/strict';
+import { describe, it } from 'node:test';
+import { decodeMessage, encodeMessage, type Gossip, type MachineNews, type Message } from '../src/mesh/messages.js';
+
+const FLAGGED: MachineNews = {
+  host: 'i-000001',
+  number: 300,
+  endpoint: 'i-000001:9000',
+  flavor: 'c8',
+  site: 'zone-a',
+  reclaimable: true,
+  tenure: 3,
+  tick: 70_000,
+  heardAgeMs: 12.5,
+  knownAgeMs: 250,
+  warnedMs: 29_000,
+  sick: true,
+  cooling: true,
+  unreached: true,
+  slow: true,
+  mute: true,
+  images: ['img-1', 'img-2'],
+  failedJobs: ['j-000001'],
+  owner: 'n2',
+};
+
+const PLAIN: MachineNews = {
+  ...FLAGGED,
+  number: -1,
+  reclaimable: false,
+  warnedMs: null,
+  sick: false,
+  cooling: false,
+  unreached: false,
+  slow: false,
+  mute: false,
+  images: [],
+  failedJobs: [],
+};
+
+const FULL: Gossip = {
+  node: 'n0',
+  upMs: 60_000,
+  freshAgeMs: 150.5,
+  withoutStore: true,
+  clock: 61_000,
+  echo: { life: 29077790030248, clock: 60_500 },
+  loaded: true,
+  version: 42,
+  hears: ['n1', 'n2'],
+  life: 13428899909963,
+  seq: 17,
+  whole: true,
+  wants: true,
+  machines: [FLAGGED],
+  same: { numbers: [1, 2], heardAgesMs: [30, 40], ticks: [500, 600] },
+  knocks: [{ host: 'i-000003', ageMs: 75 }],
+  avoids: ['part-1'],
+  gone: ['i-000004'],
+};
+
+const QUIET: Gossip = {
+  ...FULL,
+  withoutStore: false,
+  echo: null,
+  loaded: false,
+  hears: [],
+  whole: false,
+  wants: false,
+  machines: [PLAIN],
+  same: { numbers: [], heardAgesMs: [], ticks: [] },
+  knocks: [],
+  avoids: [],
+  gone: [],
+};
+
+const ENCODED: readonly [name: string, message: Message, hex: string][] = [
+  [
+    'gossip with everything set',
+    { gossip: FULL },
+    '02046e3000000000004ced400000000000d06240010000000000c9ed4002d0e6c3b5c69c0d00000000808aed40015404046e31046e320096c5f88cd58d062201010210692d303030303031d8041a692d3030303030313a393030300463380c7a6f6e652d610106e0c50800000000000029400000000000406f4002000000000052dc400101010101040a696d672d310a696d672d320002106a2d30303030303100046e320004020400043c500004e807b009000210692d3030303030330000000000c0524000020c706172742d31000210692d303030303034000000000000',
+  ],
+  [
+    'gossip with nothing to tell',
+    { gossip: QUIET },
+    '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610006e0c50800000000000029400000000000406f400000000000000000046e32000000000000000000000000',
+  ],
+  [
+    'gossip of a machine that is only sick',
+    { gossip: { ...QUIET, machines: [{ ...PLAIN, sick: true }] } },
+    '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610006e0c50800000000000029400000000000406f400001000000000000046e32000000000000000000000000',
+  ],
+  [
+    'gossip of a machine that is only cooling',
+    { gossip: { ...QUIET, machines: [{ ...PLAIN, cooling: true }] } },
+    '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610006e0c50800000000000029400000000000406f400000010000000000046e32000000000000000000000000',
+  ],
+  [
+    'gossip of a machine that is only unreached',
+    { gossip: { ...QUIET, machines: [{ ...PLAIN, unreached: true }] } },
+    '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610006e0c50800000000000029400000000000406f400000000100000000046e32000000000000000000000000',
+  ],
+  [
+    'gossip of a machine that is only slow',
+    { gossip: { ...QUIET, machines: [{ ...PLAIN, slow: true }] } },
+    '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610006e0c50800000000000029400000000000406f400000000001000000046e32000000000000000000000000',
+  ],
+  [
+    'gossip of a machine that is only mute',
+    { gossip: { ...QUIET, machines: [{ ...PLAIN, mute: true }] } },
+    '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610006e0c50800000000000029400000000000406f400000000000010000046e32000000000000000000000000',
+  ],
+  [
+    'gossip of a machine that is only reclaimable',
+    { gossip: { ...QUIET, machines: [{ ...PLAIN, reclaimable: true }] } },
+    '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610106e0c50800000000000029400000000000406f400000000000000000046e32000000000000000000000000',
+  ],
+  [
+    'gossip with only the flag withoutStore',
+    { gossip: { ...QUIET, machines: [], withoutStore: true } },
+    '02046e3000000000004ced400000000000d06240010000000000c9ed400000540096c5f88cd58d06220000000000000000000000000000',
+  ],
+  [
+    'gossip with only the flag loaded',
+    { gossip: { ...QUIET, machines: [], loaded: true } },
+    '02046e3000000000004ced400000000000d06240000000000000c9ed400001540096c5f88cd58d06220000000000000000000000000000',
+  ],
+  [
+    'gossip with only the flag whole',
+    { gossip: { ...QUIET, machines: [], whole: true } },
+    '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d06220100000000000000000000000000',
+  ],
+  [
+    'gossip with only the flag wants',
+    { gossip: { ...QUIET, machines: [], wants: true } },
+    '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d06220001000000000000000000000000',
+  ],
+  [
+    'relay',
+    { relay: { node: 'n1', id: 300, report: '{"Host":"i-000001"}' } },
+    '0002046e31d804267b22486f7374223a22692d303030303031227d00000000',
+  ],
+  [
+    'answer to a relay',
+    { relayAnswer: { node: 'n2', id: 300, status: 421, body: '{"Steward":"n0"}' } },
+    '000002046e32d804ca06207b2253746577617264223a226e30227d000000',
+  ],
+  [
+    'news',
+    {
+      news: {
+        changes: [
+          { key: 'live/team/red', value: '{"cpus":4}', stamp: 99 },
+          { key: 'live/job/j-1', value: null, stamp: 100 },
+        ],
+      },
+    },
+    '00000002041a6c6976652f7465616d2f72656402147b2263707573223a347dc601186c6976652f6a6f622f6a2d3100c801000000',
+  ],
+  ['ask', { ask: { node: 'n1', from: 1000, after: 2000 } }, '0000000002046e31d00fa01f00'],
+  [
+    'delta with more to come',
+    {
+      delta: {
+        node: 'n2',
+        life: 13428899909963,
+        version: 42,
+        from: 1000,
+        after: 2000,
+        last: 3000,
+        whole: false,
+        upTo: 4000,
+        changes: [
+          { key: 'live/team/red', value: '{"cpus":4}', stamp: 3000 },
+          { key: 'live/job/j-1', value: null, stamp: 2999 },
+        ],
+      },
+    },
+    '000000000002046e3296c5f88cd58d0654d00fa01ff02e00c03e041a6c6976652f7465616d2f72656402147b2263707573223a347df02e186c6976652f6a6f622f6a2d3100ee2e00',
+  ],
+  [
+    'empty delta that ends',
+    {
+      delta: {
+        node: 'n2',
+        life: 1,
+        version: 42,
+        from: 1000,
+        after: 2000,
+        last: 2000,
+        whole: true,
+        upTo: 4000,
+        changes: [],
+      },
+    },
+    '000000000002046e320254d00fa01fa01f01c03e00',
+  ],
+  [
+    'follow request of the standby stream',
+    {
+      stream: { follow: { node: 'n1', life: 13428899909963, clock: 61_000.5, followedLife: 29077790030248, upTo: 77 } },
+    },
+    'ff02046e3196c5f88cd58d060000000010c9ed40d0e6c3b5c69c0d9a0100',
+  ],
+  [
+    'snapshot batch of the standby stream, with every kind of entry',
+    {
+      stream: {
+        batch: {
+          node: 'n0',
+          life: 29077790030248,
+          after: 70,
+          upTo: 77,
+          isSnapshot: true,
+          part: 1,
+          parts: 2,
+          echo: { life: 13428899909963, clock: 61_000.5 },
+          entries: [
+            { kind: 'health', name: 'j-1', ageMs: 100, healthy: 5, unhealthy: 2, isRemoved: false },
+            { kind: 'moved', name: 'j-1/0', ageMs: 200, healthy: 0, unhealthy: 0, isRemoved: false },
+            { kind: 'stopping', name: 'j-1/0#3', ageMs: 300, healthy: 0, unhealthy: 0, isRemoved: true },
+            { kind: 'idle', name: 'i-000001', ageMs: 400, healthy: 0, unhealthy: 0, isRemoved: false },
+            { kind: 'no_capacity', name: 'c8 a false', ageMs: 500, healthy: 0, unhealthy: 0, isRemoved: true },
+          ],
+        },
+      },
+    },
+    'ff0002046e30d0e6c3b5c69c0d8c019a0101020496c5f88cd58d060000000010c9ed400a00066a2d31c8010a0400020a6a2d312f309003000000040e6a2d312f302333d8040000010610692d303030303031a0060000000814633820612066616c7365e80700000100',
+  ],
+  [
+    'empty batch of the standby stream',
+    {
+      stream: {
+        batch: {
+          node: 'n0',
+          life: 1,
+          after: 70,
+          upTo: 77,
+          isSnapshot: false,
+          part: 0,
+          parts: 1,
+          echo: { life: 2, clock: 3 },
+          entries: [],
+        },
+      },
+    },
+    'ff0002046e30028c019a0100000204000000000000084000',
+  ],
+];
+
+describe('the bytes of a message between controllers', () => {
+  for (const [name, message, hex] of ENCODED) {
+    it(`stay: ${name}`, () => {
+      assert.equal(encodeMessage(message).toString('hex'), hex);
+      const decoded = decodeMessage(Buffer.from(hex, 'hex'));
+      assert.deepEqual(JSON.parse(JSON.stringify(decoded)), message);
+      assert.equal(encodeMessage(decoded).toString('hex'), hex);
+    });
+  }
+});
