--- a/packages/standby/src/stream-follower.ts
+++ b/packages/standby/src/stream-follower.ts
@@ -11,7 +11,7 @@
   | { readonly kind: 'refused'; readonly reason: 'other_life' | 'gap' | 'too_old' | 'former_holder' };
 
 interface Collected {
-  readonly life: number;
+  readonly incarnation: number;
   readonly after: number;
   readonly upTo: number;
   readonly isSnapshot: boolean;
@@ -23,7 +23,7 @@
 
 export class StreamFollower {
   private view = new Map<string, AdvisoryEntry>();
-  private followedLife = 0;
+  private followedIncarnation = 0;
   private upTo = 0;
   private collected: Collected | undefined;
   /** The question, by its moment, that the message answered which was applied last. */
@@ -35,7 +35,7 @@
   constructor(
     private readonly node: string,
     /** Tells this process from its former lives. */
-    private readonly life: number,
+    private readonly incarnation: number,
     private readonly maxLagMs: number,
     /** Steady ms. */
     private readonly now: () => number,
@@ -43,21 +43,21 @@
 
   /** What to ask the holder. */
   request(): FollowRequest {
-    const { node, life, followedLife, upTo } = this;
-    return { node, life, clock: this.now(), followedLife, upTo };
+    const { node, incarnation, followedIncarnation, upTo } = this;
+    return { node, incarnation, clock: this.now(), followedIncarnation, upTo };
   }
 
   /** Takes in a message of the holder, or refuses it as a whole. */
   take(batch: StreamBatch): BatchOutcome {
     const now = this.now();
-    if (batch.echo.life !== this.life) return { kind: 'refused', reason: 'other_life' };
+    if (batch.echo.incarnation !== this.incarnation) return { kind: 'refused', reason: 'other_life' };
     const lagMs = now - batch.echo.clock;
     if (lagMs > this.maxLagMs || lagMs < 0) return { kind: 'refused', reason: 'too_old' };
     // A process that has ended was asked nothing later. One that has not been followed yet can only be told by that.
-    if (batch.life !== this.followedLife && batch.echo.clock <= this.answeredClock)
+    if (batch.incarnation !== this.followedIncarnation && batch.echo.clock <= this.answeredClock)
       return { kind: 'refused', reason: 'former_holder' };
-    if (batch.life === this.followedLife && batch.upTo <= this.upTo) return { kind: 'repeated' };
-    const buildsOn = batch.isSnapshot || (batch.life === this.followedLife && batch.after === this.upTo);
+    if (batch.incarnation === this.followedIncarnation && batch.upTo <= this.upTo) return { kind: 'repeated' };
+    const buildsOn = batch.isSnapshot || (batch.incarnation === this.followedIncarnation && batch.after === this.upTo);
     if (!buildsOn) return { kind: 'refused', reason: 'gap' };
     const whole = this.collect(batch, now);
     if (whole === undefined) return { kind: 'collecting' };
@@ -69,14 +69,14 @@
   }
 
   private collect(batch: StreamBatch, now: number): Collected | undefined {
-    const { life, after, upTo, isSnapshot, parts } = batch;
+    const { incarnation, after, upTo, isSnapshot, parts } = batch;
     const isSame =
-      this.collected?.life === life &&
+      this.collected?.incarnation === incarnation &&
       this.collected.upTo === upTo &&
       this.collected.after === after &&
       this.collected.isSnapshot === isSnapshot &&
       this.collected.parts === parts;
-    if (!isSame) this.collected = { life, after, upTo, isSnapshot, parts, entries: new Map(), arrivedAt: now };
+    if (!isSame) this.collected = { incarnation, after, upTo, isSnapshot, parts, entries: new Map(), arrivedAt: now };
     const collected = this.collected!;
     collected.entries.set(batch.part, batch.entries);
     collected.arrivedAt = now;
@@ -90,7 +90,7 @@
       else next.set(keyOf(kind, name), { kind, name, at: whole.arrivedAt - ageMs, healthy, unhealthy });
     }
     this.view = next;
-    this.followedLife = whole.life;
+    this.followedIncarnation = whole.incarnation;
     this.upTo = whole.upTo;
     this.collected = undefined;
   }
--- a/packages/standby/src/stream-messages.ts
+++ b/packages/standby/src/stream-messages.ts
@@ -23,7 +23,7 @@
 
 /** A moment of a process's own clock, with the life of the process whose clock it is. */
 export interface ClockEcho {
-  readonly life: number;
+  readonly incarnation: number;
   readonly clock: number;
 }
 
@@ -31,17 +31,17 @@
 export interface FollowRequest {
   readonly node: string;
   /** The follower's process, and its clock when it asked. */
-  readonly life: number;
+  readonly incarnation: number;
   readonly clock: number;
   /** The holder's process whose changes are known up to `upTo`; 0: none. */
-  readonly followedLife: number;
+  readonly followedIncarnation: number;
   readonly upTo: number;
 }
 
 /** A part of what changed. */
 export interface StreamBatch {
   readonly node: string;
-  readonly life: number;
+  readonly incarnation: number;
   /** The number that it builds on; in all parts of a snapshot 0. */
   readonly after: number;
   /** The number that it leads to, with all its parts. */
--- a/packages/standby/src/stream-sender.ts
+++ b/packages/standby/src/stream-sender.ts
@@ -48,7 +48,7 @@
   constructor(
     private readonly node: string,
     /** Tells this process from its former lives. */
-    private readonly life: number,
+    private readonly incarnation: number,
     private readonly log: AdvisoryLog,
     private readonly bounds: StreamBounds,
     /** Steady ms. */
@@ -61,7 +61,7 @@
   /** A follower asks. */
   take(request: FollowRequest): void {
     const known = this.followers.get(request.node);
-    if (known === undefined || known.request.life !== request.life) {
+    if (known === undefined || known.request.incarnation !== request.incarnation) {
       const follower = { request, askedAt: this.now(), sentUpTo: 0, needsSnapshot: true, unacknowledged: [] };
       this.resume(follower);
       this.followers.set(request.node, follower);
@@ -69,7 +69,7 @@
     }
     known.request = request;
     known.askedAt = this.now();
-    const hasFollowed = request.followedLife === this.life;
+    const hasFollowed = request.followedIncarnation === this.incarnation;
     known.unacknowledged = known.unacknowledged.filter(({ upTo }) => !hasFollowed || upTo > request.upTo);
     for (const each of known.unacknowledged) each.requests++;
     const isLost = known.unacknowledged.some(({ requests }) => requests >= LOST_AFTER_REQUESTS);
@@ -79,8 +79,8 @@
 
   /** Goes on from where the follower says it is. */
   private resume(follower: Follower): void {
-    const { followedLife, upTo } = follower.request;
-    const isKnown = followedLife === this.life && this.log.knowsSince(upTo);
+    const { followedIncarnation, upTo } = follower.request;
+    const isKnown = followedIncarnation === this.incarnation && this.log.knowsSince(upTo);
     follower.needsSnapshot = !isKnown;
     follower.sentUpTo = isKnown ? upTo : 0;
     follower.unacknowledged = [];
@@ -137,7 +137,7 @@
     entries: readonly SentEntry[],
     after: number,
     isSnapshot: boolean,
-    { life, clock }: FollowRequest,
+    { incarnation, clock }: FollowRequest,
   ): StreamBatch[] {
     const groups: SentEntry[][] = [[]];
     let bytes = 0;
@@ -152,20 +152,20 @@
     }
     return groups.map((group, part) => ({
       node: this.node,
-      life: this.life,
+      incarnation: this.incarnation,
       after,
       upTo: this.log.sequence,
       isSnapshot,
       part,
       parts: groups.length,
-      echo: { life, clock },
+      echo: { incarnation, clock },
       entries: group,
     }));
   }
 
   get status(): StreamStatus {
     const behind = [...this.followers.values()].map(({ request }) =>
-      request.followedLife === this.life ? this.log.sequence - request.upTo : this.log.sequence,
+      request.followedIncarnation === this.incarnation ? this.log.sequence - request.upTo : this.log.sequence,
     );
     const { snapshots, bytesSent } = this;
     return { followers: this.followers.size, snapshots, bytesSent, behind: Math.max(0, ...behind) };
--- a/packages/standby/src/takeover-barrier.ts
+++ b/packages/standby/src/takeover-barrier.ts
@@ -5,15 +5,15 @@
 export type BarrierOutcome = { readonly kind: 'open' } | { readonly kind: 'closed'; readonly reason: BarrierReason };
 
 /** One stay of a role with this process: the object itself tells it from others. */
-export interface RoleTenure {
+export interface RoleTerm {
   /** Revision of the store by which the role came. */
-  readonly stamp: number;
+  readonly startRevision: number;
 }
 
 /** What this process knows of a role at this very moment. */
 export interface BarrierEvidence {
   /** The claim is this process's, under its present hold; undefined: it is not. */
-  readonly tenure: RoleTenure | undefined;
+  readonly term: RoleTerm | undefined;
   /** No pause since the store last confirmed the hold. */
   readonly isConfirmed: boolean;
   /** The store has shown the copy of the records complete just now. */
@@ -31,26 +31,26 @@
  * the records are complete up to the claim.
  */
 export class TakeoverBarrier {
-  private reconciled: RoleTenure | undefined;
+  private reconciled: RoleTerm | undefined;
 
   constructor(
     /** Compares what was followed with the records and takes it in. It must not fail, and must not wait. */
-    private readonly reconcile: (tenure: RoleTenure) => void,
+    private readonly reconcile: (term: RoleTerm) => void,
   ) {}
 
   assess(evidence: BarrierEvidence): BarrierOutcome {
-    const { tenure } = evidence;
-    if (tenure === undefined) return closed('no_claim');
+    const { term } = evidence;
+    if (term === undefined) return closed('no_claim');
     if (!evidence.isConfirmed) return closed('unconfirmed');
     if (!evidence.isInTouch) return closed('out_of_touch');
-    if (evidence.completeUpTo < tenure.stamp) return closed('records_behind');
-    if (this.reconciled !== tenure) return this.reconcileOnce(tenure);
+    if (evidence.completeUpTo < term.startRevision) return closed('records_behind');
+    if (this.reconciled !== term) return this.reconcileOnce(term);
     return OPEN;
   }
 
-  private reconcileOnce(tenure: RoleTenure): BarrierOutcome {
-    this.reconciled = tenure;
-    this.reconcile(tenure);
+  private reconcileOnce(term: RoleTerm): BarrierOutcome {
+    this.reconciled = term;
+    this.reconcile(term);
     return OPEN;
   }
 }
--- a/packages/standby/src/takeover-timeline.ts
+++ b/packages/standby/src/takeover-timeline.ts
@@ -9,7 +9,7 @@
   /** The node that held the role before. */
   readonly former: string;
   /** Revision of the former claim: with the role it names the takeover at both nodes. */
-  readonly formerStamp: number;
+  readonly formerFencingToken: number;
   /** Steady ms when the former holder was last heard. */
   readonly lastHeardAt: number;
   /** Steady ms of each step that came about. */
@@ -24,7 +24,7 @@
 
 interface Underway {
   readonly former: string;
-  readonly formerStamp: number;
+  readonly formerFencingToken: number;
   readonly lastHeardAt: number;
   readonly steps: Map<TakeoverStep, number>;
 }
@@ -42,9 +42,9 @@
   ) {}
 
   /** The claim of a role that somebody else held is gone. */
-  vacant(role: string, former: string, formerStamp: number, lastHeardAt: number): void {
+  vacant(role: string, former: string, formerFencingToken: number, lastHeardAt: number): void {
     const steps = new Map<TakeoverStep, number>([['vacant', this.now()]]);
-    this.underway.set(role, { former, formerStamp, lastHeardAt, steps });
+    this.underway.set(role, { former, formerFencingToken, lastHeardAt, steps });
   }
 
   /** Somebody else has taken the role. */
--- a/packages/standby/src/takeover-tracer.ts
+++ b/packages/standby/src/takeover-tracer.ts
@@ -5,7 +5,7 @@
 export interface RoleLoss {
   readonly role: string;
   /** Revision of this process's claim. */
-  readonly stamp: number;
+  readonly fencingToken: number;
   /** Steady ms when the store last confirmed the hold, and when the loss was noticed. */
   readonly confirmedAt: number;
   readonly noticedAt: number;
--- a/packages/standby/src/tracing.ts
+++ b/packages/standby/src/tracing.ts
@@ -58,8 +58,8 @@
 const toMilliseconds = ([seconds, nanoseconds]: HrTime): number => seconds * 1000 + nanoseconds / 1e6;
 
 /** The context under which both nodes put their spans of one takeover. */
-function contextOf(role: string, formerStamp: number): Context {
-  const digest = createHash('sha256').update(`${role} ${formerStamp}`).digest('hex');
+function contextOf(role: string, formerFencingToken: number): Context {
+  const digest = createHash('sha256').update(`${role} ${formerFencingToken}`).digest('hex');
   return trace.setSpanContext(ROOT_CONTEXT, {
     traceId: digest.slice(0, TRACE_ID_DIGITS),
     spanId: digest.slice(TRACE_ID_DIGITS, TRACE_ID_DIGITS + SPAN_ID_DIGITS),
@@ -91,15 +91,15 @@
   }
 
   takenOver(report: TakeoverReport): void {
-    const { role, former, formerStamp, steps } = report;
+    const { role, former, formerFencingToken, steps } = report;
     const vacantAt = steps.get('vacant')!;
     const begin = Number.isFinite(report.lastHeardAt) ? report.lastHeardAt : vacantAt;
     const end = Math.max(...steps.values());
-    const attributes = { role, former, formerStamp };
+    const attributes = { role, former, formerFencingToken };
     const whole = this.tracer.startSpan(
       'takeover',
       { startTime: this.wallOf(begin), attributes },
-      contextOf(role, formerStamp),
+      contextOf(role, formerFencingToken),
     );
     const inside = trace.setSpan(ROOT_CONTEXT, whole);
     for (const { name, from, to } of SPANS) {
@@ -112,9 +112,9 @@
   }
 
   lost(loss: RoleLoss): void {
-    const { role, stamp, confirmedAt, noticedAt } = loss;
+    const { role, fencingToken, confirmedAt, noticedAt } = loss;
     const startTime = this.wallOf(confirmedAt);
-    const span = this.tracer.startSpan('role lost', { startTime, attributes: { role } }, contextOf(role, stamp));
+    const span = this.tracer.startSpan('role lost', { startTime, attributes: { role } }, contextOf(role, fencingToken));
     span.end(this.wallOf(noticedAt));
   }
 }
--- a/packages/standby/test/stream.test.ts
+++ b/packages/standby/test/stream.test.ts
@@ -12,7 +12,7 @@
 /** A holder, a follower, and links that lose, hold back and repeat. */
 class Stream {
   time = 10_000;
-  life = 100;
+  incarnation = 100;
   log = this.newLog();
   sender = this.newSender();
   readonly follower = new StreamFollower('n1', 7, MAX_LAG_MS, () => this.time);
@@ -25,13 +25,13 @@
   }
 
   private newSender(): StreamSender {
-    return new StreamSender('n0', this.life, this.log, BOUNDS, () => this.time);
+    return new StreamSender('n0', this.incarnation, this.log, BOUNDS, () => this.time);
   }
 
   restart(): void {
     // The next question comes later, if by ever so little.
     this.time++;
-    this.life++;
+    this.incarnation++;
     this.log = this.newLog();
     this.sender = this.newSender();
   }
@@ -51,7 +51,7 @@
 
   private record(): void {
     const names = this.log.since(0).filter(({ entry }) => !entry.isRemoved);
-    this.history.set(`${this.life} ${this.log.sequence}`, namesOf(names.map(({ entry }) => entry)));
+    this.history.set(`${this.incarnation} ${this.log.sequence}`, namesOf(names.map(({ entry }) => entry)));
   }
 
   ask(): void {
@@ -72,8 +72,8 @@
 
   /** The view is what the holder knew at one of its numbers, as a whole. */
   assertWhole(): void {
-    const { followedLife, upTo } = this.follower.request();
-    const known = this.history.get(`${followedLife} ${upTo}`) ?? '';
+    const { followedIncarnation, upTo } = this.follower.request();
+    const known = this.history.get(`${followedIncarnation} ${upTo}`) ?? '';
     assert.equal(namesOf(this.follower.entries('idle')), known);
   }
 }
@@ -85,14 +85,14 @@
     .join();
 
 type Command =
-  | { do: 'put'; host: string }
-  | { do: 'keep'; hosts: string[] }
+  | { do: 'put'; machineId: string }
+  | { do: 'keep'; machineIds: string[] }
   | { do: 'ask' | 'compose' | 'restart' | 'lose' | 'repeat' | 'swap' | 'deliver' }
   | { do: 'pass'; ms: number };
 
 const command: fc.Arbitrary<Command> = fc.oneof(
-  { weight: 4, arbitrary: fc.record({ do: fc.constant('put' as const), host: fc.constantFrom(...HOSTS) }) },
-  fc.record({ do: fc.constant('keep' as const), hosts: fc.subarray(HOSTS) }),
+  { weight: 4, arbitrary: fc.record({ do: fc.constant('put' as const), machineId: fc.constantFrom(...HOSTS) }) },
+  fc.record({ do: fc.constant('keep' as const), machineIds: fc.subarray(HOSTS) }),
   { weight: 3, arbitrary: fc.record({ do: fc.constantFrom('ask' as const, 'deliver' as const, 'compose' as const) }) },
   fc.record({ do: fc.constantFrom('restart' as const, 'lose' as const, 'repeat' as const, 'swap' as const) }),
   fc.record({ do: fc.constant('pass' as const), ms: fc.constantFrom(10, 300, 1000, 2500) }),
@@ -105,9 +105,9 @@
   const { onTheWay } = stream;
   switch (each.do) {
     case 'put':
-      return stream.put(each.host);
+      return stream.put(each.machineId);
     case 'keep':
-      return stream.keep(each.hosts);
+      return stream.keep(each.machineIds);
     case 'ask':
       return stream.ask();
     case 'compose':
@@ -148,7 +148,7 @@
           stream.assertWhole();
         }
         assert.equal(stream.follower.request().upTo, stream.log.sequence);
-        assert.equal(stream.follower.request().followedLife, stream.life);
+        assert.equal(stream.follower.request().followedIncarnation, stream.incarnation);
       }),
       { seed: SEED, numRuns: 400, examples: [[LATE_WORD_OF_A_FORMER_LIFE]] },
     );
@@ -161,7 +161,7 @@
     const [late] = stream.onTheWay;
     stream.time += MAX_LAG_MS + 1;
     assert.deepEqual(stream.follower.take(late!), { kind: 'refused', reason: 'too_old' });
-    const foreign = { ...late!, echo: { life: 8, clock: stream.time } };
+    const foreign = { ...late!, echo: { incarnation: 8, clock: stream.time } };
     assert.deepEqual(stream.follower.take(foreign), { kind: 'refused', reason: 'other_life' });
     stream.onTheWay.length = 0;
     stream.ask();
@@ -173,7 +173,7 @@
     stream.put('i-2');
     stream.ask();
     stream.deliverAll();
-    const former = { ...late!, echo: { life: 7, clock: stream.time } };
+    const former = { ...late!, echo: { incarnation: 7, clock: stream.time } };
     assert.deepEqual(stream.follower.take(former), { kind: 'refused', reason: 'former_holder' });
     assert.equal(namesOf(stream.follower.entries('idle')), 'i-2');
   });
@@ -184,7 +184,7 @@
     stream.ask();
     stream.deliverAll();
     stream.restart();
-    for (const host of HOSTS.slice(0, 10)) stream.put(host.repeat(20));
+    for (const machineId of HOSTS.slice(0, 10)) stream.put(machineId.repeat(20));
     stream.ask();
     assert.ok(stream.onTheWay.length > 1);
     const last = stream.onTheWay.pop()!;
--- a/packages/standby/test/takeover-barrier.test.ts
+++ b/packages/standby/test/takeover-barrier.test.ts
@@ -15,12 +15,12 @@
   private time = 0;
   private holdUntil = HOLD_MS;
   private owner: 'A' | 'B' = 'A';
-  private stamp = 5;
+  private startRevision = 5;
   private copyOfB = 5;
   private freshOfA = 0;
   private freshOfB = -Infinity;
-  private readonly tenureOfA = { stamp: 5 };
-  private tenureOfB: { stamp: number } | undefined;
+  private readonly tenureOfA = { startRevision: 5 };
+  private tenureOfB: { startRevision: number } | undefined;
   private readonly guard: PauseGuard;
   private readonly barrierOfA = new TakeoverBarrier(() => undefined);
   private readonly barrierOfB = new TakeoverBarrier(() => this.reconciledAt.push(this.copyOfB));
@@ -49,18 +49,18 @@
     claim: () => {
       if (this.time < this.holdUntil || this.owner === 'B') return;
       this.owner = 'B';
-      this.stamp += 2;
-      this.tenureOfB = { stamp: this.stamp };
+      this.startRevision += 2;
+      this.tenureOfB = { startRevision: this.startRevision };
     },
     copy: () => {
-      this.copyOfB = this.stamp;
+      this.copyOfB = this.startRevision;
       this.freshOfB = this.time;
     },
   };
 
   private assessA(): BarrierOutcome {
     return this.barrierOfA.assess({
-      tenure: this.tenureOfA,
+      term: this.tenureOfA,
       isConfirmed: !this.hasGuard || this.guard.isConfirmed,
       isInTouch: this.time - this.freshOfA < FRESH_MS,
       completeUpTo: 5,
@@ -70,7 +70,7 @@
   private assessB(): BarrierOutcome {
     const isInTouch = this.time - this.freshOfB < FRESH_MS;
     return this.barrierOfB.assess({
-      tenure: this.tenureOfB,
+      term: this.tenureOfB,
       isConfirmed: true,
       isInTouch,
       completeUpTo: this.copyOfB,
@@ -82,7 +82,7 @@
     const isSent = maySend('cloud_return', () => this.assessA().kind === 'open');
     if (isSent && this.owner === 'B') return 'a return of the former holder';
     const decides = this.assessB().kind === 'open';
-    if (decides && (this.owner !== 'B' || this.copyOfB < this.stamp)) return 'a decision on an older copy';
+    if (decides && (this.owner !== 'B' || this.copyOfB < this.startRevision)) return 'a decision on an older copy';
     return undefined;
   }
 }
@@ -118,14 +118,14 @@
 
   it('names what is missing, in order, and reconciles once in each tenure', () => {
     const reconciled: number[] = [];
-    const barrier = new TakeoverBarrier(({ stamp }) => reconciled.push(stamp));
-    const tenure = { stamp: 9 };
-    const good = { tenure, isConfirmed: true, isInTouch: true, completeUpTo: 9 };
-    const reason = (evidence: typeof good | (Omit<typeof good, 'tenure'> & { tenure: undefined })) => {
+    const barrier = new TakeoverBarrier(({ startRevision }) => reconciled.push(startRevision));
+    const term = { startRevision: 9 };
+    const good = { term, isConfirmed: true, isInTouch: true, completeUpTo: 9 };
+    const reason = (evidence: typeof good | (Omit<typeof good, 'term'> & { term: undefined })) => {
       const outcome = barrier.assess(evidence);
       return outcome.kind === 'closed' ? outcome.reason : 'open';
     };
-    assert.equal(reason({ ...good, tenure: undefined }), 'no_claim');
+    assert.equal(reason({ ...good, term: undefined }), 'no_claim');
     assert.equal(reason({ ...good, isConfirmed: false }), 'unconfirmed');
     assert.equal(reason({ ...good, isInTouch: false }), 'out_of_touch');
     assert.equal(reason({ ...good, completeUpTo: 8 }), 'records_behind');
@@ -133,7 +133,7 @@
     assert.equal(reason(good), 'open');
     assert.equal(reason(good), 'open');
     assert.deepEqual(reconciled, [9]);
-    assert.equal(reason({ ...good, tenure: { stamp: 9 } }), 'open');
+    assert.equal(reason({ ...good, term: { startRevision: 9 } }), 'open');
     assert.deepEqual(reconciled, [9, 9]);
   });
 });
--- a/packages/standby/test/tracing.test.ts
+++ b/packages/standby/test/tracing.test.ts
@@ -63,7 +63,7 @@
     const file = join(folder, 'spans.jsonl');
     const wallOf = (steadyMs: number) => 1_700_000_000_000 + steadyMs;
     createTakeoverTracer(file, 'n1', wallOf).takenOver(takeOver());
-    const loss = { role: 'leader', stamp: 41, confirmedAt: 7000, noticedAt: 12_000 };
+    const loss = { role: 'leader', fencingToken: 41, confirmedAt: 7000, noticedAt: 12_000 };
     createTakeoverTracer(file, 'n0', wallOf).lost(loss);
     const lines = readFileSync(file, 'utf8').trim().split('\n');
     rmSync(folder, { recursive: true });
--- a/src/api/routes.ts
+++ b/src/api/routes.ts
@@ -4,8 +4,8 @@
 /** What the service does for users, workers and health checks. */
 export interface Handlers {
   submit(body: unknown): Promise<Answer>;
-  poll(ref: string): Promise<Answer>;
-  withdraw(ref: string): Promise<Answer>;
+  poll(jobId: string): Promise<Answer>;
+  withdraw(jobId: string): Promise<Answer>;
   hello(body: unknown): Answer | Promise<Answer>;
   up(): Answer;
 }
@@ -43,12 +43,12 @@
 
   private findJob(path: string): Route | undefined {
     const match = JOB_PATH.exec(path);
-    const ref = decodePathPart(match?.[1]);
-    if (ref === undefined) return undefined;
-    const isWithdrawal = match?.[2] !== undefined;
-    return isWithdrawal
-      ? { method: 'POST', isBounded: true, takesBody: false, handle: () => this.handlers.withdraw(ref) }
-      : { method: 'GET', isBounded: true, takesBody: false, handle: () => this.handlers.poll(ref) };
+    const jobId = decodePathPart(match?.[1]);
+    if (jobId === undefined) return undefined;
+    const isCancellation = match?.[2] !== undefined;
+    return isCancellation
+      ? { method: 'POST', isBounded: true, takesBody: false, handle: () => this.handlers.withdraw(jobId) }
+      : { method: 'GET', isBounded: true, takesBody: false, handle: () => this.handlers.poll(jobId) };
   }
 }
 
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -1,73 +1,32 @@
-import * as v from 'valibot';
+/** Calls to the cloud: its catalogue, its list of machines, scale out and scale in. */
 import { CLOUD_BUSY_PAUSE_MS, CLOUD_TIMEOUT_MS } from '../constants.js';
-import type { Flavor } from '../controller/fleet.js';
 import type { Clock } from '../net/clock.js';
 import type { HttpClient, Reply } from '../net/http-client.js';
-import { TokenBucket, type Priority } from '../net/token-bucket.js';
+import { Priority, TokenBucket } from '../net/token-bucket.js';
+import {
+  decodeCatalog,
+  decodeMachineList,
+  decodeRentedMachines,
+  encodeScaleInRequest,
+  encodeScaleOutRequest,
+  isNoCapacity,
+  machineTypesOf,
+  type ListedMachine,
+  type ScaleOutRequest,
+} from './wire-codec.js';
 
-export interface ListedMachine {
-  host: string;
-  endpoint: string;
-  flavor: string;
-  site: string;
-  reclaimable: boolean;
-  phase: 'starting' | 'running' | 'failed';
-  heldS: number;
-}
-
-const FlavorSchema = v.object({
-  Sku: v.string(),
-  Cpus: v.number(),
-  Cards: v.optional(v.nullable(v.number()), 0),
-  MemGb: v.number(),
-  LocalGb: v.optional(v.nullable(v.number()), 0),
-  FetchGbPerS: v.optional(v.nullable(v.number()), 1),
-  Hourly: v.optional(v.nullable(v.number()), 0),
-  LowPrice: v.optional(v.nullable(v.number()), 0),
-  BootS: v.optional(v.nullable(v.number()), 60),
-  Sites: v.optional(v.nullable(v.array(v.string())), []),
-});
-const CatalogSchema = v.object({ Flavors: v.array(FlavorSchema) });
-
-/** The catalogue as the cloud gives it, and as it is kept in the store; undefined: unreadable. */
-export function decodeCatalog(body: unknown): Map<string, Flavor> | undefined {
-  const result = v.safeParse(CatalogSchema, body);
-  if (!result.success) return undefined;
-  const catalog = new Map<string, Flavor>();
-  for (const raw of result.output.Flavors) {
-    catalog.set(raw.Sku, {
-      sku: raw.Sku,
-      cpus: raw.Cpus,
-      cards: raw.Cards ?? 0,
-      memGb: raw.MemGb,
-      localGb: raw.LocalGb ?? 0,
-      fetchGbPerS: raw.FetchGbPerS ?? 1,
-      hourly: raw.Hourly ?? 0,
-      lowPrice: raw.LowPrice ?? 0,
-      bootS: raw.BootS ?? 60,
-      sites: raw.Sites ?? [],
-    });
-  }
-  return catalog;
-}
-
-export interface Hire {
-  name: string;
-  flavor: string;
-  site: string;
-  reclaimable: boolean;
-  count: number;
-}
-
-export type HireResult =
-  | { kind: 'rented'; hosts: string[] }
+export type ScaleOutResult =
+  | { kind: 'rented'; machineIds: string[] }
   | { kind: 'no_capacity' }
   /** Refused for now (429, outage): the same request may be sent again. */
   | { kind: 'refused' }
   | { kind: 'malformed' }
   | { kind: 'unknown' };
 
-/** The only place that knows the cloud's wire format; keeps its rate. */
+/** The cloud's own maximum. */
+const LIST_PAGE_MACHINES = 500;
+
+/** Keeps the cloud's rate limit, and tells answers from silence. */
 export class CloudClient {
   private readonly bucket: TokenBucket;
 
@@ -116,33 +75,30 @@
     }
   }
 
-  /** The catalogue's body, as it is to be kept. */
-  async machineTypes(): Promise<unknown> {
-    const reply = await this.call('GET', '/machine_types', undefined, 3);
-    return reply?.status === 200 && decodeCatalog(reply.body) !== undefined ? reply.body : undefined;
+  /** The machine types, each in the form in which it is stored; undefined: no readable answer. */
+  async machineTypes(): Promise<unknown[] | undefined> {
+    const reply = await this.call('GET', '/machine_types', undefined, Priority.start);
+    const isReadable = reply?.status === 200 && decodeCatalog(reply.body) !== undefined;
+    return isReadable ? machineTypesOf(reply.body) : undefined;
   }
 
-  async rent(hire: Hire): Promise<HireResult> {
-    const body = {
-      Hire: hire.name,
-      Flavor: hire.flavor,
-      Site: hire.site,
-      Reclaimable: hire.reclaimable,
-      HowMany: hire.count,
-    };
-    const reply = await this.change('cloud_rent', '/rentals', body, 2);
+  async scaleOut(request: ScaleOutRequest): Promise<ScaleOutResult> {
+    const reply = await this.change('cloud_rent', '/rentals', encodeScaleOutRequest(request), Priority.accept);
     if (reply === 'withheld') return { kind: 'refused' };
     if (reply === undefined) return { kind: 'unknown' };
-    if (reply.status === 200) return { kind: 'rented', hosts: (reply.body as { Hosts?: string[] })?.Hosts ?? [] };
+    if (reply.status === 200) return { kind: 'rented', machineIds: decodeRentedMachines(reply.body) };
     if (reply.status === 400) return { kind: 'malformed' };
-    const error = (reply.body as { error?: string } | undefined)?.error;
-    return reply.status === 503 && error === 'no capacity' ? { kind: 'no_capacity' } : { kind: 'refused' };
+    return reply.status === 503 && isNoCapacity(reply.body) ? { kind: 'no_capacity' } : { kind: 'refused' };
   }
 
   /** True: the machines and everything on them are gone. */
-  async giveBack(hosts: string[]): Promise<boolean> {
-    const body = { Hosts: hosts };
-    const reply = await this.change('cloud_return', '/rentals/return', body, 1);
+  async scaleIn(machineIds: readonly string[]): Promise<boolean> {
+    const reply = await this.change(
+      'cloud_return',
+      '/rentals/return',
+      encodeScaleInRequest(machineIds),
+      Priority.cancel,
+    );
     return reply !== 'withheld' && reply?.status === 200;
   }
 
@@ -152,33 +108,13 @@
     let from = '';
     for (;;) {
       const after = from === '' ? '' : `From=${encodeURIComponent(from)}&`;
-      const reply = await this.call('GET', `/rentals?${after}Limit=500`, undefined, 3);
+      const reply = await this.call('GET', `/rentals?${after}Limit=${LIST_PAGE_MACHINES}`, undefined, Priority.start);
       if (reply?.status !== 200) return undefined;
-      const body = reply.body as {
-        Hosts: {
-          Ref: string;
-          Endpoint: string;
-          Flavor: string;
-          Site: string;
-          Reclaimable?: boolean;
-          Phase: string;
-          HeldS: number;
-        }[];
-        HasNext?: boolean;
-      };
-      for (const raw of body.Hosts) {
-        machines.push({
-          host: raw.Ref,
-          endpoint: raw.Endpoint,
-          flavor: raw.Flavor,
-          site: raw.Site,
-          reclaimable: raw.Reclaimable === true,
-          phase: raw.Phase === 'failed' ? 'failed' : raw.Phase === 'starting' ? 'starting' : 'running',
-          heldS: raw.HeldS,
-        });
-      }
-      if (body.HasNext !== true || body.Hosts.length === 0) return machines;
-      from = body.Hosts[body.Hosts.length - 1]!.Ref;
+      const page = decodeMachineList(reply.body);
+      machines.push(...page.machines);
+      const last = page.machines.at(-1);
+      if (!page.hasMore || last === undefined) return machines;
+      from = last.machineId;
     }
   }
 }
--- /dev/null
+++ b/src/cloud/wire-codec.ts
@@ -0,0 +1,136 @@
+/** The cloud's wire form: machine types, rentals and the list of machines, and their translation. */
+import * as v from 'valibot';
+
+/** A machine type of the cloud's catalogue. */
+export interface MachineType {
+  name: string;
+  cpus: number;
+  gpus: number;
+  memoryGb: number;
+  /** What the machine's image cache holds. */
+  imageCacheGb: number;
+  fetchGbPerS: number;
+  hourlyPrice: number;
+  spotHourlyPrice: number;
+  bootS: number;
+  zones: string[];
+}
+
+/** A machine as the cloud's list shows it, which lags. */
+export interface ListedMachine {
+  machineId: string;
+  endpoint: string;
+  machineType: string;
+  zone: string;
+  isSpot: boolean;
+  state: 'starting' | 'running' | 'failed';
+  /** s since the rental request, at the time that the list describes. */
+  ageS: number;
+}
+
+/** A request for machines, repeated under the same id until it is answered. */
+export interface ScaleOutRequest {
+  /** Idempotency key: nobody may ever use it for another request. */
+  rentalId: string;
+  machineType: string;
+  zone: string;
+  isSpot: boolean;
+  count: number;
+}
+
+const DEFAULT_FETCH_GB_PER_S = 1;
+const DEFAULT_BOOT_S = 60;
+
+const WireMachineTypeSchema = v.object({
+  Sku: v.string(),
+  Cpus: v.number(),
+  Cards: v.optional(v.nullable(v.number()), 0),
+  MemGb: v.number(),
+  LocalGb: v.optional(v.nullable(v.number()), 0),
+  FetchGbPerS: v.optional(v.nullable(v.number()), DEFAULT_FETCH_GB_PER_S),
+  Hourly: v.optional(v.nullable(v.number()), 0),
+  LowPrice: v.optional(v.nullable(v.number()), 0),
+  BootS: v.optional(v.nullable(v.number()), DEFAULT_BOOT_S),
+  Sites: v.optional(v.nullable(v.array(v.string())), []),
+});
+const WireCatalogSchema = v.object({ Flavors: v.array(WireMachineTypeSchema) });
+
+/** The catalogue by the types' names; undefined: unreadable. */
+export function decodeCatalog(body: unknown): Map<string, MachineType> | undefined {
+  const result = v.safeParse(WireCatalogSchema, body);
+  if (!result.success) return undefined;
+  const catalog = new Map<string, MachineType>();
+  for (const wire of result.output.Flavors) {
+    catalog.set(wire.Sku, {
+      name: wire.Sku,
+      cpus: wire.Cpus,
+      gpus: wire.Cards ?? 0,
+      memoryGb: wire.MemGb,
+      imageCacheGb: wire.LocalGb ?? 0,
+      fetchGbPerS: wire.FetchGbPerS ?? DEFAULT_FETCH_GB_PER_S,
+      hourlyPrice: wire.Hourly ?? 0,
+      spotHourlyPrice: wire.LowPrice ?? 0,
+      bootS: wire.BootS ?? DEFAULT_BOOT_S,
+      zones: wire.Sites ?? [],
+    });
+  }
+  return catalog;
+}
+
+/** One machine type as its record in the store holds it: the cloud's own form. undefined: unreadable. */
+export const decodeMachineType = (wire: unknown): MachineType | undefined => {
+  const [machineType] = decodeCatalog({ Flavors: [wire] })?.values() ?? [];
+  return machineType;
+};
+
+/** The machine types of a readable catalogue, each in the form in which it is stored. */
+export const machineTypesOf = (body: unknown): unknown[] => (body as { Flavors: unknown[] }).Flavors;
+
+export const encodeScaleOutRequest = (request: ScaleOutRequest): unknown => ({
+  Hire: request.rentalId,
+  Flavor: request.machineType,
+  Site: request.zone,
+  Reclaimable: request.isSpot,
+  HowMany: request.count,
+});
+
+export const encodeScaleInRequest = (machineIds: readonly string[]): unknown => ({ Hosts: machineIds });
+
+/** The machines that a request has got. */
+export const decodeRentedMachines = (body: unknown): string[] =>
+  (body as { Hosts?: string[] } | undefined)?.Hosts ?? [];
+
+const NO_CAPACITY = 'no capacity';
+
+export const isNoCapacity = (body: unknown): boolean => (body as { error?: string } | undefined)?.error === NO_CAPACITY;
+
+interface WireMachineList {
+  Hosts: {
+    Ref: string;
+    Endpoint: string;
+    Flavor: string;
+    Site: string;
+    Reclaimable?: boolean;
+    Phase: string;
+    HeldS: number;
+  }[];
+  HasNext?: boolean;
+}
+
+const stateOfPhase = (phase: string): ListedMachine['state'] =>
+  phase === 'failed' || phase === 'starting' ? phase : 'running';
+
+/** One page of the list. */
+export function decodeMachineList(body: unknown): { machines: ListedMachine[]; hasMore: boolean } {
+  const { Hosts, HasNext } = body as WireMachineList;
+  const machines = Hosts.map((wire) => ({
+    machineId: wire.Ref,
+    endpoint: wire.Endpoint,
+    machineType: wire.Flavor,
+    zone: wire.Site,
+    isSpot: wire.Reclaimable === true,
+    state: stateOfPhase(wire.Phase),
+    ageS: wire.HeldS,
+  }));
+  return { machines, hasMore: HasNext === true };
+}
--- a/src/constants.ts
+++ b/src/constants.ts
@@ -315,7 +315,7 @@
 export const WARM_WAIT_MS = 700;
 
 /** Tiers put machines behind others whatever their distance; a missing image counts `image_bonus` (1 by default). */
-export const CARDS_TIER = 4;
+export const GPU_TIER = 4;
 /** s of fetching that count as much again as the image's being missed at all. */
 export const FETCH_TIER_S = 20;
 
--- a/src/controller/catalog-records.ts
+++ b/src/controller/catalog-records.ts
@@ -1,17 +1,14 @@
 /** Keeps the catalogue of machine types as the records have it: every node places by it, and only the leader asks the cloud. */
-import { decodeCatalog } from '../cloud/client.js';
-import { LIVE } from '../ledger/records.js';
+import { decodeMachineType, type MachineType } from '../cloud/wire-codec.js';
+import { MACHINE_TYPE_PREFIX } from '../ledger/record-keys.js';
 import type { Replica } from '../state/replica.js';
-import type { Flavor } from './fleet.js';
 import type { Log } from './log.js';
 
-const PREFIX = `${LIVE}flavor/`;
-
-export function followCatalog(replica: Replica, catalog: () => Map<string, Flavor>, log: Log): void {
+export function followCatalog(replica: Replica, catalog: () => Map<string, MachineType>, log: Log): void {
   replica.onChange((key, { value }) => {
-    if (!key.startsWith(PREFIX) || value === undefined) return;
-    const read = decodeCatalog({ Flavors: [value] });
-    if (read === undefined) log.error({ key }, 'record can not be read');
-    for (const [sku, flavor] of read ?? []) catalog().set(sku, flavor);
+    if (!key.startsWith(MACHINE_TYPE_PREFIX) || value === undefined) return;
+    const machineType = decodeMachineType(value);
+    if (machineType === undefined) log.error({ key }, 'record can not be read');
+    else catalog().set(machineType.name, machineType);
   });
 }
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -8,8 +8,6 @@
   PIPELINE_SWEEP_MS,
   TEAM_SETTLE_MS,
   FINISH_PERIOD_MS,
-  WATCH_HEARD_PAUSE_MS,
-  WATCH_PAUSE_MS,
 } from '../constants.js';
 import { maySend } from '@dewlatch/standby';
 import type { Answer, Jobs } from '../api/jobs.js';
@@ -17,79 +15,85 @@
 import { CloudClient } from '../cloud/client.js';
 import type { Settings, Tuning } from '../config/settings.js';
 import { lastingLimits } from '../config/state-limits.js';
-import { Book } from '../ledger/book.js';
+import { ClusterState } from '../ledger/book.js';
 import { recordSizer } from '../ledger/record-sizes.js';
 import { TeamAccounting } from '../ledger/team-accounting.js';
-import { LIVE } from '../ledger/records.js';
-import { Mesh, splitAddress } from '../mesh/mesh.js';
-import type { Gossip, Message, Relay } from '../mesh/messages.js';
-import { Coverage } from '../mesh/coverage.js';
-import { Relays } from '../mesh/relays.js';
-import { Peers } from '../mesh/peers.js';
+import { LIVE } from '../ledger/record-keys.js';
+import { PeerLinks, splitAddress } from '../mesh/mesh.js';
+import type { Gossip, Message } from '../mesh/messages.js';
+import { ReplicaFreshness } from '../mesh/coverage.js';
+import { HeartbeatForwarder } from '../mesh/relays.js';
+import { PeerDirectory } from '../mesh/peers.js';
 import { SentMachineUpdates } from '../mesh/machine-updates.js';
 import type { Clock } from '../net/clock.js';
 import type { HttpClient } from '../net/http-client.js';
 import { Random } from '../net/random.js';
 import { Happiness } from '../placement/happiness.js';
-import { StateClient } from '../state/client.js';
-import { Committer } from '../state/committer.js';
-import { txnLimits } from '../state/draft.js';
+import { StoreClient } from '../state/client.js';
+import { TransactionBatcher } from '../state/committer.js';
+import { transactionLimits } from '../state/draft.js';
 import { Replica } from '../state/replica.js';
 import { followCatalog } from './catalog-records.js';
-import { Claims } from './claims.js';
-import { Fleet } from './fleet.js';
+import { RoleLeadership } from './claims.js';
+import { MachineInventory } from './fleet.js';
 import { FormatUpgrade } from './format-upgrade.js';
 import { GossipExchange } from './gossip-exchange.js';
 import { GossipSender } from './gossip-sender.js';
 import { Handover } from './handover.js';
 import { HealthChecks } from './health-checks.js';
 import { createJobDuties, type JobDuties } from './job-duties.js';
-import { Leader } from './leader.js';
+import { ClusterLeader } from './leader.js';
 import { loadTracer } from './load-tracer.js';
 import type { Log } from './log.js';
 import { Rescheduler } from './rescheduler.js';
-import { Owner } from './owner.js';
+import { WorkerManager } from './owner.js';
 import { every } from './periodic.js';
-import { Planner } from './planner.js';
-import { Rebalancer } from './rebalancer.js';
+import { PlacementPlanner } from './planner.js';
+import { RoleRebalancer } from './rebalancer.js';
 import { RecordBroadcast } from './record-broadcast.js';
 import { Standby } from './standby.js';
-import { ReportService } from './report-service.js';
+import { HeartbeatService } from './report-service.js';
 import { TeamSettlement } from './team-settlement.js';
-import { WithdrawalEnforcer } from './withdrawal-enforcer.js';
+import { CancellationEnforcer } from './withdrawal-enforcer.js';
+import { createWorkerManagerEvents } from './worker-manager-events.js';
+import { watchPauseMs } from './watch-pause.js';
+import { NodeHealth } from './node-health.js';
+import { PeerMessageRouter } from './peer-message-router.js';
 import { TokenAnnouncer } from './token-announcer.js';
 
 /** One controller: all parts of the service, joined. */
 export class Controller {
   readonly replica: Replica;
-  readonly book: Book;
-  readonly claims: Claims;
-  readonly owner: Owner;
-  readonly fleet: Fleet;
-  readonly planner: Planner;
-  readonly leader: Leader;
+  readonly clusterState: ClusterState;
+  readonly leadership: RoleLeadership;
+  readonly workerManager: WorkerManager;
+  readonly inventory: MachineInventory;
+  readonly planner: PlacementPlanner;
+  readonly leader: ClusterLeader;
   readonly jobs: Jobs;
-  private readonly withdrawalEnforcer: WithdrawalEnforcer;
-  private readonly client: StateClient;
-  private readonly committer: Committer;
-  private readonly peers: Peers;
-  private readonly coverage: Coverage;
+  private readonly cancellationEnforcer: CancellationEnforcer;
+  private readonly client: StoreClient;
+  private readonly transactions: TransactionBatcher;
+  private readonly peerDirectory: PeerDirectory;
+  private readonly health: NodeHealth;
+  private readonly replicaFreshness: ReplicaFreshness;
   private readonly rescheduler: Rescheduler;
   readonly happiness: Happiness;
   private readonly random: Random;
   private readonly standby: Standby | undefined;
   private readonly gossipSender: GossipSender;
   private readonly handover: Handover;
-  private readonly relays: Relays;
+  private readonly heartbeatForwarder: HeartbeatForwarder;
   /** Set by whoever links the controllers: the mesh, or a test. */
   send: (node: string, message: Message) => boolean = () => false;
   /** ms between two reports of a worker. */
   private readonly periodMs: number;
   private readonly sentUpdates: SentMachineUpdates;
+  private readonly messages: PeerMessageRouter;
   private readonly exchange: GossipExchange;
-  private readonly rebalancer: Rebalancer;
+  private readonly roleRebalancer: RoleRebalancer;
   private readonly broadcast: RecordBroadcast;
-  private readonly reports: ReportService;
+  private readonly reports: HeartbeatService;
   private readonly jobDuties: JobDuties;
   private readonly formatUpgrade: FormatUpgrade;
   private readonly teamSettlement: TeamSettlement;
@@ -104,11 +108,11 @@
   ) {
     this.random = new Random(seed);
     this.periodMs = settings.cluster.workers.report_s * 1000;
-    const life = randomInt(2 ** 47);
-    this.sentUpdates = new SentMachineUpdates(life);
-    const limits = txnLimits(settings.cluster.state);
+    const incarnation = randomInt(2 ** 47);
+    this.sentUpdates = new SentMachineUpdates(incarnation);
+    const limits = transactionLimits(settings.cluster.state);
     const peerNodes = settings.peers.map((peer) => peer.node);
-    this.client = new StateClient(
+    this.client = new StoreClient(
       http,
       settings.outside.state,
       settings.cluster.state,
@@ -116,15 +120,15 @@
       clock,
       this.random,
     );
-    this.replica = new Replica(this.client, LIVE, clock, () => this.watchPauseMs());
-    this.book = new Book(this.replica, {
-      job: (ref, shards) => this.jobDuties.reactions.jobChanged(ref, shards),
-      urgency: (ref) => this.planner.urgencyChanged(ref),
-      claim: () => this.claimChanged(),
-      corrupt: (key, error) => log.error({ key, error: String(error) }, 'record can not be read'),
+    this.replica = new Replica(this.client, LIVE, clock, () => watchPauseMs(this.peerDirectory));
+    this.clusterState = new ClusterState(this.replica, {
+      jobChanged: (jobId, taskIndexes) => this.jobDuties.reactions.jobChanged(jobId, taskIndexes),
+      urgencyChanged: (jobId) => this.planner.urgencyChanged(jobId),
+      leadershipChanged: () => this.claimChanged(),
+      recordUnreadable: (key, error) => log.error({ key, error: String(error) }, 'record can not be read'),
     });
-    followCatalog(this.replica, () => this.fleet.catalog, log);
-    this.committer = new Committer(
+    followCatalog(this.replica, () => this.inventory.catalog, log);
+    this.transactions = new TransactionBatcher(
       this.client,
       this.replica,
       limits,
@@ -133,93 +137,95 @@
       this.random,
       this.periodMs * BATCH_GATHER_SHARE,
     );
-    this.peers = new Peers(peerNodes, clock, () => this.replica.freshAt);
-    this.coverage = new Coverage(settings.node, peerNodes, life, this.replica, clock, (node, message) =>
-      this.send(node, message),
+    this.peerDirectory = new PeerDirectory(peerNodes, clock, () => this.replica.freshAt);
+    this.replicaFreshness = new ReplicaFreshness(
+      settings.node,
+      peerNodes,
+      incarnation,
+      this.replica,
+      clock,
+      (node, message) => this.send(node, message),
     );
     this.broadcast = new RecordBroadcast({
       peers: peerNodes,
       replica: this.replica,
-      committer: this.committer,
+      transactions: this.transactions,
       clock,
       log,
       send: (node, message) => this.send(node, message),
     });
-    this.committer.announce = (changes) => this.broadcast.announce(changes);
-    this.committer.onRejected = (name, why) => log.error({ change: name, why }, 'the store does not take a change');
+    this.transactions.announce = (changes) => this.broadcast.announce(changes);
+    this.transactions.onRejected = (name, why) => log.error({ change: name, why }, 'the store does not take a change');
     const { valueBytes } = lastingLimits(settings.cluster.state);
-    this.committer.resize = recordSizer(valueBytes, () => this.formatUpgrade.isComplete);
-    this.claims = new Claims({
+    this.transactions.resize = recordSizer(valueBytes, () => this.formatUpgrade.isComplete);
+    this.leadership = new RoleLeadership({
       settings,
       client: this.client,
       replica: this.replica,
-      book: this.book,
-      committer: this.committer,
-      peers: this.peers,
-      coverage: this.coverage,
+      clusterState: this.clusterState,
+      transactions: this.transactions,
+      peerDirectory: this.peerDirectory,
+      replicaFreshness: this.replicaFreshness,
       clock,
       random: this.random,
       log,
     });
-    this.relays = new Relays(settings.node, life, clock, (node, message) => this.send(node, message));
+    this.health = new NodeHealth(this.replica, this.leadership, this.client, this.peerDirectory);
+    this.heartbeatForwarder = new HeartbeatForwarder(settings.node, incarnation, clock, (node, message) =>
+      this.send(node, message),
+    );
     this.happiness = new Happiness(tuning.window_s * 1000);
-    const health = new HealthChecks({ book: this.book, happiness: this.happiness, clock });
+    const healthChecks = new HealthChecks({ clusterState: this.clusterState, happiness: this.happiness, clock });
     const accounting = new TeamAccounting({
       teams: settings.cluster.teams,
-      placedUse: (team, upTo) => this.book.placedUse(team, upTo),
+      placedUse: (team, upTo) => this.clusterState.placedUsageOf(team, upTo),
       recordOf: (key) => this.replica.get(key),
       mayDefer: () => this.formatUpgrade.isComplete,
     });
-    this.owner = new Owner({
+    this.workerManager = new WorkerManager({
       settings,
-      claims: this.claims,
+      leadership: this.leadership,
       replica: this.replica,
-      book: this.book,
-      committer: this.committer,
+      clusterState: this.clusterState,
+      transactions: this.transactions,
       accounting,
       http,
       clock,
-      events: {
-        isGone: (host) => this.fleet.gone.has(host),
-        isLate: (report) => this.fleet.isLate(report),
-        knownImages: (host) => this.fleet.known(host)?.images ?? [],
-        cacheGb: (flavor) => this.fleet.catalog.get(flavor)?.localGb ?? Infinity,
-        answered: (role) => this.standby?.answered(role),
-        checked: (report) => health.reported(report),
-        completed: (place, ranS) => {
-          const spec = this.book.jobs.get(place.ref)?.record.spec;
-          if (spec !== undefined) this.planner.learn(spec, ranS);
-        },
-        died: (place) => health.died(place),
-      },
+      events: createWorkerManagerEvents({
+        clusterState: this.clusterState,
+        healthChecks,
+        inventory: () => this.inventory,
+        planner: () => this.planner,
+        standby: () => this.standby,
+      }),
       log,
     });
-    this.fleet = new Fleet(settings, this.claims, this.owner, clock);
-    this.planner = new Planner({
+    this.inventory = new MachineInventory(settings, this.leadership, this.workerManager, clock);
+    this.planner = new PlacementPlanner({
       settings,
       tuning,
-      claims: this.claims,
-      book: this.book,
-      fleet: this.fleet,
-      committer: this.committer,
+      leadership: this.leadership,
+      clusterState: this.clusterState,
+      inventory: this.inventory,
+      transactions: this.transactions,
       accounting,
       clock,
       random: this.random,
       log,
     });
     const cloud = new CloudClient(http, settings.outside.cloud, settings.cluster.cloud.rps, clock, (call) =>
-      this.standby === undefined ? true : maySend(call, () => this.claims.isLeader),
+      this.standby === undefined ? true : maySend(call, () => this.leadership.isLeader),
     );
-    this.leader = new Leader({
+    this.leader = new ClusterLeader({
       settings,
-      claims: this.claims,
-      book: this.book,
-      fleet: this.fleet,
+      leadership: this.leadership,
+      clusterState: this.clusterState,
+      inventory: this.inventory,
       planner: this.planner,
-      committer: this.committer,
+      transactions: this.transactions,
       accounting,
       cloud,
-      peers: this.peers,
+      peerDirectory: this.peerDirectory,
       clock,
       log,
     });
@@ -227,12 +233,12 @@
       this.standby = new Standby({
         settings,
         standby: tuning.standby,
-        life,
-        claims: this.claims,
-        peers: this.peers,
-        book: this.book,
+        incarnation,
+        leadership: this.leadership,
+        peerDirectory: this.peerDirectory,
+        clusterState: this.clusterState,
         replica: this.replica,
-        committer: this.committer,
+        transactions: this.transactions,
         happiness: this.happiness,
         leader: this.leader,
         clock,
@@ -240,15 +246,15 @@
         send: (node, message) => this.send(node, message),
         tracer: loadTracer(tuning.standby.trace_file, settings.node, clock, log),
       });
-      this.claims.succession = this.standby;
+      this.leadership.succession = this.standby;
     }
     this.rescheduler = new Rescheduler(
       tuning,
-      this.claims,
-      this.book,
-      this.fleet,
+      this.leadership,
+      this.clusterState,
+      this.inventory,
       this.planner,
-      this.committer,
+      this.transactions,
       this.happiness,
       clock,
       this.random,
@@ -260,23 +266,23 @@
       compose: (node) => this.gossip(node),
       send: (node, message) => this.send(node, message),
     });
-    this.reports = new ReportService({
+    this.reports = new HeartbeatService({
       node: settings.node,
-      owner: this.owner,
-      relays: this.relays,
+      workerManager: this.workerManager,
+      heartbeatForwarder: this.heartbeatForwarder,
       log,
-      onMisdirected: () => this.gossipSender.soon(),
+      onMisrouted: () => this.gossipSender.soon(),
     });
     this.jobDuties = createJobDuties({
       settings,
       client: this.client,
-      claims: this.claims,
-      book: this.book,
+      leadership: this.leadership,
+      clusterState: this.clusterState,
       replica: this.replica,
-      committer: this.committer,
-      owner: this.owner,
+      transactions: this.transactions,
+      workerManager: this.workerManager,
       planner: this.planner,
-      fleet: this.fleet,
+      inventory: this.inventory,
       limits,
       maxTransactionWrites: limits.ops,
       reportPeriodMs: this.periodMs,
@@ -286,25 +292,25 @@
     this.jobs = this.jobDuties.jobs;
     this.teamSettlement = new TeamSettlement({
       teams: settings.cluster.teams,
-      claims: this.claims,
+      leadership: this.leadership,
       replica: this.replica,
-      committer: this.committer,
+      transactions: this.transactions,
       accounting,
     });
     this.formatUpgrade = new FormatUpgrade({
       node: settings.node,
       nodes: [settings.node, ...peerNodes],
       clusterSize: settings.cluster.size,
-      claims: this.claims,
+      leadership: this.leadership,
       replica: this.replica,
-      committer: this.committer,
+      transactions: this.transactions,
       log,
     });
-    this.rebalancer = new Rebalancer({
+    this.roleRebalancer = new RoleRebalancer({
       settings,
-      claims: this.claims,
-      owner: this.owner,
-      peers: this.peers,
+      leadership: this.leadership,
+      workerManager: this.workerManager,
+      peerDirectory: this.peerDirectory,
       clock,
     });
     this.exchange = new GossipExchange({
@@ -312,20 +318,37 @@
       clock,
       log,
       replica: this.replica,
-      peers: this.peers,
-      coverage: this.coverage,
-      claims: this.claims,
-      owner: this.owner,
-      fleet: this.fleet,
+      peerDirectory: this.peerDirectory,
+      replicaFreshness: this.replicaFreshness,
+      leadership: this.leadership,
+      workerManager: this.workerManager,
+      inventory: this.inventory,
       sentUpdates: this.sentUpdates,
-      isWithoutStore: () => this.withoutStore,
+      isWithoutStore: () => this.health.isWithoutStore,
       sendSoon: () => this.gossipSender.soon(),
     });
-    this.withdrawalEnforcer = new WithdrawalEnforcer(this.claims, this.book, this.fleet, this.peers, http, clock, log);
+    this.messages = new PeerMessageRouter({
+      exchange: this.exchange,
+      heartbeatForwarder: this.heartbeatForwarder,
+      broadcast: this.broadcast,
+      replicaFreshness: this.replicaFreshness,
+      standby: this.standby,
+      heartbeats: this.reports,
+      send: (node, message) => this.send(node, message),
+    });
+    this.cancellationEnforcer = new CancellationEnforcer(
+      this.leadership,
+      this.clusterState,
+      this.inventory,
+      this.peerDirectory,
+      http,
+      clock,
+      log,
+    );
     this.handover = new Handover({
       limitMs: tuning.standby.handover_ms,
-      claims: this.claims,
-      owner: this.owner,
+      leadership: this.leadership,
+      workerManager: this.workerManager,
       gossip: this.gossipSender,
       clock,
       log,
@@ -337,18 +360,18 @@
     const server = new ApiServer(
       {
         submit: (body) => this.jobs.submit(body),
-        poll: (ref) => this.jobs.poll(ref),
-        withdraw: (ref) => this.jobs.withdraw(ref),
+        poll: (jobId) => this.jobs.poll(jobId),
+        withdraw: (jobId) => this.jobs.withdraw(jobId),
         hello: (body) => this.hello(body),
         up: () => this.up(),
       },
       this.log,
       Math.floor(this.settings.cluster.limits.sockets * HTTP_SERVER_SOCKET_SHARE),
     );
-    const [host, port] = splitAddress(this.settings.bind);
-    await server.listen(host, port, signal);
+    const [machineId, port] = splitAddress(this.settings.bind);
+    await server.listen(machineId, port, signal);
     this.log.info({ bind: this.settings.bind }, 'listening');
-    const mesh = new Mesh(
+    const peerLinks = new PeerLinks(
       this.settings,
       this.clock,
       this.log,
@@ -356,26 +379,26 @@
       (message) => this.receive(message),
       (node) => this.sentUpdates.renew(node),
     );
-    this.send = (node, message) => mesh.send(node, message);
-    await Promise.all([mesh.run(signal), this.duties(signal)]);
+    this.send = (node, message) => peerLinks.send(node, message);
+    await Promise.all([peerLinks.run(signal), this.duties(signal)]);
   }
 
   /** The long-lived duties, without the sockets. */
   async duties(signal: AbortSignal): Promise<void> {
-    const { clock, log, claims, book, owner, fleet, leader } = this;
+    const { clock, log, leadership, clusterState, workerManager, inventory, leader } = this;
     const periodic = { clock, log, signal };
-    const announcer = new TokenAnnouncer({ claims, book, owner, fleet, leader });
+    const announcer = new TokenAnnouncer({ leadership, clusterState, workerManager, inventory, leader });
     await Promise.all([
       this.replica.run(signal),
-      this.claims.run(signal),
-      this.owner.run(signal),
+      this.leadership.run(signal),
+      this.workerManager.run(signal),
       this.planner.run(signal),
       this.leader.run(signal),
       this.standby?.run(signal),
       this.rescheduler.run(signal),
       every(FINISH_PERIOD_MS, periodic, () => this.cleanUp()),
-      every(SWEEP_MS, periodic, () => this.rebalancer.rebalance()),
-      every(SWEEP_MS, periodic, () => this.withdrawalEnforcer.sweep()),
+      every(SWEEP_MS, periodic, () => this.roleRebalancer.rebalance()),
+      every(SWEEP_MS, periodic, () => this.cancellationEnforcer.sweep()),
       every(TOKEN_ANNOUNCE_PERIOD_MS, periodic, () => announcer.announce()),
       every(PIPELINE_SWEEP_MS, periodic, () => this.jobDuties.pipelineProgress.sweep()),
       every(TEAM_SETTLE_MS, periodic, () => this.teamSettlement.look()),
@@ -388,17 +411,10 @@
     if (this.standby !== undefined) await this.handover.run();
   }
 
-  /** Healthy: requests are really served here, or nobody could serve them better. */
+  /** The answer to a health check of the load balancer. */
   up(): Answer {
-    const serving =
-      !this.handover.isUnderway &&
-      this.replica.loaded &&
-      (this.claims.inTouch || (this.withoutStore && this.peers.someWithoutStore()));
-    return serving ? { status: 200, body: { up: true } } : { status: 503, body: { up: false } };
-  }
-
-  private get withoutStore(): boolean {
-    return !this.claims.inTouch && this.client.lastRefusal > this.client.lastOk;
+    const isServing = !this.handover.isUnderway && this.health.isServing;
+    return { status: isServing ? 200 : 503, body: { up: isServing } };
   }
 
   /** Answers a worker's report. */
@@ -406,11 +422,6 @@
     return this.reports.answer(body);
   }
 
-  private watchPauseMs(): number {
-    const { peers } = this.settings;
-    return this.peers.heard().length < peers.length ? WATCH_PAUSE_MS : WATCH_HEARD_PAUSE_MS;
-  }
-
   /** What this node has to tell one peer. */
   gossip(to: string): Gossip {
     return this.exchange.compose(to);
@@ -418,31 +429,20 @@
 
   /** What another controller says. */
   receive(message: Message): void {
-    if ('gossip' in message) this.exchange.receive(message.gossip);
-    else if ('relayAnswer' in message) this.relays.take(message.relayAnswer);
-    else if ('news' in message) this.broadcast.receive(message.news);
-    else if ('ask' in message) this.coverage.answer(message.ask);
-    else if ('delta' in message) this.coverage.take(message.delta);
-    else if ('stream' in message) this.standby?.receive(message.stream);
-    else this.answerRelayed(message.relay);
-  }
-
-  private answerRelayed(relay: Relay): void {
-    const relayAnswer = this.reports.answerRelayed(relay);
-    if (relayAnswer !== undefined) this.send(relay.node, { relayAnswer });
+    this.messages.receive(message);
   }
 
   private claimChanged(): void {
     this.standby?.claimsChanged();
-    this.planner.poke();
-    void this.claims.settle();
+    this.planner.planSoon();
+    void this.leadership.acquireVacantRoles();
   }
 
   /** Ends jobs that are over, and forgets what nobody speaks of any more. */
   private cleanUp(): void {
-    if (!this.claims.inTouch) return;
+    if (!this.leadership.isInTouchWithStore) return;
     this.jobDuties.completion.completeAll();
     this.happiness.prune(this.clock.now());
-    this.fleet.prune();
+    this.inventory.prune();
   }
 }
--- a/src/controller/fleet.ts
+++ b/src/controller/fleet.ts
@@ -11,24 +11,24 @@
 } from '../constants.js';
 import type { Settings } from '../config/settings.js';
 import type { Clock } from '../net/clock.js';
-import type { Claims, Held } from './claims.js';
+import type { RoleLeadership, HeldLeadership } from './claims.js';
 import { partitionRole } from './claims.js';
-import type { Owner } from './owner.js';
+import type { WorkerManager } from './owner.js';
 import type { MachineState } from '../workers/machine-state.js';
-import { isNewerThan, type Report } from '../workers/report.js';
+import { isNewerThan, type WorkerStatus } from '../workers/worker-wire-codec.js';
 import type { Worker } from '../workers/worker.js';
 
-export interface Flavor {
-  sku: string;
+export interface MachineType {
+  name: string;
   cpus: number;
-  cards: number;
-  memGb: number;
-  localGb: number;
+  gpus: number;
+  memoryGb: number;
+  imageCacheGb: number;
   fetchGbPerS: number;
-  hourly: number;
-  lowPrice: number;
+  hourlyPrice: number;
+  spotHourlyPrice: number;
   bootS: number;
-  sites: string[];
+  zones: string[];
 }
 
 /** A machine as every node may know it: from its own workers' reports or from the owner's gossip. */
@@ -36,20 +36,20 @@
   /** Steady ms, this node's clock. */
   heardAt: number;
   /** Steady ms when the cloud takes it away, or null. */
-  warnedUntil: number | null;
+  spotNoticeUntil: number | null;
 }
 
 /** All machines that are known to be up, and the catalogue of their types. */
-export class Fleet {
-  private readonly told = new Map<string, MachineInfo>();
-  catalog = new Map<string, Flavor>();
+export class MachineInventory {
+  private readonly reportedByPeers = new Map<string, MachineInfo>();
+  catalog = new Map<string, MachineType>();
   /** Machines that are being given back: no new work. */
-  readonly leaving = new Set<string>();
+  readonly scalingIn = new Set<string>();
 
   constructor(
     private readonly settings: Settings,
-    private readonly claims: Claims,
-    private readonly owner: Owner,
+    private readonly leadership: RoleLeadership,
+    private readonly workerManager: WorkerManager,
     private readonly clock: Clock,
   ) {}
 
@@ -57,84 +57,93 @@
   private readonly knownAt = new Map<string, number>();
 
   /** Does somebody who would know say just now what he knows of the machine? Old news prove nothing. */
-  isCurrent(host: string): boolean {
-    if (this.heldFor(host) !== undefined) return true;
-    return this.clock.now() - (this.knownAt.get(host) ?? -Infinity) < GOSSIP_STALE_MS;
+  isCurrent(machineId: string): boolean {
+    if (this.leadershipFor(machineId) !== undefined) return true;
+    return this.clock.now() - (this.knownAt.get(machineId) ?? -Infinity) < GOSSIP_STALE_MS;
   }
 
   /** What a peer says of a machine, by itself or on behalf of the owner, as of `knownAt`. */
-  hear(machine: MachineInfo, knownAt: number): void {
-    if (this.gone.has(machine.host) || (this.knownAt.get(machine.host) ?? -Infinity) >= knownAt) return;
-    this.knownAt.set(machine.host, knownAt);
-    this.told.set(machine.host, machine);
+  applyPeerReport(machine: MachineInfo, knownAt: number): void {
+    if (this.terminated.has(machine.machineId) || (this.knownAt.get(machine.machineId) ?? -Infinity) >= knownAt) return;
+    this.knownAt.set(machine.machineId, knownAt);
+    this.reportedByPeers.set(machine.machineId, machine);
   }
 
   /** The owner says that nothing is new but when it heard the machine. False: what it said before is not known here. */
-  hearAgain(host: string, owner: string, heardAt: number, tick: number, now: number): boolean {
-    const machine = this.told.get(host);
-    if (this.gone.has(host)) return true;
-    if (machine?.owner !== owner || machine.warnedUntil !== null) return false;
+  refreshPeerReport(
+    machineId: string,
+    partitionLeader: string,
+    heardAt: number,
+    sequence: number,
+    now: number,
+  ): boolean {
+    const machine = this.reportedByPeers.get(machineId);
+    if (this.terminated.has(machineId)) return true;
+    if (machine?.partitionLeader !== partitionLeader || machine.spotNoticeUntil !== null) return false;
     machine.heardAt = heardAt;
-    machine.tick = tick;
-    this.knownAt.set(host, now);
+    machine.sequence = sequence;
+    this.knownAt.set(machineId, now);
     return true;
   }
 
   /** What others have said lately, to be passed on: a cut between two nodes is got round by way of the third. */
-  *passOn(wanted: (owner: string) => boolean): Iterable<{ machine: MachineInfo; knownAt: number }> {
-    for (const [host, machine] of this.told) {
-      const knownAt = this.knownAt.get(host)!;
-      const lately = this.clock.now() - knownAt < GOSSIP_STALE_MS;
-      if (lately && wanted(machine.owner) && !this.owner.workers.has(host)) yield { machine, knownAt };
+  *recentPeerReports(
+    wanted: (partitionLeader: string) => boolean,
+  ): Iterable<{ machine: MachineInfo; knownAt: number }> {
+    for (const [machineId, machine] of this.reportedByPeers) {
+      const knownAt = this.knownAt.get(machineId)!;
+      const recentlyTerminated = this.clock.now() - knownAt < GOSSIP_STALE_MS;
+      if (recentlyTerminated && wanted(machine.partitionLeader) && !this.workerManager.workers.has(machineId))
+        yield { machine, knownAt };
     }
   }
 
   /** The machines of this node's own partitions. */
-  own(): MachineInfo[] {
-    const list = [...this.owner.workers.values()].map((worker) => this.describe(worker));
+  ownMachines(): MachineInfo[] {
+    const list = [...this.workerManager.workers.values()].map((worker) => this.describe(worker));
     // What a former owner said of machines that have not reported since: they count as heard when this node took over.
-    for (const machine of this.told.values()) {
-      const held = this.heldFor(machine.host);
-      if (held === undefined || this.owner.workers.has(machine.host)) continue;
-      list.push({ ...machine, heardAt: Math.max(machine.heardAt, held.acquisition.at), owner: this.settings.node });
+    for (const machine of this.reportedByPeers.values()) {
+      const held = this.leadershipFor(machine.machineId);
+      if (held === undefined || this.workerManager.workers.has(machine.machineId)) continue;
+      list.push({ ...machine, heardAt: Math.max(machine.heardAt, held.term.at), partitionLeader: this.settings.node });
     }
     return list;
   }
 
-  private heldFor(host: string): Held | undefined {
-    return this.claims.holding(partitionRole(this.claims.partitionOf(host)));
+  private leadershipFor(machineId: string): HeldLeadership | undefined {
+    return this.leadership.leadershipOf(partitionRole(this.leadership.partitionOf(machineId)));
   }
 
   private describe(worker: Worker): MachineInfo {
     const now = this.clock.now();
     return {
-      host: worker.host,
+      machineId: worker.machineId,
       endpoint: worker.endpoint,
-      flavor: worker.flavor,
-      site: worker.site,
-      reclaimable: worker.reclaimable,
-      tenure: worker.tenure,
-      tick: worker.tick,
+      machineType: worker.machineType,
+      zone: worker.zone,
+      isSpot: worker.isSpot,
+      agentEpoch: worker.agentEpoch,
+      sequence: worker.sequence,
       heardAt: worker.reportedAt,
-      warnedUntil: worker.warnedUntil,
-      sick: worker.isSick(now),
-      cooling: now < worker.coolUntil,
-      unreached: !worker.isReached,
-      slow: worker.isSlow(now),
-      mute: worker.isMute(now, this.settings.cluster.workers.lease_s),
+      spotNoticeUntil: worker.spotNoticeUntil,
+      isQuarantined: worker.isQuarantined(now),
+      isBackingOff: now < worker.backoffUntil,
+      isUnreached: !worker.isReached,
+      isSlow: worker.isSlow(now),
+      isMute: worker.hasExpiredDespiteHeartbeats(now, this.settings.cluster.workers.lease_s),
       images: [...worker.images.keys()],
       failedJobs: worker.failedJobs(now),
-      owner: this.settings.node,
+      partitionLeader: this.settings.node,
     };
   }
 
-  tenureOf(host: string): number | undefined {
-    return (this.owner.workers.get(host) ?? this.told.get(host))?.tenure;
+  agentEpochOf(machineId: string): number | undefined {
+    return (this.workerManager.workers.get(machineId) ?? this.reportedByPeers.get(machineId))?.agentEpoch;
   }
 
-  get(host: string): MachineInfo | undefined {
-    const worker = this.owner.workers.get(host);
-    return worker === undefined ? this.told.get(host) : this.describe(worker);
+  get(machineId: string): MachineInfo | undefined {
+    const worker = this.workerManager.workers.get(machineId);
+    return worker === undefined ? this.reportedByPeers.get(machineId) : this.describe(worker);
   }
 
   /** Every machine, this node's own view first; the same for all who ask within a moment. */
@@ -145,101 +154,112 @@
   /** The machines that new work may go to. */
   open(): MachineInfo[] {
     const { open } = this.view();
-    return this.leaving.size === 0 ? [...open] : open.filter(({ host }) => !this.leaving.has(host));
+    return this.scalingIn.size === 0 ? [...open] : open.filter(({ machineId }) => !this.scalingIn.has(machineId));
   }
 
-  private seenView: { at: number; workers: number; told: number; all: Map<string, MachineInfo>; open: MachineInfo[] } =
-    {
-      at: -Infinity,
-      workers: 0,
-      told: 0,
-      all: new Map(),
-      open: [],
-    };
+  private cachedView: {
+    at: number;
+    workers: number;
+    told: number;
+    all: Map<string, MachineInfo>;
+    open: MachineInfo[];
+  } = {
+    at: -Infinity,
+    workers: 0,
+    told: 0,
+    all: new Map(),
+    open: [],
+  };
 
   /** Describing hundreds of machines anew for each duty that looks at them would cost more than what they do with it. */
   private view() {
     const now = this.clock.now();
-    const workers = this.owner.workers.size;
-    const told = this.told.size;
-    const last = this.seenView;
+    const workers = this.workerManager.workers.size;
+    const told = this.reportedByPeers.size;
+    const last = this.cachedView;
     if (now - last.at < FLEET_VIEW_MS && last.workers === workers && last.told === told) return last;
-    const all = new Map(this.told);
-    for (const machine of this.own()) all.set(machine.host, machine);
-    this.acquit(all);
+    const all = new Map(this.reportedByPeers);
+    for (const machine of this.ownMachines()) all.set(machine.machineId, machine);
+    this.clearQuarantineOfFaultyJobs(all);
     const open = [...all.values()].filter((machine) => this.isOpen(machine));
-    this.seenView = { at: now, workers, told, all, open };
-    return this.seenView;
+    this.cachedView = { at: now, workers, told, all, open };
+    return this.cachedView;
   }
 
   /** A job that fails on many machines was submitted with a mistake: no machine is sick for its failures. */
-  private acquit(machines: Map<string, MachineInfo>): void {
+  private clearQuarantineOfFaultyJobs(machines: Map<string, MachineInfo>): void {
     const counts = new Map<string, number>();
     for (const { failedJobs } of machines.values()) {
       for (const job of failedJobs) counts.set(job, (counts.get(job) ?? 0) + 1);
     }
     const many = Math.max(FAULTY_JOB_LEAST, Math.ceil(machines.size * FAULTY_JOB_SHARE));
-    for (const [host, machine] of machines) {
-      if (!machine.sick) continue;
+    for (const [machineId, machine] of machines) {
+      if (!machine.isQuarantined) continue;
       const against = machine.failedJobs.filter((job) => counts.get(job)! < many);
-      if (against.length < SICK_ERRORS) machines.set(host, { ...machine, sick: false });
+      if (against.length < SICK_ERRORS) machines.set(machineId, { ...machine, isQuarantined: false });
     }
   }
 
-  known(host: string): MachineInfo | undefined {
-    return this.told.get(host);
+  peerReportOf(machineId: string): MachineInfo | undefined {
+    return this.reportedByPeers.get(machineId);
   }
 
   /** The newest report that a stranger has seen here, for telling late copies. */
-  private readonly seen = new Map<string, { tenure: number; tick: number }>();
+  private readonly lastSeenHere = new Map<string, { agentEpoch: number; sequence: number }>();
 
   /** Is the report no newer than what this node, or by its word the owner, has heard? Remembers it if it is. */
-  isLate(report: Report): boolean {
-    const older = (known: { tenure: number; tick: number } | undefined) =>
-      known !== undefined && !isNewerThan(report, known);
-    if (older(this.told.get(report.host)) || older(this.seen.get(report.host))) return true;
-    this.seen.delete(report.host);
-    this.seen.set(report.host, { tenure: report.tenure, tick: report.tick });
-    if (this.seen.size > MISDIRECTED_WORKERS_KEPT) this.seen.delete(this.seen.keys().next().value!);
+  isLate(workerStatus: WorkerStatus): boolean {
+    const older = (known: { agentEpoch: number; sequence: number } | undefined) =>
+      known !== undefined && !isNewerThan(workerStatus, known);
+    if (older(this.reportedByPeers.get(workerStatus.machineId)) || older(this.lastSeenHere.get(workerStatus.machineId)))
+      return true;
+    this.lastSeenHere.delete(workerStatus.machineId);
+    this.lastSeenHere.set(workerStatus.machineId, {
+      agentEpoch: workerStatus.agentEpoch,
+      sequence: workerStatus.sequence,
+    });
+    if (this.lastSeenHere.size > MISDIRECTED_WORKERS_KEPT)
+      this.lastSeenHere.delete(this.lastSeenHere.keys().next().value!);
     return false;
   }
 
   /** Forgets machines that nobody speaks of any more. */
   prune(): void {
     const now = this.clock.now();
-    for (const [host, at] of this.knownAt) {
+    for (const [machineId, at] of this.knownAt) {
       if (now - at < FORGET_MACHINE_MS) continue;
-      this.told.delete(host);
-      this.knownAt.delete(host);
+      this.reportedByPeers.delete(machineId);
+      this.knownAt.delete(machineId);
     }
   }
 
   /** Machines that the cloud has confirmed gone; names never come back. */
-  readonly gone = new Map<string, number>();
+  readonly terminated = new Map<string, number>();
 
-  remove(host: string): void {
-    if (this.gone.has(host)) return;
-    this.gone.set(host, this.clock.now());
-    if (this.gone.size > RETURNED_MACHINES_KEPT) this.gone.delete(this.gone.keys().next().value!);
-    this.told.delete(host);
-    this.knownAt.delete(host);
-    this.owner.workers.remove(host);
+  markTerminated(machineId: string): void {
+    if (this.terminated.has(machineId)) return;
+    this.terminated.set(machineId, this.clock.now());
+    if (this.terminated.size > RETURNED_MACHINES_KEPT) this.terminated.delete(this.terminated.keys().next().value!);
+    this.reportedByPeers.delete(machineId);
+    this.knownAt.delete(machineId);
+    this.workerManager.workers.remove(machineId);
   }
 
   /** What other nodes should forget as well. */
   lately(): string[] {
     const now = this.clock.now();
-    return [...this.gone].filter(([, at]) => now - at < FORGET_MACHINE_MS).map(([host]) => host);
+    return [...this.terminated].filter(([, at]) => now - at < FORGET_MACHINE_MS).map(([machineId]) => machineId);
   }
 
   isSilent(machine: MachineInfo): boolean {
     const allowed = SILENT_REPORTS * this.settings.cluster.workers.report_s * 1000;
     const now = this.clock.now();
-    if (this.heldFor(machine.host) !== undefined) return now - machine.heardAt > allowed;
-    const knownAt = this.knownAt.get(machine.host) ?? -Infinity;
-    const owner = this.claims.ownerOf(partitionRole(this.claims.partitionOf(machine.host)));
+    if (this.leadershipFor(machine.machineId) !== undefined) return now - machine.heardAt > allowed;
+    const knownAt = this.knownAt.get(machine.machineId) ?? -Infinity;
+    const partitionLeader = this.leadership.leaderOf(partitionRole(this.leadership.partitionOf(machine.machineId)));
     // No word of an owner that still holds its claim: nodes don't hear each other, which says nothing of its machines.
-    if (now - knownAt > GOSSIP_STALE_MS && owner === machine.owner) return knownAt - machine.heardAt > allowed;
+    if (now - knownAt > GOSSIP_STALE_MS && partitionLeader === machine.partitionLeader)
+      return knownAt - machine.heardAt > allowed;
     return now - machine.heardAt > allowed + GOSSIP_STALE_MS / 2;
   }
 
@@ -250,13 +270,13 @@
 
   /** Why no new work may go there. */
   whyClosed(machine: MachineInfo): string | undefined {
-    if (!this.catalog.has(machine.flavor)) return 'unknown type';
-    if (machine.warnedUntil !== null) return 'warned';
-    if (machine.sick) return 'sick';
-    if (machine.slow) return 'slow';
-    if (machine.unreached) return 'unreached';
-    if (machine.cooling) return 'cooling';
-    if (this.leaving.has(machine.host)) return 'leaving';
+    if (!this.catalog.has(machine.machineType)) return 'unknown type';
+    if (machine.spotNoticeUntil !== null) return 'warned';
+    if (machine.isQuarantined) return 'sick';
+    if (machine.isSlow) return 'slow';
+    if (machine.isUnreached) return 'unreached';
+    if (machine.isBackingOff) return 'cooling';
+    if (this.scalingIn.has(machine.machineId)) return 'leaving';
     return this.isSilent(machine) ? 'silent' : undefined;
   }
 }
--- a/src/controller/format-upgrade.ts
+++ b/src/controller/format-upgrade.ts
@@ -3,10 +3,12 @@
  * what a process has said is gone with it; and once all controllers are seen to say so in one transaction, a lasting record
  * notes it. Until then nothing is written that an earlier version would misread, and after it no earlier version comes back.
  */
-import { FORMAT_COMPLETE_KEY, formatKey, RECORD_FORMAT, type FormatRecord } from '../ledger/records.js';
+import { decodeFormatRecord, encodeFormatRecord, encodeFormatCompleteRecord } from '../ledger/record-codecs.js';
+import { FORMAT_COMPLETE_KEY, formatKey } from '../ledger/record-keys.js';
+import { type FormatRecord, RECORD_FORMAT } from '../ledger/records.js';
 import { Priority } from '../net/token-bucket.js';
-import type { Committer } from '../state/committer.js';
-import type { Draft } from '../state/draft.js';
+import type { TransactionBatcher } from '../state/committer.js';
+import type { TransactionDraft } from '../state/draft.js';
 import type { Replica } from '../state/replica.js';
 import type { Log } from './log.js';
 
@@ -17,9 +19,9 @@
   /** How many there should be. */
   clusterSize: number;
   /** The hold that this process's records live on, and whether it may act on its copy of the records. */
-  claims: { readonly hold: number | undefined; readonly inTouch: boolean };
+  leadership: { readonly storeLeaseId: number | undefined; readonly isInTouchWithStore: boolean };
   replica: Replica;
-  committer: Committer;
+  transactions: TransactionBatcher;
   log: Log;
 }
 
@@ -33,23 +35,23 @@
 
   /** Says so of this process, and notes when all do. Called now and then, one look after the other. */
   async look(): Promise<void> {
-    const { claims, committer, log } = this.dependencies;
-    if (this.isComplete || claims.hold === undefined || !claims.inTouch) return;
-    if (!this.isAnnounced) await committer.commit('format', Priority.hold, (draft) => this.announce(draft));
+    const { leadership, transactions, log } = this.dependencies;
+    if (this.isComplete || leadership.storeLeaseId === undefined || !leadership.isInTouchWithStore) return;
+    if (!this.isAnnounced) await transactions.commit('format', Priority.lease, (draft) => this.announce(draft));
     else if (this.areAllAnnounced) {
-      const outcome = await committer.commit('format complete', Priority.hold, (draft) => this.complete(draft));
+      const outcome = await transactions.commit('format complete', Priority.lease, (draft) => this.complete(draft));
       if (outcome.kind === 'done')
         log.info({ format: RECORD_FORMAT }, 'all controllers read the present form of records');
     }
   }
 
   private recordOf(node: string): FormatRecord | undefined {
-    return this.dependencies.replica.get(formatKey(node)).value as FormatRecord | undefined;
+    return decodeFormatRecord(this.dependencies.replica.get(formatKey(node)).value);
   }
 
   private get isAnnounced(): boolean {
-    const { node, claims } = this.dependencies;
-    return this.recordOf(node)?.latch === claims.hold;
+    const { node, leadership } = this.dependencies;
+    return this.recordOf(node)?.leaseId === leadership.storeLeaseId;
   }
 
   private get areAllAnnounced(): boolean {
@@ -57,22 +59,22 @@
     return nodes.length === clusterSize && nodes.every((node) => this.recordOf(node)?.format === RECORD_FORMAT);
   }
 
-  private announce(draft: Draft): boolean {
-    const { node, claims } = this.dependencies;
-    if (claims.hold === undefined || this.isAnnounced) return false;
-    draft.setUnderHold(
+  private announce(draft: TransactionDraft): boolean {
+    const { node, leadership } = this.dependencies;
+    if (leadership.storeLeaseId === undefined || this.isAnnounced) return false;
+    draft.setUnderLease(
       formatKey(node),
-      { format: RECORD_FORMAT, latch: claims.hold } satisfies FormatRecord,
-      claims.hold,
+      encodeFormatRecord({ format: RECORD_FORMAT, leaseId: leadership.storeLeaseId }),
+      leadership.storeLeaseId,
     );
     return true;
   }
 
   /** Under the condition that all processes that have said so are still there. */
-  private complete(draft: Draft): boolean {
+  private complete(draft: TransactionDraft): boolean {
     if (!this.areAllAnnounced || draft.get(FORMAT_COMPLETE_KEY) !== undefined) return false;
     for (const node of this.dependencies.nodes) draft.get(formatKey(node));
-    draft.set(FORMAT_COMPLETE_KEY, { format: RECORD_FORMAT });
+    draft.set(FORMAT_COMPLETE_KEY, encodeFormatCompleteRecord(RECORD_FORMAT));
     return true;
   }
 }
--- a/src/controller/gang-attempts.ts
+++ b/src/controller/gang-attempts.ts
@@ -2,11 +2,11 @@
 import type { Settings } from '../config/settings.js';
 import type { JobView } from '../ledger/book.js';
 import type { Clock } from '../net/clock.js';
-import type { Fleet } from './fleet.js';
+import type { MachineInventory } from './fleet.js';
 
 export interface GangAttemptsDependencies {
   workers: Settings['cluster']['workers'];
-  fleet: Fleet;
+  inventory: MachineInventory;
   clock: Clock;
 }
 
@@ -18,40 +18,40 @@
 
   /** The attempt under which the missing members are to start; undefined: not now. */
   attemptFor(view: JobView): number | undefined {
-    const { workers, fleet, clock } = this.dependencies;
+    const { workers, inventory, clock } = this.dependencies;
     // Members that are on their machines but have not started yet wait for a replacement under the same attempt.
     let highest = 0;
     let placed: number | undefined;
     let heardAt = Infinity;
-    for (const [, slot] of view.known()) {
-      if (slot.kind === 'done') return undefined;
-      highest = Math.max(highest, slot.attempt);
-      if (slot.kind === 'placed') {
-        if (slot.stop !== null || (placed !== undefined && placed !== slot.attempt)) return undefined;
-        placed = slot.attempt;
-        heardAt = Math.min(heardAt, fleet.get(slot.host)?.heardAt ?? -Infinity);
+    for (const [, placement] of view.knownPlacements()) {
+      if (placement.kind === 'done') return undefined;
+      highest = Math.max(highest, placement.attempt);
+      if (placement.kind === 'placed') {
+        if (placement.gracePeriodS !== null || (placed !== undefined && placed !== placement.attempt)) return undefined;
+        placed = placement.attempt;
+        heardAt = Math.min(heardAt, inventory.get(placement.machineId)?.heardAt ?? -Infinity);
       }
     }
     if (placed === undefined) {
-      this.brokenSince.delete(view.ref);
+      this.brokenSince.delete(view.jobId);
       return highest + 1;
     }
     // Had it started, the others notice the loss and exit; only if they are seen to stay were they still waiting.
     const now = clock.now();
-    const since = this.brokenSince.get(view.ref) ?? now;
-    this.brokenSince.set(view.ref, since);
+    const since = this.brokenSince.get(view.jobId) ?? now;
+    this.brokenSince.set(view.jobId, since);
     const { gang_peer_s, report_s } = workers;
     const noticedAt = since + (gang_peer_s + report_s) * 1000;
     return heardAt > noticedAt && now - since > (gang_peer_s + 3 * report_s) * 1000 ? placed : undefined;
   }
 
   /** The gang is whole: its next loss is told anew. */
-  forget(ref: string): void {
-    this.brokenSince.delete(ref);
+  forget(jobId: string): void {
+    this.brokenSince.delete(jobId);
   }
 
   /** Forgets the gangs that are over. */
-  prune(isLive: (ref: string) => boolean): void {
-    for (const ref of this.brokenSince.keys()) if (!isLive(ref)) this.brokenSince.delete(ref);
+  prune(isLive: (jobId: string) => boolean): void {
+    for (const jobId of this.brokenSince.keys()) if (!isLive(jobId)) this.brokenSince.delete(jobId);
   }
 }
--- a/src/controller/gossip-exchange.ts
+++ b/src/controller/gossip-exchange.ts
@@ -1,9 +1,9 @@
 /** Composes what this node tells its peers every second, and takes in what they tell. */
 import { GOSSIP_VIEW_MS } from '../constants.js';
 import type { Settings } from '../config/settings.js';
-import type { Coverage } from '../mesh/coverage.js';
-import type { Gossip, MachineNews } from '../mesh/messages.js';
-import type { Peers } from '../mesh/peers.js';
+import type { ReplicaFreshness } from '../mesh/coverage.js';
+import type { Gossip, MachineUpdate } from '../mesh/messages.js';
+import type { PeerDirectory } from '../mesh/peers.js';
 import {
   ReceivedMachineUpdates,
   describeOwnMachines,
@@ -12,21 +12,21 @@
 } from '../mesh/machine-updates.js';
 import type { Clock } from '../net/clock.js';
 import type { Replica } from '../state/replica.js';
-import { partitionRole, type Claims } from './claims.js';
-import type { Fleet, MachineInfo } from './fleet.js';
+import { partitionRole, type RoleLeadership } from './claims.js';
+import type { MachineInventory, MachineInfo } from './fleet.js';
 import type { Log } from './log.js';
-import type { Owner } from './owner.js';
+import type { WorkerManager } from './owner.js';
 
 export interface GossipExchangeDependencies {
   settings: Settings;
   clock: Clock;
   log: Log;
   replica: Replica;
-  peers: Peers;
-  coverage: Coverage;
-  claims: Claims;
-  owner: Owner;
-  fleet: Fleet;
+  peerDirectory: PeerDirectory;
+  replicaFreshness: ReplicaFreshness;
+  leadership: RoleLeadership;
+  workerManager: WorkerManager;
+  inventory: MachineInventory;
   /** What each peer has been told of this node's machines. */
   sentUpdates: SentMachineUpdates;
   /** The store refuses, or doesn't answer, this node. */
@@ -47,37 +47,49 @@
 
   /** What this node has to tell one peer. */
   compose(to: string): Gossip {
-    const { settings, clock, replica, peers, coverage, claims, fleet, owner, sentUpdates } = this.dependencies;
+    const {
+      settings,
+      clock,
+      replica,
+      peerDirectory,
+      replicaFreshness,
+      leadership,
+      inventory,
+      workerManager,
+      sentUpdates,
+    } = this.dependencies;
     const now = clock.now();
-    if (this.loadedAt === undefined && replica.loaded) this.loadedAt = now;
+    if (this.loadedAt === undefined && replica.isLoaded) this.loadedAt = now;
     return {
       node: settings.node,
       upMs: this.loadedAt === undefined ? 0 : now - this.loadedAt,
       freshAgeMs: Math.min(now - replica.freshAt, 1e12),
-      withoutStore: this.dependencies.isWithoutStore(),
-      hears: peers.heard(),
-      ...coverage.tell(to),
+      isWithoutStore: this.dependencies.isWithoutStore(),
+      reachablePeers: peerDirectory.reachablePeers(),
+      ...replicaFreshness.describe(to),
       ...sentUpdates.compose(to, this.ownMachines(now), this.othersMachines(now, to), now),
-      wants: this.missed.has(to),
-      knocks: [
-        ...[...owner.misdirected.entries()].map(([host, at]) => ({ host, ageMs: now - at })),
+      wantsSnapshot: this.missed.has(to),
+      misroutedHeartbeats: [
+        ...[...workerManager.misroutedWorkers.entries()].map(([machineId, at]) => ({ machineId, ageMs: now - at })),
         // After a restart hundreds knock: what the peer hears itself is not passed on to it.
-        ...(this.unheardBy(to).size > 0 ? peers.knocksHeard() : []),
+        ...(this.unheardBy(to).size > 0 ? peerDirectory.misroutedHeartbeatsHeard() : []),
       ],
-      avoids: claims.avoided(),
-      gone: fleet.lately(),
+      avoidedRoles: leadership.avoidedRoles(),
+      terminated: inventory.lately(),
     };
   }
 
   /** The machines of this node's partitions, described once for all peers. */
   private ownMachines(now: number): OwnMachines {
     if (now - this.own.at < GOSSIP_VIEW_MS) return this.own;
-    const { claims, fleet } = this.dependencies;
+    const { leadership, inventory } = this.dependencies;
     // A node that must not answer its workers knows nothing of them either.
-    const partitions = claims
-      .ownedPartitions()
-      .filter((partition) => claims.mayAnswer(partitionRole(partition)) !== undefined);
-    const machines = fleet.own().filter(({ host }) => partitions.includes(claims.partitionOf(host)));
+    const partitions = leadership
+      .ledPartitions()
+      .filter((partition) => leadership.servingLeadershipOf(partitionRole(partition)) !== undefined);
+    const machines = inventory
+      .ownMachines()
+      .filter(({ machineId }) => partitions.includes(leadership.partitionOf(machineId)));
     this.own = describeOwnMachines(
       now,
       machines.map((machine) => encodeMachine(machine, now, now)),
@@ -87,34 +99,34 @@
 
   /** The nodes that a peer does not hear itself. */
   private unheardBy(peer: string): Set<string> {
-    const { settings, peers } = this.dependencies;
+    const { settings, peerDirectory } = this.dependencies;
     const nodes = settings.peers.map(({ node }) => node);
-    return new Set(nodes.filter((node) => node !== peer && !peers.hears(peer, node)));
+    return new Set(nodes.filter((node) => node !== peer && !peerDirectory.hears(peer, node)));
   }
 
   /** Of others' machines only what a peer can't hear itself: all from everybody to everybody would grow with both. */
-  private othersMachines(now: number, to: string): MachineNews[] {
+  private othersMachines(now: number, to: string): MachineUpdate[] {
     const unheard = this.unheardBy(to);
     if (unheard.size === 0) return [];
-    const passed = this.dependencies.fleet.passOn((owner) => unheard.has(owner));
+    const passed = this.dependencies.inventory.recentPeerReports((partitionLeader) => unheard.has(partitionLeader));
     return [...passed].map(({ machine, knownAt }) => encodeMachine(machine, now, knownAt));
   }
 
   /** Takes in what a peer tells. */
   receive(gossip: Gossip): void {
-    const { clock, peers, coverage, fleet, sentUpdates } = this.dependencies;
-    peers.hear(gossip);
-    coverage.hear(gossip);
-    for (const host of gossip.gone) fleet.remove(host);
+    const { clock, peerDirectory, replicaFreshness, inventory, sentUpdates } = this.dependencies;
+    peerDirectory.applyGossip(gossip);
+    replicaFreshness.applyGossip(gossip);
+    for (const machineId of gossip.terminated) inventory.markTerminated(machineId);
     const now = clock.now();
-    if (gossip.wants) sentUpdates.renew(gossip.node);
-    const { machines, same, gap } = this.receivedUpdates.take(gossip);
+    if (gossip.wantsSnapshot) sentUpdates.renew(gossip.node);
+    const { machines, unchanged, gap } = this.receivedUpdates.take(gossip);
     if (gap) this.noteGap(gossip.node);
-    if (gossip.whole) this.missed.delete(gossip.node);
-    for (const machine of machines) fleet.hear(decodeMachine(machine, now), now - machine.knownAgeMs);
-    for (const { machine, heardAgeMs, tick } of same) {
-      if (fleet.hearAgain(machine.host, gossip.node, now - heardAgeMs, tick, now)) continue;
-      fleet.hear(decodeMachine({ ...machine, heardAgeMs, tick, warnedMs: null }, now), now);
+    if (gossip.isSnapshot) this.missed.delete(gossip.node);
+    for (const machine of machines) inventory.applyPeerReport(decodeMachine(machine, now), now - machine.knownAgeMs);
+    for (const { machine, heardAgeMs, sequence } of unchanged) {
+      if (inventory.refreshPeerReport(machine.machineId, gossip.node, now - heardAgeMs, sequence, now)) continue;
+      inventory.applyPeerReport(decodeMachine({ ...machine, heardAgeMs, sequence, spotNoticeMs: null }, now), now);
     }
   }
 
@@ -128,16 +140,20 @@
 }
 
 /** Moments become ages: the clocks of two nodes have nothing to do with each other. */
-const encodeMachine = ({ heardAt, warnedUntil, ...rest }: MachineInfo, now: number, knownAt: number): MachineNews => ({
+const encodeMachine = (
+  { heardAt, spotNoticeUntil, ...rest }: MachineInfo,
+  now: number,
+  knownAt: number,
+): MachineUpdate => ({
   ...rest,
   number: -1,
   heardAgeMs: now - heardAt,
   knownAgeMs: now - knownAt,
-  warnedMs: warnedUntil === null ? null : warnedUntil - now,
+  spotNoticeMs: spotNoticeUntil === null ? null : spotNoticeUntil - now,
 });
 
-const decodeMachine = ({ heardAgeMs, warnedMs, ...rest }: MachineNews, now: number): MachineInfo => ({
+const decodeMachine = ({ heardAgeMs, spotNoticeMs, ...rest }: MachineUpdate, now: number): MachineInfo => ({
   ...rest,
   heardAt: now - heardAgeMs,
-  warnedUntil: warnedMs === null ? null : now + warnedMs,
+  spotNoticeUntil: spotNoticeMs === null ? null : now + spotNoticeMs,
 });
--- a/src/controller/handover.ts
+++ b/src/controller/handover.ts
@@ -1,16 +1,16 @@
 /** A planned handover: a controller that is told to stop gives its roles to its successors instead of letting them expire. */
 import { DRAIN_SHARE, NEWS_GATHER_MS } from '../constants.js';
 import type { Clock } from '../net/clock.js';
-import type { Claims } from './claims.js';
+import type { RoleLeadership } from './claims.js';
 import type { GossipSender } from './gossip-sender.js';
 import type { Log } from './log.js';
-import type { Owner } from './owner.js';
+import type { WorkerManager } from './owner.js';
 
 export interface HandoverDependencies {
   /** ms that it may take; what is left then ends with the hold. */
   limitMs: number;
-  claims: Claims;
-  owner: Owner;
+  leadership: RoleLeadership;
+  workerManager: WorkerManager;
   gossip: GossipSender;
   clock: Clock;
   log: Log;
@@ -28,18 +28,18 @@
 
   /** Resolves when all roles are given up, or when the time is over. */
   async run(): Promise<void> {
-    const { limitMs, claims, gossip, clock, log } = this.dependencies;
+    const { limitMs, leadership, gossip, clock, log } = this.dependencies;
     this.hasBegun = true;
-    claims.leave();
+    leadership.stopAcquiring();
     gossip.now();
     await Promise.race([clock.sleep(limitMs), this.giveUp()]);
-    log.info({ left: claims.ownedPartitions().length }, 'handover is over');
+    log.info({ left: leadership.ledPartitions().length }, 'handover is over');
   }
 
   private async giveUp(): Promise<void> {
-    const { limitMs, claims, owner, clock } = this.dependencies;
-    await owner.drain(limitMs * DRAIN_SHARE);
-    await claims.cedeAll('told to stop');
+    const { limitMs, leadership, workerManager, clock } = this.dependencies;
+    await workerManager.drain(limitMs * DRAIN_SHARE);
+    await leadership.releaseAll('told to stop');
     // Peers are told of changed records a moment later; without that they learn of the vacant roles by their next watch.
     await clock.sleep(2 * NEWS_GATHER_MS);
   }
--- a/src/controller/health-checks.ts
+++ b/src/controller/health-checks.ts
@@ -1,12 +1,12 @@
 /** Turns worker reports and deaths of tasks into checks of the happiness of service tasks. */
-import type { Book, Place } from '../ledger/book.js';
-import { parseShard, shardName } from '../ledger/records.js';
+import type { ClusterState, PlacedTask } from '../ledger/book.js';
+import { parseTaskId, taskIdOf } from '../ledger/records.js';
 import type { Clock } from '../net/clock.js';
 import type { Happiness } from '../placement/happiness.js';
-import type { Report } from '../workers/report.js';
+import type { WorkerStatus } from '../workers/worker-wire-codec.js';
 
 export interface HealthChecksDependencies {
-  book: Book;
+  clusterState: ClusterState;
   happiness: Happiness;
   clock: Clock;
 }
@@ -15,21 +15,21 @@
   constructor(private readonly dependencies: HealthChecksDependencies) {}
 
   /** A worker has reported: each task that it runs is healthy. */
-  reported(report: Report): void {
-    for (const [name, task] of report.tasks) {
-      const shard = parseShard(name);
-      if (shard !== undefined && task.phase === 'running') this.note(shard.ref, shard.shard, true);
+  reported(workerStatus: WorkerStatus): void {
+    for (const [name, task] of workerStatus.tasks) {
+      const shard = parseTaskId(name);
+      if (shard !== undefined && task.state === 'running') this.note(shard.jobId, shard.taskIndex, true);
     }
   }
 
   /** A task died unfinished. */
-  died({ ref, shard }: Place): void {
-    this.note(ref, shard, false);
+  died({ jobId, taskIndex }: PlacedTask): void {
+    this.note(jobId, taskIndex, false);
   }
 
-  private note(ref: string, shard: number, healthy: boolean): void {
-    const { book, happiness, clock } = this.dependencies;
-    if (book.jobs.get(ref)?.record.spec.Shape !== 'service') return;
-    happiness.note(shardName(ref, shard), healthy, clock.now());
+  private note(jobId: string, taskIndex: number, healthy: boolean): void {
+    const { clusterState, happiness, clock } = this.dependencies;
+    if (clusterState.jobs.get(jobId)?.record.spec.kind !== 'service') return;
+    happiness.note(taskIdOf(jobId, taskIndex), healthy, clock.now());
   }
 }
--- a/src/controller/job-reactions.ts
+++ b/src/controller/job-reactions.ts
@@ -1,20 +1,20 @@
 /** What follows from a change of a job's records: launches and stops, plans, its end, and the steps of jobs after it. */
 import { BATCH_PUSH_GATHER_SHARE } from '../constants.js';
-import type { Book, JobView } from '../ledger/book.js';
-import { shardName } from '../ledger/records.js';
-import { LEADER, partitionRole, type Claims } from './claims.js';
+import type { ClusterState, JobView } from '../ledger/book.js';
+import { taskIdOf } from '../ledger/records.js';
+import { CLUSTER_LEADER_ROLE, partitionRole, type RoleLeadership } from './claims.js';
 import type { JobCompletion } from './job-completion.js';
-import type { Owner } from './owner.js';
+import type { WorkerManager } from './owner.js';
 import type { PipelineProgress } from './pipeline-progress.js';
 import { isLarge } from './placer.js';
-import type { Planner } from './planner.js';
+import type { PlacementPlanner } from './planner.js';
 import { isResponsibleFor } from './responsibility.js';
 
 export interface JobReactionsDependencies {
-  claims: Claims;
-  book: Book;
-  owner: Owner;
-  planner: Planner;
+  leadership: RoleLeadership;
+  clusterState: ClusterState;
+  workerManager: WorkerManager;
+  planner: PlacementPlanner;
   completion: JobCompletion;
   pipelineProgress: PipelineProgress;
   /** ms between two reports of a worker. */
@@ -25,38 +25,40 @@
   constructor(private readonly dependencies: JobReactionsDependencies) {}
 
   /** `shards`: of the job's ledger only these have changed; undefined: its record has. */
-  jobChanged(ref: string, shards?: readonly number[]): void {
-    const { claims, book, planner, completion, pipelineProgress } = this.dependencies;
-    const view = book.jobs.get(ref);
-    if (shards === undefined) pipelineProgress.jobChanged(ref);
-    planner.poke(view !== undefined && this.isUrgent(view));
+  jobChanged(jobId: string, taskIndexes?: readonly number[]): void {
+    const { leadership, clusterState, planner, completion, pipelineProgress } = this.dependencies;
+    const view = clusterState.jobs.get(jobId);
+    if (taskIndexes === undefined) pipelineProgress.jobChanged(jobId);
+    planner.planSoon(view !== undefined && this.isUrgent(view));
     if (view === undefined) return;
-    for (const shard of shards ?? [...view.known()].map(([each]) => each)) this.tellWorker(view, shard);
+    for (const taskIndex of taskIndexes ?? [...view.knownPlacements()].map(([each]) => each))
+      this.tellWorker(view, taskIndex);
     // All nodes see the end at the same moment: changes that fail for another node's being first count like others.
-    const isOver = view.placed === 0 && (view.record.phase === 'withdrawn' || view.complete);
-    if (isOver && isResponsibleFor(claims, ref)) void completion.complete(ref);
+    const isOver = view.placed === 0 && (view.record.state === 'cancelled' || view.isComplete);
+    if (isOver && isResponsibleFor(leadership, jobId)) void completion.complete(jobId);
   }
 
   /** Tells the machine of a task what it is to do about it, where that is new. */
-  private tellWorker(view: JobView, shard: number): void {
-    const { owner, reportPeriodMs } = this.dependencies;
-    const slot = view.slot(shard);
-    if (slot.kind !== 'placed') return;
-    const worker = owner.workers.get(slot.host);
+  private tellWorker(view: JobView, taskIndex: number): void {
+    const { workerManager, reportPeriodMs } = this.dependencies;
+    const placement = view.placementOf(taskIndex);
+    if (placement.kind !== 'placed') return;
+    const worker = workerManager.workers.get(placement.machineId);
     if (worker === undefined) return;
-    const isStopped = view.record.phase === 'withdrawn' || slot.stop !== null;
-    const task = worker.tasks.get(shardName(view.ref, shard));
-    const isLaunched = task !== undefined && task.attempt === slot.attempt;
-    const isBatch = view.record.spec.Shape === 'array';
-    if (isStopped) owner.push(slot.host);
-    else if (!isLaunched) owner.push(slot.host, isBatch ? reportPeriodMs * BATCH_PUSH_GATHER_SHARE : undefined);
+    const isStopped = view.record.state === 'cancelled' || placement.gracePeriodS !== null;
+    const task = worker.tasks.get(taskIdOf(view.jobId, taskIndex));
+    const isLaunched = task !== undefined && task.attempt === placement.attempt;
+    const isBatch = view.record.spec.kind === 'array';
+    if (isStopped) workerManager.push(placement.machineId);
+    else if (!isLaunched)
+      workerManager.push(placement.machineId, isBatch ? reportPeriodMs * BATCH_PUSH_GATHER_SHARE : undefined);
   }
 
   /** Does work wait here for seconds at most, that this very node places? */
-  private isUrgent({ ref, record, queued }: JobView): boolean {
-    const { claims } = this.dependencies;
-    if (record.spec.Shape === 'array' || record.phase === 'waiting' || queued.length === 0) return false;
-    const role = isLarge(record.spec) ? LEADER : partitionRole(claims.partitionOf(ref));
-    return claims.holding(role) !== undefined;
+  private isUrgent({ jobId, record, queued }: JobView): boolean {
+    const { leadership } = this.dependencies;
+    if (record.spec.kind === 'array' || record.state === 'waiting' || queued.length === 0) return false;
+    const role = isLarge(record.spec) ? CLUSTER_LEADER_ROLE : partitionRole(leadership.partitionOf(jobId));
+    return leadership.leadershipOf(role) !== undefined;
   }
 }
--- a/src/controller/leader.ts
+++ b/src/controller/leader.ts
@@ -12,38 +12,39 @@
   RENT_ROUNDS,
 } from '../constants.js';
 import type { Settings } from '../config/settings.js';
-import { decodeCatalog, type CloudClient, type ListedMachine } from '../cloud/client.js';
-import type { Book } from '../ledger/book.js';
-import { freeShard } from '../ledger/edits.js';
-import { flavorKey } from '../ledger/records.js';
+import { decodeMachineType, type ListedMachine } from '../cloud/wire-codec.js';
+import type { CloudClient } from '../cloud/client.js';
+import type { ClusterState } from '../ledger/book.js';
+import { releasePlacement } from '../ledger/edits.js';
+import { machineTypeKey } from '../ledger/record-keys.js';
 import type { TeamAccounting } from '../ledger/team-accounting.js';
+import type { TransactionBatcher } from '../state/committer.js';
+import type { TransactionDraft } from '../state/draft.js';
+import { reportLateMs, silenceLimitMs } from '../workers/worker.js';
 import type { Clock } from '../net/clock.js';
 import { Priority } from '../net/token-bucket.js';
 import { exitPriority } from '../placement/queue.js';
-import { cutZones, machinesToGiveUp, type Watched } from '../placement/silence.js';
+import { cutZones, machinesToGiveUp, type WatchedMachine } from '../placement/silence.js';
 import { belowReserve, bootLimitMs } from '../placement/renting.js';
-import type { Committer } from '../state/committer.js';
-import type { Draft } from '../state/draft.js';
-import type { Peers } from '../mesh/peers.js';
-import { reportLateMs, silenceLimitMs } from '../workers/worker.js';
-import { LEADER, partitionRole, type Claims } from './claims.js';
-import type { Fleet, MachineInfo } from './fleet.js';
+import type { PeerDirectory } from '../mesh/peers.js';
+import { CLUSTER_LEADER_ROLE, partitionRole, type RoleLeadership } from './claims.js';
+import type { MachineInventory, MachineInfo, MachineType } from './fleet.js';
 import type { Log } from './log.js';
-import type { Planner } from './planner.js';
-import { Preempter } from './preempter.js';
-import { Renter } from './renter.js';
-import { Stopper } from './stopper.js';
+import type { PlacementPlanner } from './planner.js';
+import { Preemptor } from './preempter.js';
+import { Autoscaler } from './renter.js';
+import { EvictionMarker } from './stopper.js';
 
-export interface LeaderDependencies {
+export interface ClusterLeaderDependencies {
   settings: Settings;
-  claims: Claims;
-  book: Book;
-  fleet: Fleet;
-  planner: Planner;
-  committer: Committer;
+  leadership: RoleLeadership;
+  clusterState: ClusterState;
+  inventory: MachineInventory;
+  planner: PlacementPlanner;
+  transactions: TransactionBatcher;
   accounting: TeamAccounting;
   cloud: CloudClient;
-  peers: Peers;
+  peerDirectory: PeerDirectory;
   clock: Clock;
   log: Log;
 }
@@ -52,66 +53,77 @@
 export interface LeaderMemory {
   stopping(): Iterable<{ attempt: string; at: number }>;
   refused(): Iterable<{ offer: string; at: number }>;
-  idle(): Iterable<{ host: string; at: number }>;
+  idle(): Iterable<{ machineId: string; at: number }>;
   restoreStopping(attempt: string, at: number): void;
   restoreRefusal(offer: string, at: number): void;
-  restoreIdle(host: string, at: number): void;
+  restoreIdle(machineId: string, at: number): void;
 }
 
 /** What the leader does for the whole cluster: catalogue, renting and returning, drains, preemption. */
-export class Leader {
+export class ClusterLeader {
   private readonly settings: Settings;
-  private readonly claims: Claims;
-  private readonly book: Book;
-  private readonly fleet: Fleet;
-  private readonly planner: Planner;
-  private readonly committer: Committer;
+  private readonly leadership: RoleLeadership;
+  private readonly clusterState: ClusterState;
+  private readonly inventory: MachineInventory;
+  private readonly planner: PlacementPlanner;
+  private readonly transactions: TransactionBatcher;
   private readonly accounting: TeamAccounting;
   private readonly cloud: CloudClient;
-  private readonly peers: Peers;
+  private readonly peerDirectory: PeerDirectory;
   private readonly clock: Clock;
   private readonly log: Log;
   private listed = new Map<string, ListedMachine>();
   private readonly idleSince = new Map<string, number>();
   private readonly sickSince = new Map<string, number>();
   private readonly returning = new Set<string>();
-  private readonly stopper: Stopper;
-  private readonly preempter: Preempter;
-  private readonly renter: Renter;
+  private readonly evictionMarker: EvictionMarker;
+  private readonly preemptor: Preemptor;
+  private readonly autoscaler: Autoscaler;
   private catalogAt = -Infinity;
   private idleLookAt = -Infinity;
   /** Since when each role is seen in the hands of its present owner. */
-  private readonly ownerSince = new Map<string, { latch: number; at: number }>();
+  private readonly ownerSince = new Map<string, { leaseId: number; at: number }>();
   /** When each zone was last seen cut off. */
   private readonly cutAt = new Map<string, number>();
 
   constructor({
     settings,
-    claims,
-    book,
-    fleet,
+    leadership,
+    clusterState,
+    inventory,
     planner,
-    committer,
+    transactions,
     accounting,
     cloud,
-    peers,
+    peerDirectory,
     clock,
     log,
-  }: LeaderDependencies) {
+  }: ClusterLeaderDependencies) {
     this.settings = settings;
-    this.claims = claims;
-    this.book = book;
-    this.fleet = fleet;
+    this.leadership = leadership;
+    this.clusterState = clusterState;
+    this.inventory = inventory;
     this.planner = planner;
-    this.committer = committer;
+    this.transactions = transactions;
     this.accounting = accounting;
     this.cloud = cloud;
-    this.peers = peers;
+    this.peerDirectory = peerDirectory;
     this.clock = clock;
     this.log = log;
-    this.stopper = new Stopper(claims, book, committer, clock, log);
-    this.preempter = new Preempter(settings, book, fleet, planner, this.stopper, clock);
-    this.renter = new Renter(settings, claims, book, fleet, planner, committer, cloud, clock, log, () => this.listed);
+    this.evictionMarker = new EvictionMarker(leadership, clusterState, transactions, clock, log);
+    this.preemptor = new Preemptor(settings, clusterState, inventory, planner, this.evictionMarker, clock);
+    this.autoscaler = new Autoscaler(
+      settings,
+      leadership,
+      clusterState,
+      inventory,
+      planner,
+      transactions,
+      cloud,
+      clock,
+      log,
+      () => this.listed,
+    );
   }
 
   async run(signal: AbortSignal): Promise<void> {
@@ -120,10 +132,10 @@
       this.every(LIST_PERIOD_MS, signal, () => this.readList()),
       this.every(RENT_PERIOD_MS, signal, async () => {
         // What is refused in one place is asked for in the next at once: a machine takes long enough to boot.
-        for (let round = 0; round < RENT_ROUNDS && (await this.renter.round()); round++);
+        for (let round = 0; round < RENT_ROUNDS && (await this.autoscaler.round()); round++);
       }),
       this.every(RENT_PERIOD_MS / 4, signal, () => this.tend()),
-      this.every(PREEMPT_PERIOD_MS / 2, signal, () => this.preempter.round()),
+      this.every(PREEMPT_PERIOD_MS / 2, signal, () => this.preemptor.round()),
       this.every(STATUS_PERIOD_MS, signal, () => this.status()),
     ]);
   }
@@ -131,7 +143,7 @@
   private async every(ms: number, signal: AbortSignal, work: () => Promise<void> | void): Promise<void> {
     while (!signal.aborted) {
       try {
-        if (this.claims.isLeader) await work();
+        if (this.leadership.isLeader) await work();
       } catch (error) {
         this.log.error({ error: (error as Error).stack }, 'leader duty failed');
       }
@@ -141,23 +153,23 @@
 
   /** A line now and then by which an operator sees how full the cluster is and who waits. */
   private status(): void {
-    const machines = [...this.fleet.all().values()];
-    const open = this.fleet.open();
+    const machines = [...this.inventory.all().values()];
+    const open = this.inventory.open();
     let total = 0;
     let free = 0;
-    for (const [host, room] of this.planner.rooms(open)) {
-      total += this.fleet.catalog.get(this.fleet.get(host)!.flavor)!.cpus;
+    for (const [machineId, room] of this.planner.freeResources(open)) {
+      total += this.inventory.catalog.get(this.inventory.get(machineId)!.machineType)!.cpus;
       free += room.cpus;
     }
     const closed: Record<string, number> = {};
     for (const machine of machines) {
-      const why = this.fleet.whyClosed(machine);
+      const why = this.inventory.whyClosed(machine);
       if (why !== undefined) closed[why] = (closed[why] ?? 0) + 1;
     }
     const waiting: Record<string, number> = {};
     for (const { view } of this.planner.unplaced) {
-      const { Rank } = view.record.spec;
-      waiting[Rank] = (waiting[Rank] ?? 0) + 1;
+      const { priority } = view.record.spec;
+      waiting[priority] = (waiting[priority] ?? 0) + 1;
     }
     this.log.info(
       { machines: machines.length, open: open.length, closed, cpus: total, free: Math.round(free), waiting },
@@ -168,45 +180,46 @@
   private async readCatalog(): Promise<void> {
     const now = this.clock.now();
     if (now - this.catalogAt < CATALOG_PERIOD_MS) return;
-    const body = await this.cloud.machineTypes();
-    if (body === undefined) return;
+    const machineTypes = await this.cloud.machineTypes();
+    if (machineTypes === undefined) return;
     this.catalogAt = now;
-    const flavors = (body as { Flavors: { Sku: string }[] }).Flavors;
     // Each type is a decision of its own: all together may be more than one transaction holds.
     await Promise.all(
-      flavors.map((flavor) =>
-        this.committer.commit('catalogue', Priority.record, (draft) => this.recordFlavor(draft, flavor)),
+      machineTypes.map((machineType) =>
+        this.transactions.commit('catalogue', Priority.record, (draft) => this.recordMachineType(draft, machineType)),
       ),
     );
   }
 
-  private recordFlavor(draft: Draft, flavor: { Sku: string }): boolean {
-    if (!this.claims.require(draft, LEADER)) return false;
+  private recordMachineType(draft: TransactionDraft, stored: unknown): boolean {
+    if (!this.leadership.requireLeadership(draft, CLUSTER_LEADER_ROLE)) return false;
+    const now = decodeMachineType(stored)!;
+    const key = machineTypeKey(now.name);
     // Prices move all the time; only what decides about fitting is worth a change.
-    const old = decodeCatalog({ Flavors: [draft.get(flavorKey(flavor.Sku)) ?? {}] })?.get(flavor.Sku);
-    const now = decodeCatalog({ Flavors: [flavor] })!.get(flavor.Sku)!;
-    const withoutPrices = (each: typeof now) => JSON.stringify({ ...each, hourly: 0, lowPrice: 0 });
+    const old = decodeMachineType(draft.get(key));
+    const withoutPrices = (each: MachineType) => JSON.stringify({ ...each, hourlyPrice: 0, spotHourlyPrice: 0 });
     if (old !== undefined && withoutPrices(old) === withoutPrices(now)) return false;
-    draft.set(flavorKey(flavor.Sku), flavor);
+    draft.set(key, stored);
     return true;
   }
 
   private async readList(): Promise<void> {
     const list = await this.cloud.list();
     if (list === undefined) return;
-    this.listed = new Map(list.map((machine) => [machine.host, machine]));
+    this.listed = new Map(list.map((machine) => [machine.machineId, machine]));
   }
 
   /** What the leader remembers beside the records: for whoever succeeds it. */
   get memory(): LeaderMemory {
     return {
-      stopping: () => this.stopper.lately(),
-      refused: () => this.renter.refusedLately(),
-      idle: () => [...this.idleSince].map(([host, at]) => ({ host, at })),
-      restoreStopping: (attempt, at) => this.stopper.restore(attempt, at),
-      restoreRefusal: (offer, at) => this.renter.restoreRefusal(offer, at),
+      stopping: () => this.evictionMarker.lately(),
+      refused: () => this.autoscaler.refusedLately(),
+      idle: () => [...this.idleSince].map(([machineId, at]) => ({ machineId, at })),
+      restoreStopping: (attempt, at) => this.evictionMarker.restore(attempt, at),
+      restoreRefusal: (offer, at) => this.autoscaler.restoreRefusal(offer, at),
       // An entry stands only as long as the machine is seen idle: the next look drops it otherwise.
-      restoreIdle: (host, at) => void this.idleSince.set(host, Math.min(at, this.idleSince.get(host) ?? Infinity)),
+      restoreIdle: (machineId, at) =>
+        void this.idleSince.set(machineId, Math.min(at, this.idleSince.get(machineId) ?? Infinity)),
     };
   }
 
@@ -218,49 +231,58 @@
   /** Looks after machines: dead, failed, never up, sick, idle, warned. */
   private async tend(): Promise<void> {
     const now = this.clock.now();
-    const all = this.fleet.all();
+    const all = this.inventory.all();
     const back = new Set<string>([...this.silent(all), ...this.useless(all)]);
     // Idle machines are kept for minutes, so they are looked for now and then.
     if (now >= this.idleLookAt) {
       this.idleLookAt = now + IDLE_LOOK_MS;
-      for (const host of this.idle()) back.add(host);
+      for (const machineId of this.idle()) back.add(machineId);
     }
     this.stopOnWarned(all);
-    const hosts = [...back].filter((host) => !this.returning.has(host)).slice(0, 50);
+    const machineIds = [...back].filter((machineId) => !this.returning.has(machineId)).slice(0, 50);
     // Places on machines that the cloud has confirmed gone, also those committed on an old view since.
-    for (const host of this.book.hostsInUse()) if (this.fleet.gone.has(host)) this.freeGone(host);
-    if (hosts.length === 0) return;
-    for (const host of hosts) {
-      this.returning.add(host);
-      this.fleet.leaving.add(host);
+    for (const machineId of this.clusterState.usedMachines())
+      if (this.inventory.terminated.has(machineId)) this.freeGone(machineId);
+    if (machineIds.length === 0) return;
+    for (const machineId of machineIds) {
+      this.returning.add(machineId);
+      this.inventory.scalingIn.add(machineId);
     }
-    this.log.info({ machines: hosts, at: Math.round(now) }, 'machines given back');
-    const gone = await this.cloud.giveBack(hosts);
-    for (const host of hosts) {
-      this.returning.delete(host);
+    this.log.info({ machines: machineIds, at: Math.round(now) }, 'machines given back');
+    const gone = await this.cloud.scaleIn(machineIds);
+    for (const machineId of machineIds) {
+      this.returning.delete(machineId);
       if (!gone) {
-        this.fleet.leaving.delete(host);
+        this.inventory.scalingIn.delete(machineId);
         continue;
       }
-      this.fleet.remove(host);
-      this.listed.delete(host);
-      this.freeGone(host);
+      this.inventory.markTerminated(machineId);
+      this.listed.delete(machineId);
+      this.freeGone(machineId);
     }
   }
 
   /** The cloud's 200 proves that the machine and everything on it are gone. */
-  private freeGone(host: string): void {
-    for (const place of [...this.book.placesOn(host)]) {
-      const priority = exitPriority(this.book.jobs.get(place.ref)?.record.spec);
-      void this.committer.commit(
+  private freeGone(machineId: string): void {
+    for (const placedTask of [...this.clusterState.tasksOn(machineId)]) {
+      const priority = exitPriority(this.clusterState.jobs.get(placedTask.jobId)?.record.spec);
+      void this.transactions.commit(
         'gone',
         priority,
         (draft) => {
-          if (!this.claims.require(draft, LEADER)) return false;
-          return freeShard(draft, this.accounting, place.ref, place.shard, host, { kind: 'gone' }, 'lost');
+          if (!this.leadership.requireLeadership(draft, CLUSTER_LEADER_ROLE)) return false;
+          return releasePlacement(
+            draft,
+            this.accounting,
+            placedTask.jobId,
+            placedTask.taskIndex,
+            machineId,
+            { kind: 'gone' },
+            'lost',
+          );
         },
         undefined,
-        this.book.companyOf(place.ref, place.shard),
+        this.clusterState.batchingHintFor(placedTask.jobId, placedTask.taskIndex),
       );
     }
   }
@@ -269,27 +291,28 @@
   private silent(all: ReadonlyMap<string, MachineInfo>): string[] {
     const now = this.clock.now();
     const limit = silenceLimitMs(this.settings.cluster.workers);
-    const watched: Watched[] = [];
+    const watched: WatchedMachine[] = [];
     for (const machine of all.values()) {
-      const partition = this.claims.partitionOf(machine.host);
+      const partition = this.leadership.partitionOf(machine.machineId);
       // Only the word of the present owner counts: a former one, cut off, would call them all silent.
-      const isOwners = machine.owner === this.claims.ownerOf(partitionRole(partition));
-      if (!isOwners || this.fleet.gone.has(machine.host) || !this.fleet.isCurrent(machine.host)) continue;
+      const isOwners = machine.partitionLeader === this.leadership.leaderOf(partitionRole(partition));
+      if (!isOwners || this.inventory.terminated.has(machine.machineId) || !this.inventory.isCurrent(machine.machineId))
+        continue;
       const age = now - machine.heardAt;
       // A mute machine's lease has run out, so nothing runs there any more; only its being gone proves that at once.
-      const silent = machine.mute || (age > limit && !this.knocked(machine));
+      const silent = machine.isMute || (age > limit && !this.knocked(machine));
       const quiet = silent || age > reportLateMs(this.settings.cluster.workers);
       watched.push({
-        host: machine.host,
+        machineId: machine.machineId,
         partition,
-        site: machine.site,
+        zone: machine.zone,
         silentMs: silent ? Math.max(age, 1) : 0,
         quiet,
       });
     }
     watched.push(...this.unheard(all, now));
-    for (const site of cutZones(watched)) this.cutAt.set(site, now);
-    for (const [site, at] of this.cutAt) if (now - at > ZONE_HEAL_MS) this.cutAt.delete(site);
+    for (const zone of cutZones(watched)) this.cutAt.set(zone, now);
+    for (const [zone, at] of this.cutAt) if (now - at > ZONE_HEAL_MS) this.cutAt.delete(zone);
     return machinesToGiveUp(watched, new Set(this.cutAt.keys()));
   }
 
@@ -297,26 +320,30 @@
    * Machines with tasks that nobody has heard since the owners of their partitions took over: what died while all nodes were down
    * is told of by no former owner, and would else be waited for until its lease is proved over.
    */
-  private unheard(all: ReadonlyMap<string, MachineInfo>, now: number): Watched[] {
+  private unheard(all: ReadonlyMap<string, MachineInfo>, now: number): WatchedMachine[] {
     const { workers } = this.settings.cluster;
-    const list: Watched[] = [];
-    for (const [role, { record }] of this.book.claims) {
+    const list: WatchedMachine[] = [];
+    for (const [role, { record }] of this.clusterState.leadershipRecords) {
       const since = this.ownerSince.get(role);
-      if (since?.latch !== record.latch) this.ownerSince.set(role, { latch: record.latch, at: now });
+      if (since?.leaseId !== record.leaseId) this.ownerSince.set(role, { leaseId: record.leaseId, at: now });
     }
-    for (const host of this.book.hostsInUse()) {
-      if (all.has(host) || this.fleet.gone.has(host)) continue;
-      const partition = this.claims.partitionOf(host);
-      const owner = this.claims.ownerOf(partitionRole(partition));
-      const told = owner === this.settings.node || (owner !== undefined && this.peers.heard().includes(owner));
-      const [place] = this.book.placesOn(host);
-      if (!told || place === undefined) continue;
+    for (const machineId of this.clusterState.usedMachines()) {
+      if (all.has(machineId) || this.inventory.terminated.has(machineId)) continue;
+      const partition = this.leadership.partitionOf(machineId);
+      const partitionLeader = this.leadership.leaderOf(partitionRole(partition));
+      const told =
+        partitionLeader === this.settings.node ||
+        (partitionLeader !== undefined && this.peerDirectory.reachablePeers().includes(partitionLeader));
+      const [placedTask] = this.clusterState.tasksOn(machineId);
+      if (!told || placedTask === undefined) continue;
       const age = now - this.ownerSince.get(partitionRole(partition))!.at;
-      const silent = age > UNHEARD_LIMITS * silenceLimitMs(workers) && !this.peers.knocked(host, -Infinity);
+      const silent =
+        age > UNHEARD_LIMITS * silenceLimitMs(workers) &&
+        !this.peerDirectory.hasReportedElsewhere(machineId, -Infinity);
       list.push({
-        host,
+        machineId,
         partition,
-        site: place.slot.site,
+        zone: placedTask.placement.zone,
         silentMs: silent ? age : 0,
         quiet: age > reportLateMs(workers),
       });
@@ -325,25 +352,26 @@
   }
 
   private knocked(machine: MachineInfo): boolean {
-    return this.peers.knocked(machine.host, machine.heardAt);
+    return this.peerDirectory.hasReportedElsewhere(machine.machineId, machine.heardAt);
   }
 
   /** Machines that failed, never came up, or fail all their tasks and hold none now. */
   private useless(all: ReadonlyMap<string, MachineInfo>): string[] {
     const list: string[] = [];
     for (const machine of this.listed.values()) {
-      if (this.fleet.gone.has(machine.host)) continue;
-      const limit = bootLimitMs(this.fleet.catalog.get(machine.flavor));
-      const never = machine.phase === 'starting' && !all.has(machine.host) && machine.heldS * 1000 > limit;
-      if (machine.phase === 'failed' || never) list.push(machine.host);
+      if (this.inventory.terminated.has(machine.machineId)) continue;
+      const limit = bootLimitMs(this.inventory.catalog.get(machine.machineType));
+      const never = machine.state === 'starting' && !all.has(machine.machineId) && machine.ageS * 1000 > limit;
+      if (machine.state === 'failed' || never) list.push(machine.machineId);
     }
     const now = this.clock.now();
-    for (const host of this.sickSince.keys()) if (all.get(host)?.sick !== true) this.sickSince.delete(host);
-    for (const { host, sick } of all.values()) {
-      if (!sick || this.fleet.gone.has(host)) continue;
-      const since = this.sickSince.get(host) ?? now;
-      this.sickSince.set(host, since);
-      if (now - since >= SICK_PATIENCE_MS && this.book.countOn(host) === 0) list.push(host);
+    for (const machineId of this.sickSince.keys())
+      if (all.get(machineId)?.isQuarantined !== true) this.sickSince.delete(machineId);
+    for (const { machineId, isQuarantined } of all.values()) {
+      if (!isQuarantined || this.inventory.terminated.has(machineId)) continue;
+      const since = this.sickSince.get(machineId) ?? now;
+      this.sickSince.set(machineId, since);
+      if (now - since >= SICK_PATIENCE_MS && this.clusterState.taskCountOn(machineId) === 0) list.push(machineId);
     }
     return list;
   }
@@ -351,27 +379,27 @@
   private idle(): string[] {
     const now = this.clock.now();
     const list: string[] = [];
-    const open = this.fleet.open();
+    const open = this.inventory.open();
     let total = 0;
     let free = 0;
-    const rooms = this.planner.rooms(open);
+    const rooms = this.planner.freeResources(open);
     for (const machine of open) {
-      total += this.fleet.catalog.get(machine.flavor)!.cpus;
-      free += Math.max(0, rooms.get(machine.host)!.cpus);
+      total += this.inventory.catalog.get(machine.machineType)!.cpus;
+      free += Math.max(0, rooms.get(machine.machineId)!.cpus);
     }
     for (const machine of open) {
-      if (this.book.countOn(machine.host) > 0) {
-        this.idleSince.delete(machine.host);
+      if (this.clusterState.taskCountOn(machine.machineId) > 0) {
+        this.idleSince.delete(machine.machineId);
         continue;
       }
-      const since = this.idleSince.get(machine.host) ?? now;
-      this.idleSince.set(machine.host, since);
-      const cpus = this.fleet.catalog.get(machine.flavor)!.cpus;
+      const since = this.idleSince.get(machine.machineId) ?? now;
+      this.idleSince.set(machine.machineId, since);
+      const cpus = this.inventory.catalog.get(machine.machineType)!.cpus;
       // Hysteresis: rented below one reserve, given back only above twice as much.
       if (now - since < IDLE_RETURN_MS || belowReserve((free - cpus) / 2, total - cpus)) continue;
       free -= cpus;
       total -= cpus;
-      list.push(machine.host);
+      list.push(machine.machineId);
     }
     return list;
   }
@@ -380,17 +408,17 @@
   private stopOnWarned(all: ReadonlyMap<string, MachineInfo>): void {
     const now = this.clock.now();
     for (const machine of all.values()) {
-      if (machine.warnedUntil === null) continue;
-      for (const place of [...this.book.placesOn(machine.host)]) {
-        const spec = this.book.jobs.get(place.ref)?.record.spec;
+      if (machine.spotNoticeUntil === null) continue;
+      for (const placedTask of [...this.clusterState.tasksOn(machine.machineId)]) {
+        const spec = this.clusterState.jobs.get(placedTask.jobId)?.record.spec;
         if (
           spec === undefined ||
-          this.stopper.isStopping(place) ||
-          (spec.Shape === 'array' && spec.SnapshotEveryS === 0)
+          this.evictionMarker.isStopping(placedTask) ||
+          (spec.kind === 'array' && spec.checkpointIntervalS === 0)
         )
           continue;
-        const left = (machine.warnedUntil - now) / 1000;
-        this.stopper.stop(place, spec, left > spec.SnapshotS ? spec.SnapshotS : 0, 'notice');
+        const left = (machine.spotNoticeUntil - now) / 1000;
+        this.evictionMarker.stop(placedTask, spec, left > spec.checkpointS ? spec.checkpointS : 0, 'notice');
       }
     }
   }
--- a/src/controller/misdirected-workers.ts
+++ b/src/controller/misdirected-workers.ts
@@ -3,16 +3,16 @@
  * can't reach their owner.
  */
 import { KNOCK_MS, SEND_HOME_MS } from '../constants.js';
-import type { Report } from '../workers/report.js';
+import type { WorkerStatus } from '../workers/worker-wire-codec.js';
 
-export class MisdirectedWorkers {
+export class MisroutedWorkers {
   /** Steady ms of the last report of each. */
   private readonly reportedAt = new Map<string, number>();
   /** Steady ms since when each is taken for cut off from its owner. */
   private readonly strandedSince = new Map<string, number>();
 
-  has(host: string): boolean {
-    return this.reportedAt.has(host);
+  has(machineId: string): boolean {
+    return this.reportedAt.has(machineId);
   }
 
   /** Each of them, with the steady ms of its last report. */
@@ -21,18 +21,18 @@
   }
 
   /** Takes a report in. True: its worker can't get to its owner, so that the report is better passed on. */
-  note(report: Report, ownersToken: number | undefined, now: number): boolean {
-    const isStranded = this.isStranded(report, ownersToken, now);
-    this.reportedAt.set(report.host, now);
+  note(workerStatus: WorkerStatus, ownersToken: number | undefined, now: number): boolean {
+    const isStranded = this.isStranded(workerStatus, ownersToken, now);
+    this.reportedAt.set(workerStatus.machineId, now);
     return isStranded;
   }
 
   /** Forgets those that have not been here for a while. */
   prune(now: number): void {
-    for (const [host, at] of this.reportedAt) {
+    for (const [machineId, at] of this.reportedAt) {
       if (now - at <= KNOCK_MS) continue;
-      this.reportedAt.delete(host);
-      this.strandedSince.delete(host);
+      this.reportedAt.delete(machineId);
+      this.strandedSince.delete(machineId);
     }
   }
 
@@ -40,13 +40,13 @@
    * A worker that shows the present owner's token has been with it, and is here because it can't get there. Now and then
    * it is sent home all the same, so that it does not stay once the way is open again.
    */
-  private isStranded({ host, fence }: Report, ownersToken: number | undefined, now: number): boolean {
-    const wasServed = fence === ownersToken;
-    if (!wasServed && !this.has(host)) return false;
-    const since = this.strandedSince.get(host) ?? now;
-    this.strandedSince.set(host, since);
+  private isStranded({ machineId, fencingToken }: WorkerStatus, ownersToken: number | undefined, now: number): boolean {
+    const wasServed = fencingToken === ownersToken;
+    if (!wasServed && !this.has(machineId)) return false;
+    const since = this.strandedSince.get(machineId) ?? now;
+    this.strandedSince.set(machineId, since);
     if (now - since < SEND_HOME_MS) return true;
-    this.strandedSince.delete(host);
+    this.strandedSince.delete(machineId);
     return false;
   }
 }
--- /dev/null
+++ b/src/controller/node-health.ts
@@ -0,0 +1,25 @@
+/** Whether this node serves requests, and whether it is the one that the store refuses. */
+import type { PeerDirectory } from '../mesh/peers.js';
+import type { StoreClient } from '../state/client.js';
+import type { Replica } from '../state/replica.js';
+import type { RoleLeadership } from './claims.js';
+
+export class NodeHealth {
+  constructor(
+    private readonly replica: Replica,
+    private readonly leadership: RoleLeadership,
+    private readonly client: StoreClient,
+    private readonly peerDirectory: PeerDirectory,
+  ) {}
+
+  /** Requests are really served here, or nobody could serve them better. */
+  get isServing(): boolean {
+    if (!this.replica.isLoaded) return false;
+    return this.leadership.isInTouchWithStore || (this.isWithoutStore && this.peerDirectory.isAnyWithoutStore());
+  }
+
+  /** The store refuses, or doesn't answer, this node. */
+  get isWithoutStore(): boolean {
+    return !this.leadership.isInTouchWithStore && this.client.lastRefusedAt > this.client.lastAnsweredAt;
+  }
+}
--- a/src/controller/owner.ts
+++ b/src/controller/owner.ts
@@ -12,83 +12,48 @@
   SWEEP_MS,
 } from '../constants.js';
 import type { Settings } from '../config/settings.js';
-import type { Book, Place } from '../ledger/book.js';
-import { parseShard } from '../ledger/records.js';
+import type { ClusterState, PlacedTask } from '../ledger/book.js';
+import { parseTaskId } from '../ledger/records.js';
 import type { Proof } from '../ledger/rules.js';
 import type { Clock } from '../net/clock.js';
 import type { HttpClient } from '../net/http-client.js';
-import type { TeamAccounting } from '../ledger/team-accounting.js';
-import type { Committer } from '../state/committer.js';
 import type { Replica } from '../state/replica.js';
 import { sendCommands, type CommandResult } from '../workers/commands.js';
 import {
-  attemptOf,
+  attemptKeyOf,
   findProof,
-  keyOf,
-  nameOfPlace,
+  attemptKeyOfCommand,
+  taskIdOfPlaced,
   reconcile,
   type Desired,
   type Free,
   type Plan,
   type Rights,
 } from '../workers/reconcile.js';
-import { encodeOrder, type Order, type Report } from '../workers/report.js';
+import { encodeCommand, WireCommand, type WorkerCommand, type WorkerStatus } from '../workers/worker-wire-codec.js';
 import { leaseOverAt, reportLateMs, Worker } from '../workers/worker.js';
-import { holdOverMs, partitionRole, type Claims, type Held } from './claims.js';
-import { ExitRecorder, type ExitListener } from './exit-recorder.js';
+import { degradedServingMs, partitionRole, type RoleLeadership, type HeldLeadership } from './claims.js';
+import { ExitRecorder } from './exit-recorder.js';
 import type { Log } from './log.js';
-import { MisdirectedWorkers } from './misdirected-workers.js';
+import { MisroutedWorkers } from './misdirected-workers.js';
 import { Stragglers } from './stragglers.js';
 import { WorkerRegistry } from './worker-registry.js';
-
-export type HelloAnswer =
-  | { status: 200; body: { Fence: number; Orders: unknown[] } }
-  | { status: 421; body: { Steward?: string }; again: boolean }
-  | { status: 503; body: { error: string } };
-
-/** What an owner asks of its surroundings, and where it tells of checks and exits. */
-export interface OwnerEvents extends ExitListener {
-  /** A worker of the role's partition is being answered. */
-  answered(role: string): void;
-  /** A report was heard: one check of each service task on the machine. */
-  checked(report: Report): void;
-  /** Has the cloud confirmed that the machine is gone? */
-  isGone(host: string): boolean;
-  /** Is a report of that session and Tick older than what anybody is known to have heard of the machine? */
-  isLate(report: Report): boolean;
-  /** Images that the machine's last owner knew to be there. */
-  knownImages(host: string): readonly string[];
-  /** GB of images that a machine of the type keeps. */
-  cacheGb(flavor: string): number;
-}
-
-export interface OwnerDependencies {
-  settings: Settings;
-  claims: Claims;
-  replica: Replica;
-  book: Book;
-  committer: Committer;
-  accounting: TeamAccounting;
-  http: HttpClient;
-  clock: Clock;
-  events: OwnerEvents;
-  log: Log;
-}
+import { WorkerManagerEvents, WorkerManagerDependencies, HeartbeatOutcome } from './worker-manager-dependencies.js';
 
 /** The session's lease is over, as this node knows by itself. */
-const leaseProof = (place: Place): Proof => ({ kind: 'lease', tenure: place.slot.tenure });
+const leaseProof = (placedTask: PlacedTask): Proof => ({ kind: 'lease', agentEpoch: placedTask.placement.agentEpoch });
 
 /** What an owner does for the workers of its partitions: answers reports, sends commands, records exits, proves leases over. */
-export class Owner {
+export class WorkerManager {
   readonly workers: WorkerRegistry;
-  readonly misdirected = new MisdirectedWorkers();
+  readonly misroutedWorkers = new MisroutedWorkers();
   private readonly settings: Settings;
-  private readonly claims: Claims;
+  private readonly leadership: RoleLeadership;
   private readonly replica: Replica;
-  private readonly book: Book;
+  private readonly clusterState: ClusterState;
   private readonly http: HttpClient;
   private readonly clock: Clock;
-  private readonly events: OwnerEvents;
+  private readonly events: WorkerManagerEvents;
   private readonly log: Log;
   private readonly exits: ExitRecorder;
   private readonly stragglers: Stragglers;
@@ -99,23 +64,23 @@
   private readonly tokenAnnouncedAt = new Map<string, number>();
   private readonly raisedAt = new Map<string, number>();
 
-  constructor(dependencies: OwnerDependencies) {
-    const { settings, claims, replica, book, committer, http, clock, events, log } = dependencies;
+  constructor(dependencies: WorkerManagerDependencies) {
+    const { settings, leadership, replica, clusterState, transactions, http, clock, events, log } = dependencies;
     this.settings = settings;
-    this.claims = claims;
+    this.leadership = leadership;
     this.replica = replica;
-    this.book = book;
+    this.clusterState = clusterState;
     this.http = http;
     this.clock = clock;
     this.events = events;
     this.log = log;
-    this.workers = new WorkerRegistry(claims, settings.cluster.workers);
-    this.stragglers = new Stragglers(claims, book, committer, clock, log);
+    this.workers = new WorkerRegistry(leadership, settings.cluster.workers);
+    this.stragglers = new Stragglers(leadership, clusterState, transactions, clock, log);
     this.exits = new ExitRecorder({ ...dependencies, workers: this.workers, stragglers: this.stragglers });
   }
 
-  roleOf(host: string): string {
-    return partitionRole(this.claims.partitionOf(host));
+  roleOf(machineId: string): string {
+    return partitionRole(this.leadership.partitionOf(machineId));
   }
 
   isSilent(worker: Worker, now: number): boolean {
@@ -123,55 +88,74 @@
   }
 
   /** Answers a report; `door` is the node that passed it on, if one did. */
-  hello(report: Report, door?: string): HelloAnswer {
+  handleHeartbeat(workerStatus: WorkerStatus, door?: string): HeartbeatOutcome {
     // A late copy of a machine's that is gone: it must not bring the machine back to life.
-    if (this.events.isGone(report.host)) return { status: 421, body: {}, again: false };
-    const role = this.roleOf(report.host);
-    const held = this.claims.mayAnswer(role);
+    if (this.events.isTerminated(workerStatus.machineId))
+      return { kind: 'redirected', node: undefined, canForward: false };
+    const role = this.roleOf(workerStatus.machineId);
+    const held = this.leadership.servingLeadershipOf(role);
     const now = this.clock.now();
     // A worker that has seen a higher token has a new owner, of whom a node without store and peers knows nothing. Its 200
     // would be dropped, and would keep the worker here while its lease runs out.
-    if (held === undefined || report.fence > held.fence) return this.turnAway(report, role, now);
-    const worker = this.workers.get(report.host) ?? this.welcome(report, role);
+    if (held === undefined || workerStatus.fencingToken > held.fencingToken)
+      return this.redirect(workerStatus, role, now);
+    const worker = this.workers.get(workerStatus.machineId) ?? this.registerWorker(workerStatus, role);
     // A late copy was sent before the newest report that is known: its answer makes no lease any longer.
-    if (worker.isLate(report)) return { status: 200, body: { Fence: held.fence, Orders: [] } };
-    const newSession = report.tenure > worker.tenure && worker.tenure > 0;
-    if (newSession) this.log.info({ machine: report.host, tenure: report.tenure }, 'worker began a new session');
-    const desired = this.desiredOn(report.host);
-    if (this.mustExpire(worker, report, held, desired, now)) return { status: 503, body: { error: 'no new token' } };
+    if (worker.isLate(workerStatus)) return { kind: 'answered', fencingToken: held.fencingToken, commands: [] };
+    const newSession = workerStatus.agentEpoch > worker.agentEpoch && worker.agentEpoch > 0;
+    if (newSession)
+      this.log.info(
+        { machine: workerStatus.machineId, agentEpoch: workerStatus.agentEpoch },
+        'worker began a new session',
+      );
+    const desired = this.desiredOn(workerStatus.machineId);
+    if (this.mustExpire(worker, workerStatus, held, desired, now))
+      return { kind: 'unavailable', error: 'no new token' };
     this.events.answered(role);
-    worker.noteAnswer(report, held.fence, door, reportLateMs(this.settings.cluster.workers), now);
+    worker.noteAnswer(workerStatus, held.fencingToken, door, reportLateMs(this.settings.cluster.workers), now);
     // A report that crossed a newer answer of `/commands` is no late copy: the worker waits for its answer.
-    worker.take(report, now, true);
+    worker.applyStatus(workerStatus, now, true);
     this.noteImages(worker);
-    this.events.checked(report);
+    this.events.heartbeatReceived(workerStatus);
     this.stragglers.look(worker);
     const plan = reconcile(worker, desired, this.rights(held, true));
     this.carryOut(worker, role, plan);
-    return { status: 200, body: { Fence: held.fence, Orders: this.encodeAnswer(worker, plan.orders, report.tick) } };
+    const commands = this.encodeAnswer(worker, plan.commands, workerStatus.sequence);
+    return { kind: 'answered', fencingToken: held.fencingToken, commands };
   }
 
   /** A worker that is heard for the first time. */
-  private welcome(report: Report, role: string): Worker {
-    const worker = new Worker(report.host);
-    for (const bundle of this.events.knownImages(report.host)) worker.images.set(bundle, 0);
+  private registerWorker(workerStatus: WorkerStatus, role: string): Worker {
+    const worker = new Worker(workerStatus.machineId);
+    for (const image of this.events.knownImages(workerStatus.machineId)) worker.images.set(image, 0);
     this.workers.add(worker);
-    this.log.debug({ machine: report.host, role, tenure: report.tenure, flavor: report.flavor }, 'worker heard');
+    this.log.debug(
+      {
+        machine: workerStatus.machineId,
+        role,
+        agentEpoch: workerStatus.agentEpoch,
+        machineType: workerStatus.machineType,
+      },
+      'worker heard',
+    );
     return worker;
   }
 
   /** As many orders as an answer holds; the rest goes with the next one. */
-  private encodeAnswer(worker: Worker, orders: readonly Order[], tick: number): unknown[] {
-    const encoded: unknown[] = [];
+  private encodeAnswer(worker: Worker, commands: readonly WorkerCommand[], sequence: number): WireCommand[] {
+    const encoded: WireCommand[] = [];
     let bytes = 0;
-    for (const order of orders) {
-      const wire = encodeOrder(order);
+    for (const command of commands) {
+      const wire = encodeCommand(command);
       bytes += JSON.stringify(wire).length + 1;
       if (bytes > MAX_ORDERS_BYTES) break;
       encoded.push(wire);
-      if (order.verb !== 'launch') continue;
-      worker.answeredLaunches.set(keyOf(order), tick);
-      this.log.debug({ machine: worker.host, shard: order.shard, attempt: order.attempt }, 'launch in answer');
+      if (command.kind !== 'launch') continue;
+      worker.answeredLaunches.set(attemptKeyOfCommand(command), sequence);
+      this.log.debug(
+        { machine: worker.machineId, taskIndex: command.taskId, attempt: command.attempt },
+        'launch in answer',
+      );
     }
     return encoded;
   }
@@ -181,118 +165,147 @@
    * is carried out whenever it arrives, so the lease has to end instead, early enough. The cancellation may be older than
    * its first sight here by one lease (a worker not heard for longer is in a new session), the age of the copy and a delay.
    */
-  private mustExpire(worker: Worker, report: Report, held: Held, desired: Map<string, Desired>, now: number): boolean {
-    const isOpen = ([name, { place, withdrawn }]: [string, Desired]) => {
-      const fence = worker.openCommands.get(attemptOf(place));
-      const there = report.tasks.get(name)?.attempt === place.slot.attempt;
-      return withdrawn && !there && fence !== undefined && fence >= Math.max(report.fence, held.fence);
+  private mustExpire(
+    worker: Worker,
+    workerStatus: WorkerStatus,
+    held: HeldLeadership,
+    desired: Map<string, Desired>,
+    now: number,
+  ): boolean {
+    const isOpen = ([name, { placedTask, isCancelled }]: [string, Desired]) => {
+      const fencingToken = worker.unansweredLaunches.get(attemptKeyOf(placedTask));
+      const there = workerStatus.tasks.get(name)?.attempt === placedTask.placement.attempt;
+      return (
+        isCancelled &&
+        !there &&
+        fencingToken !== undefined &&
+        fencingToken >= Math.max(workerStatus.fencingToken, held.fencingToken)
+      );
     };
     // Nearly always no launch is open, and nothing is looked through.
-    const any = worker.openCommands.size > 0 && report.tenure === worker.tenure && [...desired].some(isOpen);
+    const any =
+      worker.unansweredLaunches.size > 0 && workerStatus.agentEpoch === worker.agentEpoch && [...desired].some(isOpen);
     if (!any) {
-      worker.openSince = undefined;
+      worker.cancelledLaunchOpenSince = undefined;
       return false;
     }
-    worker.openSince ??= now;
+    worker.cancelledLaunchOpenSince ??= now;
     // With the store a new token is a moment away, and goes out with the next answer.
-    if (this.claims.inTouch) return false;
+    if (this.leadership.isInTouchWithStore) return false;
     const { workers } = this.settings.cluster;
-    return now - worker.openSince >= holdOverMs(workers) - leaseOverAt(0, workers.lease_s) - 2 * FRESH_MS;
+    return (
+      now - worker.cancelledLaunchOpenSince >=
+      degradedServingMs(workers) - leaseOverAt(0, workers.lease_s) - 2 * FRESH_MS
+    );
   }
 
-  private turnAway(report: Report, role: string, now: number): HelloAnswer {
-    const owner = this.claims.ownerOf(role);
-    if (owner === undefined || owner === this.settings.node) return { status: 503, body: { error: 'not entitled' } };
+  private redirect(workerStatus: WorkerStatus, role: string, now: number): HeartbeatOutcome {
+    const partitionLeader = this.leadership.leaderOf(role);
+    if (partitionLeader === undefined || partitionLeader === this.settings.node)
+      return { kind: 'unavailable', error: 'not entitled' };
     // Copies of reports come late, by a lease and more: they are no sign of life, and nobody waits for their answer.
-    if (this.events.isLate(report)) return { status: 421, body: { Steward: owner }, again: false };
-    const again = this.misdirected.note(report, this.book.claims.get(role)?.stamp, now);
-    return { status: 421, body: { Steward: owner }, again };
+    if (this.events.isLate(workerStatus)) return { kind: 'redirected', node: partitionLeader, canForward: false };
+    const canForward = this.misroutedWorkers.note(
+      workerStatus,
+      this.clusterState.leadershipRecords.get(role)?.modRevision,
+      now,
+    );
+    return { kind: 'redirected', node: partitionLeader, canForward };
   }
 
-  private rights(held: Held, inAnswer: boolean): Rights {
+  private rights(held: HeldLeadership, inAnswer: boolean): Rights {
     // What the former owner freed, and its worker has forgotten, starts again unless it is known here.
-    const mayJudge = this.replica.epoch >= held.acquisition.stamp;
-    return { fence: held.fence, mayLaunch: mayJudge && this.claims.inTouch, mayJudge, inAnswer };
+    const mayJudge = this.replica.revision >= held.term.startRevision;
+    return {
+      fencingToken: held.fencingToken,
+      mayLaunch: mayJudge && this.leadership.isInTouchWithStore,
+      mayJudge,
+      inAnswer,
+    };
   }
 
-  private desiredOn(host: string): Map<string, Desired> {
+  private desiredOn(machineId: string): Map<string, Desired> {
     const desired = new Map<string, Desired>();
-    for (const place of this.book.placesOn(host)) desired.set(nameOfPlace(place), this.desiredAt(place));
+    for (const placedTask of this.clusterState.tasksOn(machineId))
+      desired.set(taskIdOfPlaced(placedTask), this.desiredAt(placedTask));
     return desired;
   }
 
-  private desiredAt(place: Place): Desired {
-    const record = this.book.jobs.get(place.ref)?.record;
-    return { place, withdrawn: record?.phase === 'withdrawn', inGang: record?.spec.Shape === 'ensemble' };
+  private desiredAt(placedTask: PlacedTask): Desired {
+    const record = this.clusterState.jobs.get(placedTask.jobId)?.record;
+    return { placedTask, isCancelled: record?.state === 'cancelled', inGang: record?.spec.kind === 'gang' };
   }
 
   private noteImages(worker: Worker): void {
     for (const [name, task] of worker.tasks) {
-      if (task.phase === 'fetching') continue;
-      const ref = parseShard(name)?.ref;
-      const spec = ref === undefined ? undefined : this.book.jobs.get(ref)?.record.spec;
-      if (spec === undefined || (task.phase === 'exited' && task.cause !== 'done')) continue;
-      if (worker.isFirstLook(`${name}#${task.attempt}`))
-        worker.noteImage(spec.Bundle, spec.SizeGb, this.events.cacheGb(worker.flavor));
+      if (task.state === 'fetching') continue;
+      const jobId = parseTaskId(name)?.jobId;
+      const spec = jobId === undefined ? undefined : this.clusterState.jobs.get(jobId)?.record.spec;
+      if (spec === undefined || (task.state === 'exited' && task.exitReason !== 'done')) continue;
+      if (worker.markImageNoted(`${name}#${task.attempt}`))
+        worker.noteImage(spec.image, spec.imageGb, this.events.cacheGb(worker.machineType));
     }
   }
 
   private carryOut(worker: Worker, role: string, plan: Plan): void {
-    for (const free of plan.frees) this.release(worker.host, role, free);
-    if (plan.needsRaise) this.raise(role);
+    for (const free of plan.frees) this.recordExit(worker.machineId, role, free);
+    if (plan.needsRaise) this.advanceFencingToken(role);
   }
 
-  private release(host: string, role: string, free: Free): void {
-    this.exits.record(host, role, free, () => this.proofNow(host, role, free.place));
+  private recordExit(machineId: string, role: string, free: Free): void {
+    this.exits.record(machineId, role, free, () => this.proofNow(machineId, role, free.placedTask));
   }
 
   /** Raising costs a change and a report of every worker, so it is done rarely. */
-  private raise(role: string): void {
+  private advanceFencingToken(role: string): void {
     const now = this.clock.now();
-    if (now - (this.raisedAt.get(role) ?? -Infinity) < RAISE_PAUSE_MS || !this.claims.inTouch) return;
+    if (now - (this.raisedAt.get(role) ?? -Infinity) < RAISE_PAUSE_MS || !this.leadership.isInTouchWithStore) return;
     this.raisedAt.set(role, now);
-    void this.claims.raise(role);
+    void this.leadership.advanceFencingToken(role);
   }
 
   /** The ledger of a machine has changed: tell its worker soon, without waiting for its next report. */
-  push(host: string, gatherMs = PUSH_GATHER_MS): void {
+  push(machineId: string, gatherMs = PUSH_GATHER_MS): void {
     const due = this.clock.now() + gatherMs;
-    if ((this.pushes.get(host) ?? Infinity) <= due) return;
-    this.pushes.set(host, due);
+    if ((this.pushes.get(machineId) ?? Infinity) <= due) return;
+    this.pushes.set(machineId, due);
     void this.clock.sleep(gatherMs).then(() => {
       // A push that could not wait has been quicker, or stands in for this one.
-      if (this.pushes.get(host) !== due) return undefined;
-      this.pushes.delete(host);
-      return this.pushNow(host);
+      if (this.pushes.get(machineId) !== due) return undefined;
+      this.pushes.delete(machineId);
+      return this.pushNow(machineId);
     });
   }
 
-  private async pushNow(host: string): Promise<void> {
-    const role = this.roleOf(host);
-    const held = this.claims.holdingNow(role);
-    const worker = this.workers.get(host);
-    if (held === undefined || worker === undefined || worker.tenure === 0 || this.isDraining) return;
-    if (worker.pushing) {
+  private async pushNow(machineId: string): Promise<void> {
+    const role = this.roleOf(machineId);
+    const held = this.leadership.confirmedLeadershipOf(role);
+    const worker = this.workers.get(machineId);
+    if (held === undefined || worker === undefined || worker.agentEpoch === 0 || this.isDraining) return;
+    if (worker.isPushing) {
       worker.pushAgain = true;
       return;
     }
-    const desired = this.desiredOn(host);
+    const desired = this.desiredOn(machineId);
     const plan = reconcile(worker, desired, this.rights(held, false));
     this.carryOut(worker, role, plan);
-    const orders = plan.orders.filter((order) => this.isForCommand(worker, order, desired));
-    if (orders.length === 0) return;
-    worker.pushing = true;
-    const launches = orders.filter((order) => order.verb === 'launch').map(keyOf);
-    for (const key of launches) worker.openCommands.set(key, held.fence);
-    this.log.debug({ machine: host, orders: orders.map((o) => `${o.verb} ${keyOf(o)}`) }, 'commands');
-    const result = await sendCommands(this.http, worker.endpoint, held.fence, worker.tenure, orders);
-    worker.pushing = false;
+    const commands = plan.commands.filter((command) => this.isForCommand(worker, command, desired));
+    if (commands.length === 0) return;
+    worker.isPushing = true;
+    const launches = commands.filter((command) => command.kind === 'launch').map(attemptKeyOfCommand);
+    for (const key of launches) worker.unansweredLaunches.set(key, held.fencingToken);
+    this.log.debug(
+      { machine: machineId, commands: commands.map((o) => `${o.kind} ${attemptKeyOfCommand(o)}`) },
+      'commands',
+    );
+    const result = await sendCommands(this.http, worker.endpoint, held.fencingToken, worker.agentEpoch, commands);
+    worker.isPushing = false;
     // The partition was lost and is back: what has been sent since is known of the new worker only, so this one judges nothing.
-    if (this.workers.get(host) !== worker) return;
-    this.noteCommandResult(worker, role, launches, held.fence, result);
+    if (this.workers.get(machineId) !== worker) return;
+    this.noteCommandResult(worker, role, launches, held.fencingToken, result);
     if (worker.pushAgain) {
       worker.pushAgain = false;
-      this.push(host);
+      this.push(machineId);
     }
   }
 
@@ -300,108 +313,117 @@
   async drain(withinMs: number): Promise<void> {
     this.isDraining = true;
     const until = this.clock.now() + withinMs;
-    const isBusy = () => [...this.workers.values()].some((worker) => worker.pushing);
+    const isBusy = () => [...this.workers.values()].some((worker) => worker.isPushing);
     while (isBusy() && this.clock.now() < until) await this.clock.sleep(DRAIN_LOOK_MS);
   }
 
-  private isForCommand(worker: Worker, order: Order, desired: ReadonlyMap<string, Desired>): boolean {
+  private isForCommand(worker: Worker, command: WorkerCommand, desired: ReadonlyMap<string, Desired>): boolean {
     // A worker that reports by way of another node is behind a cut: commands would only hang, and may arrive late. One that
     // is silent may be dead, or can only answer.
-    const isFar = !this.claims.inTouch || this.isSilent(worker, this.clock.now()) || worker.door !== undefined;
+    const isFar =
+      !this.leadership.isInTouchWithStore ||
+      this.isSilent(worker, this.clock.now()) ||
+      worker.forwardedBy !== undefined;
     // The kill of a cancelled task is final, so it may come whenever it can, by whatever copy knows of it.
-    if (order.verb === 'kill') return !isFar || desired.get(order.shard)?.withdrawn === true;
-    if (order.verb !== 'launch' || isFar) return false;
+    if (command.kind === 'kill') return !isFar || desired.get(command.taskId)?.isCancelled === true;
+    if (command.kind !== 'launch' || isFar) return false;
     // A launch whose arrival is open is repeated by the next report's answer, not by another command.
-    const key = keyOf(order);
-    return !worker.openCommands.has(key) && !worker.answeredLaunches.has(key);
+    const key = attemptKeyOfCommand(command);
+    return !worker.unansweredLaunches.has(key) && !worker.answeredLaunches.has(key);
   }
 
   private noteCommandResult(
     worker: Worker,
     role: string,
     launches: readonly string[],
-    fence: number,
+    fencingToken: number,
     result: CommandResult,
   ): void {
     if (result.kind === 'unknown') {
-      this.log.info({ machine: worker.host, launches }, 'commands without an answer');
+      this.log.info({ machine: worker.machineId, launches }, 'commands without an answer');
       return;
     }
-    for (const key of launches) if (worker.openCommands.get(key) === fence) worker.openCommands.delete(key);
+    for (const key of launches)
+      if (worker.unansweredLaunches.get(key) === fencingToken) worker.unansweredLaunches.delete(key);
     if (result.kind === 'done') worker.noteReached();
-    if (!('report' in result) || result.report?.host !== worker.host) return;
-    if (!worker.take(result.report, this.clock.now(), false)) return;
+    if (!('workerStatus' in result) || result.workerStatus?.machineId !== worker.machineId) return;
+    if (!worker.applyStatus(result.workerStatus, this.clock.now(), false)) return;
     this.noteImages(worker);
-    const held = this.claims.holding(role);
+    const held = this.leadership.leadershipOf(role);
     if (held === undefined) return;
-    this.carryOut(worker, role, reconcile(worker, this.desiredOn(worker.host), this.rights(held, false)));
+    this.carryOut(worker, role, reconcile(worker, this.desiredOn(worker.machineId), this.rights(held, false)));
   }
 
   private sweep(): void {
     const now = this.clock.now();
-    this.misdirected.prune(now);
-    for (const [host, at] of this.tokenAnnouncedAt)
-      if (now - at > TOKEN_ANNOUNCE_AGAIN_MS) this.tokenAnnouncedAt.delete(host);
+    this.misroutedWorkers.prune(now);
+    for (const [machineId, at] of this.tokenAnnouncedAt)
+      if (now - at > TOKEN_ANNOUNCE_AGAIN_MS) this.tokenAnnouncedAt.delete(machineId);
     this.freeDeadLeases();
-    this.stragglers.relieve(this.workers.values(), (host) => this.roleOf(host));
+    this.stragglers.relieve(this.workers.values(), (machineId) => this.roleOf(machineId));
     this.forgetSilent(now);
   }
 
   private freeDeadLeases(): void {
-    for (const host of [...this.book.hostsInUse()]) {
-      const role = this.roleOf(host);
-      const held = this.claims.holding(role);
-      if (held === undefined || !this.isLeaseOver(host, held)) continue;
-      for (const place of [...this.book.placesOn(host)]) {
-        this.release(host, role, { place, proof: leaseProof(place), ending: 'lost', task: undefined });
+    for (const machineId of [...this.clusterState.usedMachines()]) {
+      const role = this.roleOf(machineId);
+      const held = this.leadership.leadershipOf(role);
+      if (held === undefined || !this.isLeaseOver(machineId, held)) continue;
+      for (const placedTask of [...this.clusterState.tasksOn(machineId)]) {
+        this.recordExit(machineId, role, {
+          placedTask,
+          proof: leaseProof(placedTask),
+          ending: 'lost',
+          task: undefined,
+        });
       }
     }
   }
 
   private forgetSilent(now: number): void {
     const silentMs = FORGET_WORKER_LEASES * this.settings.cluster.workers.lease_s * 1000;
-    for (const { host, heardAt } of [...this.workers.values()]) {
-      if (now - heardAt > silentMs && this.book.countOn(host) === 0) this.workers.forget(host);
+    for (const { machineId, heardAt } of [...this.workers.values()]) {
+      if (now - heardAt > silentMs && this.clusterState.taskCountOn(machineId) === 0) this.workers.forget(machineId);
     }
   }
 
-  private isLeaseOver(host: string, held: Held): boolean {
-    return this.claims.inTouch && this.clock.now() > this.workers.leaseOverAt(host, held);
+  private isLeaseOver(machineId: string, held: HeldLeadership): boolean {
+    return this.leadership.isInTouchWithStore && this.clock.now() > this.workers.leaseOverAt(machineId, held);
   }
 
   /**
    * The proof that a place is free, by what is known at this very moment. A decision waits for its turn at the store, and what
    * proved it may not hold any more by then.
    */
-  private proofNow(host: string, role: string, place: Place): Proof | undefined {
-    const held = this.claims.holding(role);
+  private proofNow(machineId: string, role: string, placedTask: PlacedTask): Proof | undefined {
+    const held = this.leadership.leadershipOf(role);
     if (held === undefined) return undefined;
-    const worker = this.workers.get(host);
-    const shown = worker === undefined ? undefined : findProof(worker, this.desiredAt(place), held.fence);
+    const worker = this.workers.get(machineId);
+    const shown = worker === undefined ? undefined : findProof(worker, this.desiredAt(placedTask), held.fencingToken);
     if (shown !== undefined) return shown.proof;
-    return this.isLeaseOver(host, held) ? leaseProof(place) : undefined;
+    return this.isLeaseOver(machineId, held) ? leaseProof(placedTask) : undefined;
   }
 
   /** Pushes the fence to workers that have not been heard since the takeover, so that old commands are refused. */
-  async announceToken(host: string, endpoint: string, tenure: number): Promise<void> {
-    const held = this.claims.holdingNow(this.roleOf(host));
-    if (held === undefined || this.workers.has(host)) return;
+  async announceToken(machineId: string, endpoint: string, agentEpoch: number): Promise<void> {
+    const held = this.leadership.confirmedLeadershipOf(this.roleOf(machineId));
+    if (held === undefined || this.workers.has(machineId)) return;
     // The next look comes soon, and most workers report before their turn.
     // Those that don't answer must not keep the others from theirs.
     const now = this.clock.now();
-    const most = Math.max(MAX_TOKEN_ANNOUNCEMENTS, this.book.hostsInUseCount * TOKEN_ANNOUNCEMENTS_SHARE);
-    if (this.announcing >= most || now - (this.tokenAnnouncedAt.get(host) ?? -Infinity) < TOKEN_ANNOUNCE_AGAIN_MS)
+    const most = Math.max(MAX_TOKEN_ANNOUNCEMENTS, this.clusterState.usedMachineCount * TOKEN_ANNOUNCEMENTS_SHARE);
+    if (this.announcing >= most || now - (this.tokenAnnouncedAt.get(machineId) ?? -Infinity) < TOKEN_ANNOUNCE_AGAIN_MS)
       return;
-    this.tokenAnnouncedAt.set(host, now);
+    this.tokenAnnouncedAt.set(machineId, now);
     this.announcing++;
-    const result = await sendCommands(this.http, endpoint, held.fence, tenure, []);
+    const result = await sendCommands(this.http, endpoint, held.fencingToken, agentEpoch, []);
     this.announcing--;
-    const isSame = this.claims.holding(this.roleOf(host))?.acquisition === held.acquisition;
-    if (!isSame || !('report' in result) || result.report?.host !== host) return;
-    const worker = this.workers.get(host) ?? new Worker(host);
-    if (!worker.take(result.report, this.clock.now(), false)) return;
+    const isSame = this.leadership.leadershipOf(this.roleOf(machineId))?.term === held.term;
+    if (!isSame || !('workerStatus' in result) || result.workerStatus?.machineId !== machineId) return;
+    const worker = this.workers.get(machineId) ?? new Worker(machineId);
+    if (!worker.applyStatus(result.workerStatus, this.clock.now(), false)) return;
     this.workers.add(worker);
-    this.push(host);
+    this.push(machineId);
   }
 
   async run(signal: AbortSignal): Promise<void> {
--- a/src/controller/placer.ts
+++ b/src/controller/placer.ts
@@ -1,27 +1,27 @@
-import { CARDS_TIER, FETCH_TIER_S, MAX_PLAN_TASKS, SAMPLE_MACHINES, WARM_WAIT_MS } from '../constants.js';
+import { GPU_TIER, FETCH_TIER_S, MAX_PLAN_TASKS, SAMPLE_MACHINES, WARM_WAIT_MS } from '../constants.js';
 import type { Tuning } from '../config/settings.js';
-import type { Book, JobView } from '../ledger/book.js';
-import { RANKS, shardName, type JobSpec, type Slot } from '../ledger/records.js';
-import { fits, roomOf, takeRoom, zoneAllows, type Room } from '../ledger/rules.js';
+import type { ClusterState, JobView } from '../ledger/book.js';
+import { JOB_PRIORITIES, type JobSpec, type Resources, taskIdOf, type TaskPlacement } from '../ledger/records.js';
+import { fits, resourcesOf, subtractResources, zoneAllows } from '../ledger/rules.js';
 import type { Clock } from '../net/clock.js';
 import type { Random } from '../net/random.js';
 import { match, type Host, type Seeker } from '../placement/matching.js';
 import { tasksIn } from '../placement/renting.js';
-import type { Fleet, MachineInfo } from './fleet.js';
-import type { Pool } from './pools.js';
+import type { MachineInventory, MachineInfo } from './fleet.js';
+import type { CandidateMachines } from './pools.js';
 
 /** A shard that waits for a place. */
-export interface Waiting {
+export interface PendingTask {
   view: JobView;
-  shard: number;
-  slot: Extract<Slot, { kind: 'queued' }>;
+  taskIndex: number;
+  placement: Extract<TaskPlacement, { kind: 'queued' }>;
 }
 
 /** Jobs that the leader places: their tasks depend on each other, or need more than a partition. */
-export const isLarge = (spec: JobSpec): boolean => spec.Shape === 'ensemble' || spec.OneZone || spec.Spread;
+export const isLarge = (spec: JobSpec): boolean => spec.kind === 'gang' || spec.singleZone || spec.spreadAcrossZones;
 
 /** Matches the waiting tasks of one job after the other to machines, on rooms that the caller keeps. */
-export class Placer {
+export class TaskPlacer {
   private readonly preferred = new Map<string, string>();
   private readonly warmSince = new Map<string, number>();
   /** Tasks matched in the run under way. */
@@ -29,8 +29,8 @@
 
   constructor(
     private readonly tuning: Tuning,
-    private readonly book: Book,
-    private readonly fleet: Fleet,
+    private readonly clusterState: ClusterState,
+    private readonly inventory: MachineInventory,
     private readonly clock: Clock,
     private readonly random: Random,
   ) {}
@@ -38,15 +38,15 @@
   /** A new run over all jobs begins. */
   begin(): void {
     this.matched = 0;
-    for (const [ref] of this.warmSince) {
-      const view = this.book.jobs.get(ref);
-      if (view === undefined || view.placed === view.record.spec.Shards) this.warmSince.delete(ref);
+    for (const [jobId] of this.warmSince) {
+      const view = this.clusterState.jobs.get(jobId);
+      if (view === undefined || view.placed === view.record.spec.taskCount) this.warmSince.delete(jobId);
     }
   }
 
   /** The machine that a moved task was matched to; it goes there if there still is room. */
-  prefer(name: string, host: string): void {
-    this.preferred.set(name, host);
+  prefer(name: string, machineId: string): void {
+    this.preferred.set(name, machineId);
   }
 
   placed(name: string): void {
@@ -58,46 +58,46 @@
    * are on their way to the ledger.
    */
   find(
-    waiting: readonly Waiting[],
-    pool: Pool,
-    rooms: ReadonlyMap<string, Room>,
+    waiting: readonly PendingTask[],
+    candidates: CandidateMachines,
+    rooms: ReadonlyMap<string, Resources>,
     flying: readonly string[],
   ): Map<string, MachineInfo> {
     if (waiting.length === 0) return new Map();
     const { view } = waiting[0]!;
     const { spec } = view.record;
-    if (pool.isFull(spec)) return new Map();
-    const machines = this.warmOnly(waiting, pool.machines, rooms);
+    if (candidates.isFull(spec)) return new Map();
+    const machines = this.warmOnly(waiting, candidates.machines, rooms);
     const usable = this.withRoom(spec, machines, rooms, waiting.length);
-    if (usable.full && machines === pool.machines) pool.noteFull(spec);
+    if (usable.full && machines === candidates.machines) candidates.noteFull(spec);
     // A full cluster is the usual case under load: nothing is matched where nothing fits, and no more than fits at all.
-    const most = spec.Shape === 'ensemble' && usable.tasks < waiting.length ? 0 : usable.tasks;
+    const most = spec.kind === 'gang' && usable.tasks < waiting.length ? 0 : usable.tasks;
     if (most === 0) return new Map();
     this.matched += most;
     const seekers: Seeker[] = waiting.slice(0, most).map((each) => ({
-      id: shardName(view.ref, each.shard),
-      group: view.ref,
-      use: roomOf(spec),
-      peak: roomOf(spec),
+      id: taskIdOf(view.jobId, each.taskIndex),
+      group: view.jobId,
+      use: resourcesOf(spec),
+      peak: resourcesOf(spec),
     }));
-    const byHost = new Map(usable.machines.map((machine) => [machine.host, machine]));
-    const slots = view.zones;
-    for (const site of flying) slots.set(site, (slots.get(site) ?? 0) + 1);
+    const byHost = new Map(usable.machines.map((machine) => [machine.machineId, machine]));
+    const slots = view.tasksPerZone;
+    for (const zone of flying) slots.set(zone, (slots.get(zone) ?? 0) + 1);
     const hosts: Host[] = usable.machines.map((machine) => ({
-      id: machine.host,
-      site: machine.site,
-      free: rooms.get(machine.host)!,
+      id: machine.machineId,
+      zone: machine.zone,
+      free: rooms.get(machine.machineId)!,
     }));
     const preferred = new Set(seekers.map(({ id }) => this.preferred.get(id)));
     const tier = (host: Host) => (preferred.has(host.id) ? -1 : this.tier(spec, byHost.get(host.id)!));
     let best = new Map<string, Host>();
-    if (spec.Shape === 'service') {
-      const isWarm = (host: Host) => byHost.get(host.id)!.images.includes(spec.Bundle);
+    if (spec.kind === 'service') {
+      const isWarm = (host: Host) => byHost.get(host.id)!.images.includes(spec.image);
       best = this.matchApart(spec, seekers, hosts, slots, tier, isWarm);
     } else {
-      const oneOf = spec.OneZone && slots.size === 0 && spec.Shards > 1;
-      for (const zone of oneOf ? new Set(hosts.map((host) => host.site)) : [undefined]) {
-        const open = zone === undefined ? hosts : hosts.filter((host) => host.site === zone);
+      const oneOf = spec.singleZone && slots.size === 0 && spec.taskCount > 1;
+      for (const zone of oneOf ? new Set(hosts.map((host) => host.zone)) : [undefined]) {
+        const open = zone === undefined ? hosts : hosts.filter((host) => host.zone === zone);
         const found = this.matchInZones(spec, seekers, open, slots, tier);
         if (found.size > best.size) best = found;
       }
@@ -109,17 +109,17 @@
   private withRoom(
     spec: JobSpec,
     machines: readonly MachineInfo[],
-    rooms: ReadonlyMap<string, Room>,
+    rooms: ReadonlyMap<string, Resources>,
     enough: number,
   ): { machines: MachineInfo[]; tasks: number; full: boolean } {
     const open: MachineInfo[] = [];
     let full = true;
     let tasks = 0;
     for (const machine of machines) {
-      const room = rooms.get(machine.host)!;
+      const room = rooms.get(machine.machineId)!;
       if (!fits(spec, room)) continue;
       full = false;
-      if (machine.failedJobs.includes(spec.Ref)) continue;
+      if (machine.failedJobs.includes(spec.id)) continue;
       open.push(machine);
       tasks += tasksIn(room, spec);
     }
@@ -139,11 +139,11 @@
   ): Map<string, Host> {
     return match(seekers, hosts, {
       allowed: () => true,
-      zoneAllows: (_, site, taken) => {
-        if (!spec.Spread && !spec.OneZone) return true;
+      zoneAllows: (_, zone, taken) => {
+        if (!spec.spreadAcrossZones && !spec.singleZone) return true;
         const total = new Map(slots);
         for (const [each, count] of taken) total.set(each, (total.get(each) ?? 0) + count);
-        return zoneAllows(spec, total, site);
+        return zoneAllows(spec, total, zone);
       },
       hostAllows: (_, host, taken) => hostAllows(host, taken),
       tier: (_, host) => tier(host),
@@ -167,11 +167,11 @@
     const here = new Map<string, number>();
     const free = hosts.map((host) => ({ ...host, free: { ...host.free } }));
     for (const host of free) here.set(host.id, 0);
-    for (const [, slot] of this.book.jobs.get(spec.Ref)?.known() ?? []) {
-      if (slot.kind === 'placed') here.set(slot.host, (here.get(slot.host) ?? 0) + 1);
+    for (const [, placement] of this.clusterState.jobs.get(spec.id)?.knownPlacements() ?? []) {
+      if (placement.kind === 'placed') here.set(placement.machineId, (here.get(placement.machineId) ?? 0) + 1);
     }
     for (const open of [free.filter(isWarm), free]) {
-      for (let most = 1; most <= spec.Shards; most++) {
+      for (let most = 1; most <= spec.taskCount; most++) {
         const rest = seekers.filter((seeker) => !found.has(seeker.id));
         if (rest.length === 0) return found;
         const allows = (host: Host, taken: number) => here.get(host.id)! + taken < most;
@@ -180,9 +180,9 @@
         if (matched.size === 0 && open.every((host) => here.get(host.id)! < most)) break;
         for (const [id, host] of matched) {
           found.set(id, host);
-          takeRoom(host.free, spec);
+          subtractResources(host.free, spec);
           here.set(host.id, here.get(host.id)! + 1);
-          zones.set(host.site, (zones.get(host.site) ?? 0) + 1);
+          zones.set(host.zone, (zones.get(host.zone) ?? 0) + 1);
         }
       }
     }
@@ -191,11 +191,11 @@
 
   /** Extensions of the distance: what speaks against a machine, whatever its distance. */
   private tier(spec: JobSpec, machine: MachineInfo): number {
-    const flavor = this.fleet.catalog.get(machine.flavor);
-    const fetchS = spec.SizeGb / (flavor?.fetchGbPerS || 1);
-    let tier = machine.images.includes(spec.Bundle) ? 0 : this.tuning.image_bonus * (1 + fetchS / FETCH_TIER_S);
+    const machineType = this.inventory.catalog.get(machine.machineType);
+    const fetchS = spec.imageGb / (machineType?.fetchGbPerS || 1);
+    let tier = machine.images.includes(spec.image) ? 0 : this.tuning.image_bonus * (1 + fetchS / FETCH_TIER_S);
     // Cards are scarce: what needs none leaves their machines to what does.
-    if (spec.Cards === 0 && (flavor?.cards ?? 0) > 0) tier += CARDS_TIER;
+    if (spec.gpus === 0 && (machineType?.gpus ?? 0) > 0) tier += GPU_TIER;
     return tier;
   }
 
@@ -204,28 +204,29 @@
    * moment only such machines count, if there are any that could be made free.
    */
   private warmOnly(
-    waiting: readonly Waiting[],
+    waiting: readonly PendingTask[],
     machines: readonly MachineInfo[],
-    rooms: ReadonlyMap<string, Room>,
+    rooms: ReadonlyMap<string, Resources>,
   ): readonly MachineInfo[] {
     const { view } = waiting[0]!;
     const { spec } = view.record;
-    if (spec.Shape !== 'service' || spec.Rank !== 'prod') return machines;
+    if (spec.kind !== 'service' || spec.priority !== 'prod') return machines;
     const now = this.clock.now();
-    const since = this.warmSince.get(view.ref) ?? now;
-    this.warmSince.set(view.ref, since);
+    const since = this.warmSince.get(view.jobId) ?? now;
+    this.warmSince.set(view.jobId, since);
     if (now - since > WARM_WAIT_MS) return machines;
     const warm = machines.filter((machine) => {
-      if (!machine.images.includes(spec.Bundle)) return false;
-      const room = { ...rooms.get(machine.host)! };
-      for (const place of this.book.placesOn(machine.host)) {
-        const other = this.book.jobs.get(place.ref)?.record.spec;
-        if (other !== undefined && RANKS.indexOf(other.Rank) > RANKS.indexOf(spec.Rank)) takeRoom(room, other, -1);
+      if (!machine.images.includes(spec.image)) return false;
+      const room = { ...rooms.get(machine.machineId)! };
+      for (const placedTask of this.clusterState.tasksOn(machine.machineId)) {
+        const other = this.clusterState.jobs.get(placedTask.jobId)?.record.spec;
+        if (other !== undefined && JOB_PRIORITIES.indexOf(other.priority) > JOB_PRIORITIES.indexOf(spec.priority))
+          subtractResources(room, other, -1);
       }
       return fits(spec, room);
     });
-    const zones = new Set(warm.map((machine) => machine.site));
+    const zones = new Set(warm.map((machine) => machine.zone));
     // Zones without such a machine are open to cold ones: the spread may need them.
-    return warm.length === 0 ? machines : machines.filter((each) => warm.includes(each) || !zones.has(each.site));
+    return warm.length === 0 ? machines : machines.filter((each) => warm.includes(each) || !zones.has(each.zone));
   }
 }
