--- a/src/controller/planner.ts
+++ b/src/controller/planner.ts
@@ -14,11 +14,14 @@
   WORK_SHARE,
 } from '../constants.js';
 import type { Settings, Team, Tuning } from '../config/settings.js';
-import type { Book, JobView } from '../ledger/book.js';
-import { startShard } from '../ledger/edits.js';
-import { chunkPrefix, runnableSince, shardName, type JobSpec, type TeamRecord } from '../ledger/records.js';
+import type { ClusterState, JobView } from '../ledger/book.js';
+import { startTask } from '../ledger/edits.js';
+import { jobPlacementPrefix } from '../ledger/record-keys.js';
+import { type JobSpec, type Resources, runnableSinceMs, taskIdOf, type TeamUsage } from '../ledger/records.js';
 import type { TeamAccounting } from '../ledger/team-accounting.js';
-import { isWithin, quotaAllows, takeRoom, type Room } from '../ledger/rules.js';
+import { isNonNegative, quotaAllows, subtractResources } from '../ledger/rules.js';
+import type { TransactionBatcher } from '../state/committer.js';
+import type { TransactionDraft } from '../state/draft.js';
 import type { Clock } from '../net/clock.js';
 import type { Random } from '../net/random.js';
 import { Priority } from '../net/token-bucket.js';
@@ -29,37 +32,35 @@
   startPriority,
   targetsOf,
   withinGuarantee,
-  type Candidate,
+  type QueuedJob,
 } from '../placement/queue.js';
-import { roomOfFlavor } from '../placement/renting.js';
-import type { Committer } from '../state/committer.js';
-import type { Draft } from '../state/draft.js';
-import { LEADER, partitionRole, type Claims } from './claims.js';
-import type { Fleet, MachineInfo } from './fleet.js';
+import { resourcesOfMachineType } from '../placement/renting.js';
+import { CLUSTER_LEADER_ROLE, partitionRole, type RoleLeadership } from './claims.js';
+import type { MachineInventory, MachineInfo } from './fleet.js';
 import { GangAttempts } from './gang-attempts.js';
 import type { Log } from './log.js';
-import { isLarge, Placer, type Waiting } from './placer.js';
-import { Pools, type Pool } from './pools.js';
+import { isLarge, TaskPlacer, type PendingTask } from './placer.js';
+import { CandidateMachineIndex, type CandidateMachines } from './pools.js';
 
-interface Flight {
-  host: string;
-  site: string;
+interface InFlightStart {
+  machineId: string;
+  zone: string;
   spec: JobSpec;
 }
 
 interface Choice {
-  waiting: Waiting;
+  waiting: PendingTask;
   machine: MachineInfo;
   attempt: number;
 }
 
-export interface PlannerDependencies {
+export interface PlacementPlannerDependencies {
   settings: Settings;
   tuning: Tuning;
-  claims: Claims;
-  book: Book;
-  fleet: Fleet;
-  committer: Committer;
+  leadership: RoleLeadership;
+  clusterState: ClusterState;
+  inventory: MachineInventory;
+  transactions: TransactionBatcher;
   accounting: TeamAccounting;
   clock: Clock;
   random: Random;
@@ -67,24 +68,24 @@
 }
 
 /** Finds places for waiting tasks: an owner for small jobs of its partitions, the leader for the rest. */
-export class Planner {
+export class PlacementPlanner {
   private readonly settings: Settings;
-  private readonly claims: Claims;
-  private readonly book: Book;
-  private readonly fleet: Fleet;
-  private readonly committer: Committer;
+  private readonly leadership: RoleLeadership;
+  private readonly clusterState: ClusterState;
+  private readonly inventory: MachineInventory;
+  private readonly transactions: TransactionBatcher;
   private readonly accounting: TeamAccounting;
   private readonly clock: Clock;
   private readonly log: Log;
-  private readonly flights = new Map<string, Flight>();
+  private readonly inFlight = new Map<string, InFlightStart>();
   /** The flying shards of each job. */
-  private readonly flying = new Map<string, Set<number>>();
+  private readonly inFlightTasks = new Map<string, Set<number>>();
   /** Run time over estimate, by class. */
   private readonly ratios = new Map<string, number>();
   private readonly gangs: GangAttempts;
-  private readonly failures = new Map<string, { fails: number; until: number }>();
+  private readonly failures = new Map<string, { failures: number; until: number }>();
   private readonly teams: Map<string, Team>;
-  private readonly placer: Placer;
+  private readonly taskPlacer: TaskPlacer;
   private signal: AbortSignal | undefined;
   /** Steady ms of the next plan. */
   private nextAt = Infinity;
@@ -92,54 +93,54 @@
   private urgentRestUntil = -Infinity;
   private restUntil = -Infinity;
   /** What found no place in the leader's last round: what machines are rented and tasks preempted for. */
-  unplaced: Waiting[] = [];
+  unplaced: PendingTask[] = [];
 
   constructor({
     settings,
     tuning,
-    claims,
-    book,
-    fleet,
-    committer,
+    leadership,
+    clusterState,
+    inventory,
+    transactions,
     accounting,
     clock,
     random,
     log,
-  }: PlannerDependencies) {
+  }: PlacementPlannerDependencies) {
     this.settings = settings;
-    this.claims = claims;
-    this.book = book;
-    this.fleet = fleet;
-    this.committer = committer;
+    this.leadership = leadership;
+    this.clusterState = clusterState;
+    this.inventory = inventory;
+    this.transactions = transactions;
     this.accounting = accounting;
     this.clock = clock;
     this.log = log;
     this.teams = new Map(settings.cluster.teams.map((team) => [team.name, team]));
-    this.gangs = new GangAttempts({ workers: settings.cluster.workers, fleet, clock });
-    this.placer = new Placer(tuning, book, fleet, clock, random);
+    this.gangs = new GangAttempts({ workers: settings.cluster.workers, inventory, clock });
+    this.taskPlacer = new TaskPlacer(tuning, clusterState, inventory, clock, random);
   }
 
   /** The machine that a moved task was matched to. */
-  prefer(name: string, host: string): void {
-    this.placer.prefer(name, host);
+  prefer(name: string, machineId: string): void {
+    this.taskPlacer.prefer(name, machineId);
   }
 
   /** A task has run to its end: estimates of a class are often wrong all in the same direction. */
-  learn(spec: JobSpec, ranS: number): void {
-    if (spec.GuessS <= 0) return;
-    const old = this.ratios.get(spec.Jobclass) ?? 1;
-    this.ratios.set(spec.Jobclass, old + RATIO_WEIGHT * (Math.min(ranS / spec.GuessS, 4) - old));
+  learnRunTime(spec: JobSpec, ranS: number): void {
+    if (spec.estimatedRunS <= 0) return;
+    const old = this.ratios.get(spec.jobClass) ?? 1;
+    this.ratios.set(spec.jobClass, old + RATIO_WEIGHT * (Math.min(ranS / spec.estimatedRunS, 4) - old));
   }
 
   /** A job has another rank: its starts that wait for their turn follow. */
-  urgencyChanged(ref: string): void {
-    const spec = this.book.jobs.get(ref)?.record.spec;
-    if (spec === undefined || startPriority(spec) !== Priority.start || !this.flying.has(ref)) return;
-    this.committer.promote((key) => key.startsWith(chunkPrefix(ref)), Priority.background, Priority.start);
+  urgencyChanged(jobId: string): void {
+    const spec = this.clusterState.jobs.get(jobId)?.record.spec;
+    if (spec === undefined || startPriority(spec) !== Priority.start || !this.inFlightTasks.has(jobId)) return;
+    this.transactions.promote((key) => key.startsWith(jobPlacementPrefix(jobId)), Priority.background, Priority.start);
   }
 
   /** Something has changed: plan soon. */
-  poke(urgent = false): void {
+  planSoon(urgent = false): void {
     if (this.signal === undefined || this.signal.aborted) return;
     const now = this.clock.now();
     const at = Math.max(now + PLAN_GATHER_MS, urgent ? this.urgentRestUntil : this.restUntil);
@@ -154,87 +155,91 @@
   }
 
   /** Free room of each machine: what its type has, less what the ledger and flying starts take. */
-  rooms(machines: Iterable<MachineInfo>): Map<string, Room> {
-    const rooms = new Map<string, Room>();
+  freeResources(machines: Iterable<MachineInfo>): Map<string, Resources> {
+    const rooms = new Map<string, Resources>();
     for (const machine of machines) {
-      const flavor = this.fleet.catalog.get(machine.flavor);
-      if (flavor === undefined) continue;
-      const room = roomOfFlavor(flavor);
-      const taken = this.book.takenOn(machine.host);
+      const machineType = this.inventory.catalog.get(machine.machineType);
+      if (machineType === undefined) continue;
+      const room = resourcesOfMachineType(machineType);
+      const taken = this.clusterState.usedOn(machine.machineId);
       if (taken !== undefined) {
         room.cpus -= taken.cpus;
-        room.cards -= taken.cards;
-        room.memGb -= taken.memGb;
+        room.gpus -= taken.gpus;
+        room.memoryGb -= taken.memoryGb;
       }
-      rooms.set(machine.host, room);
+      rooms.set(machine.machineId, room);
     }
-    for (const flight of this.flights.values()) {
-      const room = rooms.get(flight.host);
-      if (room !== undefined) takeRoom(room, flight.spec);
+    for (const flight of this.inFlight.values()) {
+      const room = rooms.get(flight.machineId);
+      if (room !== undefined) subtractResources(room, flight.spec);
     }
     return rooms;
   }
 
   /** Each team's use, as the book and the flying starts have it. */
-  uses(): Map<string, TeamRecord> {
-    const uses = new Map<string, TeamRecord>();
-    for (const [team, use] of this.book.uses) uses.set(team, { ...use });
-    for (const { spec } of this.flights.values()) {
-      const use = uses.get(spec.Owner) ?? { cpus: 0, cards: 0 };
-      uses.set(spec.Owner, { cpus: use.cpus + spec.Cpus, cards: use.cards + spec.Cards });
+  teamUsages(): Map<string, TeamUsage> {
+    const uses = new Map<string, TeamUsage>();
+    for (const [team, use] of this.clusterState.teamUsages) uses.set(team, { ...use });
+    for (const { spec } of this.inFlight.values()) {
+      const use = uses.get(spec.team) ?? { cpus: 0, gpus: 0 };
+      uses.set(spec.team, { cpus: use.cpus + spec.cpus, gpus: use.gpus + spec.gpus });
     }
     return uses;
   }
 
-  private pausedUntil(name: string, slot: Waiting['slot'], now: number): number {
+  private pausedUntil(name: string, placement: PendingTask['placement'], now: number): number {
     const known = this.failures.get(name);
-    if (known?.fails === slot.fails) return known.until;
-    const until = now + Math.min(RETRY_MAX_MS, RETRY_BASE_MS * 2 ** (slot.fails - 1));
-    this.failures.set(name, { fails: slot.fails, until });
+    if (known?.failures === placement.failures) return known.until;
+    const until = now + Math.min(RETRY_MAX_MS, RETRY_BASE_MS * 2 ** (placement.failures - 1));
+    this.failures.set(name, { failures: placement.failures, until });
     return until;
   }
 
   /** The waiting shards of a job, in order; for a gang all or none. */
-  waiting(view: JobView, most = MAX_PLAN_TASKS): Waiting[] {
-    const { spec, phase } = view.record;
-    if (phase !== 'active' || view.done + view.placed === spec.Shards) return [];
+  pendingTasksOf(view: JobView, most = MAX_PLAN_TASKS): PendingTask[] {
+    const { spec, state } = view.record;
+    if (state !== 'active' || view.done + view.placed === spec.taskCount) return [];
     const now = this.clock.now();
-    const list: Waiting[] = [];
-    const flying = this.flying.get(view.ref);
-    const gang = spec.Shape === 'ensemble';
-    for (const shard of view.queued) {
+    const list: PendingTask[] = [];
+    const flying = this.inFlightTasks.get(view.jobId);
+    const gang = spec.kind === 'gang';
+    for (const taskIndex of view.queued) {
       if (list.length >= most && !gang) break;
-      const slot = view.slot(shard);
-      const open = slot.kind === 'queued' && flying?.has(shard) !== true;
-      if (!open || (slot.fails > 0 && this.pausedUntil(shardName(view.ref, shard), slot, now) > now)) {
+      const placement = view.placementOf(taskIndex);
+      const open = placement.kind === 'queued' && flying?.has(taskIndex) !== true;
+      if (
+        !open ||
+        (placement.failures > 0 && this.pausedUntil(taskIdOf(view.jobId, taskIndex), placement, now) > now)
+      ) {
         if (gang) return [];
         continue;
       }
-      list.push({ view, shard, slot });
+      list.push({ view, taskIndex, placement });
     }
     return list;
   }
 
-  private candidates(): Candidate[] {
-    const uses = this.uses();
-    const list: Candidate[] = [];
+  private queuedJobs(): QueuedJob[] {
+    const uses = this.teamUsages();
+    const list: QueuedJob[] = [];
     const now = this.clock.wall();
-    for (const view of this.book.jobs.values()) {
-      const { spec, phase } = view.record;
+    for (const view of this.clusterState.jobs.values()) {
+      const { spec, state } = view.record;
       // A gang that is whole again has forgotten its last loss: the next one is told from it.
-      if (view.done + view.placed === spec.Shards) this.gangs.forget(view.ref);
-      if (phase !== 'active' || view.done + view.placed === spec.Shards) continue;
-      const team = this.teams.get(spec.Owner);
+      if (view.done + view.placed === spec.taskCount) this.gangs.forget(view.jobId);
+      if (state !== 'active' || view.done + view.placed === spec.taskCount) continue;
+      const team = this.teams.get(spec.team);
       if (team === undefined) continue;
-      const use = uses.get(spec.Owner) ?? { cpus: 0, cards: 0 };
-      const open = spec.Shards - view.done - view.placed;
-      const needS = spec.GuessS * (this.ratios.get(spec.Jobclass) ?? 1);
+      const use = uses.get(spec.team) ?? { cpus: 0, gpus: 0 };
+      const open = spec.taskCount - view.done - view.placed;
+      const needS = spec.estimatedRunS * (this.ratios.get(spec.jobClass) ?? 1);
       list.push({
         record: view.record,
         guaranteed: withinGuarantee(team, use, spec),
         feasible: isFeasible(targetsOf(view.record, this.settings.cluster.objectives), needS, now),
-        work: open * spec.Cpus * needS,
-        overdue: spec.Shape === 'array' && open === spec.Shards && now - runnableSince(view.record) > BEGIN_WITHIN_MS,
+        work: open * spec.cpus * needS,
+        overdue:
+          spec.kind === 'array' && open === spec.taskCount && now - runnableSinceMs(view.record) > BEGIN_WITHIN_MS,
         startBy: startByOf(view.record, view.finishBy, needS),
       });
     }
@@ -242,44 +247,45 @@
   }
 
   private plan(): void {
-    const leader = this.claims.isLeader;
-    const partitions = new Set(this.claims.ownedPartitions());
-    if (!this.claims.inTouch || (!leader && partitions.size === 0) || this.fleet.catalog.size === 0) return;
-    const candidates = this.candidates();
-    if (candidates.length === 0) {
+    const leader = this.leadership.isLeader;
+    const partitions = new Set(this.leadership.ledPartitions());
+    if (!this.leadership.isInTouchWithStore || (!leader && partitions.size === 0) || this.inventory.catalog.size === 0)
+      return;
+    const queuedJobs = this.queuedJobs();
+    if (queuedJobs.length === 0) {
       this.unplaced = [];
       return;
     }
-    const machines = this.fleet.open();
-    const rooms = this.rooms(machines);
-    const uses = this.uses();
-    const pools = new Pools(machines, (host) => this.claims.partitionOf(host));
-    const unplaced: Waiting[] = [];
-    this.placer.begin();
-    for (const { record, overdue } of candidates) {
+    const machines = this.inventory.open();
+    const rooms = this.freeResources(machines);
+    const uses = this.teamUsages();
+    const candidateIndex = new CandidateMachineIndex(machines, (machineId) => this.leadership.partitionOf(machineId));
+    const unplaced: PendingTask[] = [];
+    this.taskPlacer.begin();
+    for (const { record, overdue } of queuedJobs) {
       const { spec } = record;
-      const partition = this.claims.partitionOf(spec.Ref);
+      const partition = this.leadership.partitionOf(spec.id);
       const large = isLarge(spec);
-      const pool = large ? pools.allowed(spec) : undefined;
-      const split = large ? undefined : pools.split(spec, partition);
+      const allowed = large ? candidateIndex.allowed(spec) : undefined;
+      const split = large ? undefined : candidateIndex.split(spec, partition);
       // A full cluster is the usual case under load: only the leader needs to know who waits there.
-      const full = pool?.isFull(spec) ?? (split!.near.isFull(spec) && split!.far.isFull(spec));
+      const full = allowed?.isFull(spec) ?? (split!.near.isFull(spec) && split!.far.isFull(spec));
       if (full && !leader) continue;
       // Behind so many that wait already, a look at a few tells whether the job's tasks still fit somewhere.
       const whole = !overdue && (unplaced.length < MAX_UNPLACED || large);
       const most = whole ? MAX_PLAN_TASKS : PLAN_GLANCE;
-      const waiting = this.waiting(this.book.jobs.get(spec.Ref)!, most);
+      const waiting = this.pendingTasksOf(this.clusterState.jobs.get(spec.id)!, most);
       if (waiting.length === 0) continue;
       // Every node makes the whole plan and commits only what is its own: so it keeps the room that others will take, and
       // what is freed for a service does not go to the next batch task.
-      if (pool !== undefined) {
-        this.place(waiting, pool, rooms, uses, leader ? LEADER : undefined, unplaced);
+      if (allowed !== undefined) {
+        this.place(waiting, allowed, rooms, uses, leader ? CLUSTER_LEADER_ROLE : undefined, unplaced);
         continue;
       }
       const { near, far } = split!;
-      const left: Waiting[] = [];
+      const left: PendingTask[] = [];
       this.place(waiting, near, rooms, uses, partitions.has(partition) ? partitionRole(partition) : undefined, left);
-      this.place(left, far, rooms, uses, leader ? LEADER : undefined, unplaced);
+      this.place(left, far, rooms, uses, leader ? CLUSTER_LEADER_ROLE : undefined, unplaced);
     }
     if (leader) this.unplaced = unplaced;
   }
@@ -289,30 +295,35 @@
    * rest is added to `left`.
    */
   private place(
-    waiting: Waiting[],
-    pool: Pool,
-    rooms: Map<string, Room>,
-    uses: Map<string, TeamRecord>,
+    waiting: PendingTask[],
+    candidates: CandidateMachines,
+    rooms: Map<string, Resources>,
+    uses: Map<string, TeamUsage>,
     role: string | undefined,
-    left: Waiting[],
+    left: PendingTask[],
   ): void {
     if (waiting.length === 0) return;
     const { view } = waiting[0]!;
     const { spec } = view.record;
-    const team = this.teams.get(spec.Owner)!;
-    const use = uses.get(spec.Owner) ?? { cpus: 0, cards: 0 };
-    uses.set(spec.Owner, use);
-    const gang = spec.Shape === 'ensemble';
+    const team = this.teams.get(spec.team)!;
+    const use = uses.get(spec.team) ?? { cpus: 0, gpus: 0 };
+    uses.set(spec.team, use);
+    const gang = spec.kind === 'gang';
     const attempt = gang ? this.gangs.attemptFor(view) : undefined;
     if (gang && attempt === undefined) return;
     // What the team's limit leaves room for; waiting for that is not a lack of machines.
     let allowed = 0;
-    while (allowed < waiting.length && quotaAllows(team, use, spec.Cpus * (allowed + 1), spec.Cards * (allowed + 1))) {
+    while (allowed < waiting.length && quotaAllows(team, use, spec.cpus * (allowed + 1), spec.gpus * (allowed + 1))) {
       allowed++;
     }
     if (gang && allowed < waiting.length) return;
     const open = waiting.slice(0, allowed);
-    const found = this.placer.find(open, pool, rooms, spec.Spread || spec.OneZone ? this.sitesOf(spec.Ref) : []);
+    const found = this.taskPlacer.find(
+      open,
+      candidates,
+      rooms,
+      spec.spreadAcrossZones || spec.singleZone ? this.zonesOfInFlight(spec.id) : [],
+    );
     // A gang starts whole or not at all.
     if (found.size === 0 || (gang && found.size < waiting.length)) {
       left.push(...open);
@@ -320,66 +331,70 @@
     }
     const choices: Choice[] = [];
     for (const each of open) {
-      const machine = found.get(shardName(view.ref, each.shard));
+      const machine = found.get(taskIdOf(view.jobId, each.taskIndex));
       if (machine === undefined) {
         left.push(each);
         continue;
       }
-      choices.push({ waiting: each, machine, attempt: attempt ?? each.slot.attempt + 1 });
-      takeRoom(rooms.get(machine.host)!, spec);
-      use.cpus += spec.Cpus;
-      use.cards += spec.Cards;
+      choices.push({ waiting: each, machine, attempt: attempt ?? each.placement.attempt + 1 });
+      subtractResources(rooms.get(machine.machineId)!, spec);
+      use.cpus += spec.cpus;
+      use.gpus += spec.gpus;
     }
     if (choices.length > 0 && role !== undefined) this.commit(view, choices, role, team, gang);
   }
 
   /** Zones that a job's flying starts will take. */
-  private sitesOf(ref: string): string[] {
-    const sites: string[] = [];
-    if (!this.flying.has(ref)) return sites;
-    for (const flight of this.flights.values()) {
-      if (flight.spec.Ref === ref) sites.push(flight.site);
+  private zonesOfInFlight(jobId: string): string[] {
+    const zones: string[] = [];
+    if (!this.inFlightTasks.has(jobId)) return zones;
+    for (const flight of this.inFlight.values()) {
+      if (flight.spec.id === jobId) zones.push(flight.zone);
     }
-    return sites;
+    return zones;
   }
 
   private commit(view: JobView, choices: Choice[], role: string, team: Team, whole: boolean): void {
     // A gang starts whole or not at all, so its members share one transaction; others go by ledger chunk.
     const groups = new Map<number, Choice[]>();
     for (const choice of choices) {
-      const key = whole ? 0 : Math.floor(choice.waiting.shard / view.record.chunk);
+      const key = whole ? 0 : Math.floor(choice.waiting.taskIndex / view.record.tasksPerChunk);
       groups.set(key, [...(groups.get(key) ?? []), choice]);
     }
     for (const group of groups.values()) {
-      const names = group.map((choice) => shardName(view.ref, choice.waiting.shard));
+      const names = group.map((choice) => taskIdOf(view.jobId, choice.waiting.taskIndex));
       for (const [at, choice] of group.entries()) {
-        this.flights.set(names[at]!, { host: choice.machine.host, site: choice.machine.site, spec: view.record.spec });
-        const flying = this.flying.get(view.ref) ?? new Set();
-        this.flying.set(view.ref, flying.add(choice.waiting.shard));
+        this.inFlight.set(names[at]!, {
+          machineId: choice.machine.machineId,
+          zone: choice.machine.zone,
+          spec: view.record.spec,
+        });
+        const flying = this.inFlightTasks.get(view.jobId) ?? new Set();
+        this.inFlightTasks.set(view.jobId, flying.add(choice.waiting.taskIndex));
       }
       const priority = startPriority(view.record.spec);
-      void this.committer
+      void this.transactions
         .commit(
           'start',
           priority,
           (draft) => this.decide(draft, group, role, team, whole),
           5000,
-          this.book.companyOf(view.ref, group[0]!.waiting.shard, team),
+          this.clusterState.batchingHintFor(view.jobId, group[0]!.waiting.taskIndex, team),
         )
         .then((outcome) => {
-          const flying = this.flying.get(view.ref);
-          for (const { waiting } of group) flying?.delete(waiting.shard);
-          if (flying?.size === 0) this.flying.delete(view.ref);
+          const flying = this.inFlightTasks.get(view.jobId);
+          for (const { waiting } of group) flying?.delete(waiting.taskIndex);
+          if (flying?.size === 0) this.inFlightTasks.delete(view.jobId);
           for (const name of names) {
-            this.flights.delete(name);
-            if (outcome.kind === 'done') this.placer.placed(name);
+            this.inFlight.delete(name);
+            if (outcome.kind === 'done') this.taskPlacer.placed(name);
           }
           if (outcome.kind === 'done') {
-            const hosts = [...new Set(group.map((choice) => choice.machine.host))];
-            const warm = group.filter(({ machine }) => machine.images.includes(view.record.spec.Bundle)).length;
-            this.log.debug({ job: view.ref, role, shards: names.length, warm, machines: hosts }, 'placed');
+            const machineIds = [...new Set(group.map((choice) => choice.machine.machineId))];
+            const warm = group.filter(({ machine }) => machine.images.includes(view.record.spec.image)).length;
+            this.log.debug({ job: view.jobId, role, taskCount: names.length, warm, machines: machineIds }, 'placed');
           }
-          this.poke();
+          this.planSoon();
         });
     }
   }
@@ -389,19 +404,19 @@
    * node may have filled the machine: the worker would refuse the task, which costs two more changes and closes the machine.
    */
   private hasRoom(machine: MachineInfo): boolean {
-    const room = this.rooms([machine]).get(machine.host);
-    return room !== undefined && isWithin(room);
+    const room = this.freeResources([machine]).get(machine.machineId);
+    return room !== undefined && isNonNegative(room);
   }
 
-  private decide(draft: Draft, group: Choice[], role: string, team: Team, whole: boolean): boolean {
-    if (!this.claims.require(draft, role)) return false;
+  private decide(draft: TransactionDraft, group: Choice[], role: string, team: Team, whole: boolean): boolean {
+    if (!this.leadership.requireLeadership(draft, role)) return false;
     let started = 0;
     for (const { waiting, machine, attempt } of group) {
       // The machine may have begun a new session, or have gone silent, since the choice was made.
-      const stale = this.fleet.tenureOf(machine.host) !== machine.tenure || !this.hasRoom(machine);
+      const stale = this.inventory.agentEpochOf(machine.machineId) !== machine.agentEpoch || !this.hasRoom(machine);
       const why = stale
         ? 'machine changed'
-        : startShard(draft, this.accounting, team, waiting.view.ref, waiting.shard, machine, attempt);
+        : startTask(draft, this.accounting, team, waiting.view.jobId, waiting.taskIndex, machine, attempt);
       if (why === undefined) started++;
       else if (whole) return false;
     }
@@ -412,14 +427,14 @@
     this.signal = signal;
     while (!signal.aborted) {
       await this.clock.sleep(PLAN_TICK_MS, signal);
-      this.poke();
+      this.planSoon();
     }
   }
 
   private round(): void {
     const began = this.clock.now();
     for (const [name, failure] of this.failures) if (began > failure.until + RETRY_MAX_MS) this.failures.delete(name);
-    this.gangs.prune((ref) => this.book.jobs.has(ref));
+    this.gangs.prune((jobId) => this.clusterState.jobs.has(jobId));
     this.plan();
     const now = this.clock.now();
     // Changes come by the dozen a second: a plan that takes long is made more rarely, and takes them together.
--- a/src/controller/predecessor-states.ts
+++ b/src/controller/predecessor-states.ts
@@ -2,11 +2,12 @@
  * What is known of the jobs before a waiting one. That a job was cancelled or is done is final, however it was learnt; how a
  * job ended that is gone from the copy of the live records has to be read, unless a peer has told.
  */
-import type { Book } from '../ledger/book.js';
-import { decodeEnded, endedKey, jobKey } from '../ledger/records.js';
+import type { ClusterState } from '../ledger/book.js';
+import { decodeFinalJobRecord } from '../ledger/record-codecs.js';
+import { finalJobKey, jobKey } from '../ledger/record-keys.js';
 import { Priority } from '../net/token-bucket.js';
-import type { StateClient } from '../state/client.js';
-import type { Committer } from '../state/committer.js';
+import type { StoreClient } from '../state/client.js';
+import type { TransactionBatcher } from '../state/committer.js';
 import type { Replica } from '../state/replica.js';
 
 /** `unknown`: not among the live jobs, and nothing says whether or how it has ended. */
@@ -20,10 +21,10 @@
 }
 
 export interface PredecessorStatesDependencies {
-  book: Book;
+  clusterState: ClusterState;
   replica: Replica;
-  committer: Committer;
-  client: StateClient;
+  transactions: TransactionBatcher;
+  client: StoreClient;
 }
 
 export class PredecessorStates {
@@ -32,14 +33,14 @@
 
   constructor(private readonly dependencies: PredecessorStatesDependencies) {}
 
-  standingOf(ref: string): JobStanding {
-    const { book, replica, committer } = this.dependencies;
-    const record = book.jobs.get(ref)?.record;
-    if (record !== undefined) return record.phase === 'withdrawn' ? 'cancelled' : 'open';
-    const ended = committer.read(endedKey(ref)).value;
-    if (ended !== undefined) return decodeEnded(ended).phase === 'done' ? 'done' : 'cancelled';
+  standingOf(jobId: string): JobStanding {
+    const { clusterState, replica, transactions } = this.dependencies;
+    const record = clusterState.jobs.get(jobId)?.record;
+    if (record !== undefined) return record.state === 'cancelled' ? 'cancelled' : 'open';
+    const ended = transactions.read(finalJobKey(jobId)).value;
+    if (ended !== undefined) return decodeFinalJobRecord(ended).state === 'done' ? 'done' : 'cancelled';
     // A record that can't be read is open for all that is known.
-    return replica.get(jobKey(ref)).value === undefined ? 'unknown' : 'open';
+    return replica.get(jobKey(jobId)).value === undefined ? 'unknown' : 'open';
   }
 
   /** May a job with these predecessors start, or never? */
@@ -52,34 +53,34 @@
 
   /** Looks through all jobs before one that names these. */
   ancestryOf(predecessors: readonly string[]): Ancestry {
-    const { pipelines } = this.dependencies.book;
+    const { pipelines } = this.dependencies.clusterState;
     const seen = new Set(predecessors);
     const unknown: string[] = [];
-    for (const ref of seen) {
-      const standing = this.standingOf(ref);
+    for (const jobId of seen) {
+      const standing = this.standingOf(jobId);
       if (standing === 'cancelled') return { isCancelled: true, unknown };
-      if (standing === 'unknown') unknown.push(ref);
+      if (standing === 'unknown') unknown.push(jobId);
       // A set hands out what is added to it while it is looked through.
-      for (const each of pipelines.predecessorsOf(ref)) seen.add(each);
+      for (const each of pipelines.predecessorsOf(jobId)) seen.add(each);
     }
     return { isCancelled: false, unknown };
   }
 
   /** Reads how jobs have ended; what can't be read stays unknown. */
-  async learn(refs: readonly string[]): Promise<void> {
-    await Promise.all(refs.map((ref) => this.read(ref)));
+  async learn(jobIds: readonly string[]): Promise<void> {
+    await Promise.all(jobIds.map((jobId) => this.read(jobId)));
   }
 
-  private read(ref: string): Promise<void> {
-    const running = this.reading.get(ref);
+  private read(jobId: string): Promise<void> {
+    const running = this.reading.get(jobId);
     if (running !== undefined) return running;
-    const { client, committer } = this.dependencies;
+    const { client, transactions } = this.dependencies;
     const reading = client
-      .get(endedKey(ref), Priority.start)
-      .then((row) => committer.remember(endedKey(ref), row))
+      .get(finalJobKey(jobId), Priority.start)
+      .then((row) => transactions.remember(finalJobKey(jobId), row))
       .catch(() => undefined)
-      .finally(() => this.reading.delete(ref));
-    this.reading.set(ref, reading);
+      .finally(() => this.reading.delete(jobId));
+    this.reading.set(jobId, reading);
     return reading;
   }
 }
--- a/src/controller/preempter.ts
+++ b/src/controller/preempter.ts
@@ -1,37 +1,37 @@
 import { COLD_COST, PREEMPT_PERIOD_MS, WORK_SHARE } from '../constants.js';
 import type { Settings, Team } from '../config/settings.js';
-import type { Book } from '../ledger/book.js';
-import type { JobSpec, TeamRecord } from '../ledger/records.js';
-import { takeRoom, zoneAllows } from '../ledger/rules.js';
+import type { ClusterState } from '../ledger/book.js';
+import type { JobSpec, TeamUsage } from '../ledger/records.js';
+import { subtractResources, zoneAllows } from '../ledger/rules.js';
 import type { Clock } from '../net/clock.js';
 import { guaranteeOf, isBorrowed, isOwed } from '../placement/queue.js';
 import {
   cheapestFirst,
   optionOn,
-  rankOf,
+  priorityIndexOf,
   signatureOf,
-  type Field,
-  type Option,
-  type Victim,
+  type MachineLoad,
+  type EvictionOption,
+  type EvictionCandidate,
 } from '../placement/victims.js';
-import type { Fleet, MachineInfo } from './fleet.js';
-import type { Waiting } from './placer.js';
-import type { Planner } from './planner.js';
-import type { Stopper } from './stopper.js';
+import type { MachineInventory, MachineInfo } from './fleet.js';
+import type { PendingTask } from './placer.js';
+import type { PlacementPlanner } from './planner.js';
+import type { EvictionMarker } from './stopper.js';
 
-type MachineField = Field<MachineInfo>;
+type LoadedMachine = MachineLoad<MachineInfo>;
 
 /** Makes room for waiting work of a higher rank, or of a team that is owed it, by stopping what costs least. */
-export class Preempter {
+export class Preemptor {
   private readonly teams: Map<string, Team>;
   private pausedUntil = -Infinity;
 
   constructor(
     settings: Settings,
-    private readonly book: Book,
-    private readonly fleet: Fleet,
-    private readonly planner: Planner,
-    private readonly stopper: Stopper,
+    private readonly clusterState: ClusterState,
+    private readonly inventory: MachineInventory,
+    private readonly planner: PlacementPlanner,
+    private readonly evictionMarker: EvictionMarker,
     private readonly clock: Clock,
   ) {
     this.teams = new Map(settings.cluster.teams.map((team) => [team.name, team]));
@@ -47,18 +47,18 @@
   }
 
   private makeRoom(): boolean {
-    const uses = this.planner.uses();
+    const uses = this.planner.teamUsages();
     const demands = this.demands();
-    const groups = new Map<string, Waiting[]>();
-    const lowest = this.lowestRank();
+    const groups = new Map<string, PendingTask[]>();
+    const lowest = this.lowestPriorityIndex();
     for (const each of this.planner.unplaced) {
       const { spec } = each.view.record;
       // Most of a full cluster waits behind its like: whom nobody could make room for is told apart before any machine
       // is looked at.
-      const byRank = spec.Rank !== 'low' && rankOf(spec) < lowest;
-      if (each.slot.fails >= 2 || (!byRank && !this.mayReclaimAny(spec, demands, uses))) continue;
-      const group = groups.get(spec.Ref);
-      if (group === undefined) groups.set(spec.Ref, [each]);
+      const isByPriority = spec.priority !== 'low' && priorityIndexOf(spec) < lowest;
+      if (each.placement.failures >= 2 || (!isByPriority && !this.mayReclaimAny(spec, demands, uses))) continue;
+      const group = groups.get(spec.id);
+      if (group === undefined) groups.set(spec.id, [each]);
       else group.push(each);
     }
     if (groups.size === 0) return false;
@@ -70,21 +70,22 @@
   }
 
   private makeRoomFor(
-    waiting: readonly Waiting[],
-    fields: readonly MachineField[],
-    uses: Map<string, TeamRecord>,
-    demands: ReadonlyMap<string, TeamRecord>,
+    waiting: readonly PendingTask[],
+    fields: readonly LoadedMachine[],
+    uses: Map<string, TeamUsage>,
+    demands: ReadonlyMap<string, TeamUsage>,
     hopeless: Set<string>,
   ): boolean {
     const { view } = waiting[0]!;
     const { spec } = view.record;
     const owed = this.isOwed(spec, demands);
-    const mayStop = (victim: JobSpec) => rankOf(victim) > rankOf(spec) || (owed && this.mayReclaim(spec, victim, uses));
-    const signature = `${signatureOf(spec)} ${owed ? spec.Owner : ''}`;
+    const mayStop = (victim: JobSpec) =>
+      priorityIndexOf(victim) > priorityIndexOf(spec) || (owed && this.mayReclaim(spec, victim, uses));
+    const signature = `${signatureOf(spec)} ${owed ? spec.team : ''}`;
     if (hopeless.has(signature)) return false;
-    const { zones } = view;
-    const options = new Map<MachineField, Option<MachineField>>();
-    const look = (field: MachineField) => {
+    const { tasksPerZone } = view;
+    const options = new Map<LoadedMachine, EvictionOption<LoadedMachine>>();
+    const look = (field: LoadedMachine) => {
       const option = optionOn(spec, field, mayStop, COLD_COST);
       if (option === undefined) options.delete(field);
       else options.set(field, option);
@@ -93,100 +94,105 @@
     if (options.size === 0) hopeless.add(signature);
     let any = false;
     for (let count = 0; count < waiting.length; count++) {
-      let best: Option<MachineField> | undefined;
+      let best: EvictionOption<LoadedMachine> | undefined;
       for (const option of options.values()) {
         if (best !== undefined && option.cost >= best.cost) continue;
-        if (zoneAllows(spec, zones, option.field.machine.site)) best = option;
+        if (zoneAllows(spec, tasksPerZone, option.field.machine.zone)) best = option;
       }
       if (best === undefined) break;
       const { field, victims } = best;
-      for (const { place, spec: victim } of victims) {
-        takeRoom(field.room, victim, -1);
-        const use = uses.get(victim.Owner);
+      for (const { placedTask, spec: victim } of victims) {
+        subtractResources(field.room, victim, -1);
+        const use = uses.get(victim.team);
         if (use !== undefined) {
-          use.cpus -= victim.Cpus;
-          use.cards -= victim.Cards;
+          use.cpus -= victim.cpus;
+          use.gpus -= victim.gpus;
         }
-        this.stopper.stop(place, victim, spec.Rank === 'prod' ? 0 : victim.SnapshotS, `room for ${view.ref}`);
+        this.evictionMarker.stop(
+          placedTask,
+          victim,
+          spec.priority === 'prod' ? 0 : victim.checkpointS,
+          `room for ${view.jobId}`,
+        );
         any = true;
       }
       const gone = new Set(victims);
       field.tasks = field.tasks.filter((task) => !gone.has(task));
-      takeRoom(field.room, spec);
-      zones.set(field.machine.site, (zones.get(field.machine.site) ?? 0) + 1);
+      subtractResources(field.room, spec);
+      tasksPerZone.set(field.machine.zone, (tasksPerZone.get(field.machine.zone) ?? 0) + 1);
       look(field);
     }
     return any;
   }
 
   /** Every open machine with its free room; room that stopping tasks will leave counts as free, since it is on its way. */
-  private fields(): MachineField[] {
-    const machines = this.fleet.open();
-    const rooms = this.planner.rooms(machines);
+  private fields(): LoadedMachine[] {
+    const machines = this.inventory.open();
+    const rooms = this.planner.freeResources(machines);
     return machines.map((machine) => {
-      const room = rooms.get(machine.host)!;
-      const tasks: Victim[] = [];
-      for (const place of this.book.placesOn(machine.host)) {
-        const spec = this.book.jobs.get(place.ref)?.record.spec;
+      const room = rooms.get(machine.machineId)!;
+      const tasks: EvictionCandidate[] = [];
+      for (const placedTask of this.clusterState.tasksOn(machine.machineId)) {
+        const spec = this.clusterState.jobs.get(placedTask.jobId)?.record.spec;
         if (spec === undefined) continue;
-        if (this.stopper.isStopping(place)) takeRoom(room, spec, -1);
-        else tasks.push({ place, spec });
+        if (this.evictionMarker.isStopping(placedTask)) subtractResources(room, spec, -1);
+        else tasks.push({ placedTask, spec });
       }
       return { machine, room, tasks: tasks.sort(cheapestFirst) };
     });
   }
 
-  private lowestRank(): number {
+  private lowestPriorityIndex(): number {
     let lowest = -1;
-    for (const view of this.book.jobs.values()) {
-      if (view.placed > 0) lowest = Math.max(lowest, rankOf(view.record.spec));
+    for (const view of this.clusterState.jobs.values()) {
+      if (view.placed > 0) lowest = Math.max(lowest, priorityIndexOf(view.record.spec));
     }
     return lowest;
   }
 
   /** What all unfinished jobs of each team ask for together. */
-  private demands(): Map<string, TeamRecord> {
-    const demands = new Map<string, TeamRecord>();
-    for (const view of this.book.jobs.values()) {
-      const { spec, phase } = view.record;
-      const open = phase === 'active' ? spec.Shards - view.done : view.placed;
-      const sum = demands.get(spec.Owner) ?? { cpus: 0, cards: 0 };
-      demands.set(spec.Owner, { cpus: sum.cpus + open * spec.Cpus, cards: sum.cards + open * spec.Cards });
+  private demands(): Map<string, TeamUsage> {
+    const demands = new Map<string, TeamUsage>();
+    for (const view of this.clusterState.jobs.values()) {
+      const { spec, state } = view.record;
+      const open = state === 'active' ? spec.taskCount - view.done : view.placed;
+      const sum = demands.get(spec.team) ?? { cpus: 0, gpus: 0 };
+      demands.set(spec.team, { cpus: sum.cpus + open * spec.cpus, gpus: sum.gpus + open * spec.gpus });
     }
     return demands;
   }
 
   /** Is the job's team owed room for it? */
-  private isOwed(spec: JobSpec, demands: ReadonlyMap<string, TeamRecord>): boolean {
-    const team = this.teams.get(spec.Owner);
-    const demand = demands.get(spec.Owner);
+  private isOwed(spec: JobSpec, demands: ReadonlyMap<string, TeamUsage>): boolean {
+    const team = this.teams.get(spec.team);
+    const demand = demands.get(spec.team);
     return team !== undefined && demand !== undefined && isOwed(team, demand, spec);
   }
 
   /** Does any other team run so much beyond its guarantee that the job's could have something back? */
   private mayReclaimAny(
     spec: JobSpec,
-    demands: ReadonlyMap<string, TeamRecord>,
-    uses: ReadonlyMap<string, TeamRecord>,
+    demands: ReadonlyMap<string, TeamUsage>,
+    uses: ReadonlyMap<string, TeamUsage>,
   ): boolean {
-    const owner = this.teams.get(spec.Owner);
+    const owner = this.teams.get(spec.team);
     const kind = owner === undefined ? undefined : guaranteeOf(owner, spec);
     if (kind === undefined || !this.isOwed(spec, demands)) return false;
     for (const [name, use] of uses) {
       const team = this.teams.get(name);
-      if (name !== spec.Owner && team !== undefined && use[kind] > (kind === 'cpus' ? team.cpus : team.gpus))
+      if (name !== spec.team && team !== undefined && use[kind] > (kind === 'cpus' ? team.cpus : team.gpus))
         return true;
     }
     return false;
   }
 
   /** For a team's guarantee, work of any rank may be stopped that another team runs beyond its own. */
-  private mayReclaim(spec: JobSpec, victim: JobSpec, uses: ReadonlyMap<string, TeamRecord>): boolean {
-    const owner = this.teams.get(spec.Owner);
-    const team = this.teams.get(victim.Owner);
-    const use = uses.get(victim.Owner);
+  private mayReclaim(spec: JobSpec, victim: JobSpec, uses: ReadonlyMap<string, TeamUsage>): boolean {
+    const owner = this.teams.get(spec.team);
+    const team = this.teams.get(victim.team);
+    const use = uses.get(victim.team);
     const kind = owner === undefined ? undefined : guaranteeOf(owner, spec);
-    if (kind === undefined || team === undefined || use === undefined || victim.Owner === spec.Owner) return false;
+    if (kind === undefined || team === undefined || use === undefined || victim.team === spec.team) return false;
     return isBorrowed(team, use, victim, kind);
   }
 }
--- a/src/controller/record-broadcast.ts
+++ b/src/controller/record-broadcast.ts
@@ -1,17 +1,18 @@
 /** Tells the peers which records this node's transactions have changed, and takes in what theirs have changed. */
 import { NEWS_GATHER_MS } from '../constants.js';
-import { isWithdrawal, LIVE } from '../ledger/records.js';
-import type { Message, News } from '../mesh/messages.js';
+import { isStoredCancellation } from '../ledger/record-codecs.js';
+import { LIVE } from '../ledger/record-keys.js';
+import type { Change } from '../state/wire-codec.js';
+import type { TransactionBatcher } from '../state/committer.js';
+import { deserializeChanges, type Replica, serializeChange } from '../state/replica.js';
+import type { Message, RecordDelta } from '../mesh/messages.js';
 import type { Clock } from '../net/clock.js';
-import type { Change } from '../state/client.js';
-import type { Committer } from '../state/committer.js';
-import { encodeChange, readChanges, type Replica } from '../state/replica.js';
 import type { Log } from './log.js';
 
 export interface RecordBroadcastDependencies {
   peers: readonly string[];
   replica: Replica;
-  committer: Committer;
+  transactions: TransactionBatcher;
   clock: Clock;
   log: Log;
   send: (node: string, message: Message) => void;
@@ -32,7 +33,7 @@
     if (peers.length === 0 || changes.length === 0) return;
     const isScheduled = this.pending.length > 0;
     this.pending.push(...changes);
-    if (changes.some(({ key, value }) => isWithdrawal(key, value))) this.flush();
+    if (changes.some(({ key, value }) => isStoredCancellation(key, value))) this.flush();
     else if (!isScheduled) void clock.sleep(NEWS_GATHER_MS).then(() => this.flush());
   }
 
@@ -40,25 +41,25 @@
     const { peers, send } = this.dependencies;
     // What was collected has gone along with a withdrawal.
     if (this.pending.length === 0) return;
-    const message: Message = { news: { changes: this.pending.splice(0).map(encodeChange) } };
+    const message: Message = { news: { changes: this.pending.splice(0).map(serializeChange) } };
     for (const peer of peers) send(peer, message);
   }
 
   /** Takes in what a peer's transactions have changed. */
-  receive({ changes }: News): void {
-    const { replica, committer, log } = this.dependencies;
+  receive({ changes }: RecordDelta): void {
+    const { replica, transactions, log } = this.dependencies;
     let read: Change[];
     try {
       // All or nothing: a transaction's changes belong together.
-      read = readChanges(changes);
+      read = deserializeChanges(changes);
     } catch (error) {
       log.warn({ error: String(error) }, 'news of a peer can not be read');
       void replica.refresh();
       return;
     }
     for (const change of read) {
-      if (change.key.startsWith(LIVE)) replica.hear(change);
-      else committer.remember(change.key, change);
+      if (change.key.startsWith(LIVE)) replica.applyFromPeer(change);
+      else transactions.remember(change.key, change);
     }
   }
 }
--- a/src/controller/renter.ts
+++ b/src/controller/renter.ts
@@ -6,24 +6,34 @@
   NO_CAPACITY_MS,
   RESERVE_SHARE,
 } from '../constants.js';
-import type { CloudClient, ListedMachine } from '../cloud/client.js';
+import type { CloudClient } from '../cloud/client.js';
+import type { ListedMachine } from '../cloud/wire-codec.js';
+import type { ClusterState } from '../ledger/book.js';
+import { rentalKey } from '../ledger/record-keys.js';
+import type { JobSpec, RentalRecord } from '../ledger/records.js';
+import { allowedOn, zoneAllows } from '../ledger/rules.js';
+import type { TransactionBatcher } from '../state/committer.js';
 import type { Settings } from '../config/settings.js';
 import { lastingLimits } from '../config/state-limits.js';
-import type { Book } from '../ledger/book.js';
-import { hireKey, type HireRecord, type JobSpec } from '../ledger/records.js';
-import { allowedOn, zoneAllows } from '../ledger/rules.js';
 import type { Clock } from '../net/clock.js';
 import { Priority } from '../net/token-bucket.js';
-import { belowReserve, bootLimitMs, decideRentals, type Need, type Offer, type Wanted } from '../placement/renting.js';
-import type { Committer } from '../state/committer.js';
-import { LEADER, type Claims } from './claims.js';
-import type { Fleet } from './fleet.js';
+import {
+  belowReserve,
+  bootLimitMs,
+  decideScaleOut,
+  type CapacityNeed,
+  type Offer,
+  type WantedMachines,
+} from '../placement/renting.js';
+import { CLUSTER_LEADER_ROLE, type RoleLeadership } from './claims.js';
+import type { MachineInventory } from './fleet.js';
 import type { Log } from './log.js';
-import type { Waiting } from './placer.js';
-import type { Planner } from './planner.js';
+import type { PendingTask } from './placer.js';
+import type { PlacementPlanner } from './planner.js';
+import { encodeRentalRecord } from '../ledger/record-codecs.js';
 
 /** Rents machines for what has no place, and for the reserve, under names that are never used twice. */
-export class Renter {
+export class Autoscaler {
   private readonly noCapacity = new Map<string, number>();
   /**
    * Rentals that were refused and dropped, with the steady ms. Their records may come back by a late write of their own; only
@@ -36,11 +46,11 @@
 
   constructor(
     settings: Settings,
-    private readonly claims: Claims,
-    private readonly book: Book,
-    private readonly fleet: Fleet,
-    private readonly planner: Planner,
-    private readonly committer: Committer,
+    private readonly leadership: RoleLeadership,
+    private readonly clusterState: ClusterState,
+    private readonly inventory: MachineInventory,
+    private readonly planner: PlacementPlanner,
+    private readonly transactions: TransactionBatcher,
     private readonly cloud: CloudClient,
     private readonly clock: Clock,
     private readonly log: Log,
@@ -63,12 +73,12 @@
   }
 
   /** Changes the records of rentals, one for each, so that none outgrows what the store keeps under a key. */
-  private async note(hires: readonly HireRecord[], drop = false): Promise<boolean> {
-    const outcome = await this.committer.commit('hires', Priority.start, (draft) => {
-      if (!this.claims.require(draft, LEADER)) return false;
-      for (const hire of hires) {
-        if (drop) draft.drop(hireKey(hire.name));
-        else draft.set(hireKey(hire.name), hire);
+  private async note(rentals: readonly RentalRecord[], drop = false): Promise<boolean> {
+    const outcome = await this.transactions.commit('hires', Priority.start, (draft) => {
+      if (!this.leadership.requireLeadership(draft, CLUSTER_LEADER_ROLE)) return false;
+      for (const rental of rentals) {
+        if (drop) draft.delete(rentalKey(rental.rentalId));
+        else draft.set(rentalKey(rental.rentalId), encodeRentalRecord(rental));
       }
       return true;
     });
@@ -76,20 +86,20 @@
   }
 
   /** Waiting tasks by job, with the zones that their job leaves open. */
-  private needs(): Need[] {
-    const byJob = new Map<string, Waiting[]>();
-    for (const each of this.planner.unplaced) byJob.set(each.view.ref, [...(byJob.get(each.view.ref) ?? []), each]);
-    const needs: Need[] = [];
-    for (const [ref, waiting] of byJob) {
-      const view = this.book.jobs.get(ref);
+  private needs(): CapacityNeed[] {
+    const byJob = new Map<string, PendingTask[]>();
+    for (const each of this.planner.unplaced) byJob.set(each.view.jobId, [...(byJob.get(each.view.jobId) ?? []), each]);
+    const needs: CapacityNeed[] = [];
+    for (const [jobId, waiting] of byJob) {
+      const view = this.clusterState.jobs.get(jobId);
       if (view === undefined) continue;
       const { spec } = view.record;
       const tasks = this.tasksToRentFor(spec, waiting);
       if (tasks === 0) continue;
-      const { zones } = view;
-      const all = [...new Set([...this.fleet.catalog.values()].flatMap((flavor) => flavor.sites))];
-      const sites = all.filter((site) => zoneAllows(spec, zones, site));
-      needs.push({ spec, tasks, sites: sites.length === all.length ? [] : sites });
+      const { tasksPerZone } = view;
+      const all = [...new Set([...this.inventory.catalog.values()].flatMap((machineType) => machineType.zones))];
+      const zones = all.filter((zone) => zoneAllows(spec, tasksPerZone, zone));
+      needs.push({ spec, tasks, zones: zones.length === all.length ? [] : zones });
     }
     return needs;
   }
@@ -98,21 +108,21 @@
    * A job whose tasks fail again and again is worth no more than one machine to try on, but must have that. A gang has to be
    * whole, and what is rented for it serves its next tries as well.
    */
-  private tasksToRentFor(spec: JobSpec, waiting: readonly Waiting[]): number {
-    const failing = waiting.some((each) => each.slot.fails > FAILS_WORTH_RENTING);
-    if (!failing || spec.Shape === 'ensemble') return waiting.length;
-    return this.fleet.open().some((machine) => allowedOn(spec, machine)) ? 0 : 1;
+  private tasksToRentFor(spec: JobSpec, waiting: readonly PendingTask[]): number {
+    const failing = waiting.some((each) => each.placement.failures > FAILS_WORTH_RENTING);
+    if (!failing || spec.kind === 'gang') return waiting.length;
+    return this.inventory.open().some((machine) => allowedOn(spec, machine)) ? 0 : 1;
   }
 
   private offers(): Offer[] {
     const now = this.clock.now();
     const offers: Offer[] = [];
-    for (const flavor of this.fleet.catalog.values()) {
-      for (const site of flavor.sites) {
-        for (const reclaimable of [false, true]) {
-          const offer = { flavor, site, reclaimable };
+    for (const machineType of this.inventory.catalog.values()) {
+      for (const zone of machineType.zones) {
+        for (const isSpot of [false, true]) {
+          const offer = { machineType, zone, isSpot };
           if ((this.noCapacity.get(offerName(offer)) ?? -Infinity) > now) continue;
-          if (reclaimable && flavor.lowPrice <= 0) continue;
+          if (isSpot && machineType.spotHourlyPrice <= 0) continue;
           offers.push(offer);
         }
       }
@@ -122,56 +132,63 @@
 
   /** True: something was refused or left for another transaction, so that another look may find more. */
   async round(): Promise<boolean> {
-    const hires = [...this.book.hires.values()];
+    const rentals = [...this.clusterState.rentals.values()];
     const wall = this.clock.wall();
-    const heard = this.fleet.all();
+    const heard = this.inventory.all();
     // First the requests of a former leader, or of a lost answer: the same name gets the same machines.
-    const open = hires.filter((hire) => hire.hosts === null);
+    const open = rentals.filter((rental) => rental.machineIds === null);
     if (open.length > 0) {
-      const back = open.filter((hire) => this.refused.has(hire.name)).slice(0, this.mostRecords);
+      const back = open.filter((rental) => this.refused.has(rental.rentalId)).slice(0, this.mostRecords);
       if (back.length > 0) await this.note(back, true);
-      await Promise.all(open.filter((hire) => !this.refused.has(hire.name)).map((hire) => this.ask(hire)));
+      await Promise.all(open.filter((rental) => !this.refused.has(rental.rentalId)).map((rental) => this.ask(rental)));
       return true;
     }
     const now = this.clock.now();
     for (const [name, at] of this.refused) if (now - at > FORGET_REFUSED_MS) this.refused.delete(name);
-    const over = (hire: HireRecord) =>
-      hire.hosts!.every((host) => heard.has(host) || this.fleet.gone.has(host)) ||
-      wall - hire.at > 2 * bootLimitMs(this.fleet.catalog.get(hire.flavor));
+    const over = (rental: RentalRecord) =>
+      rental.machineIds!.every((machineId) => heard.has(machineId) || this.inventory.terminated.has(machineId)) ||
+      wall - rental.requestedAtMs > 2 * bootLimitMs(this.inventory.catalog.get(rental.machineType));
     const most = this.mostRecords;
-    const past = hires.filter(over).slice(0, most);
+    const past = rentals.filter(over).slice(0, most);
     if (past.length > 0) await this.note(past, true);
     const coming: Offer[] = [];
     const counted = new Set<string>();
-    const expect = (host: string, flavorName: string, site: string, reclaimable: boolean, ageMs: number) => {
-      const flavor = this.fleet.catalog.get(flavorName);
+    const expect = (machineId: string, machineTypeName: string, zone: string, isSpot: boolean, ageMs: number) => {
+      const machineType = this.inventory.catalog.get(machineTypeName);
       // One that takes far longer than others is not counted on, but kept a while in case it comes.
-      if (flavor === undefined || counted.has(host) || heard.has(host) || this.fleet.gone.has(host)) return;
-      if (ageMs > flavor.bootS * 1000 * 2) return;
-      counted.add(host);
-      coming.push({ flavor, site, reclaimable });
+      if (
+        machineType === undefined ||
+        counted.has(machineId) ||
+        heard.has(machineId) ||
+        this.inventory.terminated.has(machineId)
+      )
+        return;
+      if (ageMs > machineType.bootS * 1000 * 2) return;
+      counted.add(machineId);
+      coming.push({ machineType, zone, isSpot });
     };
-    for (const hire of hires) {
-      for (const host of hire.hosts ?? []) expect(host, hire.flavor, hire.site, hire.reclaimable, wall - hire.at);
+    for (const rental of rentals) {
+      for (const machineId of rental.machineIds ?? [])
+        expect(machineId, rental.machineType, rental.zone, rental.isSpot, wall - rental.requestedAtMs);
     }
     for (const machine of this.listed().values()) {
-      if (machine.phase === 'failed') continue;
-      expect(machine.host, machine.flavor, machine.site, machine.reclaimable, machine.heldS * 1000);
+      if (machine.state === 'failed') continue;
+      expect(machine.machineId, machine.machineType, machine.zone, machine.isSpot, machine.ageS * 1000);
     }
-    const wanted = decideRentals(this.needs(), this.offers(), coming, MAX_RENT_AT_ONCE);
+    const wanted = decideScaleOut(this.needs(), this.offers(), coming, MAX_RENT_AT_ONCE);
     const reserve = wanted.length === 0 ? this.reserve(coming) : undefined;
     if (reserve !== undefined) wanted.push(reserve);
-    const held = this.claims.holding(LEADER);
+    const held = this.leadership.leadershipOf(CLUSTER_LEADER_ROLE);
     if (held === undefined || wanted.length === 0) return false;
-    const records = wanted.slice(0, most).map((offer): HireRecord => ({
+    const records = wanted.slice(0, most).map((offer): RentalRecord => ({
       // The leader's fence is unique in the store, so no other node or life ever makes this name.
-      name: `r-${held.fence}-${++this.sequence}`,
-      flavor: offer.flavor.sku,
-      site: offer.site,
-      reclaimable: offer.reclaimable,
+      rentalId: `r-${held.fencingToken}-${++this.sequence}`,
+      machineType: offer.machineType.name,
+      zone: offer.zone,
+      isSpot: offer.isSpot,
       count: offer.count,
-      at: wall,
-      hosts: null,
+      requestedAtMs: wall,
+      machineIds: null,
     }));
     // All wanted at one moment share one transaction.
     const noted = await this.note(records);
@@ -181,62 +198,64 @@
   }
 
   /** More machines where free room has become scarce, before tasks have to wait for them. */
-  private reserve(coming: readonly Offer[]): Wanted | undefined {
-    const open = this.fleet.open();
-    const rooms = this.planner.rooms(open);
+  private reserve(coming: readonly Offer[]): WantedMachines | undefined {
+    const open = this.inventory.open();
+    const rooms = this.planner.freeResources(open);
     const offers = this.offers();
     const kinds = new Map<string, { free: number; total: number }>();
-    const kindOf = (sku: string) => ((this.fleet.catalog.get(sku)?.cards ?? 0) > 0 ? 'cards' : 'plain');
+    const kindOf = (name: string) => ((this.inventory.catalog.get(name)?.gpus ?? 0) > 0 ? 'cards' : 'plain');
     for (const machine of open) {
-      const flavor = this.fleet.catalog.get(machine.flavor)!;
-      const kind = kinds.get(kindOf(flavor.sku)) ?? { free: 0, total: 0 };
-      kind.free += Math.max(0, rooms.get(machine.host)?.cpus ?? 0);
-      kind.total += flavor.cpus;
-      kinds.set(kindOf(flavor.sku), kind);
+      const machineType = this.inventory.catalog.get(machine.machineType)!;
+      const kind = kinds.get(kindOf(machineType.name)) ?? { free: 0, total: 0 };
+      kind.free += Math.max(0, rooms.get(machine.machineId)?.cpus ?? 0);
+      kind.total += machineType.cpus;
+      kinds.set(kindOf(machineType.name), kind);
     }
-    for (const { flavor } of coming) {
-      const kind = kinds.get(kindOf(flavor.sku));
-      if (kind !== undefined) kind.free += flavor.cpus;
+    for (const { machineType } of coming) {
+      const kind = kinds.get(kindOf(machineType.name));
+      if (kind !== undefined) kind.free += machineType.cpus;
     }
     for (const [name, kind] of kinds) {
       if (!belowReserve(kind.free, kind.total)) continue;
-      const fit = offers.filter((offer) => kindOf(offer.flavor.sku) === name && !offer.reclaimable);
-      const spot = offers.filter((offer) => kindOf(offer.flavor.sku) === name && offer.reclaimable);
-      const count = (site: string) => open.filter((machine) => machine.site === site).length;
+      const fit = offers.filter((offer) => kindOf(offer.machineType.name) === name && !offer.isSpot);
+      const spot = offers.filter((offer) => kindOf(offer.machineType.name) === name && offer.isSpot);
+      const count = (zone: string) => open.filter((machine) => machine.zone === zone).length;
       const best = [...fit].sort(
-        (a, b) => a.flavor.hourly / a.flavor.cpus - b.flavor.hourly / b.flavor.cpus || count(a.site) - count(b.site),
+        (a, b) =>
+          a.machineType.hourlyPrice / a.machineType.cpus - b.machineType.hourlyPrice / b.machineType.cpus ||
+          count(a.zone) - count(b.zone),
       )[0];
       const offer = best ?? spot[0];
       if (offer === undefined) continue;
-      const missing = Math.ceil((kind.total * RESERVE_SHARE - kind.free) / offer.flavor.cpus);
+      const missing = Math.ceil((kind.total * RESERVE_SHARE - kind.free) / offer.machineType.cpus);
       return { ...offer, count: Math.min(MAX_RESERVE_AT_ONCE, Math.max(1, missing)) };
     }
     return undefined;
   }
 
   /** True: rented in full. */
-  private async ask(record: HireRecord): Promise<boolean> {
-    const result = await this.cloud.rent(record);
-    const flavor = this.fleet.catalog.get(record.flavor);
-    this.log.info({ hire: record.name, flavor: record.flavor, site: record.site, result }, 'rental');
+  private async ask(record: RentalRecord): Promise<boolean> {
+    const result = await this.cloud.scaleOut(record);
+    const machineType = this.inventory.catalog.get(record.machineType);
+    this.log.info({ rental: record.rentalId, machineType: record.machineType, zone: record.zone, result }, 'rental');
     if (result.kind === 'rented') {
-      if (result.hosts.length < record.count && flavor !== undefined) {
-        this.noCapacity.set(offerName({ ...record, flavor }), this.clock.now() + NO_CAPACITY_MS);
+      if (result.machineIds.length < record.count && machineType !== undefined) {
+        this.noCapacity.set(offerName({ ...record, machineType }), this.clock.now() + NO_CAPACITY_MS);
       }
-      await this.note([{ ...record, hosts: result.hosts }]);
+      await this.note([{ ...record, machineIds: result.machineIds }]);
     } else if (result.kind === 'no_capacity' || result.kind === 'malformed') {
-      if (flavor !== undefined) {
-        this.noCapacity.set(offerName({ ...record, flavor }), this.clock.now() + NO_CAPACITY_MS);
+      if (machineType !== undefined) {
+        this.noCapacity.set(offerName({ ...record, machineType }), this.clock.now() + NO_CAPACITY_MS);
       }
-      this.refused.set(record.name, this.clock.now());
+      this.refused.set(record.rentalId, this.clock.now());
       await this.note([record], true);
     } else {
       // Not answered, or refused for now: the same name is sent again, so nothing is rented twice.
       await this.clock.sleep(1000);
     }
-    return result.kind === 'rented' && result.hosts.length === record.count;
+    return result.kind === 'rented' && result.machineIds.length === record.count;
   }
 }
 
-const offerName = (offer: { flavor: { sku: string }; site: string; reclaimable: boolean }): string =>
-  `${offer.flavor.sku} ${offer.site} ${offer.reclaimable}`;
+const offerName = (offer: { machineType: { name: string }; zone: string; isSpot: boolean }): string =>
+  `${offer.machineType.name} ${offer.zone} ${offer.isSpot}`;
--- a/src/controller/report-service.ts
+++ b/src/controller/report-service.ts
@@ -1,58 +1,70 @@
 /** Answers workers' reports, also those that one node passes on to another. */
 import type { Answer } from '../api/jobs.js';
-import type { Relay, RelayAnswer } from '../mesh/messages.js';
-import type { Relays } from '../mesh/relays.js';
-import { decodeReport } from '../workers/report.js';
+import type { ForwardedHeartbeat, ForwardedHeartbeatAnswer } from '../mesh/messages.js';
+import type { HeartbeatForwarder } from '../mesh/relays.js';
+import { decodeWorkerStatus, encodeRedirect, encodeHeartbeatAnswer } from '../workers/worker-wire-codec.js';
 import type { Log } from './log.js';
-import type { Owner } from './owner.js';
+import type { WorkerManager } from './owner.js';
+import { HeartbeatOutcome } from './worker-manager-dependencies.js';
 
-export interface ReportServiceDependencies {
+export interface HeartbeatServiceDependencies {
   node: string;
-  owner: Owner;
-  relays: Relays;
+  workerManager: WorkerManager;
+  heartbeatForwarder: HeartbeatForwarder;
   log: Log;
   /** A worker came here that another node owns: the others wait for that before they take it for dead. */
-  onMisdirected: () => void;
+  onMisrouted: () => void;
 }
 
-export class ReportService {
-  constructor(private readonly dependencies: ReportServiceDependencies) {}
+export class HeartbeatService {
+  constructor(private readonly dependencies: HeartbeatServiceDependencies) {}
 
   /** Answers a report that a worker has sent to this node. */
   answer(body: unknown): Answer | Promise<Answer> {
-    const { owner, onMisdirected } = this.dependencies;
-    const report = decodeReport(body);
-    if (report === undefined) return { status: 400, body: { error: 'not a report' } };
-    const wasMisdirected = owner.misdirected.has(report.host);
-    const answer = owner.hello(report);
-    if (!wasMisdirected && owner.misdirected.has(report.host)) onMisdirected();
-    // It has been sent to its owner before and is back: it can't get there, but this node may.
-    if (answer.status === 421 && answer.again && answer.body.Steward !== undefined) {
-      return this.relay(answer.body.Steward, body);
+    const { workerManager, onMisrouted } = this.dependencies;
+    const workerStatus = decodeWorkerStatus(body);
+    if (workerStatus === undefined) return { status: 400, body: { error: 'not a report' } };
+    const wasMisrouted = workerManager.misroutedWorkers.has(workerStatus.machineId);
+    const outcome = workerManager.handleHeartbeat(workerStatus);
+    if (!wasMisrouted && workerManager.misroutedWorkers.has(workerStatus.machineId)) onMisrouted();
+    // It has been redirected before and is back: it can't get to its leader, but this node may.
+    if (outcome.kind === 'redirected' && outcome.canForward && outcome.node !== undefined) {
+      return this.forward(outcome.node, body);
     }
-    return answer;
+    return encodeOutcome(outcome);
   }
 
-  private async relay(owner: string, body: unknown): Promise<Answer> {
-    const answer = await this.dependencies.relays.ask(owner, body);
-    const orders = answer?.status === 200 ? parseJson(answer.body) : undefined;
-    if (orders === undefined) return { status: 421, body: { Steward: owner } };
-    return { status: 200, body: orders };
+  private async forward(leader: string, body: unknown): Promise<Answer> {
+    const answer = await this.dependencies.heartbeatForwarder.forward(leader, body);
+    const commands = answer?.status === 200 ? parseJson(answer.body) : undefined;
+    if (commands === undefined) return encodeOutcome({ kind: 'redirected', node: leader, canForward: false });
+    return { status: 200, body: commands };
   }
 
   /** Answers a report that another node has passed on; undefined: it can't be read. */
-  answerRelayed({ node: sender, id, report: text }: Relay): RelayAnswer | undefined {
-    const { node, owner, log } = this.dependencies;
-    const report = decodeReport(parseJson(text));
-    if (report === undefined) {
+  answerRelayed({ node: sender, id, status: text }: ForwardedHeartbeat): ForwardedHeartbeatAnswer | undefined {
+    const { node, workerManager, log } = this.dependencies;
+    const workerStatus = decodeWorkerStatus(parseJson(text));
+    if (workerStatus === undefined) {
       log.warn({ from: sender }, 'relayed report can not be read');
       return undefined;
     }
-    const { status, body } = owner.hello(report, sender);
+    const { status, body } = encodeOutcome(workerManager.handleHeartbeat(workerStatus, sender));
     return { node, id, status, body: JSON.stringify(body) };
   }
 }
 
+function encodeOutcome(outcome: HeartbeatOutcome): Answer {
+  switch (outcome.kind) {
+    case 'answered':
+      return { status: 200, body: encodeHeartbeatAnswer(outcome.fencingToken, outcome.commands) };
+    case 'redirected':
+      return { status: 421, body: encodeRedirect(outcome.node) };
+    case 'unavailable':
+      return { status: 503, body: { error: outcome.error } };
+  }
+}
+
 /** undefined: not JSON. */
 function parseJson(text: string): unknown {
   try {
--- a/src/controller/rescheduler.ts
+++ b/src/controller/rescheduler.ts
@@ -1,22 +1,22 @@
 import type { Tuning } from '../config/settings.js';
-import type { Book, Place } from '../ledger/book.js';
-import { stopShard } from '../ledger/edits.js';
-import { shardName, type JobSpec } from '../ledger/records.js';
-import { allowedOn, roomOf, takeRoom, zoneAllows, zonesOf } from '../ledger/rules.js';
+import type { ClusterState, PlacedTask } from '../ledger/book.js';
+import { markForStop } from '../ledger/edits.js';
+import { taskIdOf, type JobSpec } from '../ledger/records.js';
+import { allowedOn, resourcesOf, subtractResources, zoneAllows, zonesOf } from '../ledger/rules.js';
 import type { Clock } from '../net/clock.js';
 import type { Random } from '../net/random.js';
 import { Priority } from '../net/token-bucket.js';
 import type { Happiness } from '../placement/happiness.js';
 import { match, type Host, type Seeker } from '../placement/matching.js';
-import type { Committer } from '../state/committer.js';
-import { partitionRole, type Claims } from './claims.js';
-import type { Fleet } from './fleet.js';
+import type { TransactionBatcher } from '../state/committer.js';
+import { partitionRole, type RoleLeadership } from './claims.js';
+import type { MachineInventory } from './fleet.js';
 import type { Log } from './log.js';
-import type { Planner } from './planner.js';
+import type { PlacementPlanner } from './planner.js';
 
 interface Running {
   name: string;
-  place: Place;
+  placedTask: PlacedTask;
   spec: JobSpec;
 }
 
@@ -24,11 +24,11 @@
 export class Rescheduler {
   constructor(
     private readonly tuning: Tuning,
-    private readonly claims: Claims,
-    private readonly book: Book,
-    private readonly fleet: Fleet,
-    private readonly planner: Planner,
-    private readonly committer: Committer,
+    private readonly leadership: RoleLeadership,
+    private readonly clusterState: ClusterState,
+    private readonly inventory: MachineInventory,
+    private readonly planner: PlacementPlanner,
+    private readonly transactions: TransactionBatcher,
     private readonly happiness: Happiness,
     private readonly clock: Clock,
     private readonly random: Random,
@@ -39,8 +39,8 @@
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       await this.clock.sleep(this.random.jitter(this.tuning.check_s * 1000), signal);
-      if (signal.aborted || !this.claims.inTouch || this.othersComeFirst()) continue;
-      for (const partition of this.claims.ownedPartitions()) this.round(partition);
+      if (signal.aborted || !this.leadership.isInTouchWithStore || this.othersComeFirst()) continue;
+      for (const partition of this.leadership.ledPartitions()) this.round(partition);
     }
   }
 
@@ -50,23 +50,23 @@
    */
   private othersComeFirst(): boolean {
     let waiting = 0;
-    for (const { record, placed } of this.book.jobs.values()) {
-      if (record.spec.Shape === 'service' && record.phase === 'active') waiting += record.spec.Shards - placed;
+    for (const { record, placed } of this.clusterState.jobs.values()) {
+      if (record.spec.kind === 'service' && record.state === 'active') waiting += record.spec.taskCount - placed;
     }
     return waiting > this.tuning.moves_per_round;
   }
 
   private round(partition: number): void {
     const now = this.clock.now();
-    const machines = [...this.fleet.all().values()].filter(
-      (machine) => this.claims.partitionOf(machine.host) === partition && this.fleet.isOpen(machine),
+    const machines = [...this.inventory.all().values()].filter(
+      (machine) => this.leadership.partitionOf(machine.machineId) === partition && this.inventory.isOpen(machine),
     );
     const running: Running[] = [];
     for (const machine of machines) {
-      for (const place of this.book.placesOn(machine.host)) {
-        const spec = this.book.jobs.get(place.ref)?.record.spec;
-        if (spec?.Shape !== 'service' || place.slot.stop !== null) continue;
-        running.push({ name: shardName(place.ref, place.shard), place, spec });
+      for (const placedTask of this.clusterState.tasksOn(machine.machineId)) {
+        const spec = this.clusterState.jobs.get(placedTask.jobId)?.record.spec;
+        if (spec?.kind !== 'service' || placedTask.placement.gracePeriodS !== null) continue;
+        running.push({ name: taskIdOf(placedTask.jobId, placedTask.taskIndex), placedTask, spec });
       }
     }
     const unhappy = running.filter(({ name }) => {
@@ -77,75 +77,89 @@
     const target = this.rematch(running, machines);
     let moves = 0;
     const moving = new Set<string>();
-    for (const { name, place } of unhappy) {
+    for (const { name, placedTask } of unhappy) {
       const host = target.get(name);
       // Unmatched tasks stay put, and so do those matched to the machine they are on.
-      if (host === undefined || host.id === place.slot.host) continue;
-      if (moves >= this.tuning.moves_per_round || moving.has(place.ref) || !this.happiness.mayMove(name, now)) continue;
-      if (this.isMoving(place.ref)) continue;
+      if (host === undefined || host.id === placedTask.placement.machineId) continue;
+      if (moves >= this.tuning.moves_per_round || moving.has(placedTask.jobId) || !this.happiness.mayMove(name, now))
+        continue;
+      if (this.isMoving(placedTask.jobId)) continue;
       moves++;
-      moving.add(place.ref);
+      moving.add(placedTask.jobId);
       this.happiness.moved(name, now);
       this.planner.prefer(name, host.id);
-      this.log.info({ shard: name, from: place.slot.host, to: host.id }, 'unhappy task moves');
-      void this.committer.commit('move', Priority.start, (draft) => {
-        if (!this.claims.require(draft, partitionRole(partition))) return false;
-        return stopShard(draft, place.ref, place.shard, place.slot.host, place.slot.attempt, 0);
+      this.log.info({ taskId: name, from: placedTask.placement.machineId, to: host.id }, 'unhappy task moves');
+      void this.transactions.commit('move', Priority.start, (draft) => {
+        if (!this.leadership.requireLeadership(draft, partitionRole(partition))) return false;
+        return markForStop(
+          draft,
+          placedTask.jobId,
+          placedTask.taskIndex,
+          placedTask.placement.machineId,
+          placedTask.placement.attempt,
+          0,
+        );
       });
     }
   }
 
   /** Never two replicas of one service at once: one that is stopping or waiting for a place counts. */
-  private isMoving(ref: string): boolean {
-    const view = this.book.jobs.get(ref);
-    if (view === undefined || view.placed < view.record.spec.Shards) return true;
-    for (const [, slot] of view.known()) if (slot.kind === 'placed' && slot.stop !== null) return true;
+  private isMoving(jobId: string): boolean {
+    const view = this.clusterState.jobs.get(jobId);
+    if (view === undefined || view.placed < view.record.spec.taskCount) return true;
+    for (const [, placement] of view.knownPlacements())
+      if (placement.kind === 'placed' && placement.gracePeriodS !== null) return true;
     return false;
   }
 
-  private rematch(running: readonly Running[], machines: readonly { host: string; site: string; flavor: string }[]) {
-    const rooms = this.planner.rooms(this.machinesOf(machines));
+  private rematch(
+    running: readonly Running[],
+    machines: readonly { machineId: string; zone: string; machineType: string }[],
+  ) {
+    const rooms = this.planner.freeResources(this.machinesOf(machines));
     // All service tasks of the partition are matched anew, so their room counts as free.
-    for (const { place, spec } of running) {
-      const room = rooms.get(place.slot.host);
+    for (const { placedTask, spec } of running) {
+      const room = rooms.get(placedTask.placement.machineId);
       if (room === undefined) continue;
-      takeRoom(room, spec, -1);
+      subtractResources(room, spec, -1);
     }
-    const byRef = new Map(running.map(({ place, spec }) => [place.ref, spec]));
-    const info = this.fleet.all();
+    const byRef = new Map(running.map(({ placedTask, spec }) => [placedTask.jobId, spec]));
+    const info = this.inventory.all();
     const outside = new Map<string, Map<string, number>>();
-    for (const ref of byRef.keys()) {
-      const inside = new Set(running.filter(({ place }) => place.ref === ref).map(({ place }) => place.shard));
-      const others = [...this.book.jobs.get(ref)!.known()]
-        .filter(([shard]) => !inside.has(shard))
-        .map(([, slot]) => slot);
-      outside.set(ref, zonesOf(others));
+    for (const jobId of byRef.keys()) {
+      const inside = new Set(
+        running.filter(({ placedTask }) => placedTask.jobId === jobId).map(({ placedTask }) => placedTask.taskIndex),
+      );
+      const others = [...this.clusterState.jobs.get(jobId)!.knownPlacements()]
+        .filter(([taskIndex]) => !inside.has(taskIndex))
+        .map(([, placement]) => placement);
+      outside.set(jobId, zonesOf(others));
     }
-    const hosts: Host[] = machines.map((m) => ({ id: m.host, site: m.site, free: rooms.get(m.host)! }));
+    const hosts: Host[] = machines.map((m) => ({ id: m.machineId, zone: m.zone, free: rooms.get(m.machineId)! }));
     // Without usage data of the machine, a task's use equals its request.
-    const seekers: Seeker[] = running.map(({ name, place, spec }) => ({
+    const seekers: Seeker[] = running.map(({ name, placedTask, spec }) => ({
       id: name,
-      group: place.ref,
-      use: roomOf(spec),
-      peak: roomOf(spec),
+      group: placedTask.jobId,
+      use: resourcesOf(spec),
+      peak: resourcesOf(spec),
     }));
     return match(seekers, hosts, {
-      allowed: (ref, host) => {
+      allowed: (jobId, host) => {
         const machine = info.get(host.id);
-        return machine !== undefined && allowedOn(byRef.get(ref)!, machine) && !machine.failedJobs.includes(ref);
+        return machine !== undefined && allowedOn(byRef.get(jobId)!, machine) && !machine.failedJobs.includes(jobId);
       },
-      zoneAllows: (ref, site, taken) => {
-        const total = new Map(outside.get(ref));
+      zoneAllows: (jobId, zone, taken) => {
+        const total = new Map(outside.get(jobId));
         for (const [each, count] of taken) total.set(each, (total.get(each) ?? 0) + count);
-        return zoneAllows(byRef.get(ref)!, total, site);
+        return zoneAllows(byRef.get(jobId)!, total, zone);
       },
       hostAllows: () => true,
       tier: () => 0,
     });
   }
 
-  private machinesOf(machines: readonly { host: string }[]) {
-    const all = this.fleet.all();
-    return machines.map((machine) => all.get(machine.host)!);
+  private machinesOf(machines: readonly { machineId: string }[]) {
+    const all = this.inventory.all();
+    return machines.map((machine) => all.get(machine.machineId)!);
   }
 }
--- a/src/controller/responsibility.ts
+++ b/src/controller/responsibility.ts
@@ -1,8 +1,8 @@
 /** Who looks after the records of a job: the owner of its partition, or the leader while there is none. */
-import { partitionRole, type Claims } from './claims.js';
+import { partitionRole, type RoleLeadership } from './claims.js';
 
-export function isResponsibleFor(claims: Claims, ref: string): boolean {
-  const role = partitionRole(claims.partitionOf(ref));
-  const isMine = claims.holding(role) !== undefined;
-  return isMine || (claims.isLeader && claims.ownerOf(role) === undefined);
+export function isResponsibleFor(leadership: RoleLeadership, jobId: string): boolean {
+  const role = partitionRole(leadership.partitionOf(jobId));
+  const isMine = leadership.leadershipOf(role) !== undefined;
+  return isMine || (leadership.isLeader && leadership.leaderOf(role) === undefined);
 }
--- a/src/controller/standby.ts
+++ b/src/controller/standby.ts
@@ -28,30 +28,39 @@
   STATUS_PERIOD_MS,
 } from '../constants.js';
 import type { Settings } from '../config/settings.js';
-import type { Book } from '../ledger/book.js';
-import { parseShard, standbyKey, type StandbyRecord } from '../ledger/records.js';
-import type { Peers } from '../mesh/peers.js';
+import type { ClusterState } from '../ledger/book.js';
+import { parseTaskId } from '../ledger/records.js';
+import { standbyKey } from '../ledger/record-keys.js';
+import type { PeerDirectory } from '../mesh/peers.js';
 import type { Clock } from '../net/clock.js';
 import { Priority } from '../net/token-bucket.js';
 import type { Happiness } from '../placement/happiness.js';
-import type { Committer } from '../state/committer.js';
+import type { TransactionBatcher } from '../state/committer.js';
 import type { Replica } from '../state/replica.js';
-import { LEADER, partitionOfRole, partitionRole, type Claims, type Held, type Succession } from './claims.js';
-import type { Leader } from './leader.js';
+import {
+  CLUSTER_LEADER_ROLE,
+  partitionOfRole,
+  partitionRole,
+  type RoleLeadership,
+  type HeldLeadership,
+  type SuccessionPolicy,
+} from './claims.js';
+import type { ClusterLeader } from './leader.js';
 import type { Log } from './log.js';
+import { decodeStandbyRecord, encodeStandbyRecord } from '../ledger/record-codecs.js';
 
 export interface StandbyDependencies {
   settings: Settings;
   standby: StandbySettings;
   /** Tells this process from its former ones, as the gossip says it. */
-  life: number;
-  claims: Claims;
-  peers: Peers;
-  book: Book;
+  incarnation: number;
+  leadership: RoleLeadership;
+  peerDirectory: PeerDirectory;
+  clusterState: ClusterState;
   replica: Replica;
-  committer: Committer;
+  transactions: TransactionBatcher;
   happiness: Happiness;
-  leader: Leader;
+  leader: ClusterLeader;
   clock: Clock;
   log: Log;
   send: (node: string, message: { stream: StreamMessage }) => void;
@@ -60,7 +69,7 @@
 
 interface FormerClaim {
   readonly node: string;
-  readonly stamp: number;
+  readonly modRevision: number;
 }
 
 /** Looks of a standby between two of its periodic works. */
@@ -68,7 +77,7 @@
 const LOOKS_PER_STATUS = Math.round(STATUS_PERIOD_MS / STANDBY_LOOK_MS);
 const LOOKS_PER_COLLECTION = Math.round(ADVICE_PERIOD_MS / STANDBY_LOOK_MS);
 
-export class Standby implements Succession {
+export class Standby implements SuccessionPolicy {
   private readonly guard: PauseGuard;
   private readonly barriers = new Map<string, TakeoverBarrier>();
   private readonly outcomes = new Map<string, string>();
@@ -86,7 +95,7 @@
   private looks = 0;
 
   constructor(private readonly dependencies: StandbyDependencies) {
-    const { settings, standby, life, clock, log, tracer } = dependencies;
+    const { settings, standby, incarnation, clock, log, tracer } = dependencies;
     const now = () => clock.now();
     this.guard = new PauseGuard(now, HOLD_TTL_MS);
     this.advice = new AdvisoryLog(now);
@@ -96,7 +105,7 @@
       unacknowledgedBytes: standby.unacknowledged_bytes,
       followerTimeoutMs: FOLLOWER_TIMEOUT_MS,
     };
-    this.sender = new StreamSender(settings.node, life, this.advice, bounds, now);
+    this.sender = new StreamSender(settings.node, incarnation, this.advice, bounds, now);
     this.timeline = new TakeoverTimeline(now, (report) => {
       const { role, former } = report;
       log.info({ role, former, ms: stepDurations(report) }, 'takeover');
@@ -113,28 +122,28 @@
   }
 
   private designate(role: string, holder: string | undefined): string | undefined {
-    const { claims } = this.dependencies;
+    const { leadership } = this.dependencies;
     const partition = partitionOfRole(role);
-    const home = partition === undefined ? undefined : claims.homeOf(partition);
+    const home = partition === undefined ? undefined : leadership.preferredNodeOf(partition);
     return designateSuccessor({ role, holder, home }, this.candidates(role));
   }
 
   private candidates(role: string): Candidate[] {
-    const { settings, claims, peers, book } = this.dependencies;
-    const holders = [...book.claims.values()].map(({ record }) => record.node);
+    const { settings, leadership, peerDirectory, clusterState } = this.dependencies;
+    const holders = [...clusterState.leadershipRecords.values()].map(({ record }) => record.node);
     const rolesOf = (node: string) => holders.filter((holder) => holder === node).length;
     const own: Candidate = {
       node: settings.node,
       zone: settings.location,
-      isServing: claims.inTouch && this.isConfirmed,
-      avoidsRole: claims.avoided().includes(role),
+      isServing: leadership.isInTouchWithStore && this.isConfirmed,
+      avoidsRole: leadership.avoidedRoles().includes(role),
       roles: rolesOf(settings.node),
     };
     const others = settings.peers.map(({ node, location }): Candidate => ({
       node,
       zone: location,
-      isServing: peers.hasStore(node),
-      avoidsRole: peers.avoids(node, role),
+      isServing: peerDirectory.hasStore(node),
+      avoidsRole: peerDirectory.avoidsRole(node, role),
       roles: rolesOf(node),
     }));
     return [own, ...others];
@@ -154,20 +163,20 @@
     this.guard.confirm(sentAt);
   }
 
-  mayDecide(role: string, held: Held): boolean {
+  mayDecide(role: string, held: HeldLeadership): boolean {
     const isReady = this.isReady(role, held);
     if (isReady) this.timeline.note(role, 'decided');
     return isReady;
   }
 
-  isReady(role: string, held: Held): boolean {
-    const { claims, replica } = this.dependencies;
+  isReady(role: string, held: HeldLeadership): boolean {
+    const { leadership, replica } = this.dependencies;
     const outcome = this.barrierOf(role).assess({
-      tenure: held.acquisition,
+      term: held.term,
       // Whoever has found the role held has looked at this very moment.
       isConfirmed: this.wasConfirmed,
-      isInTouch: claims.inTouch,
-      completeUpTo: replica.epoch,
+      isInTouch: leadership.isInTouchWithStore,
+      completeUpTo: replica.revision,
     });
     this.noteOutcome(role, outcome);
     return outcome.kind === 'open';
@@ -175,9 +184,9 @@
 
   /** What was followed is of use before the first decision, too. */
   private assessAll(): void {
-    const { claims, book } = this.dependencies;
-    for (const role of book.claims.keys()) {
-      const held = claims.holding(role);
+    const { leadership, clusterState } = this.dependencies;
+    for (const role of clusterState.leadershipRecords.keys()) {
+      const held = leadership.leadershipOf(role);
       if (held !== undefined) this.isReady(role, held);
     }
   }
@@ -198,7 +207,7 @@
     this.dependencies.log.info({ role, barrier: text }, 'takeover barrier');
   }
 
-  claimed(role: string): void {
+  acquired(role: string): void {
     this.timeline.note(role, 'claimed');
   }
 
@@ -211,37 +220,41 @@
 
   /** To be called whenever a claim has changed. */
   claimsChanged(): void {
-    const { settings, claims, book, peers } = this.dependencies;
-    const roles = [LEADER, ...Array.from({ length: claims.partitionCount }, (_, n) => partitionRole(n))];
+    const { settings, leadership, clusterState, peerDirectory } = this.dependencies;
+    const roles = [
+      CLUSTER_LEADER_ROLE,
+      ...Array.from({ length: leadership.partitionCount }, (_, n) => partitionRole(n)),
+    ];
     for (const role of roles) {
-      const claim = book.claims.get(role);
-      if (claim === undefined) this.noteVacant(role, peers);
+      const holder = clusterState.leadershipRecords.get(role);
+      if (holder === undefined) this.noteVacant(role, peerDirectory);
       else {
         this.vacant.delete(role);
-        if (claim.record.node === settings.node) {
-          this.own.set(role, claim.stamp);
+        if (holder.record.node === settings.node) {
+          this.own.set(role, holder.modRevision);
           continue;
         }
         this.noteLoss(role);
         this.timeline.taken(role);
-        this.former.set(role, { node: claim.record.node, stamp: claim.stamp });
+        this.former.set(role, { node: holder.record.node, modRevision: holder.modRevision });
       }
     }
   }
 
   private noteLoss(role: string): void {
-    const stamp = this.own.get(role);
-    if (stamp === undefined) return;
+    const modRevision = this.own.get(role);
+    if (modRevision === undefined) return;
     this.own.delete(role);
     const { tracer, clock } = this.dependencies;
-    tracer.lost({ role, stamp, confirmedAt: this.guard.lastConfirmedAt, noticedAt: clock.now() });
+    tracer.lost({ role, fencingToken: modRevision, confirmedAt: this.guard.lastConfirmedAt, noticedAt: clock.now() });
   }
 
-  private noteVacant(role: string, peers: Peers): void {
+  private noteVacant(role: string, peerDirectory: PeerDirectory): void {
     const former = this.former.get(role);
     if (this.vacant.has(role)) return;
     this.vacant.add(role);
-    if (former !== undefined) this.timeline.vacant(role, former.node, former.stamp, peers.lastHeardAt(former.node));
+    if (former !== undefined)
+      this.timeline.vacant(role, former.node, former.modRevision, peerDirectory.lastHeardAt(former.node));
   }
 
   // ---- the stream
@@ -266,9 +279,9 @@
 
   /** The nodes that this one should be ready to succeed. */
   private followed(): Set<string> {
-    const { settings, book } = this.dependencies;
+    const { settings, clusterState } = this.dependencies;
     const nodes = new Set<string>();
-    for (const [role, { record }] of book.claims) {
+    for (const [role, { record }] of clusterState.leadershipRecords) {
       if (record.node !== settings.node && this.designate(role, record.node) === settings.node) nodes.add(record.node);
     }
     return nodes;
@@ -277,8 +290,8 @@
   private askAll(): void {
     for (const node of this.followed()) {
       if (!this.followers.has(node)) {
-        const { settings, life, standby, clock } = this.dependencies;
-        this.followers.set(node, new StreamFollower(settings.node, life, standby.max_lag_ms, () => clock.now()));
+        const { settings, incarnation, standby, clock } = this.dependencies;
+        this.followers.set(node, new StreamFollower(settings.node, incarnation, standby.max_lag_ms, () => clock.now()));
       }
       this.ask(node);
     }
@@ -292,20 +305,24 @@
 
   /** The very process that is heard from the node has said in the store that it reads the stream. */
   private canRead(node: string): boolean {
-    const { replica, peers } = this.dependencies;
-    const record = replica.get(standbyKey(node)).value as StandbyRecord | undefined;
-    return record !== undefined && record.life === peers.lifeOf(node);
+    const { replica, peerDirectory } = this.dependencies;
+    const record = decodeStandbyRecord(replica.get(standbyKey(node)).value);
+    return record !== undefined && record.incarnation === peerDirectory.incarnationOf(node);
   }
 
   /** Says in the store that this process reads the stream. */
   private async announce(): Promise<void> {
-    const { settings, life, claims, replica, committer } = this.dependencies;
+    const { settings, incarnation, leadership, replica, transactions } = this.dependencies;
     const key = standbyKey(settings.node);
-    const isAnnounced = () => (replica.get(key).value as StandbyRecord | undefined)?.latch === claims.hold;
-    if (claims.hold === undefined || !claims.inTouch || isAnnounced()) return;
-    await committer.commit('standby', Priority.hold, (draft) => {
-      if (claims.hold === undefined || isAnnounced()) return false;
-      draft.setUnderHold(key, { life, latch: claims.hold } satisfies StandbyRecord, claims.hold);
+    const isAnnounced = () => decodeStandbyRecord(replica.get(key).value)?.leaseId === leadership.storeLeaseId;
+    if (leadership.storeLeaseId === undefined || !leadership.isInTouchWithStore || isAnnounced()) return;
+    await transactions.commit('standby', Priority.lease, (draft) => {
+      if (leadership.storeLeaseId === undefined || isAnnounced()) return false;
+      draft.setUnderLease(
+        key,
+        encodeStandbyRecord({ incarnation: incarnation, leaseId: leadership.storeLeaseId }),
+        leadership.storeLeaseId,
+      );
       return true;
     });
   }
@@ -314,9 +331,9 @@
 
   /** What changes at single moments is collected at each look. */
   private collectEvents(): void {
-    const { claims, happiness, leader } = this.dependencies;
+    const { leadership, happiness, leader } = this.dependencies;
     const { memory } = leader;
-    const isLeader = claims.isLeader;
+    const isLeader = leadership.isLeader;
     this.tell(
       'moved',
       [...happiness.movedLately()].map(({ task, at }) => ({ name: task, at })),
@@ -327,11 +344,11 @@
 
   /** What is counted over a while is collected more rarely. */
   private collectCounts(): void {
-    const { claims, happiness, leader, clock } = this.dependencies;
-    const idle = claims.isLeader ? [...leader.memory.idle()] : [];
+    const { leadership, happiness, leader, clock } = this.dependencies;
+    const idle = leadership.isLeader ? [...leader.memory.idle()] : [];
     this.tell(
       'idle',
-      idle.map(({ host, at }) => ({ name: host, at })),
+      idle.map(({ machineId, at }) => ({ name: machineId, at })),
     );
     const troubled = [...happiness.troubled(clock.now())];
     const health = troubled.map(({ task, healthy, unhealthy, lastAt }) => {
@@ -354,7 +371,7 @@
     const former = this.former.get(role);
     const follower = former === undefined ? undefined : this.followers.get(former.node);
     if (former === undefined || follower === undefined || follower.size === 0) return;
-    const taken = role === LEADER ? this.takeLeaders(follower) : this.takePartitions(role, follower);
+    const taken = role === CLUSTER_LEADER_ROLE ? this.takeLeaders(follower) : this.takePartitions(role, follower);
     const knownMs = Math.round(this.dependencies.clock.now() - follower.knownAt);
     log.info({ role, former: former.node, entries: follower.size, taken, knownMs }, 'standby state taken over');
   }
@@ -363,7 +380,7 @@
     const { memory } = this.dependencies.leader;
     const stopping = follower.entries('stopping');
     const refused = follower.entries('no_capacity');
-    const idle = follower.entries('idle').filter(({ name }) => this.dependencies.book.countOn(name) === 0);
+    const idle = follower.entries('idle').filter(({ name }) => this.dependencies.clusterState.taskCountOn(name) === 0);
     for (const { name, at } of stopping) memory.restoreStopping(name, at);
     for (const { name, at } of refused) memory.restoreRefusal(name, at);
     for (const { name, at } of idle) memory.restoreIdle(name, at);
@@ -380,10 +397,11 @@
   }
 
   private isPlacedIn(role: string, task: string): boolean {
-    const { book, claims } = this.dependencies;
-    const shard = parseShard(task);
-    const slot = shard === undefined ? undefined : book.jobs.get(shard.ref)?.slot(shard.shard);
-    return slot?.kind === 'placed' && partitionRole(claims.partitionOf(slot.host)) === role;
+    const { clusterState, leadership } = this.dependencies;
+    const shard = parseTaskId(task);
+    const placement =
+      shard === undefined ? undefined : clusterState.jobs.get(shard.jobId)?.placementOf(shard.taskIndex);
+    return placement?.kind === 'placed' && partitionRole(leadership.partitionOf(placement.machineId)) === role;
   }
 
   // ---- the routine
--- a/src/controller/stopper.ts
+++ b/src/controller/stopper.ts
@@ -1,22 +1,22 @@
 import { STOPPING_MS } from '../constants.js';
-import type { Book, Place } from '../ledger/book.js';
-import { stopShard } from '../ledger/edits.js';
+import type { ClusterState, PlacedTask } from '../ledger/book.js';
+import { markForStop } from '../ledger/edits.js';
 import type { JobSpec } from '../ledger/records.js';
 import type { Clock } from '../net/clock.js';
 import { Priority } from '../net/token-bucket.js';
-import type { Committer } from '../state/committer.js';
-import { attemptOf } from '../workers/reconcile.js';
-import { LEADER, type Claims } from './claims.js';
+import type { TransactionBatcher } from '../state/committer.js';
+import { attemptKeyOf } from '../workers/reconcile.js';
+import { CLUSTER_LEADER_ROLE, type RoleLeadership } from './claims.js';
 import type { Log } from './log.js';
 
 /** Marks places for stopping on the leader's behalf, and remembers which until the ledger shows it. */
-export class Stopper {
+export class EvictionMarker {
   private readonly stoppedAt = new Map<string, number>();
 
   constructor(
-    private readonly claims: Claims,
-    private readonly book: Book,
-    private readonly committer: Committer,
+    private readonly leadership: RoleLeadership,
+    private readonly clusterState: ClusterState,
+    private readonly transactions: TransactionBatcher,
     private readonly clock: Clock,
     private readonly log: Log,
   ) {}
@@ -31,39 +31,44 @@
     if (!this.stoppedAt.has(attempt)) this.stoppedAt.set(attempt, at);
   }
 
-  isStopping(place: Place): boolean {
-    if (place.slot.stop !== null) return true;
+  isStopping(placedTask: PlacedTask): boolean {
+    if (placedTask.placement.gracePeriodS !== null) return true;
     if (this.stoppedAt.size === 0) return false;
-    const since = this.stoppedAt.get(attemptOf(place));
+    const since = this.stoppedAt.get(attemptKeyOf(placedTask));
     return since !== undefined && this.clock.now() - since < STOPPING_MS;
   }
 
-  stop(place: Place, spec: JobSpec, grace: number, why: string): void {
-    const { ref } = place;
+  stop(placedTask: PlacedTask, spec: JobSpec, gracePeriodS: number, why: string): void {
+    const { jobId } = placedTask;
     // A gang stops whole: every member must be told within `gang_peer_s` of the first.
-    const places: Place[] = [];
-    if (spec.Shape === 'ensemble') {
-      for (const [shard, slot] of this.book.jobs.get(ref)?.known() ?? []) {
-        if (slot.kind === 'placed' && slot.attempt === place.slot.attempt) places.push({ ref, shard, slot });
+    const placedTasks: PlacedTask[] = [];
+    if (spec.kind === 'gang') {
+      for (const [taskIndex, placement] of this.clusterState.jobs.get(jobId)?.knownPlacements() ?? []) {
+        if (placement.kind === 'placed' && placement.attempt === placedTask.placement.attempt)
+          placedTasks.push({ jobId, taskIndex, placement });
       }
-    } else places.push(place);
+    } else placedTasks.push(placedTask);
     const now = this.clock.now();
     for (const [key, at] of this.stoppedAt) if (now - at > STOPPING_MS) this.stoppedAt.delete(key);
-    for (const each of places) this.stoppedAt.set(attemptOf(each), now);
-    this.log.debug({ job: ref, machine: place.slot.host, shards: places.length, grace, why }, 'stop');
-    void this.committer.commit(
+    for (const each of placedTasks) this.stoppedAt.set(attemptKeyOf(each), now);
+    this.log.debug(
+      { job: jobId, machine: placedTask.placement.machineId, taskCount: placedTasks.length, gracePeriodS, why },
+      'stop',
+    );
+    void this.transactions.commit(
       'stop',
       Priority.start,
       (draft) => {
-        if (!this.claims.require(draft, LEADER)) return false;
+        if (!this.leadership.requireLeadership(draft, CLUSTER_LEADER_ROLE)) return false;
         let marked = false;
-        for (const each of places) {
-          if (stopShard(draft, ref, each.shard, each.slot.host, each.slot.attempt, grace)) marked = true;
+        for (const each of placedTasks) {
+          if (markForStop(draft, jobId, each.taskIndex, each.placement.machineId, each.placement.attempt, gracePeriodS))
+            marked = true;
         }
         return marked;
       },
       undefined,
-      this.book.companyOf(ref, place.shard),
+      this.clusterState.batchingHintFor(jobId, placedTask.taskIndex),
     );
   }
 }
--- a/src/controller/team-settlement.ts
+++ b/src/controller/team-settlement.ts
@@ -2,18 +2,18 @@
  * Sets the records of teams to what the ledger shows, where exits have left them as they were and no start has followed. Done by the
  * leader, for teams of which nothing has started for a while, so that it takes no changes from those that are busy.
  */
-import { teamKey } from '../ledger/records.js';
+import { teamKey } from '../ledger/record-keys.js';
 import type { TeamAccounting } from '../ledger/team-accounting.js';
 import { Priority } from '../net/token-bucket.js';
-import type { Committer } from '../state/committer.js';
+import type { TransactionBatcher } from '../state/committer.js';
 import type { Replica } from '../state/replica.js';
-import type { Claims } from './claims.js';
+import type { RoleLeadership } from './claims.js';
 
 export interface TeamSettlementDependencies {
   teams: readonly { name: string }[];
-  claims: Claims;
+  leadership: RoleLeadership;
   replica: Replica;
-  committer: Committer;
+  transactions: TransactionBatcher;
   accounting: TeamAccounting;
 }
 
@@ -25,14 +25,14 @@
 
   /** Called now and then: what has not changed since the last time is settled. */
   look(): void {
-    const { teams, claims, replica, committer, accounting } = this.dependencies;
-    if (!claims.isLeader) return;
+    const { teams, leadership, replica, transactions, accounting } = this.dependencies;
+    if (!leadership.isLeader) return;
     for (const { name } of teams) {
-      const { stamp } = replica.get(teamKey(name));
-      const isQuiet = this.seen.get(name) === stamp;
-      this.seen.set(name, stamp);
+      const { modRevision } = replica.get(teamKey(name));
+      const isQuiet = this.seen.get(name) === modRevision;
+      this.seen.set(name, modRevision);
       if (!isQuiet || !accounting.isOverstated(name)) continue;
-      void committer.commit('settle', Priority.background, (draft) => accounting.settle(draft, name));
+      void transactions.commit('settle', Priority.background, (draft) => accounting.settle(draft, name));
     }
   }
 }
--- a/src/controller/token-announcer.ts
+++ b/src/controller/token-announcer.ts
@@ -1,36 +1,41 @@
 /** Tells this node's fencing token to workers that have not been heard since it took their partition over. */
-import type { Book } from '../ledger/book.js';
-import type { Claims } from './claims.js';
-import type { Fleet } from './fleet.js';
-import type { Leader } from './leader.js';
-import type { Owner } from './owner.js';
+import type { ClusterState } from '../ledger/book.js';
+import type { RoleLeadership } from './claims.js';
+import type { MachineInventory } from './fleet.js';
+import type { ClusterLeader } from './leader.js';
+import type { WorkerManager } from './owner.js';
 
 export interface WorkerGreeterDependencies {
-  claims: Claims;
-  book: Book;
-  owner: Owner;
-  fleet: Fleet;
-  leader: Leader;
+  leadership: RoleLeadership;
+  clusterState: ClusterState;
+  workerManager: WorkerManager;
+  inventory: MachineInventory;
+  leader: ClusterLeader;
 }
 
 export class TokenAnnouncer {
   constructor(private readonly dependencies: WorkerGreeterDependencies) {}
 
   announce(): void {
-    const { claims, book, owner } = this.dependencies;
-    if (!claims.inTouch) return;
-    for (const host of book.hostsInUse()) {
-      if (owner.workers.has(host) || claims.holding(owner.roleOf(host)) === undefined) continue;
-      const endpoint = this.endpointOf(host);
+    const { leadership, clusterState, workerManager } = this.dependencies;
+    if (!leadership.isInTouchWithStore) return;
+    for (const machineId of clusterState.usedMachines()) {
+      if (
+        workerManager.workers.has(machineId) ||
+        leadership.leadershipOf(workerManager.roleOf(machineId)) === undefined
+      )
+        continue;
+      const endpoint = this.endpointOf(machineId);
       if (endpoint === undefined) continue;
-      let tenure = 0;
-      for (const place of book.placesOn(host)) tenure = Math.max(tenure, place.slot.tenure);
-      void owner.announceToken(host, endpoint, tenure);
+      let agentEpoch = 0;
+      for (const placedTask of clusterState.tasksOn(machineId))
+        agentEpoch = Math.max(agentEpoch, placedTask.placement.agentEpoch);
+      void workerManager.announceToken(machineId, endpoint, agentEpoch);
     }
   }
 
-  private endpointOf(host: string): string | undefined {
-    const { fleet, leader } = this.dependencies;
-    return fleet.known(host)?.endpoint ?? leader.listing.get(host)?.endpoint;
+  private endpointOf(machineId: string): string | undefined {
+    const { inventory, leader } = this.dependencies;
+    return inventory.peerReportOf(machineId)?.endpoint ?? leader.listing.get(machineId)?.endpoint;
   }
 }
--- a/src/controller/withdrawal-enforcer.ts
+++ b/src/controller/withdrawal-enforcer.ts
@@ -1,12 +1,12 @@
 import { TOKEN_ANNOUNCE_AGAIN_MS, MAX_TOKEN_ANNOUNCEMENTS } from '../constants.js';
-import type { Book } from '../ledger/book.js';
-import { shardName } from '../ledger/records.js';
+import type { ClusterState } from '../ledger/book.js';
+import { taskIdOf } from '../ledger/records.js';
 import type { Clock } from '../net/clock.js';
 import type { HttpClient } from '../net/http-client.js';
 import { sendCommands } from '../workers/commands.js';
-import type { Order } from '../workers/report.js';
-import { partitionRole, type Claims } from './claims.js';
-import type { Fleet } from './fleet.js';
+import type { WorkerCommand } from '../workers/worker-wire-codec.js';
+import { partitionRole, type RoleLeadership } from './claims.js';
+import type { MachineInventory } from './fleet.js';
 import type { Log } from './log.js';
 
 /**
@@ -16,15 +16,15 @@
  * here, and it learns of the exits by the next report. That the tasks go in time does not rest on this; it only stops them
  * sooner.
  */
-export class WithdrawalEnforcer {
+export class CancellationEnforcer {
   private readonly sentAt = new Map<string, number>();
   private sending = 0;
 
   constructor(
-    private readonly claims: Claims,
-    private readonly book: Book,
-    private readonly fleet: Fleet,
-    private readonly peers: { saysWithoutStore(node: string): boolean },
+    private readonly leadership: RoleLeadership,
+    private readonly clusterState: ClusterState,
+    private readonly inventory: MachineInventory,
+    private readonly peerDirectory: { isWithoutStore(node: string): boolean },
     private readonly http: HttpClient,
     private readonly clock: Clock,
     private readonly log: Log,
@@ -32,35 +32,43 @@
 
   sweep(): void {
     const now = this.clock.now();
-    for (const [host, at] of this.sentAt) if (now - at > TOKEN_ANNOUNCE_AGAIN_MS) this.sentAt.delete(host);
-    for (const [host, { fence, tenure, orders }] of this.leftOver()) {
-      const endpoint = this.fleet.get(host)?.endpoint;
-      if (endpoint === undefined || this.sentAt.has(host) || this.sending >= MAX_TOKEN_ANNOUNCEMENTS) continue;
-      this.sentAt.set(host, now);
+    for (const [machineId, at] of this.sentAt) if (now - at > TOKEN_ANNOUNCE_AGAIN_MS) this.sentAt.delete(machineId);
+    for (const [machineId, { fencingToken, agentEpoch, commands }] of this.leftOver()) {
+      const endpoint = this.inventory.get(machineId)?.endpoint;
+      if (endpoint === undefined || this.sentAt.has(machineId) || this.sending >= MAX_TOKEN_ANNOUNCEMENTS) continue;
+      this.sentAt.set(machineId, now);
       this.sending++;
-      this.log.info({ machine: host, tasks: orders.length }, 'tasks of withdrawn jobs stopped for their owner');
-      void sendCommands(this.http, endpoint, fence, tenure, orders).finally(() => this.sending--);
+      this.log.info({ machine: machineId, tasks: commands.length }, 'tasks of withdrawn jobs stopped for their owner');
+      void sendCommands(this.http, endpoint, fencingToken, agentEpoch, commands).finally(() => this.sending--);
     }
   }
 
   /** By machine; the places of one machine have one session, or the older ones are over. */
-  private leftOver(): Map<string, { fence: number; tenure: number; orders: Order[] }> {
-    const left = new Map<string, { fence: number; tenure: number; orders: Order[] }>();
-    for (const view of this.book.jobs.values()) {
-      if (view.record.phase !== 'withdrawn' || view.placed === 0) continue;
-      for (const [shard, slot] of view.known()) {
-        if (slot.kind !== 'placed') continue;
-        const role = partitionRole(this.claims.partitionOf(slot.host));
-        const claim = this.book.claims.get(role);
-        if (claim === undefined || this.claims.holding(role) !== undefined) continue;
+  private leftOver(): Map<string, { fencingToken: number; agentEpoch: number; commands: WorkerCommand[] }> {
+    const left = new Map<string, { fencingToken: number; agentEpoch: number; commands: WorkerCommand[] }>();
+    for (const view of this.clusterState.jobs.values()) {
+      if (view.record.state !== 'cancelled' || view.placed === 0) continue;
+      for (const [taskIndex, placement] of view.knownPlacements()) {
+        if (placement.kind !== 'placed') continue;
+        const role = partitionRole(this.leadership.partitionOf(placement.machineId));
+        const holder = this.clusterState.leadershipRecords.get(role);
+        if (holder === undefined || this.leadership.leadershipOf(role) !== undefined) continue;
         // An owner that is only busy, or whose partition others will take over, needs no help.
-        if (this.claims.inTouch && !this.peers.saysWithoutStore(claim.record.node)) continue;
-        let here = left.get(slot.host);
-        if (here === undefined || here.tenure < slot.tenure) {
-          left.set(slot.host, (here = { fence: claim.stamp, tenure: slot.tenure, orders: [] }));
+        if (this.leadership.isInTouchWithStore && !this.peerDirectory.isWithoutStore(holder.record.node)) continue;
+        let here = left.get(placement.machineId);
+        if (here === undefined || here.agentEpoch < placement.agentEpoch) {
+          left.set(
+            placement.machineId,
+            (here = { fencingToken: holder.modRevision, agentEpoch: placement.agentEpoch, commands: [] }),
+          );
         }
-        if (here.tenure !== slot.tenure) continue;
-        here.orders.push({ verb: 'kill', shard: shardName(view.ref, shard), attempt: slot.attempt, grace: 0 });
+        if (here.agentEpoch !== placement.agentEpoch) continue;
+        here.commands.push({
+          kind: 'kill',
+          taskId: taskIdOf(view.jobId, taskIndex),
+          attempt: placement.attempt,
+          gracePeriodS: 0,
+        });
       }
     }
     return left;
--- /dev/null
+++ b/src/controller/worker-manager-events.ts
@@ -0,0 +1,38 @@
+/** Joins the manager of the workers to the parts that it asks, and that want to know of heartbeats and exits. */
+import type { ClusterState } from '../ledger/book.js';
+import type { MachineInventory } from './fleet.js';
+import type { HealthChecks } from './health-checks.js';
+import type { PlacementPlanner } from './planner.js';
+import type { Standby } from './standby.js';
+import type { WorkerManagerEvents } from './worker-manager-dependencies.js';
+
+/** The parts that are built after the manager are asked for when they are needed. */
+export interface WorkerManagerEventsDependencies {
+  clusterState: ClusterState;
+  healthChecks: HealthChecks;
+  inventory: () => MachineInventory;
+  planner: () => PlacementPlanner;
+  standby: () => Standby | undefined;
+}
+
+export function createWorkerManagerEvents({
+  clusterState,
+  healthChecks,
+  inventory,
+  planner,
+  standby,
+}: WorkerManagerEventsDependencies): WorkerManagerEvents {
+  return {
+    isTerminated: (machineId) => inventory().terminated.has(machineId),
+    isLate: (workerStatus) => inventory().isLate(workerStatus),
+    knownImages: (machineId) => inventory().peerReportOf(machineId)?.images ?? [],
+    cacheGb: (machineType) => inventory().catalog.get(machineType)?.imageCacheGb ?? Infinity,
+    answered: (role) => standby()?.answered(role),
+    heartbeatReceived: (workerStatus) => healthChecks.reported(workerStatus),
+    completed: (placedTask, ranS) => {
+      const spec = clusterState.jobs.get(placedTask.jobId)?.record.spec;
+      if (spec !== undefined) planner().learnRunTime(spec, ranS);
+    },
+    died: (placedTask) => healthChecks.died(placedTask),
+  };
+}
--- a/src/controller/worker-registry.ts
+++ b/src/controller/worker-registry.ts
@@ -6,7 +6,13 @@
 import { FRESH_MS } from '../constants.js';
 import type { Settings } from '../config/settings.js';
 import { leaseOverAt, Worker } from '../workers/worker.js';
-import { holdOverMs, partitionRole, type Acquisition, type Claims, type Held } from './claims.js';
+import {
+  degradedServingMs,
+  partitionRole,
+  type LeadershipTerm,
+  type RoleLeadership,
+  type HeldLeadership,
+} from './claims.js';
 
 /** The workers of one partition, for as long as one acquisition of its claim lasts. */
 interface PartitionKnowledge {
@@ -18,24 +24,24 @@
 /** The workers of all partitions that this process owns, by host. */
 export class WorkerRegistry {
   /** Ends with the acquisition itself: no other lifetime could get out of step with the time that proofs count from. */
-  private readonly byAcquisition = new WeakMap<Acquisition, PartitionKnowledge>();
+  private readonly byAcquisition = new WeakMap<LeadershipTerm, PartitionKnowledge>();
 
   constructor(
-    private readonly claims: Claims,
+    private readonly leadership: RoleLeadership,
     private readonly settings: Settings['cluster']['workers'],
   ) {}
 
-  get(host: string): Worker | undefined {
-    return this.knowledgeFor(host)?.workers.get(host);
+  get(machineId: string): Worker | undefined {
+    return this.knowledgeFor(machineId)?.workers.get(machineId);
   }
 
-  has(host: string): boolean {
-    return this.get(host) !== undefined;
+  has(machineId: string): boolean {
+    return this.get(machineId) !== undefined;
   }
 
   /** All workers heard, of one partition after the other. */
   *values(): Generator<Worker> {
-    for (let partition = 0; partition < this.claims.partitionCount; partition++) yield* this.ofPartition(partition);
+    for (let partition = 0; partition < this.leadership.partitionCount; partition++) yield* this.ofPartition(partition);
   }
 
   ofPartition(partition: number): Iterable<Worker> {
@@ -44,7 +50,7 @@
 
   get size(): number {
     let size = 0;
-    for (let partition = 0; partition < this.claims.partitionCount; partition++) {
+    for (let partition = 0; partition < this.leadership.partitionCount; partition++) {
       size += this.knowledgeOfPartition(partition)?.workers.size ?? 0;
     }
     return size;
@@ -52,55 +58,55 @@
 
   /** Takes in a worker that is heard for the first time. Its partition must be owned. */
   add(worker: Worker): void {
-    this.knowledgeFor(worker.host)?.workers.set(worker.host, worker);
+    this.knowledgeFor(worker.machineId)?.workers.set(worker.machineId, worker);
   }
 
   /** The machine is gone for good, and nothing on it needs a proof any more. */
-  remove(host: string): void {
-    this.knowledgeFor(host)?.workers.delete(host);
+  remove(machineId: string): void {
+    this.knowledgeFor(machineId)?.workers.delete(machineId);
   }
 
   /** Forgets a worker that has been silent for long; its last sign of life still bounds the leases of the unknown ones. */
-  forget(host: string): void {
-    const knowledge = this.knowledgeFor(host);
-    const worker = knowledge?.workers.get(host);
+  forget(machineId: string): void {
+    const knowledge = this.knowledgeFor(machineId);
+    const worker = knowledge?.workers.get(machineId);
     if (knowledge === undefined || worker === undefined) return;
-    knowledge.workers.delete(host);
+    knowledge.workers.delete(machineId);
     knowledge.forgottenHeardAt = Math.max(knowledge.forgottenHeardAt, lastAnswerable(worker));
   }
 
   /** Steady ms after which the lease of a machine's session is certainly over, if nobody answers it again. */
-  leaseOverAt(host: string, held: Held): number {
-    const knowledge = this.knowledgeOf(held.acquisition);
-    const worker = knowledge?.workers.get(host);
+  leaseOverAt(machineId: string, held: HeldLeadership): number {
+    const knowledge = this.knowledgeOf(held.term);
+    const worker = knowledge?.workers.get(machineId);
     const known = worker === undefined ? (knowledge?.forgottenHeardAt ?? -Infinity) : lastAnswerable(worker);
     // A worker that has shown this token drops what former owners answer.
-    const hasSeenToken = worker !== undefined && worker.fence >= held.fence;
-    const last = hasSeenToken ? known : Math.max(known, this.othersAnsweredUntil(held.acquisition));
+    const hasSeenToken = worker !== undefined && worker.fencingToken >= held.fencingToken;
+    const last = hasSeenToken ? known : Math.max(known, this.othersAnsweredUntil(held.term));
     return leaseOverAt(last, this.settings.lease_s);
   }
 
   /** Steady ms from which on nobody else can have answered a worker that has not shown this node's token yet. */
-  private othersAnsweredUntil(acquisition: Acquisition): number {
+  private othersAnsweredUntil(term: LeadershipTerm): number {
     // A former owner's copy can have been complete until its hold ended, even if only its renewals were lost; and what it was
     // told by this node since then would have shown it the new claim.
-    return acquisition.at + Math.max(FRESH_MS, holdOverMs(this.settings));
+    return term.at + Math.max(FRESH_MS, degradedServingMs(this.settings));
   }
 
-  private knowledgeFor(host: string): PartitionKnowledge | undefined {
-    return this.knowledgeOfPartition(this.claims.partitionOf(host));
+  private knowledgeFor(machineId: string): PartitionKnowledge | undefined {
+    return this.knowledgeOfPartition(this.leadership.partitionOf(machineId));
   }
 
   private knowledgeOfPartition(partition: number): PartitionKnowledge | undefined {
-    return this.knowledgeOf(this.claims.acquisition(partitionRole(partition)));
+    return this.knowledgeOf(this.leadership.termOf(partitionRole(partition)));
   }
 
-  private knowledgeOf(acquisition: Acquisition | undefined): PartitionKnowledge | undefined {
-    if (acquisition === undefined) return undefined;
-    const known = this.byAcquisition.get(acquisition);
+  private knowledgeOf(term: LeadershipTerm | undefined): PartitionKnowledge | undefined {
+    if (term === undefined) return undefined;
+    const known = this.byAcquisition.get(term);
     if (known !== undefined) return known;
     const knowledge = { workers: new Map<string, Worker>(), forgottenHeardAt: -Infinity };
-    this.byAcquisition.set(acquisition, knowledge);
+    this.byAcquisition.set(term, knowledge);
     return knowledge;
   }
 }
--- a/src/ledger/book.ts
+++ b/src/ledger/book.ts
@@ -1,46 +1,42 @@
 import type { Team } from '../config/settings.js';
-import type { Company } from '../state/committer.js';
-import type { Replica, Stored } from '../state/replica.js';
-import { Pipelines, type Urgency } from './pipelines.js';
+import type { BatchingHint } from '../state/committer.js';
+import type { Replica, StoredValue } from '../state/replica.js';
+import { JobDependencies, type Urgency } from './pipelines.js';
+import { JOB_PREFIX, LEADERSHIP_PREFIX, PLACEMENT_PREFIX, placementChunkKey, RENTAL_PREFIX } from './record-keys.js';
 import {
-  chunkKey,
+  type ActivePlacement,
   chunkSize,
-  decodeChunk,
-  isWithoutPlaces,
-  decodeHire,
-  decodeJob,
-  JOB_PREFIX,
-  LEDGER_PREFIX,
-  LIVE,
-  RANKS,
-  type ClaimRecord,
-  type HireRecord,
+  JOB_PRIORITIES,
   type JobRecord,
-  type Placed,
-  type Slot,
-  type TeamRecord,
+  type LeadershipRecord,
+  type RentalRecord,
+  type Resources,
+  type TaskPlacement,
+  type TeamUsage,
 } from './records.js';
-import { isLimited, round, takeRoom, zonesOf, type Room } from './rules.js';
-
-export interface Place {
-  ref: string;
-  shard: number;
-  slot: Placed;
+import { decodeChunk, hasNoActivePlacements } from './placement-codec.js';
+import { decodeJobRecord, decodeLeadershipRecord, decodeRentalRecord } from './record-codecs.js';
+import { isLimited, roundAmount, subtractResources, zonesOf } from './rules.js';
+
+export interface PlacedTask {
+  jobId: string;
+  taskIndex: number;
+  placement: ActivePlacement;
 }
 
 /** A job and where its shards stand, as far as the replica knows. */
 export class JobView {
-  readonly chunks = new Map<number, readonly Slot[]>();
+  readonly chunks = new Map<number, readonly TaskPlacement[]>();
   done = 0;
   placed = 0;
-  private waiting: number[] | undefined;
+  private queuedTasks: number[] | undefined;
   private effective: JobRecord;
   /** Time of day, ms, by which the job must be complete for the sake of the jobs that need it; Infinity: no matter. */
   finishBy = Infinity;
-  private inheritedRank = RANKS.length;
+  private inheritedPriorityIndex = JOB_PRIORITIES.length;
 
   constructor(
-    readonly ref: string,
+    readonly jobId: string,
     private stored: JobRecord,
   ) {
     this.effective = stored;
@@ -52,123 +48,124 @@
   }
 
   /** Takes in a new record of the job. */
-  store(record: JobRecord): void {
+  updateRecord(record: JobRecord): void {
     this.stored = record;
-    this.raise();
+    this.applyInheritedPriority();
   }
 
   /** Takes in what the jobs that need this one ask of it. */
-  inherit({ rank, finishBy }: Urgency): void {
+  inherit({ priorityIndex, finishBy }: Urgency): void {
     this.finishBy = finishBy;
-    this.inheritedRank = rank;
-    this.raise();
+    this.inheritedPriorityIndex = priorityIndex;
+    this.applyInheritedPriority();
   }
 
-  private raise(): void {
+  private applyInheritedPriority(): void {
     const { spec } = this.stored;
-    const isRaised = this.inheritedRank < RANKS.indexOf(spec.Rank);
-    this.effective = isRaised ? { ...this.stored, spec: { ...spec, Rank: RANKS[this.inheritedRank]! } } : this.stored;
+    const isRaised = this.inheritedPriorityIndex < JOB_PRIORITIES.indexOf(spec.priority);
+    this.effective = isRaised
+      ? { ...this.stored, spec: { ...spec, priority: JOB_PRIORITIES[this.inheritedPriorityIndex]! } }
+      : this.stored;
   }
 
-  slot(shard: number): Slot {
-    const chunk = this.chunks.get(Math.floor(shard / this.record.chunk));
-    return chunk?.[shard % this.record.chunk] ?? { kind: 'queued', attempt: 0, fails: 0 };
+  placementOf(taskIndex: number): TaskPlacement {
+    const chunk = this.chunks.get(Math.floor(taskIndex / this.record.tasksPerChunk));
+    return chunk?.[taskIndex % this.record.tasksPerChunk] ?? { kind: 'queued', attempt: 0, failures: 0 };
   }
 
   /** The shards that wait for a place, in order; listed anew only when the ledger has changed. */
   get queued(): readonly number[] {
-    if (this.waiting === undefined) {
-      this.waiting = [];
-      const { chunk, spec } = this.record;
-      for (let first = 0; first < spec.Shards; first += chunk) {
-        const slots = this.chunks.get(first / chunk);
-        const size = Math.min(chunk, spec.Shards - first);
+    if (this.queuedTasks === undefined) {
+      this.queuedTasks = [];
+      const { tasksPerChunk, spec } = this.record;
+      for (let first = 0; first < spec.taskCount; first += tasksPerChunk) {
+        const placements = this.chunks.get(first / tasksPerChunk);
+        const size = Math.min(tasksPerChunk, spec.taskCount - first);
         for (let at = 0; at < size; at++) {
-          if (slots === undefined || slots[at]!.kind === 'queued') this.waiting.push(first + at);
+          if (placements === undefined || placements[at]!.kind === 'queued') this.queuedTasks.push(first + at);
         }
       }
     }
-    return this.waiting;
+    return this.queuedTasks;
   }
 
   /** The ledger has changed. */
-  changed(): void {
-    this.waiting = undefined;
+  placementsChanged(): void {
+    this.queuedTasks = undefined;
   }
 
   /** All slots that were ever placed, with their numbers. */
-  *known(): Generator<[number, Slot]> {
-    for (const [index, slots] of this.chunks) {
-      for (const [at, slot] of slots.entries()) yield [index * this.record.chunk + at, slot];
+  *knownPlacements(): Generator<[number, TaskPlacement]> {
+    for (const [index, placements] of this.chunks) {
+      for (const [at, placement] of placements.entries()) yield [index * this.record.tasksPerChunk + at, placement];
     }
   }
 
   /** Tasks of the job in each zone, where a rule asks for them; else nobody looks through them. */
-  get zones(): Map<string, number> {
-    const { Spread, OneZone } = this.record.spec;
-    return zonesOf(Spread || OneZone ? [...this.known()].map(([, slot]) => slot) : []);
+  get tasksPerZone(): Map<string, number> {
+    const { spreadAcrossZones, singleZone } = this.record.spec;
+    return zonesOf(
+      spreadAcrossZones || singleZone ? [...this.knownPlacements()].map(([, placement]) => placement) : [],
+    );
   }
 
   /** A gang completes together: what was lost before the others' end was recorded has ended with them. */
-  get complete(): boolean {
-    const { Shape, Shards } = this.record.spec;
-    return this.done === Shards || (Shape === 'ensemble' && this.done > 0 && this.placed === 0);
+  get isComplete(): boolean {
+    const { kind, taskCount } = this.record.spec;
+    return this.done === taskCount || (kind === 'gang' && this.done > 0 && this.placed === 0);
   }
 }
 
-export interface BookListener {
+export interface ClusterStateListener {
   /** Something about a job has changed, or of its ledger these shards. */
-  job?(ref: string, shards?: readonly number[]): void;
+  jobChanged?(jobId: string, taskIndexes?: readonly number[]): void;
   /** A job has another rank or deadline for the sake of those that need it. */
-  urgency?(ref: string): void;
-  claim?(role: string): void;
-  corrupt?(key: string, error: unknown): void;
+  urgencyChanged?(jobId: string): void;
+  leadershipChanged?(role: string): void;
+  recordUnreadable?(key: string, error: unknown): void;
 }
 
-const CLAIM = `${LIVE}claim/`;
-const HIRE = `${LIVE}hire/`;
-
 /** The replica's records, read and indexed: jobs, places by machine, claims. */
-export class Book {
+export class ClusterState {
   readonly jobs = new Map<string, JobView>();
   /** Which jobs wait for which others. */
-  readonly pipelines = new Pipelines((ref, urgency) => this.inherit(ref, urgency));
-  readonly claims = new Map<string, { record: ClaimRecord; stamp: number }>();
+  readonly pipelines = new JobDependencies((jobId, urgency) => this.inherit(jobId, urgency));
+  readonly leadershipRecords = new Map<string, { record: LeadershipRecord; modRevision: number }>();
   /** Rentals that are not over. */
-  readonly hires = new Map<string, HireRecord>();
-  private readonly hosts = new Map<string, Map<string, Place>>();
+  readonly rentals = new Map<string, RentalRecord>();
+  private readonly tasksByMachine = new Map<string, Map<string, PlacedTask>>();
   /** Room that each machine's places take, and each team's use, kept up with every change instead of summed anew. */
-  private readonly taken = new Map<string, Room>();
-  private readonly teams = new Map<string, TeamRecord>();
-  private readonly orphans = new Map<string, Map<number, unknown>>();
+  private readonly usedByMachine = new Map<string, Resources>();
+  private readonly teams = new Map<string, TeamUsage>();
+  private readonly chunksWithoutJob = new Map<string, Map<number, unknown>>();
   private readonly unreadable = new Set<string>();
 
   constructor(
     private readonly replica: Replica,
-    private readonly listener: BookListener,
+    private readonly listener: ClusterStateListener,
   ) {
-    replica.onChange((key, now) => this.take(key, now));
+    replica.onChange((key, now) => this.apply(key, now));
   }
 
-  private inherit(ref: string, urgency: Urgency): void {
-    const view = this.jobs.get(ref);
+  private inherit(jobId: string, urgency: Urgency): void {
+    const view = this.jobs.get(jobId);
     if (view === undefined) return;
     view.inherit(urgency);
-    this.listener.urgency?.(ref);
+    this.listener.urgencyChanged?.(jobId);
   }
 
   /** Places that the ledger gives to a machine, whatever its session. */
-  placesOn(host: string): Iterable<Place> {
-    return this.hosts.get(host)?.values() ?? [];
+  tasksOn(machineId: string): Iterable<PlacedTask> {
+    return this.tasksByMachine.get(machineId)?.values() ?? [];
   }
 
   /** Room that the ledger gives away on a machine. */
-  takenOn(host: string): Readonly<Room> | undefined {
-    return this.taken.get(host);
+  usedOn(machineId: string): Readonly<Resources> | undefined {
+    return this.usedByMachine.get(machineId);
   }
 
   /** What each team's places use together. */
-  get uses(): ReadonlyMap<string, Readonly<TeamRecord>> {
+  get teamUsages(): ReadonlyMap<string, Readonly<TeamUsage>> {
     return this.teams;
   }
 
@@ -176,172 +173,178 @@
    * What a team's places use, if the copy holds all that happened up to the revision and all of it can be read; it may count
    * places that are free by now, and misses none.
    */
-  placedUse(team: string, upTo: number): Readonly<TeamRecord> | undefined {
-    const isWhole = this.replica.epoch >= upTo && this.unreadable.size === 0 && !this.hasPlacesWithoutJob();
-    return isWhole ? (this.teams.get(team) ?? { cpus: 0, cards: 0 }) : undefined;
+  placedUsageOf(team: string, upTo: number): Readonly<TeamUsage> | undefined {
+    const isWhole = this.replica.revision >= upTo && this.unreadable.size === 0 && !this.hasPlacesWithoutJob();
+    return isWhole ? (this.teams.get(team) ?? { cpus: 0, gpus: 0 }) : undefined;
   }
 
   private hasPlacesWithoutJob(): boolean {
-    for (const chunks of this.orphans.values()) {
-      for (const chunk of chunks.values()) if (!isWithoutPlaces(chunk)) return true;
+    for (const chunks of this.chunksWithoutJob.values()) {
+      for (const chunk of chunks.values()) if (!hasNoActivePlacements(chunk)) return true;
     }
     return false;
   }
 
   /** The record that holds a shard's place, and that of its team, should its start or exit change one. */
-  companyOf(ref: string, shard: number, team?: Team): Company | undefined {
-    const view = this.jobs.get(ref);
+  batchingHintFor(jobId: string, taskIndex: number, team?: Team): BatchingHint | undefined {
+    const view = this.jobs.get(jobId);
     if (view === undefined) return undefined;
     const counts = team !== undefined && isLimited(team, view.record.spec);
-    return { key: chunkKey(ref, Math.floor(shard / view.record.chunk)), shared: counts ? team.name : undefined };
+    return {
+      key: placementChunkKey(jobId, Math.floor(taskIndex / view.record.tasksPerChunk)),
+      shared: counts ? team.name : undefined,
+    };
   }
 
-  countOn(host: string): number {
-    return this.hosts.get(host)?.size ?? 0;
+  taskCountOn(machineId: string): number {
+    return this.tasksByMachine.get(machineId)?.size ?? 0;
   }
 
-  get hostsInUseCount(): number {
-    return this.hosts.size;
+  get usedMachineCount(): number {
+    return this.tasksByMachine.size;
   }
 
-  *hostsInUse(): Iterable<string> {
-    yield* this.hosts.keys();
+  *usedMachines(): Iterable<string> {
+    yield* this.tasksByMachine.keys();
   }
 
   /** Ledger chunks of jobs that are over: what the transaction of the end had no room for. */
-  *leftChunks(): Iterable<{ ref: string; chunks: number[] }> {
-    for (const [ref, chunks] of this.orphans)
-      if (!this.unreadable.has(`${JOB_PREFIX}${ref}`)) yield { ref, chunks: [...chunks.keys()] };
+  *leftoverChunks(): Iterable<{ jobId: string; chunks: number[] }> {
+    for (const [jobId, chunks] of this.chunksWithoutJob)
+      if (!this.unreadable.has(`${JOB_PREFIX}${jobId}`)) yield { jobId, chunks: [...chunks.keys()] };
   }
 
-  private take(key: string, now: Stored): void {
+  private apply(key: string, now: StoredValue): void {
     try {
-      if (key.startsWith(JOB_PREFIX)) this.takeJob(key.slice(JOB_PREFIX.length), now.value);
-      else if (key.startsWith(LEDGER_PREFIX)) this.takeChunk(key.slice(LEDGER_PREFIX.length), now.value);
-      else if (key.startsWith(CLAIM)) this.takeClaim(key.slice(CLAIM.length), now);
-      else if (key.startsWith(HIRE)) this.takeHire(key.slice(HIRE.length), now.value);
+      if (key.startsWith(JOB_PREFIX)) this.applyJob(key.slice(JOB_PREFIX.length), now.value);
+      else if (key.startsWith(PLACEMENT_PREFIX)) this.applyChunk(key.slice(PLACEMENT_PREFIX.length), now.value);
+      else if (key.startsWith(LEADERSHIP_PREFIX)) this.applyLeadership(key.slice(LEADERSHIP_PREFIX.length), now);
+      else if (key.startsWith(RENTAL_PREFIX)) this.applyRental(key.slice(RENTAL_PREFIX.length), now.value);
       this.unreadable.delete(key);
     } catch (error) {
       // Refuse to act on what can't be read: the job stays out of the book, and its places stay taken in the store.
       this.unreadable.add(key);
-      this.listener.corrupt?.(key, error);
+      this.listener.recordUnreadable?.(key, error);
     }
   }
 
-  private takeHire(name: string, value: unknown): void {
-    if (value === undefined) this.hires.delete(name);
-    else this.hires.set(name, decodeHire(value));
+  private applyRental(name: string, value: unknown): void {
+    if (value === undefined) this.rentals.delete(name);
+    else this.rentals.set(name, decodeRentalRecord(value));
   }
 
-  private takeClaim(role: string, now: Stored): void {
-    if (now.value === undefined) this.claims.delete(role);
-    else this.claims.set(role, { record: now.value as ClaimRecord, stamp: now.stamp });
-    this.listener.claim?.(role);
+  private applyLeadership(role: string, now: StoredValue): void {
+    if (now.value === undefined) this.leadershipRecords.delete(role);
+    else this.leadershipRecords.set(role, { record: decodeLeadershipRecord(now.value)!, modRevision: now.modRevision });
+    this.listener.leadershipChanged?.(role);
   }
 
-  private takeJob(ref: string, value: unknown): void {
-    const old = this.jobs.get(ref);
+  private applyJob(jobId: string, value: unknown): void {
+    const old = this.jobs.get(jobId);
     if (value === undefined) {
       if (old === undefined) return;
       const left = new Map<number, unknown>();
       for (const index of [...old.chunks.keys()]) {
         this.setChunk(old, index, undefined);
-        left.set(index, this.replica.get(chunkKey(ref, index)).value);
+        left.set(index, this.replica.get(placementChunkKey(jobId, index)).value);
       }
-      if (left.size > 0) this.orphans.set(ref, left);
-      this.jobs.delete(ref);
-      this.pipelines.update(ref, undefined);
+      if (left.size > 0) this.chunksWithoutJob.set(jobId, left);
+      this.jobs.delete(jobId);
+      this.pipelines.update(jobId, undefined);
     } else if (old !== undefined) {
-      const record = decodeJob(value);
-      old.store(record);
-      this.pipelines.update(ref, record);
+      const record = decodeJobRecord(value);
+      old.updateRecord(record);
+      this.pipelines.update(jobId, record);
     } else {
-      const record = decodeJob(value);
-      const view = new JobView(ref, record);
-      this.jobs.set(ref, view);
-      view.inherit(this.pipelines.urgencyOf(ref));
-      this.pipelines.update(ref, record);
+      const record = decodeJobRecord(value);
+      const view = new JobView(jobId, record);
+      this.jobs.set(jobId, view);
+      view.inherit(this.pipelines.urgencyOf(jobId));
+      this.pipelines.update(jobId, record);
       // Pages and news may bring a ledger before its job.
-      for (const [index, chunk] of this.orphans.get(ref) ?? []) {
+      for (const [index, chunk] of this.chunksWithoutJob.get(jobId) ?? []) {
         this.setChunk(view, index, decodeChunk(chunk, chunkSize(view.record, index)));
       }
-      this.orphans.delete(ref);
+      this.chunksWithoutJob.delete(jobId);
     }
-    this.listener.job?.(ref);
+    this.listener.jobChanged?.(jobId);
   }
 
-  private takeChunk(rest: string, value: unknown): void {
+  private applyChunk(rest: string, value: unknown): void {
     const slash = rest.lastIndexOf('/');
-    const ref = rest.slice(0, slash);
+    const jobId = rest.slice(0, slash);
     const index = Number(rest.slice(slash + 1));
-    const view = this.jobs.get(ref);
+    const view = this.jobs.get(jobId);
     if (view === undefined) {
-      const waiting = this.orphans.get(ref) ?? new Map<number, unknown>();
+      const waiting = this.chunksWithoutJob.get(jobId) ?? new Map<number, unknown>();
       if (value === undefined) waiting.delete(index);
       else waiting.set(index, value);
-      if (waiting.size > 0) this.orphans.set(ref, waiting);
-      else this.orphans.delete(ref);
+      if (waiting.size > 0) this.chunksWithoutJob.set(jobId, waiting);
+      else this.chunksWithoutJob.delete(jobId);
       return;
     }
     const before = view.chunks.get(index);
-    const slots = value === undefined ? undefined : decodeChunk(value, chunkSize(view.record, index), before);
-    this.listener.job?.(ref, this.setChunk(view, index, slots));
+    const placements = value === undefined ? undefined : decodeChunk(value, chunkSize(view.record, index), before);
+    this.listener.jobChanged?.(jobId, this.setChunk(view, index, placements));
   }
 
   /** Takes in a chunk, slot by slot: most of it stays as it was, whatever its size. Returns the shards that did not. */
-  private setChunk(view: JobView, index: number, slots: readonly Slot[] | undefined): number[] {
+  private setChunk(view: JobView, index: number, placements: readonly TaskPlacement[] | undefined): number[] {
     const changed: number[] = [];
-    view.changed();
-    const first = index * view.record.chunk;
+    view.placementsChanged();
+    const first = index * view.record.tasksPerChunk;
     const before = view.chunks.get(index);
-    for (let at = 0; at < Math.max(before?.length ?? 0, slots?.length ?? 0); at++) {
+    for (let at = 0; at < Math.max(before?.length ?? 0, placements?.length ?? 0); at++) {
       const old = before?.[at];
-      const now = slots?.[at];
+      const now = placements?.[at];
       if (old === now) continue;
       changed.push(first + at);
       if (old?.kind === 'done') view.done--;
       if (now?.kind === 'done') view.done++;
       if (old?.kind === 'placed') {
-        if (now?.kind === 'placed' && now.host === old.host) {
-          this.hosts.get(old.host)!.set(`${view.ref}/${first + at}`, { ref: view.ref, shard: first + at, slot: now });
+        if (now?.kind === 'placed' && now.machineId === old.machineId) {
+          this.tasksByMachine
+            .get(old.machineId)!
+            .set(`${view.jobId}/${first + at}`, { jobId: view.jobId, taskIndex: first + at, placement: now });
           continue;
         }
-        this.unplace(view, first + at, old.host);
+        this.removeActive(view, first + at, old.machineId);
       }
-      if (now?.kind === 'placed') this.place(view, first + at, now);
+      if (now?.kind === 'placed') this.addActive(view, first + at, now);
     }
-    if (slots === undefined) view.chunks.delete(index);
-    else view.chunks.set(index, slots);
+    if (placements === undefined) view.chunks.delete(index);
+    else view.chunks.set(index, placements);
     return changed;
   }
 
-  private place(view: JobView, shard: number, slot: Placed): void {
+  private addActive(view: JobView, taskIndex: number, placement: ActivePlacement): void {
     view.placed++;
-    let places = this.hosts.get(slot.host);
-    if (places === undefined) this.hosts.set(slot.host, (places = new Map<string, Place>()));
-    places.set(`${view.ref}/${shard}`, { ref: view.ref, shard, slot });
-    this.count(view, slot.host, 1);
+    let placedTasks = this.tasksByMachine.get(placement.machineId);
+    if (placedTasks === undefined)
+      this.tasksByMachine.set(placement.machineId, (placedTasks = new Map<string, PlacedTask>()));
+    placedTasks.set(`${view.jobId}/${taskIndex}`, { jobId: view.jobId, taskIndex, placement });
+    this.countUsage(view, placement.machineId, 1);
   }
 
-  private unplace(view: JobView, shard: number, host: string): void {
+  private removeActive(view: JobView, taskIndex: number, machineId: string): void {
     view.placed--;
-    const places = this.hosts.get(host)!;
-    places.delete(`${view.ref}/${shard}`);
-    this.count(view, host, -1);
-    if (places.size > 0) return;
-    this.hosts.delete(host);
-    this.taken.delete(host);
+    const placedTasks = this.tasksByMachine.get(machineId)!;
+    placedTasks.delete(`${view.jobId}/${taskIndex}`);
+    this.countUsage(view, machineId, -1);
+    if (placedTasks.size > 0) return;
+    this.tasksByMachine.delete(machineId);
+    this.usedByMachine.delete(machineId);
   }
 
-  private count(view: JobView, host: string, tasks: 1 | -1): void {
+  private countUsage(view: JobView, machineId: string, tasks: 1 | -1): void {
     const { spec } = view.record;
-    let room = this.taken.get(host);
-    if (room === undefined) this.taken.set(host, (room = { cpus: 0, cards: 0, memGb: 0 }));
-    takeRoom(room, spec, -tasks);
-    const use = this.teams.get(spec.Owner) ?? { cpus: 0, cards: 0 };
-    this.teams.set(spec.Owner, {
-      cpus: round(use.cpus + tasks * spec.Cpus),
-      cards: round(use.cards + tasks * spec.Cards),
+    let room = this.usedByMachine.get(machineId);
+    if (room === undefined) this.usedByMachine.set(machineId, (room = { cpus: 0, gpus: 0, memoryGb: 0 }));
+    subtractResources(room, spec, -tasks);
+    const use = this.teams.get(spec.team) ?? { cpus: 0, gpus: 0 };
+    this.teams.set(spec.team, {
+      cpus: roundAmount(use.cpus + tasks * spec.cpus),
+      gpus: roundAmount(use.gpus + tasks * spec.gpus),
     });
   }
 }
--- a/src/ledger/edits.ts
+++ b/src/ledger/edits.ts
@@ -1,77 +1,73 @@
 import type { Team } from '../config/settings.js';
-import type { Draft } from '../state/draft.js';
-import {
-  chunkCount,
-  chunkKey,
-  chunkSize,
-  decodeChunk,
-  decodeJob,
-  endedKey,
-  jobKey,
-  withSlot,
-  type EndedRecord,
-  type JobRecord,
-  type Slot,
-} from './records.js';
-import { proves, whyNotStart, type Machine, type Proof } from './rules.js';
+import type { TransactionDraft } from '../state/draft.js';
+import { chunkCount, chunkSize, type JobRecord, type TaskPlacement } from './records.js';
+import { finalJobKey, jobKey, placementChunkKey } from './record-keys.js';
+import { decodeChunk, withPlacement } from './placement-codec.js';
+import { decodeJobRecord, encodeFinalJobRecord } from './record-codecs.js';
+import { type Machine, type Proof, provesFree, whyNotStart } from './rules.js';
 import type { TeamAccounting } from './team-accounting.js';
 
 /** Reads a job and makes it a condition. */
-export function readJob(draft: Draft, ref: string): JobRecord | undefined {
-  const value = draft.get(jobKey(ref));
-  return value === undefined ? undefined : decodeJob(value);
+export function readJob(draft: TransactionDraft, jobId: string): JobRecord | undefined {
+  const value = draft.get(jobKey(jobId));
+  return value === undefined ? undefined : decodeJobRecord(value);
 }
 
-function readChunk(draft: Draft, job: JobRecord, index: number): readonly Slot[] {
-  return decodeChunk(draft.get(chunkKey(job.spec.Ref, index)), chunkSize(job, index));
+function readChunk(draft: TransactionDraft, job: JobRecord, index: number): readonly TaskPlacement[] {
+  return decodeChunk(draft.get(placementChunkKey(job.spec.id, index)), chunkSize(job, index));
 }
 
-export function* readSlots(draft: Draft, job: JobRecord): Generator<Slot> {
+export function* readPlacements(draft: TransactionDraft, job: JobRecord): Generator<TaskPlacement> {
   for (let index = 0; index < chunkCount(job); index++) yield* readChunk(draft, job, index);
 }
 
-function editSlot(draft: Draft, job: JobRecord, shard: number, change: (slot: Slot) => Slot | undefined): boolean {
-  const index = Math.floor(shard / job.chunk);
-  const at = shard % job.chunk;
+function editPlacement(
+  draft: TransactionDraft,
+  job: JobRecord,
+  taskIndex: number,
+  change: (placement: TaskPlacement) => TaskPlacement | undefined,
+): boolean {
+  const index = Math.floor(taskIndex / job.tasksPerChunk);
+  const at = taskIndex % job.tasksPerChunk;
   const next = change(readChunk(draft, job, index)[at]!);
   if (next === undefined) return false;
-  const key = chunkKey(job.spec.Ref, index);
-  draft.set(key, withSlot(draft.get(key), chunkSize(job, index), at, next));
+  const key = placementChunkKey(job.spec.id, index);
+  draft.set(key, withPlacement(draft.get(key), chunkSize(job, index), at, next));
   return true;
 }
 
 /** Commits one shard to a machine, if the rules allow it on the records as they are. */
-export function startShard(
-  draft: Draft,
+export function startTask(
+  draft: TransactionDraft,
   accounting: TeamAccounting,
   team: Team,
-  ref: string,
-  shard: number,
+  jobId: string,
+  taskIndex: number,
   machine: Machine,
   attempt: number,
 ): string | undefined {
-  const job = readJob(draft, ref);
+  const job = readJob(draft, jobId);
   if (job === undefined) return 'no such job';
-  const index = Math.floor(shard / job.chunk);
-  const slot = readChunk(draft, job, index)[shard % job.chunk]!;
+  const index = Math.floor(taskIndex / job.tasksPerChunk);
+  const placement = readChunk(draft, job, index)[taskIndex % job.tasksPerChunk]!;
   const why = whyNotStart({
     job,
-    slot,
-    others: job.spec.Spread || job.spec.OneZone ? readSlots(draft, job) : [],
+    placement,
+    others: job.spec.spreadAcrossZones || job.spec.singleZone ? readPlacements(draft, job) : [],
     team,
-    use: accounting.useOf(draft, team, job.spec),
+    teamUsage: accounting.useOf(draft, team, job.spec),
     machine,
     attempt,
   });
   if (why !== undefined) return why;
-  editSlot(draft, job, shard, (old) => ({
+  editPlacement(draft, job, taskIndex, (old) => ({
     kind: 'placed',
     attempt,
-    fails: old.kind === 'queued' ? old.fails : 0,
-    host: machine.host,
-    tenure: machine.tenure,
-    stop: null,
-    site: machine.site,
+    failures: old.kind === 'queued' ? old.failures : 0,
+    machineId: machine.machineId,
+    agentEpoch: machine.agentEpoch,
+    gracePeriodS: null,
+    zone: machine.zone,
   }));
   accounting.addStart(draft, team, job.spec);
   return undefined;
@@ -80,47 +76,52 @@
 export type Ending = 'done' | 'failed' | 'lost';
 
 /** Frees a place on proof, and records how the task ended. */
-export function freeShard(
-  draft: Draft,
+export function releasePlacement(
+  draft: TransactionDraft,
   accounting: TeamAccounting,
-  ref: string,
-  shard: number,
-  host: string,
+  jobId: string,
+  taskIndex: number,
+  machineId: string,
   proof: Proof,
   ending: Ending,
 ): boolean {
-  const job = readJob(draft, ref);
+  const job = readJob(draft, jobId);
   if (job === undefined) return false;
   // A gang completes together: once one task is done, the others are, also those whose machine went away just then.
   const complete =
     ending === 'done' ||
-    (job.spec.Shape === 'ensemble' && [...readSlots(draft, job)].some((slot) => slot.kind === 'done'));
-  const freed = editSlot(draft, job, shard, (slot) => {
-    if (slot.kind !== 'placed' || slot.host !== host || !proves(proof, slot)) return undefined;
+    (job.spec.kind === 'gang' && [...readPlacements(draft, job)].some((placement) => placement.kind === 'done'));
+  const freed = editPlacement(draft, job, taskIndex, (placement) => {
+    if (placement.kind !== 'placed' || placement.machineId !== machineId || !provesFree(proof, placement))
+      return undefined;
     if (complete) return { kind: 'done' };
-    return { kind: 'queued', attempt: slot.attempt, fails: ending === 'failed' ? slot.fails + 1 : slot.fails };
+    return {
+      kind: 'queued',
+      attempt: placement.attempt,
+      failures: ending === 'failed' ? placement.failures + 1 : placement.failures,
+    };
   });
   if (freed) accounting.addExit(draft, job.spec);
   return freed;
 }
 
 /** Marks a place for stopping; the owner of its machine sends the kill. A shorter grace replaces a longer one. */
-export function stopShard(
-  draft: Draft,
-  ref: string,
-  shard: number,
-  host: string,
+export function markForStop(
+  draft: TransactionDraft,
+  jobId: string,
+  taskIndex: number,
+  machineId: string,
   attempt: number,
-  grace: number,
+  gracePeriodS: number,
 ): boolean {
-  const job = readJob(draft, ref);
+  const job = readJob(draft, jobId);
   if (job === undefined) return false;
-  return editSlot(draft, job, shard, (slot) =>
-    slot.kind === 'placed' &&
-    slot.host === host &&
-    slot.attempt === attempt &&
-    (slot.stop === null || slot.stop > grace)
-      ? { ...slot, stop: grace }
+  return editPlacement(draft, job, taskIndex, (placement) =>
+    placement.kind === 'placed' &&
+    placement.machineId === machineId &&
+    placement.attempt === attempt &&
+    (placement.gracePeriodS === null || placement.gracePeriodS > gracePeriodS)
+      ? { ...placement, gracePeriodS: gracePeriodS }
       : undefined,
   );
 }
@@ -130,22 +131,22 @@
  * once a job is withdrawn nothing more can start. For the latter the caller makes sure that it has seen all that
  * happened before the withdrawal. Chunks beyond the room of one transaction are swept later.
  */
-export function endJob(draft: Draft, ref: string, ops: number): boolean {
-  const job = readJob(draft, ref);
-  if (job === undefined || job.phase === 'waiting') return false;
-  const keys = Array.from({ length: chunkCount(job) }, (_, index) => chunkKey(ref, index));
-  const slots = keys.flatMap((key, index) => decodeChunk(draft.peek(key), chunkSize(job, index)));
-  if (slots.some(({ kind }) => kind === 'placed')) return false;
+export function endJob(draft: TransactionDraft, jobId: string, ops: number): boolean {
+  const job = readJob(draft, jobId);
+  if (job === undefined || job.state === 'waiting') return false;
+  const keys = Array.from({ length: chunkCount(job) }, (_, index) => placementChunkKey(jobId, index));
+  const placements = keys.flatMap((key, index) => decodeChunk(draft.peek(key), chunkSize(job, index)));
+  if (placements.some(({ kind }) => kind === 'placed')) return false;
   // A gang completes together. Its ledger fits one transaction, so all of it is compared here.
   const isDone =
-    job.spec.Shape === 'ensemble'
-      ? slots.some(({ kind }) => kind === 'done')
-      : slots.every(({ kind }) => kind === 'done');
-  if (job.phase === 'active' && !isDone) return false;
-  if (job.spec.Shape === 'service' && job.phase === 'active') return false;
-  const ended: EndedRecord = { phase: job.phase === 'withdrawn' ? 'withdrawn' : 'done', shards: job.spec.Shards };
-  draft.set(endedKey(ref), ended);
-  draft.drop(jobKey(ref));
-  for (const key of keys.filter((each) => draft.peek(each) !== undefined).slice(0, ops - 2)) draft.drop(key);
+    job.spec.kind === 'gang'
+      ? placements.some(({ kind }) => kind === 'done')
+      : placements.every(({ kind }) => kind === 'done');
+  if (job.state === 'active' && !isDone) return false;
+  if (job.spec.kind === 'service' && job.state === 'active') return false;
+  const state = job.state === 'cancelled' ? 'cancelled' : 'done';
+  draft.set(finalJobKey(jobId), encodeFinalJobRecord({ state, taskCount: job.spec.taskCount }));
+  draft.delete(jobKey(jobId));
+  for (const key of keys.filter((each) => draft.peek(each) !== undefined).slice(0, ops - 2)) draft.delete(key);
   return true;
 }
--- /dev/null
+++ b/src/ledger/job-spec-codec.ts
@@ -0,0 +1,93 @@
+/** A job as users submit it and as its record in the store holds it: the wire names, and their translation. */
+import type { JobKind, JobPriority, JobSpec } from './records.js';
+
+export type WireJobShape = 'array' | 'ensemble' | 'service';
+
+/** The order of the fields is the order in which they are stored. */
+export interface WireJobSpec {
+  Ref: string;
+  Jobclass: string;
+  Owner: string;
+  Shape: WireJobShape;
+  Rank: JobPriority;
+  Shards: number;
+  Cpus: number;
+  Cards: number;
+  MemGb: number;
+  Bundle: string;
+  SizeGb: number;
+  Flavors: string[] | null;
+  Site: string | null;
+  OneZone: boolean;
+  Spread: boolean;
+  Reclaimable: boolean;
+  GuessS: number;
+  SnapshotEveryS: number;
+  SnapshotS: number;
+  DueS: number | null;
+}
+
+const KIND_OF_SHAPE: Record<WireJobShape, JobKind> = { array: 'array', ensemble: 'gang', service: 'service' };
+const SHAPE_OF_KIND: Record<JobKind, WireJobShape> = { array: 'array', gang: 'ensemble', service: 'service' };
+
+/**
+ * The wire form that a specification was read from. A specification never changes, so it is written back as it came, with the
+ * fields that a later version of the program may have added.
+ */
+const wireForms = new WeakMap<JobSpec, WireJobSpec>();
+
+export function decodeJobSpec(wire: WireJobSpec): JobSpec {
+  const spec: JobSpec = {
+    id: wire.Ref,
+    jobClass: wire.Jobclass,
+    team: wire.Owner,
+    kind: KIND_OF_SHAPE[wire.Shape],
+    priority: wire.Rank,
+    taskCount: wire.Shards,
+    cpus: wire.Cpus,
+    gpus: wire.Cards,
+    memoryGb: wire.MemGb,
+    image: wire.Bundle,
+    imageGb: wire.SizeGb,
+    machineTypes: wire.Flavors,
+    zone: wire.Site,
+    singleZone: wire.OneZone,
+    spreadAcrossZones: wire.Spread,
+    allowsSpot: wire.Reclaimable,
+    estimatedRunS: wire.GuessS,
+    checkpointIntervalS: wire.SnapshotEveryS,
+    checkpointS: wire.SnapshotS,
+    deadlineS: wire.DueS,
+  };
+  wireForms.set(spec, wire);
+  return spec;
+}
+
+export function encodeJobSpec(spec: JobSpec): WireJobSpec {
+  const known = wireForms.get(spec);
+  if (known !== undefined) return known;
+  const wire: WireJobSpec = {
+    Ref: spec.id,
+    Jobclass: spec.jobClass,
+    Owner: spec.team,
+    Shape: SHAPE_OF_KIND[spec.kind],
+    Rank: spec.priority,
+    Shards: spec.taskCount,
+    Cpus: spec.cpus,
+    Cards: spec.gpus,
+    MemGb: spec.memoryGb,
+    Bundle: spec.image,
+    SizeGb: spec.imageGb,
+    Flavors: spec.machineTypes,
+    Site: spec.zone,
+    OneZone: spec.singleZone,
+    Spread: spec.spreadAcrossZones,
+    Reclaimable: spec.allowsSpot,
+    GuessS: spec.estimatedRunS,
+    SnapshotEveryS: spec.checkpointIntervalS,
+    SnapshotS: spec.checkpointS,
+    DueS: spec.deadlineS,
+  };
+  wireForms.set(spec, wire);
+  return wire;
+}
--- a/src/ledger/pipelines.ts
+++ b/src/ledger/pipelines.ts
@@ -2,21 +2,22 @@
  * Which jobs wait for which others, and what each job inherits from those that need it. Kept up with every change of a job
  * record: a change reaches only the jobs before it whose urgency it changes.
  */
-import { RANKS, type JobRecord } from './records.js';
+import { JOB_PRIORITIES, type JobRecord } from './records.js';
 
 /** What the jobs that need a job ask of it. */
 export interface Urgency {
   /** Index in `RANKS` of the highest rank among them, directly or through others. */
-  rank: number;
+  priorityIndex: number;
   /** Time of day, ms, by which the job must be complete so that the last of them can be in time; Infinity: no deadline. */
   finishBy: number;
 }
 
-const NO_URGENCY: Urgency = { rank: RANKS.length, finishBy: Infinity };
+const NO_URGENCY: Urgency = { priorityIndex: JOB_PRIORITIES.length, finishBy: Infinity };
 
-const deadlineOf = ({ spec, at }: JobRecord): number => (spec.DueS === null ? Infinity : at + spec.DueS * 1000);
+const deadlineOf = ({ spec, submittedAtMs }: JobRecord): number =>
+  spec.deadlineS === null ? Infinity : submittedAtMs + spec.deadlineS * 1000;
 
-export class Pipelines {
+export class JobDependencies {
   /** The waiting jobs, with their records. */
   private readonly waiting = new Map<string, JobRecord>();
   /** The waiting jobs that name a job. */
@@ -24,7 +25,7 @@
   private readonly inherited = new Map<string, Urgency>();
 
   /** `onChange`: what a job inherits has changed. */
-  constructor(private readonly onChange: (ref: string, urgency: Urgency) => void) {}
+  constructor(private readonly onChange: (jobId: string, urgency: Urgency) => void) {}
 
   /** All jobs that wait for others. */
   get waitingJobs(): Iterable<string> {
@@ -35,77 +36,77 @@
     return this.waiting.size;
   }
 
-  isWaiting(ref: string): boolean {
-    return this.waiting.has(ref);
+  isWaiting(jobId: string): boolean {
+    return this.waiting.has(jobId);
   }
 
   /** The jobs that a waiting job names. */
-  predecessorsOf(ref: string): readonly string[] {
-    return this.waiting.get(ref)?.awaits ?? [];
+  predecessorsOf(jobId: string): readonly string[] {
+    return this.waiting.get(jobId)?.dependencies ?? [];
   }
 
   /** The waiting jobs that name a job. */
-  successorsOf(ref: string): ReadonlySet<string> {
-    return this.successors.get(ref) ?? NONE;
+  successorsOf(jobId: string): ReadonlySet<string> {
+    return this.successors.get(jobId) ?? NONE;
   }
 
-  hasSuccessors(ref: string): boolean {
-    return this.successors.has(ref);
+  hasSuccessors(jobId: string): boolean {
+    return this.successors.has(jobId);
   }
 
-  urgencyOf(ref: string): Urgency {
-    return this.inherited.get(ref) ?? NO_URGENCY;
+  urgencyOf(jobId: string): Urgency {
+    return this.inherited.get(jobId) ?? NO_URGENCY;
   }
 
   /** Takes in a job's record; undefined: it is gone. */
-  update(ref: string, record: JobRecord | undefined): void {
-    const before = this.predecessorsOf(ref);
-    const isWaiting = record?.phase === 'waiting';
+  update(jobId: string, record: JobRecord | undefined): void {
+    const before = this.predecessorsOf(jobId);
+    const isWaiting = record?.state === 'waiting';
     if (!isWaiting && before.length === 0) return;
-    for (const predecessor of before) this.unlink(predecessor, ref);
-    this.waiting.delete(ref);
+    for (const predecessor of before) this.unlink(predecessor, jobId);
+    this.waiting.delete(jobId);
     if (isWaiting) {
-      this.waiting.set(ref, record);
-      for (const predecessor of record.awaits ?? []) this.link(predecessor, ref);
+      this.waiting.set(jobId, record);
+      for (const predecessor of record.dependencies ?? []) this.link(predecessor, jobId);
     }
-    this.propagate([...before, ...this.predecessorsOf(ref)]);
+    this.propagate([...before, ...this.predecessorsOf(jobId)]);
   }
 
-  private link(predecessor: string, ref: string): void {
+  private link(predecessor: string, jobId: string): void {
     const known = this.successors.get(predecessor) ?? new Set();
-    this.successors.set(predecessor, known.add(ref));
+    this.successors.set(predecessor, known.add(jobId));
   }
 
-  private unlink(predecessor: string, ref: string): void {
+  private unlink(predecessor: string, jobId: string): void {
     const known = this.successors.get(predecessor);
-    known?.delete(ref);
+    known?.delete(jobId);
     if (known?.size === 0) this.successors.delete(predecessor);
   }
 
   /** Works out anew what these jobs inherit, and from there on those before them, as far as anything changes. */
-  private propagate(refs: readonly string[]): void {
-    const open = [...refs];
-    for (let ref = open.pop(); ref !== undefined; ref = open.pop()) {
-      const old = this.urgencyOf(ref);
-      const now = this.inheritedBy(ref);
-      if (now.rank === old.rank && now.finishBy === old.finishBy) continue;
-      if (this.hasSuccessors(ref)) this.inherited.set(ref, now);
-      else this.inherited.delete(ref);
-      this.onChange(ref, now);
-      open.push(...this.predecessorsOf(ref));
+  private propagate(jobIds: readonly string[]): void {
+    const open = [...jobIds];
+    for (let jobId = open.pop(); jobId !== undefined; jobId = open.pop()) {
+      const old = this.urgencyOf(jobId);
+      const now = this.inheritedBy(jobId);
+      if (now.priorityIndex === old.priorityIndex && now.finishBy === old.finishBy) continue;
+      if (this.hasSuccessors(jobId)) this.inherited.set(jobId, now);
+      else this.inherited.delete(jobId);
+      this.onChange(jobId, now);
+      open.push(...this.predecessorsOf(jobId));
     }
   }
 
-  private inheritedBy(ref: string): Urgency {
-    let { rank, finishBy } = NO_URGENCY;
-    for (const successor of this.successorsOf(ref)) {
+  private inheritedBy(jobId: string): Urgency {
+    let { priorityIndex, finishBy } = NO_URGENCY;
+    for (const successor of this.successorsOf(jobId)) {
       const record = this.waiting.get(successor)!;
       const theirs = this.urgencyOf(successor);
-      rank = Math.min(rank, theirs.rank, RANKS.indexOf(record.spec.Rank));
+      priorityIndex = Math.min(priorityIndex, theirs.priorityIndex, JOB_PRIORITIES.indexOf(record.spec.priority));
       const due = Math.min(theirs.finishBy, deadlineOf(record));
-      finishBy = Math.min(finishBy, due - record.spec.GuessS * 1000);
+      finishBy = Math.min(finishBy, due - record.spec.estimatedRunS * 1000);
     }
-    return { rank, finishBy };
+    return { priorityIndex, finishBy };
   }
 }
 
--- /dev/null
+++ b/src/ledger/record-codecs.ts
@@ -0,0 +1,219 @@
+/** The stored form of each kind of record, and its translation. Task placements have a codec of their own. */
+import { decodeJobSpec, encodeJobSpec, type WireJobSpec } from './job-spec-codec.js';
+import { JOB_PREFIX } from './record-keys.js';
+import {
+  CorruptRecord,
+  isCount,
+  JOB_PRIORITIES,
+  type FinalJobRecord,
+  type FormatRecord,
+  type JobRecord,
+  type LeadershipRecord,
+  type RentalRecord,
+  type StandbyRecord,
+  type TeamUsage,
+} from './records.js';
+
+type StoredPhase = 'waiting' | 'active' | 'withdrawn';
+
+/** The order of the fields is the order in which they are stored. */
+interface StoredJob {
+  spec: WireJobSpec;
+  phase: StoredPhase;
+  at: number;
+  chunk: number;
+  awaits?: readonly string[];
+  releasedAt?: number;
+}
+
+const STATE_OF_PHASE: Record<StoredPhase, JobRecord['state']> = {
+  waiting: 'waiting',
+  active: 'active',
+  withdrawn: 'cancelled',
+};
+const PHASE_OF_STATE: Record<JobRecord['state'], StoredPhase> = {
+  waiting: 'waiting',
+  active: 'active',
+  cancelled: 'withdrawn',
+};
+
+const isListOfJobs = (value: unknown): boolean =>
+  value === undefined || (Array.isArray(value) && value.every((each) => typeof each === 'string'));
+
+function isStoredJob(value: unknown): value is StoredJob {
+  const job = value as StoredJob | null;
+  const spec = job?.spec;
+  return (
+    spec !== undefined &&
+    typeof spec.Ref === 'string' &&
+    isCount(spec.Shards) &&
+    isCount(job!.chunk) &&
+    job!.chunk >= 1 &&
+    Object.hasOwn(STATE_OF_PHASE, job!.phase) &&
+    JOB_PRIORITIES.includes(spec.Rank) &&
+    isListOfJobs(job!.awaits) &&
+    (job!.phase !== 'waiting' || job!.awaits !== undefined) &&
+    ['number', 'undefined'].includes(typeof job!.releasedAt)
+  );
+}
+
+/** Records are never changed in place, so each is decoded once, however many decisions look at it. */
+const decodedJobs = new WeakMap<object, JobRecord>();
+
+/** Throws `CorruptRecord` for what is no job record. */
+export function decodeJobRecord(value: unknown): JobRecord {
+  const known = typeof value === 'object' && value !== null ? decodedJobs.get(value) : undefined;
+  if (known !== undefined) return known;
+  if (!isStoredJob(value)) throw new CorruptRecord('job');
+  const { spec, phase, at, chunk, awaits, releasedAt } = value;
+  const record: JobRecord = {
+    spec: decodeJobSpec(spec),
+    state: STATE_OF_PHASE[phase],
+    submittedAtMs: at,
+    tasksPerChunk: chunk,
+    ...(awaits === undefined ? {} : { dependencies: awaits }),
+    ...(releasedAt === undefined ? {} : { releasedAtMs: releasedAt }),
+  };
+  decodedJobs.set(value, record);
+  return record;
+}
+
+export function encodeJobRecord(record: JobRecord): unknown {
+  const { spec, state, submittedAtMs, tasksPerChunk, dependencies, releasedAtMs } = record;
+  const stored: StoredJob = {
+    spec: encodeJobSpec(spec),
+    phase: PHASE_OF_STATE[state],
+    at: submittedAtMs,
+    chunk: tasksPerChunk,
+    ...(dependencies === undefined ? {} : { awaits: dependencies }),
+    ...(releasedAtMs === undefined ? {} : { releasedAt: releasedAtMs }),
+  };
+  decodedJobs.set(stored, record);
+  return stored;
+}
+
+/** The stored form of a job's record once the job is cancelled: nothing else of it changes. */
+export const cancelStoredJob = (stored: unknown): unknown => ({ ...(stored as StoredJob), phase: 'withdrawn' });
+
+/** Does a record, as it is stored, cancel its job? */
+export const isStoredCancellation = (key: string, value: unknown): boolean =>
+  key.startsWith(JOB_PREFIX) && (value as StoredJob | undefined)?.phase === 'withdrawn';
+
+/** The same record without the machine types: nothing of a cancelled job starts any more, so they can go. */
+export function withoutMachineTypes(stored: unknown): unknown {
+  const job = stored as StoredJob;
+  return job.phase === 'withdrawn' ? { ...job, spec: { ...job.spec, Flavors: null } } : job;
+}
+
+interface StoredFinalJob {
+  phase: 'done' | 'withdrawn';
+  shards: number;
+}
+
+export function decodeFinalJobRecord(value: unknown): FinalJobRecord {
+  const stored = value as StoredFinalJob | null;
+  if (stored?.phase !== 'done' && stored?.phase !== 'withdrawn') throw new CorruptRecord('ended job');
+  return { state: stored.phase === 'done' ? 'done' : 'cancelled', taskCount: stored.shards };
+}
+
+export const encodeFinalJobRecord = ({ state, taskCount }: FinalJobRecord): unknown =>
+  ({ phase: state === 'done' ? 'done' : 'withdrawn', shards: taskCount }) satisfies StoredFinalJob;
+
+interface StoredLeadership {
+  node: string;
+  latch: number;
+}
+
+export function decodeLeadershipRecord(value: unknown): LeadershipRecord | undefined {
+  if (value === undefined) return undefined;
+  const { node, latch } = value as StoredLeadership;
+  return { node, leaseId: latch };
+}
+
+export const encodeLeadershipRecord = ({ node, leaseId }: LeadershipRecord): unknown =>
+  ({ node, latch: leaseId }) satisfies StoredLeadership;
+
+interface StoredRental {
+  name: string;
+  flavor: string;
+  site: string;
+  reclaimable: boolean;
+  count: number;
+  at: number;
+  hosts: string[] | null;
+}
+
+export function decodeRentalRecord(value: unknown): RentalRecord {
+  const stored = value as StoredRental | null;
+  const texts = [stored?.name, stored?.flavor, stored?.site].every((each) => typeof each === 'string');
+  if (!texts || !isCount(stored!.count) || typeof stored!.at !== 'number') throw new CorruptRecord('rental');
+  if (stored!.hosts !== null && !Array.isArray(stored!.hosts)) throw new CorruptRecord('rental');
+  const { name, flavor, site, reclaimable, count, at, hosts } = stored!;
+  return {
+    rentalId: name,
+    machineType: flavor,
+    zone: site,
+    isSpot: reclaimable,
+    count,
+    requestedAtMs: at,
+    machineIds: hosts,
+  };
+}
+
+export const encodeRentalRecord = (record: RentalRecord): unknown =>
+  ({
+    name: record.rentalId,
+    flavor: record.machineType,
+    site: record.zone,
+    reclaimable: record.isSpot,
+    count: record.count,
+    at: record.requestedAtMs,
+    hosts: record.machineIds,
+  }) satisfies StoredRental;
+
+interface StoredTeamUsage {
+  cpus: number;
+  cards: number;
+}
+
+/** A team without a record uses nothing. */
+export function decodeTeamUsage(value: unknown): TeamUsage {
+  if (value === undefined) return { cpus: 0, gpus: 0 };
+  const stored = value as StoredTeamUsage | null;
+  if (typeof stored?.cpus !== 'number' || typeof stored.cards !== 'number') throw new CorruptRecord('team');
+  return { cpus: stored.cpus, gpus: stored.cards };
+}
+
+export const encodeTeamUsage = ({ cpus, gpus }: TeamUsage): unknown =>
+  ({ cpus, cards: gpus }) satisfies StoredTeamUsage;
+
+interface StoredFormat {
+  format: number;
+  latch: number;
+}
+
+export function decodeFormatRecord(value: unknown): FormatRecord | undefined {
+  if (value === undefined) return undefined;
+  const { format, latch } = value as StoredFormat;
+  return { format, leaseId: latch };
+}
+
+export const encodeFormatRecord = ({ format, leaseId }: FormatRecord): unknown =>
+  ({ format, latch: leaseId }) satisfies StoredFormat;
+
+/** The record that says that all controllers read the format. */
+export const encodeFormatCompleteRecord = (format: number): unknown => ({ format });
+
+interface StoredStandby {
+  life: number;
+  latch: number;
+}
+
+export function decodeStandbyRecord(value: unknown): StandbyRecord | undefined {
+  if (value === undefined) return undefined;
+  const { life, latch } = value as StoredStandby;
+  return { incarnation: life, leaseId: latch };
+}
+
+export const encodeStandbyRecord = ({ incarnation, leaseId }: StandbyRecord): unknown =>
+  ({ life: incarnation, latch: leaseId }) satisfies StoredStandby;
--- a/src/ledger/rules.ts
+++ b/src/ledger/rules.ts
@@ -1,120 +1,120 @@
 import type { Team } from '../config/settings.js';
-import type { JobRecord, JobSpec, Placed, Slot, TeamRecord } from './records.js';
+import type { JobRecord, JobSpec, ActivePlacement, TaskPlacement, TeamUsage, Resources } from './records.js';
 
 /** What the rules need to know of a machine. */
 export interface Machine {
-  host: string;
-  flavor: string;
-  site: string;
-  reclaimable: boolean;
-  tenure: number;
-}
-
-export interface Room {
-  cpus: number;
-  cards: number;
-  memGb: number;
+  machineId: string;
+  machineType: string;
+  zone: string;
+  isSpot: boolean;
+  agentEpoch: number;
 }
 
 const EPS = 1e-6;
 
 /** Amounts are decimal; sums are kept to a millionth so that they don't drift apart. */
-export const round = (x: number): number => Math.round(x * 1e6) / 1e6;
+export const roundAmount = (x: number): number => Math.round(x * 1e6) / 1e6;
 
-export const fits = (task: JobSpec, room: Room): boolean =>
-  task.Cpus <= room.cpus + EPS && task.Cards <= room.cards + EPS && task.MemGb <= room.memGb + EPS;
+export const fits = (task: JobSpec, room: Resources): boolean =>
+  task.cpus <= room.cpus + EPS && task.gpus <= room.gpus + EPS && task.memoryGb <= room.memoryGb + EPS;
 
 /** Is no more given away than there was? */
-export const isWithin = (left: Room): boolean => left.cpus >= -EPS && left.cards >= -EPS && left.memGb >= -EPS;
+export const isNonNegative = (left: Resources): boolean =>
+  left.cpus >= -EPS && left.gpus >= -EPS && left.memoryGb >= -EPS;
 
-export const roomOf = (spec: JobSpec): Room => ({ cpus: spec.Cpus, cards: spec.Cards, memGb: spec.MemGb });
+export const resourcesOf = (spec: JobSpec): Resources => ({
+  cpus: spec.cpus,
+  gpus: spec.gpus,
+  memoryGb: spec.memoryGb,
+});
 
 /** Takes the room of so many tasks away; a negative number gives it back. */
-export function takeRoom(room: Room, spec: JobSpec, tasks = 1): void {
-  room.cpus -= spec.Cpus * tasks;
-  room.cards -= spec.Cards * tasks;
-  room.memGb -= spec.MemGb * tasks;
+export function subtractResources(room: Resources, spec: JobSpec, tasks = 1): void {
+  room.cpus -= spec.cpus * tasks;
+  room.gpus -= spec.gpus * tasks;
+  room.memoryGb -= spec.memoryGb * tasks;
 }
 
 /** May a task of this job ever run on such a machine? */
-export const allowedOn = (job: JobSpec, machine: Pick<Machine, 'flavor' | 'site' | 'reclaimable'>): boolean =>
-  (job.Flavors === null || job.Flavors.includes(machine.flavor)) &&
-  (job.Site === null || job.Site === machine.site) &&
-  (job.Reclaimable || !machine.reclaimable);
+export const allowedOn = (job: JobSpec, machine: Pick<Machine, 'machineType' | 'zone' | 'isSpot'>): boolean =>
+  (job.machineTypes === null || job.machineTypes.includes(machine.machineType)) &&
+  (job.zone === null || job.zone === machine.zone) &&
+  (job.allowsSpot || !machine.isSpot);
 
 /** Tasks of a spread job that one zone may hold. */
-export const spreadLimit = (job: JobSpec): number => Math.ceil(job.Shards / 2);
+export const spreadLimit = (job: JobSpec): number => Math.ceil(job.taskCount / 2);
 
 /** Tasks of the job in each zone, counted until their exit is known. */
-export function zonesOf(slots: Iterable<Slot>): Map<string, number> {
+export function zonesOf(placements: Iterable<TaskPlacement>): Map<string, number> {
   const zones = new Map<string, number>();
-  for (const slot of slots) if (slot.kind === 'placed') zones.set(slot.site, (zones.get(slot.site) ?? 0) + 1);
+  for (const placement of placements)
+    if (placement.kind === 'placed') zones.set(placement.zone, (zones.get(placement.zone) ?? 0) + 1);
   return zones;
 }
 
 /** May one more task start in the zone, given where the job's other tasks are? */
-export function zoneAllows(job: JobSpec, zones: ReadonlyMap<string, number>, site: string): boolean {
-  if (job.Spread && (zones.get(site) ?? 0) >= spreadLimit(job)) return false;
-  if (job.OneZone) for (const [other, count] of zones) if (count > 0 && other !== site) return false;
+export function zoneAllows(job: JobSpec, zones: ReadonlyMap<string, number>, zone: string): boolean {
+  if (job.spreadAcrossZones && (zones.get(zone) ?? 0) >= spreadLimit(job)) return false;
+  if (job.singleZone) for (const [other, count] of zones) if (count > 0 && other !== zone) return false;
   return true;
 }
 
 /** Does the team's committed use, with this added, stay within its limit? 0 means no limit. */
-export const quotaAllows = (team: Team, use: TeamRecord, cpus: number, cards: number): boolean =>
+export const quotaAllows = (team: Team, use: TeamUsage, cpus: number, gpus: number): boolean =>
   (team.cpus_max === 0 || cpus === 0 || use.cpus + cpus <= team.cpus_max + EPS) &&
-  (team.gpus_max === 0 || cards === 0 || use.cards + cards <= team.gpus_max + EPS);
+  (team.gpus_max === 0 || gpus === 0 || use.gpus + gpus <= team.gpus_max + EPS);
 
 /** Does the team have any limit that this job counts against? Without one its use is not recorded. */
 export const isLimited = (team: Team, job: JobSpec): boolean =>
-  (team.cpus_max > 0 && job.Cpus > 0) || (team.gpus_max > 0 && job.Cards > 0);
+  (team.cpus_max > 0 && job.cpus > 0) || (team.gpus_max > 0 && job.gpus > 0);
 
 /** Everything compared in the transaction of a start, and nothing else. */
 export interface StartFacts {
   job: JobRecord | undefined;
-  slot: Slot;
+  placement: TaskPlacement;
   /** All other slots of the job where Spread or OneZone asks for them. */
-  others: Iterable<Slot>;
+  others: Iterable<TaskPlacement>;
   team: Team;
-  use: TeamRecord;
+  teamUsage: TeamUsage;
   machine: Machine;
   attempt: number;
 }
 
 /** The one check of every start: undefined if it may be committed, else the rule in its way. */
 export function whyNotStart(facts: StartFacts): string | undefined {
-  const { job, slot, team, use, machine } = facts;
+  const { job, placement, team, teamUsage, machine } = facts;
   if (job === undefined) return 'no such job';
-  if (job.phase === 'waiting') return 'waits for other jobs';
-  if (job.phase !== 'active') return 'withdrawn';
-  if (slot.kind === 'done') return 'done already';
-  if (slot.kind === 'placed') return 'placed already';
-  if (facts.attempt < slot.attempt || (facts.attempt === slot.attempt && job.spec.Shape !== 'ensemble')) {
+  if (job.state === 'waiting') return 'waits for other jobs';
+  if (job.state !== 'active') return 'cancelled';
+  if (placement.kind === 'done') return 'done already';
+  if (placement.kind === 'placed') return 'placed already';
+  if (facts.attempt < placement.attempt || (facts.attempt === placement.attempt && job.spec.kind !== 'gang')) {
     return 'attempt used before';
   }
   if (!allowedOn(job.spec, machine)) return 'machine not allowed';
-  if (!zoneAllows(job.spec, zonesOf(facts.others), machine.site)) return 'zone not allowed';
-  if (!quotaAllows(team, use, job.spec.Cpus, job.spec.Cards)) return 'over the limit of its team';
+  if (!zoneAllows(job.spec, zonesOf(facts.others), machine.zone)) return 'zone not allowed';
+  if (!quotaAllows(team, teamUsage, job.spec.cpus, job.spec.gpus)) return 'over the limit of its team';
   return undefined;
 }
 
 /** Why a place is free. Nothing else proves it. */
 export type Proof =
-  | { kind: 'exited'; attempt: number; tenure: number }
-  | { kind: 'tenure'; tenure: number }
+  | { kind: 'exited'; attempt: number; agentEpoch: number }
+  | { kind: 'tenure'; agentEpoch: number }
   | { kind: 'gone' }
   /** The session's lease is over; it says nothing of what the machine is given in its next one. */
-  | { kind: 'lease'; tenure: number };
+  | { kind: 'lease'; agentEpoch: number };
 
 /** Does the proof free exactly this place? */
-export function proves(proof: Proof, slot: Placed): boolean {
+export function provesFree(proof: Proof, placement: ActivePlacement): boolean {
   switch (proof.kind) {
     case 'exited':
-      return proof.attempt === slot.attempt && proof.tenure === slot.tenure;
+      return proof.attempt === placement.attempt && proof.agentEpoch === placement.agentEpoch;
     case 'tenure':
-      return proof.tenure > slot.tenure;
+      return proof.agentEpoch > placement.agentEpoch;
     case 'gone':
       return true;
     case 'lease':
-      return proof.tenure >= slot.tenure;
+      return proof.agentEpoch >= placement.agentEpoch;
   }
 }
--- a/src/ledger/team-accounting.ts
+++ b/src/ledger/team-accounting.ts
@@ -6,29 +6,31 @@
  */
 import { TEAM_DEFER_SHARE } from '../constants.js';
 import type { Team } from '../config/settings.js';
-import type { Draft } from '../state/draft.js';
-import type { Stored } from '../state/replica.js';
-import { decodeTeam, teamKey, type JobSpec, type TeamRecord } from './records.js';
-import { isLimited, round } from './rules.js';
+import type { TransactionDraft } from '../state/draft.js';
+import type { StoredValue } from '../state/replica.js';
+import { decodeTeamUsage, encodeTeamUsage } from './record-codecs.js';
+import { teamKey } from './record-keys.js';
+import type { JobSpec, TeamUsage } from './records.js';
+import { isLimited, roundAmount } from './rules.js';
 
 export interface TeamAccountingDependencies {
   teams: readonly Team[];
   /** What a team's places use by the ledger; undefined unless the copy holds all that happened up to the revision. */
-  placedUse: (team: string, upTo: number) => TeamRecord | undefined;
-  recordOf: (key: string) => Stored;
+  placedUse: (team: string, upTo: number) => TeamUsage | undefined;
+  recordOf: (key: string) => StoredValue;
   /** Do all controllers know that a record may be more than its team uses? */
   mayDefer: () => boolean;
 }
 
-const withTask = (use: TeamRecord, spec: JobSpec, tasks: 1 | -1): TeamRecord => ({
-  cpus: round(use.cpus + tasks * spec.Cpus),
-  cards: round(use.cards + tasks * spec.Cards),
+const withTask = (use: TeamUsage, spec: JobSpec, tasks: 1 | -1): TeamUsage => ({
+  cpus: roundAmount(use.cpus + tasks * spec.cpus),
+  gpus: roundAmount(use.gpus + tasks * spec.gpus),
 });
 
 /** Is there so much room under the limit that the next start need not know of every exit? */
-const isFarBelow = (use: TeamRecord, team: Team): boolean =>
+const isFarBelow = (use: TeamUsage, team: Team): boolean =>
   (team.cpus_max === 0 || use.cpus <= team.cpus_max * TEAM_DEFER_SHARE) &&
-  (team.gpus_max === 0 || use.cards <= team.gpus_max * TEAM_DEFER_SHARE);
+  (team.gpus_max === 0 || use.gpus <= team.gpus_max * TEAM_DEFER_SHARE);
 
 export class TeamAccounting {
   private readonly teams: ReadonlyMap<string, Team>;
@@ -38,30 +40,30 @@
   }
 
   /** What the job's team uses at most; a condition of the draft from then on. */
-  useOf(draft: Draft, team: Team, spec: JobSpec): TeamRecord {
-    if (!isLimited(team, spec)) return { cpus: 0, cards: 0 };
+  useOf(draft: TransactionDraft, team: Team, spec: JobSpec): TeamUsage {
+    if (!isLimited(team, spec)) return { cpus: 0, gpus: 0 };
     const key = teamKey(team.name);
     const isCounted = draft.hasWritten(key);
-    const recorded = decodeTeam(draft.get(key));
+    const recorded = decodeTeamUsage(draft.get(key));
     if (isCounted) return recorded;
     return this.atMost(team.name, recorded, draft.conditions.get(key) ?? Infinity);
   }
 
-  addStart(draft: Draft, team: Team, spec: JobSpec): void {
+  addStart(draft: TransactionDraft, team: Team, spec: JobSpec): void {
     if (!isLimited(team, spec)) return;
-    draft.set(teamKey(team.name), withTask(this.useOf(draft, team, spec), spec, 1));
+    draft.set(teamKey(team.name), encodeTeamUsage(withTask(this.useOf(draft, team, spec), spec, 1)));
   }
 
   /** Takes a task off its team's record, unless that can be left to the team's next start. */
-  addExit(draft: Draft, spec: JobSpec): void {
-    const team = this.teams.get(spec.Owner);
+  addExit(draft: TransactionDraft, spec: JobSpec): void {
+    const team = this.teams.get(spec.team);
     if (team === undefined || !isLimited(team, spec) || this.isDeferred(draft, team)) return;
-    draft.set(teamKey(team.name), withTask(this.useOf(draft, team, spec), spec, -1));
+    draft.set(teamKey(team.name), encodeTeamUsage(withTask(this.useOf(draft, team, spec), spec, -1)));
   }
 
-  private isDeferred(draft: Draft, team: Team): boolean {
+  private isDeferred(draft: TransactionDraft, team: Team): boolean {
     const key = teamKey(team.name);
-    return this.dependencies.mayDefer() && !draft.hasWritten(key) && isFarBelow(decodeTeam(draft.peek(key)), team);
+    return this.dependencies.mayDefer() && !draft.hasWritten(key) && isFarBelow(decodeTeamUsage(draft.peek(key)), team);
   }
 
   /** Does a team's record say more than the ledger shows? */
@@ -70,36 +72,36 @@
   }
 
   /** Sets a team's record to what the ledger shows, if that is less. */
-  settle(draft: Draft, team: string): boolean {
+  settle(draft: TransactionDraft, team: string): boolean {
     const key = teamKey(team);
     if (draft.hasWritten(key)) return false;
     const value = draft.get(key);
-    const use = this.settledUse(team, { value, stamp: draft.conditions.get(key) ?? Infinity });
+    const use = this.settledUse(team, { value, modRevision: draft.conditions.get(key) ?? Infinity });
     if (use === undefined) return false;
-    draft.set(key, use);
+    draft.set(key, encodeTeamUsage(use));
     return true;
   }
 
   /** What a team's record should say, where that is less than what it says. */
-  private settledUse(team: string, { value, stamp }: Stored): TeamRecord | undefined {
+  private settledUse(team: string, { value, modRevision }: StoredValue): TeamUsage | undefined {
     if (value === undefined) return undefined;
-    const recorded = decodeTeam(value);
-    const use = this.atMost(team, recorded, stamp);
-    return use.cpus < recorded.cpus || use.cards < recorded.cards ? use : undefined;
+    const recorded = decodeTeamUsage(value);
+    const use = this.atMost(team, recorded, modRevision);
+    return use.cpus < recorded.cpus || use.gpus < recorded.gpus ? use : undefined;
   }
 
   /**
    * The smaller of what the record and the ledger say. Every start changes the record, so its Stamp is that of the last one;
    * exits that the copy has not seen count as use.
    */
-  private atMost(team: string, recorded: TeamRecord, stamp: number): TeamRecord {
-    const placed = this.dependencies.placedUse(team, stamp);
+  private atMost(team: string, recorded: TeamUsage, modRevision: number): TeamUsage {
+    const placed = this.dependencies.placedUse(team, modRevision);
     if (placed === undefined) return recorded;
-    return { cpus: Math.min(recorded.cpus, placed.cpus), cards: Math.min(recorded.cards, placed.cards) };
+    return { cpus: Math.min(recorded.cpus, placed.cpus), gpus: Math.min(recorded.gpus, placed.gpus) };
   }
 
   /** The team whose record an exit may change. */
   teamChangedByExit(spec: JobSpec | undefined): Team | undefined {
-    return spec === undefined || this.dependencies.mayDefer() ? undefined : this.teams.get(spec.Owner);
+    return spec === undefined || this.dependencies.mayDefer() ? undefined : this.teams.get(spec.team);
   }
 }
--- a/src/mesh/coverage.ts
+++ b/src/mesh/coverage.ts
@@ -1,11 +1,11 @@
 import { CLOCK_DRIFT, DELTA_BYTES, FRESH_MS } from '../constants.js';
 import type { Clock } from '../net/clock.js';
-import { readChanges, type Replica } from '../state/replica.js';
-import type { Ask, Delta, Gossip, Message } from './messages.js';
+import { deserializeChanges, type Replica } from '../state/replica.js';
+import type { DeltaRequest, ReplicaDelta, Gossip, Message } from './messages.js';
 
 /** A state of a peer's copy: its process, and how many changes that had taken in. */
 interface Version {
-  life: number;
+  incarnation: number;
   version: number;
 }
 
@@ -17,12 +17,12 @@
  * Words are dated by an echo of this node's own clock, since a cut may hold a message back for minutes. A process that has
  * not read the store speaks for nobody: its former life may have confirmed what no other copy holds.
  */
-export class Coverage {
+export class ReplicaFreshness {
   /** The clocks of the peers, as they last told them, to be echoed. */
-  private readonly clocks = new Map<string, { life: number; clock: number }>();
+  private readonly clocks = new Map<string, { incarnation: number; clock: number }>();
   private readonly merged = new Map<string, Version>();
   /** What is being told in several messages, and up to which revision it has been. */
-  private readonly asking = new Map<string, Version & { after: number }>();
+  private readonly pendingDeltas = new Map<string, Version & { after: number }>();
   /** Steady ms as of which this copy held all that the peer's held. */
   private readonly coveredAt: Map<string, number>;
   /** Steady ms as of which some peer had a complete copy from the store, all of which ours holds. */
@@ -32,7 +32,7 @@
     private readonly node: string,
     peers: readonly string[],
     /** Tells this process from its former lives. */
-    private readonly life: number,
+    private readonly incarnation: number,
     private readonly replica: Replica,
     private readonly clock: Clock,
     private readonly send: (node: string, message: Message) => void,
@@ -41,63 +41,63 @@
   }
 
   /** What gossip to a peer says of this node's copy. */
-  tell(peer: string): Pick<Gossip, 'clock' | 'echo' | 'loaded' | 'version'> {
+  describe(peer: string): Pick<Gossip, 'clock' | 'echo' | 'isLoaded' | 'version'> {
     return {
       clock: this.clock.now(),
       echo: this.clocks.get(peer) ?? null,
-      loaded: this.replica.loaded,
+      isLoaded: this.replica.isLoaded,
       version: this.replica.version,
     };
   }
 
-  hear({ node, life, version, loaded, clock, echo, freshAgeMs }: Gossip): void {
+  applyGossip({ node, incarnation, version, isLoaded, clock, echo, freshAgeMs }: Gossip): void {
     if (!this.coveredAt.has(node)) return;
-    this.clocks.set(node, { life, clock });
-    if (!loaded) return;
+    this.clocks.set(node, { incarnation, clock });
+    if (!isLoaded) return;
     const merged = this.merged.get(node);
-    if (merged?.life === life && merged.version === version) {
+    if (merged?.incarnation === incarnation && merged.version === version) {
       // Said by the peer no earlier than this.
-      if (echo?.life !== this.life) return;
+      if (echo?.incarnation !== this.incarnation) return;
       this.coveredAt.set(node, Math.max(this.coveredAt.get(node)!, echo.clock));
       this.copiedAt = Math.max(this.copiedAt, echo.clock - freshAgeMs * (1 + CLOCK_DRIFT));
-    } else if (this.replica.loaded && this.clock.now() - this.replica.freshAt >= FRESH_MS) {
-      this.ask(node);
+    } else if (this.replica.isLoaded && this.clock.now() - this.replica.freshAt >= FRESH_MS) {
+      this.requestDelta(node);
     }
   }
 
-  private ask(node: string): void {
-    const { epoch } = this.replica;
-    this.asking.delete(node);
-    this.send(node, { ask: { node: this.node, from: epoch, after: epoch } });
+  private requestDelta(node: string): void {
+    const { revision } = this.replica;
+    this.pendingDeltas.delete(node);
+    this.send(node, { ask: { node: this.node, from: revision, after: revision } });
   }
 
   /** Tells a peer what this copy holds since the peer's was complete. */
-  answer({ node, from, after }: Ask): void {
-    if (!this.replica.loaded) return;
+  answerDeltaRequest({ node, from, after }: DeltaRequest): void {
+    if (!this.replica.isLoaded) return;
     const { version } = this.replica;
     const upTo = this.replica.completeFrom(from);
-    const told = this.replica.since(after, DELTA_BYTES);
-    this.send(node, { delta: { node: this.node, life: this.life, version, from, after, upTo, ...told } });
+    const told = this.replica.changesSince(after, DELTA_BYTES);
+    this.send(node, { delta: { node: this.node, incarnation: this.incarnation, version, from, after, upTo, ...told } });
   }
 
-  take({ node, life, version, from, after, last, whole, upTo, changes }: Delta): void {
-    if (!this.coveredAt.has(node) || !this.replica.loaded || from > this.replica.epoch) return;
-    this.replica.takeIn(readChanges(changes));
+  applyDelta({ node, incarnation, version, from, after, last, isComplete, upTo, changes }: ReplicaDelta): void {
+    if (!this.coveredAt.has(node) || !this.replica.isLoaded || from > this.replica.revision) return;
+    this.replica.applyAllFromPeer(deserializeChanges(changes));
     // Only of one and the same state of the peer's copy do several messages make a whole.
-    const begun = after === from ? { life, version, after } : this.asking.get(node);
-    if (begun?.life !== life || begun.version !== version || begun.after !== after) return;
-    if (whole) {
-      this.asking.delete(node);
+    const begun = after === from ? { incarnation, version, after } : this.pendingDeltas.get(node);
+    if (begun?.incarnation !== incarnation || begun.version !== version || begun.after !== after) return;
+    if (isComplete) {
+      this.pendingDeltas.delete(node);
       this.replica.completeTo(upTo);
-      this.merged.set(node, { life, version });
+      this.merged.set(node, { incarnation, version });
     } else if (last > after) {
-      this.asking.set(node, { life, version, after: last });
+      this.pendingDeltas.set(node, { incarnation, version, after: last });
       this.send(node, { ask: { node: this.node, from, after: last } });
     }
   }
 
   /** Steady ms: no node can have confirmed anything before it that this node's copy does not hold. */
-  asOf(): number {
+  completeAsOf(): number {
     return Math.max(this.replica.freshAt, this.copiedAt, Math.min(...this.coveredAt.values()));
   }
 }
