--- a/src/mesh/machine-updates.ts
+++ b/src/mesh/machine-updates.ts
@@ -1,27 +1,49 @@
 import { MACHINE_NEWS_BYTES, MACHINES_A_TURN, MACHINES_IN_GOSSIP_BYTES } from '../constants.js';
-import type { Gossip, MachineNews } from './messages.js';
+import type { Gossip, MachineUpdate } from './messages.js';
 
-type Told = Pick<Gossip, 'life' | 'seq' | 'whole' | 'machines' | 'same'>;
+type Told = Pick<Gossip, 'incarnation' | 'messageNumber' | 'isSnapshot' | 'machines' | 'unchanged'>;
 
 /** All that is told of a machine besides what every report changes. */
-const lasting = (machine: MachineNews): string => {
-  const { endpoint, flavor, site, reclaimable, tenure, sick, cooling, unreached, slow, mute, owner } = machine;
-  const flags = [reclaimable, sick, cooling, unreached, slow, mute].map(Number).join('');
-  return [endpoint, flavor, site, tenure, flags, owner, ...machine.images, '', ...machine.failedJobs].join(' ');
+const lasting = (machine: MachineUpdate): string => {
+  const {
+    endpoint,
+    machineType,
+    zone,
+    isSpot,
+    agentEpoch,
+    isQuarantined,
+    isBackingOff,
+    isUnreached,
+    isSlow,
+    isMute,
+    partitionLeader,
+  } = machine;
+  const flags = [isSpot, isQuarantined, isBackingOff, isUnreached, isSlow, isMute].map(Number).join('');
+  return [
+    endpoint,
+    machineType,
+    zone,
+    agentEpoch,
+    flags,
+    partitionLeader,
+    ...machine.images,
+    '',
+    ...machine.failedJobs,
+  ].join(' ');
 };
 
 /** Bytes that a machine takes in a message, a safe upper bound. */
-const bytesOf = (news: MachineNews, text: string): number =>
-  MACHINE_NEWS_BYTES + Buffer.byteLength(text) + news.host.length + news.images.length + news.failedJobs.length;
+const bytesOf = (news: MachineUpdate, text: string): number =>
+  MACHINE_NEWS_BYTES + Buffer.byteLength(text) + news.machineId.length + news.images.length + news.failedJobs.length;
 
 /** The sender's own machines as they were at one moment, for all peers that are told within the next. */
 export interface OwnMachines {
   /** Steady ms. */
   at: number;
-  machines: readonly { news: MachineNews; lasting: string }[];
+  machines: readonly { news: MachineUpdate; lasting: string }[];
 }
 
-export const describeOwnMachines = (at: number, machines: readonly MachineNews[]): OwnMachines => ({
+export const describeOwnMachines = (at: number, machines: readonly MachineUpdate[]): OwnMachines => ({
   at,
   machines: machines.map((news) => ({ news, lasting: lasting(news) })),
 });
@@ -33,17 +55,17 @@
 export class SentMachineUpdates {
   private readonly numbers = new Map<string, number>();
   private next = 0;
-  private readonly peers = new Map<string, { seq: number; told: Map<string, string> }>();
+  private readonly peers = new Map<string, { messageNumber: number; told: Map<string, string> }>();
 
   /** `life` tells this process from its former ones. */
-  constructor(private readonly life: number) {}
+  constructor(private readonly incarnation: number) {}
 
   /** The peer has missed something, or may have: next time it is told all. */
   renew(peer: string): void {
     this.peers.get(peer)?.told.clear();
   }
 
-  compose(peer: string, own: OwnMachines, passedOn: readonly MachineNews[], now: number): Told {
+  compose(peer: string, own: OwnMachines, passedOn: readonly MachineUpdate[], now: number): Told {
     const { machines } = own;
     const age = now - own.at;
     // Names never come back, so numbers of machines that are gone are given up now and then.
@@ -52,32 +74,38 @@
       for (const { told } of this.peers.values()) told.clear();
     }
     let known = this.peers.get(peer);
-    if (known === undefined) this.peers.set(peer, (known = { seq: 0, told: new Map() }));
-    const whole = known.told.size === 0;
-    const changed: MachineNews[] = [];
+    if (known === undefined) this.peers.set(peer, (known = { messageNumber: 0, told: new Map() }));
+    const isSnapshot = known.told.size === 0;
+    const changed: MachineUpdate[] = [];
     // What finds no room is told next time: a peer closes the link on a message that is larger than it takes.
     let room = MACHINES_IN_GOSSIP_BYTES;
-    const same: Told['same'] = { numbers: [], heardAgesMs: [], ticks: [] };
+    const unchanged: Told['unchanged'] = { numbers: [], heardAgesMs: [], sequences: [] };
     for (const { news, lasting } of machines) {
-      const { host } = news;
-      let number = this.numbers.get(host);
-      if (number === undefined) this.numbers.set(host, (number = this.next++));
+      const { machineId } = news;
+      let number = this.numbers.get(machineId);
+      if (number === undefined) this.numbers.set(machineId, (number = this.next++));
       // A notice runs down all the time.
-      if (known.told.get(host) === lasting && news.warnedMs === null) {
-        same.numbers.push(number);
-        same.heardAgesMs.push(Math.round(news.heardAgeMs + age));
-        same.ticks.push(news.tick);
+      if (known.told.get(machineId) === lasting && news.spotNoticeMs === null) {
+        unchanged.numbers.push(number);
+        unchanged.heardAgesMs.push(Math.round(news.heardAgeMs + age));
+        unchanged.sequences.push(news.sequence);
         continue;
       }
       room -= bytesOf(news, lasting);
       if (room < 0) continue;
-      known.told.set(host, lasting);
-      const warnedMs = news.warnedMs === null ? null : news.warnedMs - age;
-      changed.push({ ...news, number, heardAgeMs: news.heardAgeMs + age, knownAgeMs: age, warnedMs });
+      known.told.set(machineId, lasting);
+      const spotNoticeMs = news.spotNoticeMs === null ? null : news.spotNoticeMs - age;
+      changed.push({ ...news, number, heardAgeMs: news.heardAgeMs + age, knownAgeMs: age, spotNoticeMs });
     }
-    known.seq++;
-    changed.push(...somePassedOn(passedOn, room, known.seq));
-    return { life: this.life, seq: known.seq, whole, machines: changed, same };
+    known.messageNumber++;
+    changed.push(...somePassedOn(passedOn, room, known.messageNumber));
+    return {
+      incarnation: this.incarnation,
+      messageNumber: known.messageNumber,
+      isSnapshot,
+      machines: changed,
+      unchanged,
+    };
   }
 }
 
@@ -85,8 +113,8 @@
  * As many machines of others as there is room for. What is passed on comes and goes, and has no numbers: it is told anew each
  * time, and the turn begins at another machine.
  */
-function somePassedOn(passedOn: readonly MachineNews[], room: number, turn: number): MachineNews[] {
-  const chosen: MachineNews[] = [];
+function somePassedOn(passedOn: readonly MachineUpdate[], room: number, turn: number): MachineUpdate[] {
+  const chosen: MachineUpdate[] = [];
   const begin = passedOn.length === 0 ? 0 : (turn * MACHINES_A_TURN) % passedOn.length;
   let left = room;
   for (const news of [...passedOn.slice(begin), ...passedOn.slice(0, begin)]) {
@@ -99,36 +127,42 @@
 
 /** A machine of which nothing is new but these. */
 export interface UnchangedMachine {
-  machine: MachineNews;
+  machine: MachineUpdate;
   heardAgeMs: number;
-  tick: number;
+  sequence: number;
 }
 
 /** What the peers have told of their machines so far. */
 export class ReceivedMachineUpdates {
-  private readonly senders = new Map<string, { life: number; seq: number; machines: Map<number, MachineNews> }>();
+  private readonly senders = new Map<
+    string,
+    { incarnation: number; messageNumber: number; machines: Map<number, MachineUpdate> }
+  >();
 
   /**
    * The machines that a message speaks of: those told in full, and those of which no more than the times is new. `gap`: the
    * message builds on something that never came.
    */
-  take({ node, life, seq, whole, machines, same }: Gossip): {
-    machines: MachineNews[];
-    same: UnchangedMachine[];
+  take({ node, incarnation, messageNumber, isSnapshot, machines, unchanged }: Gossip): {
+    machines: MachineUpdate[];
+    unchanged: UnchangedMachine[];
     gap: boolean;
   } {
     let sender = this.senders.get(node);
     // A message of a former life, or one that a newer has overtaken, says nothing that is not known better.
-    if (sender?.life === life && seq <= sender.seq) return { machines: [], same: [], gap: false };
-    const gap = !whole && (sender?.life !== life || seq !== sender.seq + 1);
-    if (sender === undefined || whole || gap) this.senders.set(node, (sender = { life, seq, machines: new Map() }));
-    sender.seq = seq;
+    if (sender?.incarnation === incarnation && messageNumber <= sender.messageNumber)
+      return { machines: [], unchanged: [], gap: false };
+    const gap = !isSnapshot && (sender?.incarnation !== incarnation || messageNumber !== sender.messageNumber + 1);
+    if (sender === undefined || isSnapshot || gap)
+      this.senders.set(node, (sender = { incarnation, messageNumber, machines: new Map() }));
+    sender.messageNumber = messageNumber;
     const still: UnchangedMachine[] = [];
     for (const machine of machines) if (machine.number >= 0) sender.machines.set(machine.number, machine);
-    for (const [at, number] of same.numbers.entries()) {
+    for (const [at, number] of unchanged.numbers.entries()) {
       const machine = sender.machines.get(number);
-      if (machine !== undefined) still.push({ machine, heardAgeMs: same.heardAgesMs[at]!, tick: same.ticks[at]! });
+      if (machine !== undefined)
+        still.push({ machine, heardAgeMs: unchanged.heardAgesMs[at]!, sequence: unchanged.sequences[at]! });
     }
-    return { machines, same: still, gap };
+    return { machines, unchanged: still, gap };
   }
 }
--- a/src/mesh/mesh.ts
+++ b/src/mesh/mesh.ts
@@ -8,7 +8,7 @@
 import { isStreamMessage } from './stream-codec.js';
 
 /** Links to the other controllers: each node connects to each peer and sends there; answers come by the peer's own link. */
-export class Mesh {
+export class PeerLinks {
   private readonly links = new Map<string, Socket>();
 
   constructor(
--- a/src/mesh/messages.ts
+++ b/src/mesh/messages.ts
@@ -1,6 +1,6 @@
 import avro from 'avsc';
 import type { StreamMessage } from '@dewlatch/standby';
-import type { SentChange } from '../state/replica.js';
+import type { SerializedChange } from '../state/replica.js';
 import type { MachineState } from '../workers/machine-state.js';
 import { record } from './avro-record.js';
 import { decodeStreamMessage, encodeStreamMessage, isStreamMessage } from './stream-codec.js';
@@ -13,43 +13,43 @@
   /** ms since the store last confirmed the node's copy; the sender's clock. */
   freshAgeMs: number;
   /** The store refuses, or doesn't answer, this node. */
-  withoutStore: boolean;
+  isWithoutStore: boolean;
   /** The sender's steady clock, ms, and the receiver's as it last told it, with the life that told it. */
   clock: number;
-  echo: { life: number; clock: number } | null;
+  echo: { incarnation: number; clock: number } | null;
   /** The sender's process has read the store. */
-  loaded: boolean;
+  isLoaded: boolean;
   /** How many changes the sender's copy has taken in. */
   version: number;
   /** Nodes that the sender hears just now: what they own need not be passed on to it. */
-  hears: string[];
+  reachablePeers: string[];
   /** Tells the sender's process from its former lives; messages to one peer are counted. */
-  life: number;
-  seq: number;
+  incarnation: number;
+  messageNumber: number;
   /** Nothing that was told before is needed to understand this. */
-  whole: boolean;
+  isSnapshot: boolean;
   /** The sender has missed something that the receiver told it, and wants to be told all. */
-  wants: boolean;
+  wantsSnapshot: boolean;
   /** What has changed. */
-  machines: MachineNews[];
+  machines: MachineUpdate[];
   /** Machines of the sender's of which nothing has changed since it was told, but that they were heard. */
-  same: { numbers: number[]; heardAgesMs: number[]; ticks: number[] };
+  unchanged: { numbers: number[]; heardAgesMs: number[]; sequences: number[] };
   /** Workers that asked, here or at a node heard of, though another node owns them. */
-  knocks: { host: string; ageMs: number }[];
+  misroutedHeartbeats: { machineId: string; ageMs: number }[];
   /** Roles that the node does not want for now, since the workers can't reach it. */
-  avoids: string[];
+  avoidedRoles: string[];
   /** Machines that the cloud has lately confirmed gone. */
-  gone: string[];
+  terminated: string[];
 }
 
-export interface MachineNews extends MachineState {
+export interface MachineUpdate extends MachineState {
   /** By which the sender speaks of it from now on; -1: not at all. */
   number: number;
   heardAgeMs: number;
   /** ms since the machine's owner said this; 0 from the owner itself. */
   knownAgeMs: number;
   /** ms until the cloud takes it, or null. */
-  warnedMs: number | null;
+  spotNoticeMs: number | null;
 }
 
 const gossipSchema: avro.Schema = {
@@ -59,7 +59,7 @@
     { name: 'node', type: 'string' },
     { name: 'upMs', type: 'double' },
     { name: 'freshAgeMs', type: 'double' },
-    { name: 'withoutStore', type: 'boolean' },
+    { name: 'isWithoutStore', type: 'boolean' },
     { name: 'clock', type: 'double' },
     {
       name: 'echo',
@@ -69,91 +69,91 @@
           type: 'record',
           name: 'Echo',
           fields: [
-            { name: 'life', type: 'long' },
+            { name: 'incarnation', type: 'long' },
             { name: 'clock', type: 'double' },
           ],
         },
       ],
     },
-    { name: 'loaded', type: 'boolean' },
+    { name: 'isLoaded', type: 'boolean' },
     { name: 'version', type: 'long' },
-    { name: 'hears', type: { type: 'array', items: 'string' } },
-    { name: 'life', type: 'long' },
-    { name: 'seq', type: 'long' },
-    { name: 'whole', type: 'boolean' },
-    { name: 'wants', type: 'boolean' },
+    { name: 'reachablePeers', type: { type: 'array', items: 'string' } },
+    { name: 'incarnation', type: 'long' },
+    { name: 'messageNumber', type: 'long' },
+    { name: 'isSnapshot', type: 'boolean' },
+    { name: 'wantsSnapshot', type: 'boolean' },
     {
       name: 'machines',
       type: {
         type: 'array',
         items: {
           type: 'record',
-          name: 'MachineNews',
+          name: 'MachineUpdate',
           fields: [
-            { name: 'host', type: 'string' },
+            { name: 'machineId', type: 'string' },
             { name: 'number', type: 'long' },
             { name: 'endpoint', type: 'string' },
-            { name: 'flavor', type: 'string' },
-            { name: 'site', type: 'string' },
-            { name: 'reclaimable', type: 'boolean' },
-            { name: 'tenure', type: 'long' },
-            { name: 'tick', type: 'long' },
+            { name: 'machineType', type: 'string' },
+            { name: 'zone', type: 'string' },
+            { name: 'isSpot', type: 'boolean' },
+            { name: 'agentEpoch', type: 'long' },
+            { name: 'sequence', type: 'long' },
             { name: 'heardAgeMs', type: 'double' },
             { name: 'knownAgeMs', type: 'double' },
-            { name: 'warnedMs', type: ['null', 'double'] },
-            { name: 'sick', type: 'boolean' },
-            { name: 'cooling', type: 'boolean' },
-            { name: 'unreached', type: 'boolean' },
-            { name: 'slow', type: 'boolean' },
-            { name: 'mute', type: 'boolean' },
+            { name: 'spotNoticeMs', type: ['null', 'double'] },
+            { name: 'isQuarantined', type: 'boolean' },
+            { name: 'isBackingOff', type: 'boolean' },
+            { name: 'isUnreached', type: 'boolean' },
+            { name: 'isSlow', type: 'boolean' },
+            { name: 'isMute', type: 'boolean' },
             { name: 'images', type: { type: 'array', items: 'string' } },
             { name: 'failedJobs', type: { type: 'array', items: 'string' } },
-            { name: 'owner', type: 'string' },
+            { name: 'partitionLeader', type: 'string' },
           ],
         },
       },
     },
     {
-      name: 'same',
+      name: 'unchanged',
       type: {
         type: 'record',
-        name: 'Same',
+        name: 'UnchangedMachines',
         fields: [
           { name: 'numbers', type: { type: 'array', items: 'long' } },
           { name: 'heardAgesMs', type: { type: 'array', items: 'long' } },
-          { name: 'ticks', type: { type: 'array', items: 'long' } },
+          { name: 'sequences', type: { type: 'array', items: 'long' } },
         ],
       },
     },
     {
-      name: 'knocks',
+      name: 'misroutedHeartbeats',
       type: {
         type: 'array',
         items: {
           type: 'record',
-          name: 'Knock',
+          name: 'MisroutedHeartbeat',
           fields: [
-            { name: 'host', type: 'string' },
+            { name: 'machineId', type: 'string' },
             { name: 'ageMs', type: 'double' },
           ],
         },
       },
     },
-    { name: 'avoids', type: { type: 'array', items: 'string' } },
-    { name: 'gone', type: { type: 'array', items: 'string' } },
+    { name: 'avoidedRoles', type: { type: 'array', items: 'string' } },
+    { name: 'terminated', type: { type: 'array', items: 'string' } },
   ],
 };
 
 /** A worker's report that came to a node which does not own it, on behalf of a worker that can't reach its owner. */
-export interface Relay {
+export interface ForwardedHeartbeat {
   node: string;
   id: number;
   /** The report, JSON as the worker sent it. */
-  report: string;
+  status: string;
 }
 
 /** The owner's answer to a relayed report. */
-export interface RelayAnswer {
+export interface ForwardedHeartbeatAnswer {
   node: string;
   id: number;
   status: number;
@@ -162,12 +162,12 @@
 }
 
 /** Records as a transaction of the sender's has just left them in the store: known sooner than by a watch. */
-export interface News {
-  changes: SentChange[];
+export interface RecordDelta {
+  changes: SerializedChange[];
 }
 
 /** Asks for all that has changed since the sender's copy was complete, when the store can't be asked. */
-export interface Ask {
+export interface DeltaRequest {
   node: string;
   /** The revision up to which the sender's copy is complete. */
   from: number;
@@ -176,42 +176,50 @@
 }
 
 /** What the sender's copy holds since the revision that was asked for. */
-export interface Delta {
+export interface ReplicaDelta {
   node: string;
-  life: number;
+  incarnation: number;
   version: number;
   from: number;
   after: number;
   /** The revision of the last change. */
   last: number;
   /** False: there is more after `last`. */
-  whole: boolean;
+  isComplete: boolean;
   /** With all of it, a copy that was complete up to `from` is complete up to here. */
   upTo: number;
-  changes: SentChange[];
+  changes: SerializedChange[];
 }
 
 export type Message =
   | { gossip: Gossip }
-  | { relay: Relay }
-  | { relayAnswer: RelayAnswer }
-  | { news: News }
-  | { ask: Ask }
-  | { delta: Delta }
+  | { relay: ForwardedHeartbeat }
+  | { relayAnswer: ForwardedHeartbeatAnswer }
+  | { news: RecordDelta }
+  | { ask: DeltaRequest }
+  | { delta: ReplicaDelta }
   /** Only to peers that have said in the store that they read it. */
   | { stream: StreamMessage };
 
-const change = record('RecordChange', { key: 'string', value: ['null', 'string'], stamp: 'long' });
+const change = record('RecordChange', { key: 'string', value: ['null', 'string'], modRevision: 'long' });
 
 /** Exactly one of them is there. */
 const kinds: Record<string, avro.Schema> = {
   gossip: gossipSchema,
-  relay: record('Relay', { node: 'string', id: 'long', report: 'string' }),
+  relay: record('ForwardedHeartbeat', { node: 'string', id: 'long', status: 'string' }),
   relayAnswer: record('RelayAnswer', { node: 'string', id: 'long', status: 'int', body: 'string' }),
   news: record('News', { changes: { type: 'array', items: change } }),
   ask: record('Ask', { node: 'string', from: 'long', after: 'long' }),
   delta: record('Delta', {
-    ...{ node: 'string', life: 'long', version: 'long', from: 'long', after: 'long', last: 'long', whole: 'boolean' },
+    ...{
+      node: 'string',
+      incarnation: 'long',
+      version: 'long',
+      from: 'long',
+      after: 'long',
+      last: 'long',
+      isComplete: 'boolean',
+    },
     upTo: 'long',
     changes: { type: 'array', items: 'RecordChange' },
   }),
@@ -240,11 +248,11 @@
   if (isStreamMessage(bytes)) return { stream: decodeStreamMessage(bytes) };
   const raw = envelope.fromBuffer(bytes) as {
     gossip: Gossip | null;
-    relay: Relay | null;
-    relayAnswer: RelayAnswer | null;
-    news: News | null;
-    ask: Ask | null;
-    delta: Delta | null;
+    relay: ForwardedHeartbeat | null;
+    relayAnswer: ForwardedHeartbeatAnswer | null;
+    news: RecordDelta | null;
+    ask: DeltaRequest | null;
+    delta: ReplicaDelta | null;
   };
   if (raw.gossip !== null) return { gossip: raw.gossip };
   if (raw.relay !== null) return { relay: raw.relay };
--- a/src/mesh/relays.ts
+++ b/src/mesh/relays.ts
@@ -1,13 +1,13 @@
 import { RELAY_TIMEOUT_MS } from '../constants.js';
 import type { Clock } from '../net/clock.js';
-import type { Message, Relay, RelayAnswer } from './messages.js';
+import type { Message, ForwardedHeartbeat, ForwardedHeartbeatAnswer } from './messages.js';
 
 /**
  * Reports passed on to their owner. A cut between two zones leaves workers that can't reach their owner, while a third
  * node reaches both: the owner's own answer, with its fence, keeps their leases alive.
  */
-export class Relays {
-  private readonly open = new Map<number, (answer: RelayAnswer | undefined) => void>();
+export class HeartbeatForwarder {
+  private readonly open = new Map<number, (answer: ForwardedHeartbeatAnswer | undefined) => void>();
 
   constructor(
     private readonly node: string,
@@ -21,12 +21,12 @@
   ) {}
 
   /** The owner's answer, or undefined when it can't be had in time. */
-  async ask(owner: string, report: unknown): Promise<RelayAnswer | undefined> {
+  async forward(partitionLeader: string, report: unknown): Promise<ForwardedHeartbeatAnswer | undefined> {
     const id = this.nextId++;
-    const relay: Relay = { node: this.node, id, report: JSON.stringify(report) };
+    const relay: ForwardedHeartbeat = { node: this.node, id, status: JSON.stringify(report) };
     const done = new AbortController();
-    const answered = new Promise<RelayAnswer | undefined>((resolve) => this.open.set(id, resolve));
-    if (!this.send(owner, { relay })) {
+    const answered = new Promise<ForwardedHeartbeatAnswer | undefined>((resolve) => this.open.set(id, resolve));
+    if (!this.send(partitionLeader, { relay })) {
       this.open.delete(id);
       return undefined;
     }
@@ -37,7 +37,7 @@
     return answer;
   }
 
-  take(answer: RelayAnswer): void {
+  settle(answer: ForwardedHeartbeatAnswer): void {
     this.open.get(answer.id)?.(answer);
   }
 }
--- a/src/mesh/stream-codec.ts
+++ b/src/mesh/stream-codec.ts
@@ -11,8 +11,8 @@
 const MARK = Buffer.from([STREAM_MARK]);
 
 const follow = record('Follow', {
-  ...{ node: 'string', life: 'long', clock: 'double' },
-  ...{ followedLife: 'long', upTo: 'long' },
+  ...{ node: 'string', incarnation: 'long', clock: 'double' },
+  ...{ followedIncarnation: 'long', upTo: 'long' },
 });
 
 const entry = record('Entry', {
@@ -21,8 +21,16 @@
 });
 
 const batch = record('Batch', {
-  ...{ node: 'string', life: 'long', after: 'long', upTo: 'long', isSnapshot: 'boolean', part: 'int', parts: 'int' },
-  echo: record('StreamEcho', { life: 'long', clock: 'double' }),
+  ...{
+    node: 'string',
+    incarnation: 'long',
+    after: 'long',
+    upTo: 'long',
+    isSnapshot: 'boolean',
+    part: 'int',
+    parts: 'int',
+  },
+  echo: record('StreamEcho', { incarnation: 'long', clock: 'double' }),
   entries: { type: 'array', items: entry },
 });
 
--- a/src/net/token-bucket.ts
+++ b/src/net/token-bucket.ts
@@ -12,7 +12,7 @@
  * Waiters of a lower number go first. `start` is for services and gangs, and what makes room for them; `record` for the
  * exits of batch work, and for reads; `background` for the starts of batch work.
  */
-export const Priority = { hold: 0, withdraw: 1, accept: 2, start: 3, record: 4, background: 5 } as const;
+export const Priority = { lease: 0, cancel: 1, accept: 2, start: 3, record: 4, background: 5 } as const;
 export type Priority = (typeof Priority)[keyof typeof Priority];
 
 /**
--- a/src/placement/matching.ts
+++ b/src/placement/matching.ts
@@ -1,26 +1,26 @@
-import type { Room } from '../ledger/rules.js';
+import type { Resources } from '../ledger/records.js';
 
 /** A task looking for a machine. Tasks of one `group` (job) are alike and share one preference list. */
 export interface Seeker {
   id: string;
   group: string;
   /** What the task uses: its machine's used room split by request, or its request where nothing is known. */
-  use: Room;
+  use: Resources;
   /** The most it may use: its request. */
-  peak: Room;
+  peak: Resources;
 }
 
 export interface Host {
   id: string;
-  site: string;
-  free: Room;
+  zone: string;
+  free: Resources;
 }
 
 export interface MatchRules {
   /** Is the machine open to the group at all (type, zone, kind, health)? */
   allowed(group: string, host: Host): boolean;
   /** May the group have one more task in the zone, beside `taken` matched so far? */
-  zoneAllows(group: string, site: string, taken: ReadonlyMap<string, number>): boolean;
+  zoneAllows(group: string, zone: string, taken: ReadonlyMap<string, number>): boolean;
   /** Extension: may the machine have one more task of the group, beside `taken` matched so far? */
   hostAllows(group: string, host: Host, taken: number): boolean;
   /** Extension: what is taken off a distance, e.g. for an image that is there already. Distances stay in order within. */
@@ -30,7 +30,8 @@
 const EPS = 1e-6;
 
 /** Euclidean distance from a task's use to a machine's free CPU and memory. */
-export const distance = (use: Room, free: Room): number => Math.hypot(free.cpus - use.cpus, free.memGb - use.memGb);
+export const distance = (use: Resources, free: Resources): number =>
+  Math.hypot(free.cpus - use.cpus, free.memoryGb - use.memoryGb);
 
 /** The machines that a group may go to, nearest first. */
 export function preferences(seeker: Seeker, hosts: readonly Host[], rules: MatchRules): Host[] {
@@ -43,8 +44,8 @@
   return ranked.map((each) => each.host);
 }
 
-const holds = (room: Room, task: Room): boolean =>
-  task.cpus <= room.cpus + EPS && task.memGb <= room.memGb + EPS && task.cards <= room.cards + EPS;
+const holds = (room: Resources, task: Resources): boolean =>
+  task.cpus <= room.cpus + EPS && task.memoryGb <= room.memoryGb + EPS && task.gpus <= room.gpus + EPS;
 
 /** Does the machine rank task `a` before task `b`? Higher CPU use first; names decide ties, so that the order is strict. */
 export const ranksBefore = (a: Seeker, b: Seeker): boolean =>
@@ -52,7 +53,7 @@
 
 class Matched {
   readonly tasks: Seeker[] = [];
-  readonly left: Room;
+  readonly left: Resources;
   constructor(readonly host: Host) {
     this.left = { ...host.free };
   }
@@ -77,8 +78,8 @@
 
   private shift(task: Seeker, sign: 1 | -1): void {
     this.left.cpus += sign * task.peak.cpus;
-    this.left.memGb += sign * task.peak.memGb;
-    this.left.cards += sign * task.peak.cards;
+    this.left.memoryGb += sign * task.peak.memoryGb;
+    this.left.gpus += sign * task.peak.gpus;
   }
 
   countOf(group: string): number {
@@ -95,8 +96,8 @@
       const other = this.tasks[at]!;
       if (!ranksBefore(task, other)) return false;
       room.cpus += other.peak.cpus;
-      room.memGb += other.peak.memGb;
-      room.cards += other.peak.cards;
+      room.memoryGb += other.peak.memoryGb;
+      room.gpus += other.peak.gpus;
     }
     return holds(room, task.peak);
   }
@@ -125,7 +126,7 @@
   };
   const countZone = (task: Seeker, host: Host, by: number) => {
     const taken = zonesOf(task.group);
-    taken.set(host.site, (taken.get(host.site) ?? 0) + by);
+    taken.set(host.zone, (taken.get(host.zone) ?? 0) + by);
   };
   const enqueue = (task: Seeker) => {
     if (queued.has(task)) return;
@@ -152,7 +153,7 @@
       if (host === current) break;
       let place = places.get(host);
       if (place === undefined) places.set(host, (place = new Matched(host)));
-      const zoneOpen = rules.zoneAllows(task.group, host.site, zonesOf(task.group));
+      const zoneOpen = rules.zoneAllows(task.group, host.zone, zonesOf(task.group));
       const hostOpen = rules.hostAllows(task.group, host, place.countOf(task.group));
       if (!zoneOpen || !hostOpen || !place.roomFor(task)) {
         pass(task, host);
--- a/src/placement/queue.ts
+++ b/src/placement/queue.ts
@@ -1,9 +1,9 @@
 import { Priority } from '../net/token-bucket.js';
 import type { Objective, Team } from '../config/settings.js';
-import { RANKS, runnableSince, type JobRecord, type JobSpec, type TeamRecord } from '../ledger/records.js';
+import { JOB_PRIORITIES, runnableSinceMs, type JobRecord, type JobSpec, type TeamUsage } from '../ledger/records.js';
 
 /** A job that waits for places, with all that decides about its turn. */
-export interface Candidate {
+export interface QueuedJob {
   record: JobRecord;
   /** Does the job fit into its team's guarantee beside what the team uses? */
   guaranteed: boolean;
@@ -19,35 +19,37 @@
 
 /** Exits of arrays may wait; those of services and gangs are followed by a start that may not. */
 export const exitPriority = (spec: JobSpec | undefined): Priority =>
-  spec?.Shape === 'array' ? Priority.record : Priority.start;
+  spec?.kind === 'array' ? Priority.record : Priority.start;
 
 /** Starts of arrays may wait, unless they are of a rank, or in a pipeline of a rank, that is urgent. */
 export const startPriority = (spec: JobSpec): Priority =>
-  spec.Shape === 'array' && RANKS.indexOf(spec.Rank) >= RANKS.indexOf('normal') ? Priority.background : Priority.start;
+  spec.kind === 'array' && JOB_PRIORITIES.indexOf(spec.priority) >= JOB_PRIORITIES.indexOf('normal')
+    ? Priority.background
+    : Priority.start;
 
 /** The resource by which a job counts against its team's guarantee; 0 means that the team has none of that kind. */
-export function guaranteeOf(team: Team, spec: JobSpec): 'cpus' | 'cards' | undefined {
-  if (spec.Cards > 0 && team.gpus > 0) return 'cards';
-  return spec.Cards === 0 && team.cpus > 0 ? 'cpus' : undefined;
+export function guaranteeOf(team: Team, spec: JobSpec): 'cpus' | 'gpus' | undefined {
+  if (spec.gpus > 0 && team.gpus > 0) return 'gpus';
+  return spec.gpus === 0 && team.cpus > 0 ? 'cpus' : undefined;
 }
 
-const guaranteed = (team: Team, kind: 'cpus' | 'cards'): number => (kind === 'cpus' ? team.cpus : team.gpus);
-const needOf = (spec: JobSpec, kind: 'cpus' | 'cards'): number => (kind === 'cpus' ? spec.Cpus : spec.Cards);
+const guaranteed = (team: Team, kind: 'cpus' | 'gpus'): number => (kind === 'cpus' ? team.cpus : team.gpus);
+const needOf = (spec: JobSpec, kind: 'cpus' | 'gpus'): number => (kind === 'cpus' ? spec.cpus : spec.gpus);
 
 /** Does one more task of the job fit into the team's guarantee? */
-export function withinGuarantee(team: Team, use: TeamRecord, spec: JobSpec): boolean {
+export function withinGuarantee(team: Team, use: TeamUsage, spec: JobSpec): boolean {
   const kind = guaranteeOf(team, spec);
   return kind !== undefined && use[kind] + needOf(spec, kind) <= guaranteed(team, kind);
 }
 
 /** A team whose unfinished jobs all fit into its guarantee together need not wait for others; `demand` counts them all. */
-export function isOwed(team: Team, demand: TeamRecord, spec: JobSpec): boolean {
+export function isOwed(team: Team, demand: TeamUsage, spec: JobSpec): boolean {
   const kind = guaranteeOf(team, spec);
   return kind !== undefined && demand[kind] <= guaranteed(team, kind);
 }
 
 /** May such a task be stopped for another's guarantee of that kind: does its team keep its own even without it? */
-export const isBorrowed = (team: Team, use: TeamRecord, spec: JobSpec, kind: 'cpus' | 'cards'): boolean =>
+export const isBorrowed = (team: Team, use: TeamUsage, spec: JobSpec, kind: 'cpus' | 'gpus'): boolean =>
   needOf(spec, kind) > 0 && use[kind] - needOf(spec, kind) >= guaranteed(team, kind);
 
 /**
@@ -55,18 +57,18 @@
  * waits for other jobs; all else counts from when it may run.
  */
 export function targetsOf(record: JobRecord, objectives: readonly Objective[]): number[] {
-  const { spec, at } = record;
+  const { spec, submittedAtMs } = record;
   const targets: number[] = [];
   for (const objective of objectives) {
-    if (objective.class !== spec.Jobclass) continue;
+    if (objective.class !== spec.jobClass) continue;
     if (objective.kind === 'finished' && objective.within_s !== undefined) {
-      targets.push(runnableSince(record) + objective.within_s * 1000);
+      targets.push(runnableSinceMs(record) + objective.within_s * 1000);
     }
-    if (objective.kind === 'deadline' && spec.DueS !== null) {
-      targets.push(at + spec.DueS * (objective.times ?? 1) * 1000);
+    if (objective.kind === 'deadline' && spec.deadlineS !== null) {
+      targets.push(submittedAtMs + spec.deadlineS * (objective.times ?? 1) * 1000);
     }
   }
-  if (targets.length === 0 && spec.DueS !== null) targets.push(at + spec.DueS * 1000);
+  if (targets.length === 0 && spec.deadlineS !== null) targets.push(submittedAtMs + spec.deadlineS * 1000);
   return targets;
 }
 
@@ -78,15 +80,15 @@
  * Time of day, ms, by which a job of a pipeline must start; Infinity for all others. `finishBy`: when it must be complete for
  * the sake of the jobs that need it.
  */
-export function startByOf({ spec, at, releasedAt }: JobRecord, finishBy: number, needS: number): number {
-  const isLast = finishBy === Infinity && releasedAt !== undefined && spec.DueS !== null;
-  return (isLast ? at + spec.DueS! * 1000 : finishBy) - needS * 1000;
+export function startByOf({ spec, submittedAtMs, releasedAtMs }: JobRecord, finishBy: number, needS: number): number {
+  const isLast = finishBy === Infinity && releasedAtMs !== undefined && spec.deadlineS !== null;
+  return (isLast ? submittedAtMs + spec.deadlineS! * 1000 : finishBy) - needS * 1000;
 }
 
 /** An overdue array stands among those of rank normal, if its own is lower. */
-const rankWith = ({ overdue, record }: Candidate): number => {
-  const rank = RANKS.indexOf(record.spec.Rank);
-  return overdue ? Math.min(rank, RANKS.indexOf('normal')) : rank;
+const effectivePriorityIndex = ({ overdue, record }: QueuedJob): number => {
+  const rank = JOB_PRIORITIES.indexOf(record.spec.priority);
+  return overdue ? Math.min(rank, JOB_PRIORITIES.indexOf('normal')) : rank;
 };
 
 /**
@@ -96,18 +98,18 @@
  * But arrays that should have begun long ago come before other arrays, up to those
  * of rank normal, with a few tasks each: by the rest of the order the largest and the lowest might never begin under load.
  */
-export function before(a: Candidate, b: Candidate): number {
-  const rank = rankWith(a) - rankWith(b);
+export function before(a: QueuedJob, b: QueuedJob): number {
+  const rank = effectivePriorityIndex(a) - effectivePriorityIndex(b);
   if (rank !== 0) return rank;
-  const batch = Number(a.record.spec.Shape === 'array') - Number(b.record.spec.Shape === 'array');
+  const batch = Number(a.record.spec.kind === 'array') - Number(b.record.spec.kind === 'array');
   if (batch !== 0) return batch;
   if (a.overdue !== b.overdue) return a.overdue ? -1 : 1;
   if (a.guaranteed !== b.guaranteed) return a.guaranteed ? -1 : 1;
   if (a.feasible !== b.feasible) return a.feasible ? -1 : 1;
   if (a.startBy !== b.startBy) return a.startBy - b.startBy;
-  if (a.record.spec.Shape === 'array' && a.work !== b.work) return a.work - b.work;
-  const age = runnableSince(a.record) - runnableSince(b.record);
+  if (a.record.spec.kind === 'array' && a.work !== b.work) return a.work - b.work;
+  const age = runnableSinceMs(a.record) - runnableSinceMs(b.record);
   if (age !== 0) return age;
   // Every node makes the whole plan: where orders differ, each leaves a team's room to a job that another node is to place.
-  return a.record.spec.Ref < b.record.spec.Ref ? -1 : 1;
+  return a.record.spec.id < b.record.spec.id ? -1 : 1;
 }
--- a/src/placement/renting.ts
+++ b/src/placement/renting.ts
@@ -1,72 +1,75 @@
 import { BOOT_PATIENCE, RESERVE_SHARE } from '../constants.js';
-import type { Flavor } from '../controller/fleet.js';
-import type { JobSpec } from '../ledger/records.js';
-import { allowedOn, fits, takeRoom, type Room } from '../ledger/rules.js';
+import type { MachineType } from '../controller/fleet.js';
+import type { JobSpec, Resources } from '../ledger/records.js';
+import { allowedOn, fits, subtractResources } from '../ledger/rules.js';
 
 /** Tasks of one kind that have no place. */
-export interface Need {
+export interface CapacityNeed {
   spec: JobSpec;
   tasks: number;
   /** Zones that could take the tasks; empty: any. */
-  sites: string[];
+  zones: string[];
 }
 
 export interface Offer {
-  flavor: Flavor;
-  site: string;
-  reclaimable: boolean;
+  machineType: MachineType;
+  zone: string;
+  isSpot: boolean;
 }
 
-export interface Wanted extends Offer {
+export interface WantedMachines extends Offer {
   count: number;
 }
 
-export const roomOfFlavor = (flavor: Flavor): Room => ({
-  cpus: flavor.cpus,
-  cards: flavor.cards,
-  memGb: flavor.memGb,
+export const resourcesOfMachineType = (machineType: MachineType): Resources => ({
+  cpus: machineType.cpus,
+  gpus: machineType.gpus,
+  memoryGb: machineType.memoryGb,
 });
 
 /** How many tasks of a job have room together. */
-export const tasksIn = (room: Room, spec: JobSpec): number => {
+export const tasksIn = (room: Resources, spec: JobSpec): number => {
   if (!fits(spec, room)) return 0;
-  let count = room.cpus / spec.Cpus;
-  if (spec.MemGb > 0) count = Math.min(count, room.memGb / spec.MemGb);
-  if (spec.Cards > 0) count = Math.min(count, room.cards / spec.Cards);
+  let count = room.cpus / spec.cpus;
+  if (spec.memoryGb > 0) count = Math.min(count, room.memoryGb / spec.memoryGb);
+  if (spec.gpus > 0) count = Math.min(count, room.gpus / spec.gpus);
   return Math.floor(count + 1e-6);
 };
 
-export const perMachine = (flavor: Flavor, spec: JobSpec): number => tasksIn(roomOfFlavor(flavor), spec);
+export const perMachine = (machineType: MachineType, spec: JobSpec): number =>
+  tasksIn(resourcesOfMachineType(machineType), spec);
 
 /** ms after which a machine that was rented and never heard counts as one that will not come up. */
-export const bootLimitMs = (flavor: Flavor | undefined): number => (flavor?.bootS ?? 60) * 1000 * BOOT_PATIENCE;
+export const bootLimitMs = (machineType: MachineType | undefined): number =>
+  (machineType?.bootS ?? 60) * 1000 * BOOT_PATIENCE;
 
 /** Price of one task's room on such a machine. */
 const priceOf = (offer: Offer, spec: JobSpec): number =>
-  (offer.reclaimable ? offer.flavor.lowPrice : offer.flavor.hourly) / perMachine(offer.flavor, spec);
+  (offer.isSpot ? offer.machineType.spotHourlyPrice : offer.machineType.hourlyPrice) /
+  perMachine(offer.machineType, spec);
 
 /**
  * What to rent for needs that have no place, after what `coming` machines will hold. Offers refused of late are left
  * out by the caller, so that another zone or type is tried.
  */
-export function decideRentals(
-  needs: readonly Need[],
+export function decideScaleOut(
+  needs: readonly CapacityNeed[],
   offers: readonly Offer[],
   coming: readonly Offer[],
   most: number,
 ) {
-  const wanted: Wanted[] = [];
-  const rooms = coming.map((offer) => ({ offer, room: roomOfFlavor(offer.flavor) }));
+  const wanted: WantedMachines[] = [];
+  const rooms = coming.map((offer) => ({ offer, room: resourcesOfMachineType(offer.machineType) }));
   let left = most;
-  for (const { spec, tasks, sites } of needs) {
+  for (const { spec, tasks, zones } of needs) {
     const suits = (offer: Offer) =>
-      allowedOn(spec, { flavor: offer.flavor.sku, site: offer.site, reclaimable: offer.reclaimable }) &&
-      (sites.length === 0 || sites.includes(offer.site)) &&
-      perMachine(offer.flavor, spec) > 0;
+      allowedOn(spec, { machineType: offer.machineType.name, zone: offer.zone, isSpot: offer.isSpot }) &&
+      (zones.length === 0 || zones.includes(offer.zone)) &&
+      perMachine(offer.machineType, spec) > 0;
     let open = tasks;
     for (const { offer, room } of rooms) {
       while (open > 0 && suits(offer) && fits(spec, room)) {
-        takeRoom(room, spec);
+        subtractResources(room, spec);
         open--;
       }
     }
@@ -80,9 +83,9 @@
       if (known !== undefined) known.count++;
       else wanted.push({ ...offer, count: 1 });
       left--;
-      const room = roomOfFlavor(offer.flavor);
+      const room = resourcesOfMachineType(offer.machineType);
       while (open > 0 && fits(spec, room)) {
-        takeRoom(room, spec);
+        subtractResources(room, spec);
         open--;
       }
       rooms.push({ offer, room });
@@ -92,9 +95,9 @@
 }
 
 export const same = (a: Offer, b: Offer): boolean =>
-  a.flavor.sku === b.flavor.sku && a.site === b.site && a.reclaimable === b.reclaimable;
+  a.machineType.name === b.machineType.name && a.zone === b.zone && a.isSpot === b.isSpot;
 
-const countOf = (wanted: readonly Wanted[], offer: Offer): number =>
+const countOf = (wanted: readonly WantedMachines[], offer: Offer): number =>
   wanted.find((each) => same(each, offer))?.count ?? 0;
 
 /** Is the free room of a type below the reserve that bursts want? */
--- a/src/placement/silence.ts
+++ b/src/placement/silence.ts
@@ -1,10 +1,10 @@
 import { SELF_SUSPECT_SHARE, ZONE_CUT_SHARE, ZONE_PATIENCE_MS } from '../constants.js';
 
 /** What an owner says of one of its machines, as far as giving it up goes. */
-export interface Watched {
-  host: string;
+export interface WatchedMachine {
+  machineId: string;
   partition: number;
-  site: string;
+  zone: string;
   /** ms for which nothing has shown that it lives and can be reached; 0: it does and can. */
   silentMs: number;
   /** It is late with a report, or worse. */
@@ -16,7 +16,7 @@
   total: number;
 }
 
-const grouped = <K>(machines: readonly Watched[], keyOf: (machine: Watched) => K): Map<K, Group> => {
+const grouped = <K>(machines: readonly WatchedMachine[], keyOf: (machine: WatchedMachine) => K): Map<K, Group> => {
   const groups = new Map<K, Group>();
   for (const machine of machines) {
     const key = keyOf(machine);
@@ -31,9 +31,9 @@
 const few = ({ quiet, total }: Group, share: number): boolean => quiet <= Math.max(2, total * share);
 
 /** Zones that are cut off by all their machines say. */
-export function cutZones(machines: readonly Watched[]): string[] {
-  const zones = grouped(machines, (machine) => machine.site);
-  return [...zones].filter(([, zone]) => !few(zone, ZONE_CUT_SHARE)).map(([site]) => site);
+export function cutZones(machines: readonly WatchedMachine[]): string[] {
+  const zones = grouped(machines, (machine) => machine.zone);
+  return [...zones].filter(([, zone]) => !few(zone, ZONE_CUT_SHARE)).map(([zone]) => zone);
 }
 
 /**
@@ -43,12 +43,12 @@
  * first machine to count as silent is judged by how many others are late already; and since they come back at different
  * times, a zone is spared for a while after.
  */
-export function machinesToGiveUp(machines: readonly Watched[], spared: ReadonlySet<string>): string[] {
+export function machinesToGiveUp(machines: readonly WatchedMachine[], spared: ReadonlySet<string>): string[] {
   const partitions = grouped(machines, (machine) => machine.partition);
   return machines
-    .filter(({ partition, site, silentMs }) => {
+    .filter(({ partition, zone, silentMs }) => {
       if (silentMs <= 0 || !few(partitions.get(partition)!, SELF_SUSPECT_SHARE)) return false;
-      return !spared.has(site) || silentMs > ZONE_PATIENCE_MS;
+      return !spared.has(zone) || silentMs > ZONE_PATIENCE_MS;
     })
-    .map(({ host }) => host);
+    .map(({ machineId }) => machineId);
 }
--- a/src/placement/victims.ts
+++ b/src/placement/victims.ts
@@ -1,48 +1,48 @@
-import type { Place } from '../ledger/book.js';
-import { RANKS, type JobSpec } from '../ledger/records.js';
-import { allowedOn, fits, takeRoom, type Machine, type Room } from '../ledger/rules.js';
+import type { PlacedTask } from '../ledger/book.js';
+import { JOB_PRIORITIES, type JobSpec, type Resources } from '../ledger/records.js';
+import { allowedOn, fits, type Machine, subtractResources } from '../ledger/rules.js';
 
-export interface Victim {
-  place: Place;
+export interface EvictionCandidate {
+  placedTask: PlacedTask;
   spec: JobSpec;
 }
 
 /** A machine as a field of tasks that could be stopped: its free room, and its tasks, the cheapest to stop first. */
-export interface Field<M extends Machine & { images: readonly string[] }> {
+export interface MachineLoad<M extends Machine & { images: readonly string[] }> {
   machine: M;
-  room: Room;
-  tasks: Victim[];
+  room: Resources;
+  tasks: EvictionCandidate[];
 }
 
-export interface Option<F> {
+export interface EvictionOption<F> {
   field: F;
-  victims: Victim[];
+  victims: EvictionCandidate[];
   cost: number;
 }
 
-export const rankOf = (spec: JobSpec): number => RANKS.indexOf(spec.Rank);
+export const priorityIndexOf = (spec: JobSpec): number => JOB_PRIORITIES.indexOf(spec.priority);
 
 /** Lowest rank first, then the shortest by its owner's estimate. */
-export const cheapestFirst = (a: Victim, b: Victim): number =>
-  rankOf(b.spec) - rankOf(a.spec) || a.spec.GuessS - b.spec.GuessS;
+export const cheapestFirst = (a: EvictionCandidate, b: EvictionCandidate): number =>
+  priorityIndexOf(b.spec) - priorityIndexOf(a.spec) || a.spec.estimatedRunS - b.spec.estimatedRunS;
 
 /** What it costs to make room for one task on a machine, or undefined where that can't be done. */
-export function optionOn<F extends Field<Machine & { images: readonly string[] }>>(
+export function optionOn<F extends MachineLoad<Machine & { images: readonly string[] }>>(
   spec: JobSpec,
   field: F,
   mayStop: (victim: JobSpec) => boolean,
   coldCost: number,
-): Option<F> | undefined {
+): EvictionOption<F> | undefined {
   if (!allowedOn(spec, field.machine)) return undefined;
   const room = { ...field.room };
-  const victims: Victim[] = [];
-  let cost = field.machine.images.includes(spec.Bundle) ? 0 : coldCost;
+  const victims: EvictionCandidate[] = [];
+  let cost = field.machine.images.includes(spec.image) ? 0 : coldCost;
   for (const victim of field.tasks) {
     if (fits(spec, room)) break;
     if (!mayStop(victim.spec)) continue;
     victims.push(victim);
-    takeRoom(room, victim.spec, -1);
-    cost += (RANKS.length - rankOf(victim.spec)) * (victim.spec.SnapshotEveryS > 0 ? 1 : 2);
+    subtractResources(room, victim.spec, -1);
+    cost += (JOB_PRIORITIES.length - priorityIndexOf(victim.spec)) * (victim.spec.checkpointIntervalS > 0 ? 1 : 2);
   }
   return fits(spec, room) ? { field, victims, cost } : undefined;
 }
@@ -50,11 +50,11 @@
 /** Specs with the same signature ask the same of a machine, its images apart. */
 export const signatureOf = (spec: JobSpec): string =>
   [
-    spec.Rank,
-    spec.Cpus,
-    spec.Cards,
-    spec.MemGb,
-    spec.Flavors?.join(',') ?? '*',
-    spec.Site ?? '*',
-    spec.Reclaimable,
+    spec.priority,
+    spec.cpus,
+    spec.gpus,
+    spec.memoryGb,
+    spec.machineTypes?.join(',') ?? '*',
+    spec.zone ?? '*',
+    spec.allowsSpot,
   ].join(' ');
--- a/src/state/committer.ts
+++ b/src/state/committer.ts
@@ -11,18 +11,19 @@
 import type { Clock } from '../net/clock.js';
 import type { Random } from '../net/random.js';
 import { isBatch, Priority } from '../net/token-bucket.js';
-import type { Change, Condition, StateClient, Write } from './client.js';
-import { Draft, type Resize, type TxnLimits } from './draft.js';
-import type { Replica, Stored } from './replica.js';
+import type { Change, Condition, Write } from './wire-codec.js';
+import type { StoreClient } from './client.js';
+import { type Resize, TransactionDraft, type TransactionLimits } from './draft.js';
+import type { Replica, StoredValue } from './replica.js';
 
 /**
  * What somebody wants to change, as a function of the records as they are when it is tried. It may be called several
  * times. False: nothing is to be done (any more).
  */
-export type Decide = (draft: Draft) => boolean;
+export type Mutation = (draft: TransactionDraft) => boolean;
 
-export type Outcome =
-  | { kind: 'done'; epoch: number }
+export type CommitOutcome =
+  | { kind: 'done'; revision: number }
   /** The decision fell away, or is too large for a transaction. */
   | { kind: 'void' }
   /** Given up; it may or may not have happened. */
@@ -31,32 +32,32 @@
   | { kind: 'rejected'; why: string };
 
 /** Whom an intent goes along with. */
-export interface Company {
+export interface BatchingHint {
   /** A record that it will change: it goes with others that change it too. */
   key: string;
   /** A record that intents of all nodes change: a transaction changes one such record only. */
   shared: string | undefined;
 }
 
-interface Intent {
+interface PendingMutation {
   name: string;
   priority: Priority;
-  decide: Decide;
+  decide: Mutation;
   deadline: number;
-  resolve: (outcome: Outcome) => void;
-  company: Company | undefined;
+  resolve: (outcome: CommitOutcome) => void;
+  batchingHint: BatchingHint | undefined;
   /** The store has rejected a transaction that it was part of: it is tried by itself. */
   isAlone: boolean;
 }
 
-const isUsers = (priority: Priority): boolean => priority === Priority.withdraw || priority === Priority.accept;
+const isUsers = (priority: Priority): boolean => priority === Priority.cancel || priority === Priority.accept;
 
 /** Turns intents into few, batched transactions, and tries again after conflicts, refusals and silence. */
-export class Committer {
-  private readonly queues = new Map<Priority, Intent[]>(Object.values(Priority).map((each) => [each, []]));
-  private readonly flights = new Map<Priority, number>();
+export class TransactionBatcher {
+  private readonly queues = new Map<Priority, PendingMutation[]>(Object.values(Priority).map((each) => [each, []]));
+  private readonly inFlight = new Map<Priority, number>();
   private readonly locked = new Set<string>();
-  private readonly finals = new Map<string, Stored>();
+  private readonly finalRecords = new Map<string, StoredValue>();
   /** Steady ms before which nothing of a priority is sent. */
   private readonly pausedUntil = new Map<Priority, number>();
   private waking = false;
@@ -66,12 +67,12 @@
   onRejected: (name: string, why: string) => void = () => undefined;
   /** The form in which records are written. */
   resize: Resize = (_, value) => value;
-  private limits: TxnLimits;
+  private limits: TransactionLimits;
 
   constructor(
-    private readonly client: StateClient,
+    private readonly client: StoreClient,
     private readonly replica: Replica,
-    limits: TxnLimits,
+    limits: TransactionLimits,
     private readonly prefix: string,
     private readonly clock: Clock,
     private readonly random: Random,
@@ -89,21 +90,37 @@
   }
 
   /** Records outside the replica never change once they exist (final states), so they may be kept. */
-  remember(key: string, row: Stored): void {
+  remember(key: string, row: StoredValue): void {
     if (row.value === undefined) return;
-    this.finals.delete(key);
-    this.finals.set(key, row);
-    if (this.finals.size > FINAL_CACHE) this.finals.delete(this.finals.keys().next().value!);
+    this.finalRecords.delete(key);
+    this.finalRecords.set(key, row);
+    if (this.finalRecords.size > FINAL_CACHE) this.finalRecords.delete(this.finalRecords.keys().next().value!);
   }
 
-  readonly read = (key: string): Stored =>
-    key.startsWith(this.prefix) ? this.replica.get(key) : (this.finals.get(key) ?? { value: undefined, stamp: 0 });
+  readonly read = (key: string): StoredValue =>
+    key.startsWith(this.prefix)
+      ? this.replica.get(key)
+      : (this.finalRecords.get(key) ?? { value: undefined, modRevision: 0 });
 
-  commit(name: string, priority: Priority, decide: Decide, timeoutMs = 60_000, company?: Company): Promise<Outcome> {
+  commit(
+    name: string,
+    priority: Priority,
+    decide: Mutation,
+    timeoutMs = 60_000,
+    batchingHint?: BatchingHint,
+  ): Promise<CommitOutcome> {
     const queue = this.queues.get(priority)!;
     if (queue.length >= MAX_INTENTS) return Promise.resolve({ kind: 'expired' });
     return new Promise((resolve) => {
-      queue.push({ name, priority, decide, deadline: this.clock.now() + timeoutMs, resolve, company, isAlone: false });
+      queue.push({
+        name,
+        priority,
+        decide,
+        deadline: this.clock.now() + timeoutMs,
+        resolve,
+        batchingHint,
+        isAlone: false,
+      });
       // Starts take room that the other nodes can't see until they are recorded, so they do not wait.
       if (priority !== Priority.record) this.wake();
       else if (queue.length === 1) this.gather(priority);
@@ -113,7 +130,7 @@
   /** Lets decisions about a record that wait for their turn go with more urgent ones than they were handed in with. */
   promote(concerns: (key: string) => boolean, from: Priority, to: Priority): void {
     const queue = this.queues.get(from)!;
-    const chosen = queue.filter(({ company }) => company !== undefined && concerns(company.key));
+    const chosen = queue.filter(({ batchingHint }) => batchingHint !== undefined && concerns(batchingHint.key));
     if (chosen.length === 0) return;
     queue.splice(0, queue.length, ...queue.filter((intent) => !chosen.includes(intent)));
     for (const intent of chosen) intent.priority = to;
@@ -134,30 +151,30 @@
     this.waking = true;
     queueMicrotask(() => {
       this.waking = false;
-      this.launch();
+      this.sendReady();
     });
   }
 
-  private launch(): void {
+  private sendReady(): void {
     // Each priority has flights of its own: batch starts that wait for the write rate must not keep submissions waiting.
     for (const [priority, queue] of this.queues) {
       if (this.clock.now() < (this.pausedUntil.get(priority) ?? 0)) continue;
       // What may wait shares transactions: each costs a change for the team's record, and the rate of changes is small.
       const most = priority <= Priority.accept ? MAX_FLIGHTS : 1;
-      while (queue.length > 0 && (this.flights.get(priority) ?? 0) < most) {
+      while (queue.length > 0 && (this.inFlight.get(priority) ?? 0) < most) {
         const packed = this.pack(queue);
         if (packed === undefined) break;
-        void this.fly(packed.batch, packed.draft);
+        void this.sendBatch(packed.batch, packed.draft);
       }
     }
   }
 
   /** Takes as many intents of one priority off the queue as one transaction holds. */
-  private pack(queue: Intent[]): { batch: Intent[]; draft: Draft } | undefined {
+  private pack(queue: PendingMutation[]): { batch: PendingMutation[]; draft: TransactionDraft } | undefined {
     const now = this.clock.now();
-    const batch: Intent[] = [];
-    const draft = new Draft(this.read, undefined, this.resize);
-    const later: Intent[] = [];
+    const batch: PendingMutation[] = [];
+    const draft = new TransactionDraft(this.read, undefined, this.resize);
+    const later: PendingMutation[] = [];
     const touched = new Set<string>();
     let shared: string | undefined;
     let tried = 0;
@@ -169,9 +186,9 @@
       }
       // A long queue is not tried whole for each transaction: that would cost its length squared. But where changes are
       // scarce, whatever changes a record that is written anyway goes along for nothing.
-      const along = intent.company !== undefined && draft.writes.has(intent.company.key);
+      const along = intent.batchingHint !== undefined && draft.writes.has(intent.batchingHint.key);
       // Each record that all nodes change may make the whole transaction fail, and a refused one counts as much as another.
-      const other = intent.company?.shared;
+      const other = intent.batchingHint?.shared;
       const isApart = batch.length > 0 && (intent.isAlone || batch[0]!.isAlone);
       if (isApart || (shared !== undefined && other !== undefined && other !== shared)) {
         later.push(intent);
@@ -183,7 +200,7 @@
       }
       tried++;
       const trial = draft.over();
-      if (!this.attempt(intent, trial)) {
+      if (!this.tryMutation(intent, trial)) {
         intent.resolve({ kind: 'void' });
         continue;
       }
@@ -205,46 +222,46 @@
     return batch.length === 0 ? undefined : { batch, draft };
   }
 
-  private attempt(intent: Intent, draft: Draft): boolean {
+  private tryMutation(intent: PendingMutation, draft: TransactionDraft): boolean {
     return intent.decide(draft) && draft.writes.size > 0;
   }
 
-  private async fly(batch: Intent[], draft: Draft): Promise<void> {
+  private async sendBatch(batch: PendingMutation[], draft: TransactionDraft): Promise<void> {
     const { priority } = batch[0]!;
-    this.flights.set(priority, (this.flights.get(priority) ?? 0) + 1);
+    this.inFlight.set(priority, (this.inFlight.get(priority) ?? 0) + 1);
     const keys = [...draft.writes.keys()];
     for (const key of keys) this.locked.add(key);
-    const conditions: Condition[] = [...draft.conditions].map(([key, stamp]) => ({ key, stamp }));
-    const writes: Write[] = [...draft.writes].map(([key, value]) => ({ key, value, latch: draft.holds.get(key) }));
-    const result = await this.client.txn(conditions, writes, priority);
+    const conditions: Condition[] = [...draft.conditions].map(([key, modRevision]) => ({ key, modRevision }));
+    const writes: Write[] = [...draft.writes].map(([key, value]) => ({ key, value, leaseId: draft.leases.get(key) }));
+    const result = await this.client.transact(conditions, writes, priority);
     switch (result.kind) {
       case 'done':
-        this.changed(writes.map(({ key, value }) => ({ key, value, stamp: result.epoch })));
-        for (const intent of batch) intent.resolve({ kind: 'done', epoch: result.epoch });
+        this.applyCommitted(writes.map(({ key, value }) => ({ key, value, modRevision: result.revision })));
+        for (const intent of batch) intent.resolve({ kind: 'done', revision: result.revision });
         break;
       case 'conflict':
         await this.catchUp(result.failed ?? []);
-        this.again(batch);
+        this.requeue(batch);
         break;
       case 'unknown':
         // It may have been applied, or may be later. The next try names the same Stamps, so only one can take effect.
         await this.replica.refresh();
-        this.again(batch);
+        this.requeue(batch);
         break;
       case 'refused':
         this.pause(priority, result.status === 429);
         // A user is told at once what the store has refused for good, instead of waiting here for a deadline.
         if (result.status !== 429 && isUsers(priority)) for (const intent of batch) intent.resolve({ kind: 'expired' });
-        else this.again(batch);
+        else this.requeue(batch);
         break;
-      case 'no_hold':
+      case 'lease_expired':
         for (const intent of batch) intent.resolve({ kind: 'void' });
         break;
       case 'malformed':
         this.reject(batch, result.why);
     }
     for (const key of keys) this.locked.delete(key);
-    this.flights.set(priority, this.flights.get(priority)! - 1);
+    this.inFlight.set(priority, this.inFlight.get(priority)! - 1);
     const wait = (this.pausedUntil.get(priority) ?? 0) - this.clock.now();
     if (wait > 0) void this.clock.sleep(wait + 1).then(() => this.wake());
     this.wake();
@@ -254,11 +271,11 @@
    * The store's limits have changed, or a decision asks for what it never takes. Each decision is made again by itself, within
    * the limits to come; one that is rejected even so is given up.
    */
-  private reject(batch: Intent[], why: string): void {
+  private reject(batch: PendingMutation[], why: string): void {
     this.limits = { ...this.limits, valueBytes: this.limits.lastingValueBytes };
     if (batch.length > 1) {
       for (const intent of batch) intent.isAlone = true;
-      this.again(batch);
+      this.requeue(batch);
       return;
     }
     const [only] = batch;
@@ -271,7 +288,7 @@
     this.pausedUntil.set(priority, this.clock.now() + this.random.jitter(ms, 0.5));
   }
 
-  private changed(changes: Change[]): void {
+  private applyCommitted(changes: Change[]): void {
     for (const change of changes) {
       if (change.key.startsWith(this.prefix)) this.replica.apply(change);
       else this.remember(change.key, change);
@@ -293,7 +310,7 @@
     ]);
   }
 
-  private again(batch: Intent[]): void {
+  private requeue(batch: PendingMutation[]): void {
     this.queues.get(batch[0]!.priority)!.unshift(...batch);
   }
 }
--- a/src/state/draft.ts
+++ b/src/state/draft.ts
@@ -2,11 +2,11 @@
 import { BATCH_TXN_LEAST, BATCH_TXN_SHARE, CONDITIONS_PER_WRITE, MAX_TXN_BYTES } from '../constants.js';
 import type { Settings } from '../config/settings.js';
 import { lastingLimits, presentLimits } from '../config/state-limits.js';
-import type { Stored } from './replica.js';
+import type { StoredValue } from './replica.js';
 import { jsonLength } from './sizes.js';
 
 /** Room in one transaction. */
-export interface TxnLimits {
+export interface TransactionLimits {
   ops: number;
   /** Changes beyond which no other intent is added to a transaction. */
   batchOps: number;
@@ -18,7 +18,7 @@
 }
 
 /** Room that is left after an announced change of the store's limits too; but what is stored already may be larger. */
-export function txnLimits(state: Settings['cluster']['state']): TxnLimits {
+export function transactionLimits(state: Settings['cluster']['state']): TransactionLimits {
   const { transactionWrites, writesPerSecond, valueBytes } = lastingLimits(state);
   const batchOps = Math.max(BATCH_TXN_LEAST, Math.floor(writesPerSecond * BATCH_TXN_SHARE));
   return {
@@ -41,22 +41,22 @@
  * A transaction under construction: every record that a decision reads becomes a condition. A draft over another sees that
  * one's writes; it is merged into it if it is kept, so that trying one more decision costs no more than its own records.
  */
-export class Draft {
+export class TransactionDraft {
   readonly conditions = new Map<string, number>();
   readonly writes = new Map<string, unknown>();
   /** The holds that written keys live on. */
-  readonly holds = new Map<string, number>();
+  readonly leases = new Map<string, number>();
   private readonly sizes = new Map<string, number>();
   private bytes = 0;
 
   constructor(
-    private readonly read: (key: string) => Stored,
-    private readonly below?: Draft,
+    private readonly read: (key: string) => StoredValue,
+    private readonly below?: TransactionDraft,
     private readonly resize: Resize = (_, value) => value,
   ) {}
 
   /** The draft that this one sees below itself, down to the records, or the one that has written the key already. */
-  private writer(key: string): Draft | undefined {
+  private writer(key: string): TransactionDraft | undefined {
     return this.writes.has(key) ? this : this.below?.writer(key);
   }
 
@@ -69,7 +69,7 @@
     const writer = this.writer(key);
     if (writer !== undefined) return writer.writes.get(key);
     const row = this.read(key);
-    this.conditions.set(key, row.stamp);
+    this.conditions.set(key, row.modRevision);
     return row.value;
   }
 
@@ -80,26 +80,26 @@
   }
 
   set(key: string, value: unknown): void {
-    if (!this.conditions.has(key)) this.conditions.set(key, this.read(key).stamp);
+    if (!this.conditions.has(key)) this.conditions.set(key, this.read(key).modRevision);
     this.writes.set(key, this.resize(key, value));
   }
 
   /** Sets a key that goes with a hold. */
-  setUnderHold(key: string, value: unknown, latch: number): void {
+  setUnderLease(key: string, value: unknown, leaseId: number): void {
     this.set(key, value);
-    this.holds.set(key, latch);
+    this.leases.set(key, leaseId);
   }
 
-  drop(key: string): void {
+  delete(key: string): void {
     this.set(key, undefined);
   }
 
-  over(): Draft {
-    return new Draft(this.read, this, this.resize);
+  over(): TransactionDraft {
+    return new TransactionDraft(this.read, this, this.resize);
   }
 
   /** Would this draft, merged into the one below it, still be one transaction? */
-  fits(limits: TxnLimits, ops = limits.ops): boolean {
+  fits(limits: TransactionLimits, ops = limits.ops): boolean {
     const { below } = this;
     let writes = below?.writes.size ?? 0;
     let conditions = below?.conditions.size ?? 0;
@@ -122,11 +122,12 @@
   }
 
   /** Takes in a draft over this one, whose `fits` has been asked. */
-  merge(above: Draft): void {
-    for (const [key, stamp] of above.conditions) if (!this.conditions.has(key)) this.conditions.set(key, stamp);
+  merge(above: TransactionDraft): void {
+    for (const [key, modRevision] of above.conditions)
+      if (!this.conditions.has(key)) this.conditions.set(key, modRevision);
     for (const [key, value] of above.writes) this.writes.set(key, value);
     for (const [key, size] of above.sizes) this.sizes.set(key, size);
     this.bytes = above.bytes;
-    for (const [key, latch] of above.holds) this.holds.set(key, latch);
+    for (const [key, leaseId] of above.leases) this.leases.set(key, leaseId);
   }
 }
--- a/src/testing/cluster.ts
+++ b/src/testing/cluster.ts
@@ -66,7 +66,7 @@
   /** Users who repeat what fails and go on asking; they act when a scenario tells them to. */
   readonly users: FakeUsers;
   /** Called when a task has ended, at that very moment. */
-  onTaskEnd: (shard: string, cause: string) => void = () => undefined;
+  onTaskEnd: (taskId: string, cause: string) => void = () => undefined;
   private readonly jobs = new Map<string, Description>();
   private readonly results = new Set<string>();
   private readonly gangs: FakeGangs;
@@ -78,14 +78,14 @@
   private readonly ticking = new AbortController();
 
   constructor(private readonly options: ClusterOptions = {}) {
-    const flavors = options.flavors ?? [C8];
+    const machineTypes = options.machineTypes ?? [C8];
     const { teams, workers } = settingsOf(0, 1, options).cluster;
     this.leaseS = workers.lease_s;
     this.gangs = new FakeGangs(this.clock, workers.gang_wait_s * 1000, workers.gang_peer_s * 1000);
-    this.checker = new InvariantChecker({ teams, flavors, cancelS: workers.cancel_s });
-    this.cloud = new FakeCloud(flavors);
-    this.cloud.onReturn = (host) => this.kill(host);
-    this.cloud.onHire = (host) => this.boot(host);
+    this.checker = new InvariantChecker({ teams, machineTypes, cancelS: workers.cancel_s });
+    this.cloud = new FakeCloud(machineTypes);
+    this.cloud.onReturn = (machineId) => this.kill(machineId);
+    this.cloud.onHire = (machineId) => this.boot(machineId);
     this.network.serve('store:1', (method, path, body, { from, late }) =>
       // What comes late had reached the store before it began to refuse its sender.
       this.store.handle(method, path, body, late === true ? undefined : from),
@@ -96,8 +96,8 @@
         nodes: options.nodes ?? 1,
         isHealthy: (index) => this.nodes.get(`n${index}`)?.controller.up().status === 200,
         post: (body, node) => this.post(body, node),
-        ask: (ref, node) => this.ask(ref, node),
-        cancel: (ref, node) => this.cancel(ref, node),
+        ask: (jobId, node) => this.ask(jobId, node),
+        cancel: (jobId, node) => this.cancel(jobId, node),
       },
       this.clock,
       this.random,
@@ -113,7 +113,7 @@
   /** What is lost between two hosts by the sets above. */
   private weather(from: string, to: string): Fault['kind'] | undefined {
     const isLost =
-      [from, to].some((host) => this.cut.has(host)) ||
+      [from, to].some((machineId) => this.cut.has(machineId)) ||
       this.deaf.has(to) ||
       this.mute.has(from) ||
       [this.unreachable, this.parted].some((pairs) => pairs.has(`${from}>${to}`));
@@ -196,7 +196,7 @@
   /** The node that holds the claim to lead, if it is up. */
   leader(): number | undefined {
     for (const [name, { controller }] of this.nodes) {
-      if (controller.claims.holding('leader') !== undefined) return Number(name.slice(1));
+      if (controller.leadership.leadershipOf('leader') !== undefined) return Number(name.slice(1));
     }
     return undefined;
   }
@@ -211,63 +211,69 @@
   }
 
   addWorker(options: WorkerOptions): FakeWorker {
-    const { host, flavor = 'c8', site = 'a', reclaimable = false } = options;
-    const worker = new FakeWorker(this.clock, options, (this.cloud.flavor(flavor) as Room | undefined) ?? ANY_ROOM, {
-      leaseS: this.leaseS,
-      describe: (ref) => this.jobs.get(ref),
-      gangs: this.gangs,
-      results: this.results,
-    });
-    this.workers.set(host, worker);
-    this.checker.machineUp(host, { flavor, site, reclaimable });
-    worker.onStart = (shard, orderedAt) => this.checker.taskStarted(this.clock.now(), host, shard, orderedAt);
-    worker.onLaunch = (shard, attempt, fence) =>
-      this.checker.placements.launched(this.clock.now(), { host, shard, attempt, fence });
-    worker.onEnd = (shard, cause) => {
-      this.checker.taskEnded(this.clock.now(), host, shard, cause);
-      this.onTaskEnd(shard, cause);
+    const { machineId, machineType = 'c8', zone = 'a', isSpot = false } = options;
+    const worker = new FakeWorker(
+      this.clock,
+      options,
+      (this.cloud.machineType(machineType) as Room | undefined) ?? ANY_ROOM,
+      {
+        leaseS: this.leaseS,
+        describe: (jobId) => this.jobs.get(jobId),
+        gangs: this.gangs,
+        results: this.results,
+      },
+    );
+    this.workers.set(machineId, worker);
+    this.checker.machineUp(machineId, { machineType, zone, isSpot });
+    worker.onStart = (taskId, orderedAt) => this.checker.taskStarted(this.clock.now(), machineId, taskId, orderedAt);
+    worker.onLaunch = (taskId, attempt, fencingToken) =>
+      this.checker.placements.launched(this.clock.now(), { machineId, taskId, attempt, fencingToken });
+    worker.onEnd = (taskId, cause) => {
+      this.checker.taskEnded(this.clock.now(), machineId, taskId, cause);
+      this.onTaskEnd(taskId, cause);
     };
     this.network.serve(worker.endpoint, (method, path, body, sender) => worker.handle(method, path, body, sender.at));
-    this.cloud.machines.set(host, {
-      Flavor: flavor,
-      Site: site,
-      Reclaimable: reclaimable,
+    this.cloud.machines.set(machineId, {
+      Flavor: machineType,
+      Site: zone,
+      Reclaimable: isSpot,
       Phase: 'running',
       HeldS: 100,
     });
     return worker;
   }
 
-  private boot(host: string): void {
+  private boot(machineId: string): void {
     const { bootMs, runMs } = this.options;
     if (bootMs === undefined) return;
     this.clock.after(bootMs, () => {
-      const machine = this.cloud.machines.get(host);
+      const machine = this.cloud.machines.get(machineId);
       if (machine === undefined) return;
-      const { Flavor: flavor, Site: site, Reclaimable: reclaimable } = machine;
-      this.addWorker({ host, flavor, site, reclaimable, ...(runMs === undefined ? {} : { runMs }) });
+      const { Flavor: machineType, Site: zone, Reclaimable: isSpot } = machine;
+      this.addWorker({ machineId, machineType, zone, isSpot, ...(runMs === undefined ? {} : { runMs }) });
     });
   }
 
   /** The machine is gone, with all that is on it. */
-  kill(host: string): void {
-    this.workers.get(host)?.die();
-    this.checker.machineGone(this.clock.now(), host);
-    this.workers.delete(host);
-    this.cut.add(host);
+  kill(machineId: string): void {
+    this.workers.get(machineId)?.die();
+    this.checker.machineGone(this.clock.now(), machineId);
+    this.workers.delete(machineId);
+    this.cut.add(machineId);
   }
 
   private async tick(): Promise<void> {
     while (!this.ticking.signal.aborted) {
       await this.clock.sleep(500, this.ticking.signal);
-      for (const [host, worker] of this.workers) {
-        const isReached = ![this.cut, this.deaf, this.mute].some((hosts) => hosts.has(host)) && !worker.hangs;
-        this.checker.machineUsable(host, isReached && worker.warningS === null);
+      for (const [machineId, worker] of this.workers) {
+        const isReached =
+          ![this.cut, this.deaf, this.mute].some((machineIds) => machineIds.has(machineId)) && !worker.hangs;
+        this.checker.machineUsable(machineId, isReached && worker.warningS === null);
       }
       this.checker.look(this.clock.now());
       const names = Array.from({ length: this.options.nodes ?? 1 }, (_, index) => `n${index}`);
-      for (const [host, worker] of this.workers) {
-        void worker.tell(names, (node, report) => this.report(host, node, report));
+      for (const [machineId, worker] of this.workers) {
+        void worker.tell(names, (node, report) => this.report(machineId, node, report));
       }
       for (const [from, { controller, freezer }] of this.nodes) {
         if (freezer.isFrozen) continue;
@@ -276,7 +282,7 @@
     }
   }
 
-  private async report(host: string, node: string, report: unknown): Promise<Reply | undefined> {
+  private async report(machineId: string, node: string, report: unknown): Promise<Reply | undefined> {
     const say = (from: string) =>
       this.network
         .client(from)
@@ -287,7 +293,7 @@
       // It is on its way already, whatever becomes of its worker.
       void this.clock.sleep(least + this.random.float() * (most - least)).then(() => say('late-copies'));
     }
-    return say(host);
+    return say(machineId);
   }
 
   private carry(from: string, to: string, message: Message): boolean {
@@ -315,24 +321,24 @@
   /** A user sends a job; the answer comes as time passes. */
   post(body: unknown, node = 0): Promise<Answer> {
     this.checker.submitted(body);
-    const ref = String((body as { Ref?: unknown } | null)?.Ref);
+    const jobId = String((body as { Ref?: unknown } | null)?.Ref);
     // Its user uploads it for the workers.
-    if (!this.jobs.has(ref)) this.jobs.set(ref, body as Description);
-    return this.asUser('submit', ref, node, ({ jobs }) => jobs.submit(body));
+    if (!this.jobs.has(jobId)) this.jobs.set(jobId, body as Description);
+    return this.asUser('submit', jobId, node, ({ jobs }) => jobs.submit(body));
   }
 
-  ask(ref: string, node = 0): Promise<Answer> {
-    return this.asUser('poll', ref, node, ({ jobs }) => jobs.poll(ref));
+  ask(jobId: string, node = 0): Promise<Answer> {
+    return this.asUser('poll', jobId, node, ({ jobs }) => jobs.poll(jobId));
   }
 
-  cancel(ref: string, node = 0): Promise<Answer> {
-    this.checker.cancelAsked(this.clock.now(), ref);
-    return this.asUser('withdraw', ref, node, ({ jobs }) => jobs.withdraw(ref));
+  cancel(jobId: string, node = 0): Promise<Answer> {
+    this.checker.cancelAsked(this.clock.now(), jobId);
+    return this.asUser('withdraw', jobId, node, ({ jobs }) => jobs.withdraw(jobId));
   }
 
   private async asUser(
     kind: UserAnswer['kind'],
-    ref: string,
+    jobId: string,
     index: number,
     call: (controller: Controller) => Promise<Answer>,
   ): Promise<Answer> {
@@ -348,7 +354,7 @@
       this.clock.after(patienceMs, () => resolve(none));
       void freezer!.serve(kind, () => call(controller)).then(resolve);
     });
-    this.checker.answered({ kind, ref, askedAt, at: this.clock.now(), status: told.status, body: told.body });
+    this.checker.answered({ kind, jobId, askedAt, at: this.clock.now(), status: told.status, body: told.body });
     return told;
   }
 
@@ -356,19 +362,21 @@
     return this.during(this.post(jobOf(fields), node));
   }
 
-  poll(ref: string, node = 0): Promise<Answer> {
-    return this.during(this.ask(ref, node));
+  poll(jobId: string, node = 0): Promise<Answer> {
+    return this.during(this.ask(jobId, node));
   }
 
-  withdraw(ref: string, node = 0): Promise<Answer> {
-    return this.during(this.cancel(ref, node));
+  withdraw(jobId: string, node = 0): Promise<Answer> {
+    return this.during(this.cancel(jobId, node));
   }
 
   /** Every start of a task, on whatever machine, from first to last. */
-  runs(name: string): { host: string; attempt: number; from: number; to: number | undefined }[] {
+  runs(name: string): { machineId: string; attempt: number; from: number; to: number | undefined }[] {
     return [...this.everyWorker]
       .flatMap((worker) =>
-        worker.history.filter((each) => each.shard === name).map((run) => ({ host: worker.options.host, ...run })),
+        worker.history
+          .filter((each) => each.taskId === name)
+          .map((run) => ({ machineId: worker.options.machineId, ...run })),
       )
       .sort((a, b) => a.from - b.from);
   }
--- a/src/testing/fake-gangs.ts
+++ b/src/testing/fake-gangs.ts
@@ -19,19 +19,19 @@
     private readonly peerMs: number,
   ) {}
 
-  private static key(shard: string, attempt: number): string {
-    return `${shard.slice(0, shard.lastIndexOf('/'))} ${attempt}`;
+  private static key(taskId: string, attempt: number): string {
+    return `${taskId.slice(0, taskId.lastIndexOf('/'))} ${attempt}`;
   }
 
   /** A task has its image and waits for the others of its attempt; the last one starts them all. */
-  join(worker: FakeWorker, shard: string, attempt: number, job: Description): void {
-    const key = FakeGangs.key(shard, attempt);
+  join(worker: FakeWorker, taskId: string, attempt: number, job: Description): void {
+    const key = FakeGangs.key(taskId, attempt);
     let gang = this.gangs.get(key);
     if (gang === undefined || gang.members.size === 0) {
       gang = { job, members: new Map(), state: 'waiting', told: new Set() };
       this.gangs.set(key, gang);
     }
-    gang.members.set(shard, worker);
+    gang.members.set(taskId, worker);
     if (gang.state !== 'waiting' || gang.members.size < job.Shards) return;
     gang.state = 'running';
     let runMs = 0;
@@ -46,26 +46,26 @@
   }
 
   /** A task has ended, for whatever reason. */
-  left(shard: string, attempt: number): void {
-    const gang = this.gangs.get(FakeGangs.key(shard, attempt));
-    if (gang?.members.delete(shard) !== true) return;
+  left(taskId: string, attempt: number): void {
+    const gang = this.gangs.get(FakeGangs.key(taskId, attempt));
+    if (gang?.members.delete(taskId) !== true) return;
     if (gang.state === 'running' || gang.state === 'stopping') this.breakUp(gang);
   }
 
   /** A task's machine hangs: the others notice, unless it goes on before. */
-  hung(worker: FakeWorker, shard: string, attempt: number): void {
-    const gang = this.gangs.get(FakeGangs.key(shard, attempt));
+  hung(worker: FakeWorker, taskId: string, attempt: number): void {
+    const gang = this.gangs.get(FakeGangs.key(taskId, attempt));
     if (gang === undefined) return;
     void this.clock.sleep(this.peerMs / 2).then(() => {
-      if (worker.hangs && gang.state === 'running' && gang.members.has(shard)) this.breakUp(gang);
+      if (worker.hangs && gang.state === 'running' && gang.members.has(taskId)) this.breakUp(gang);
     });
   }
 
   /** A running task is told to stop with time to save; the save needs all to be told in time. */
-  stop(shard: string, attempt: number): void {
-    const gang = this.gangs.get(FakeGangs.key(shard, attempt));
+  stop(taskId: string, attempt: number): void {
+    const gang = this.gangs.get(FakeGangs.key(taskId, attempt));
     if (gang === undefined || gang.state === 'broken') return;
-    gang.told.add(shard);
+    gang.told.add(taskId);
     if (gang.state === 'running') {
       gang.state = 'stopping';
       void this.clock.sleep(this.peerMs).then(() => {
@@ -87,8 +87,8 @@
   private endAll(gang: Gang, cause: string, saved?: boolean): void {
     gang.state = 'broken';
     // A member that hangs notices nothing.
-    for (const [shard, worker] of [...gang.members]) {
-      if (!worker.hangs) worker.end(shard, gang.told.has(shard) && cause === 'peers' ? 'stopped' : cause, saved);
+    for (const [taskId, worker] of [...gang.members]) {
+      if (!worker.hangs) worker.end(taskId, gang.told.has(taskId) && cause === 'peers' ? 'stopped' : cause, saved);
     }
   }
 }
--- a/src/testing/fake-store.ts
+++ b/src/testing/fake-store.ts
@@ -6,8 +6,8 @@
 
 interface Kept {
   value: unknown;
-  stamp: number;
-  latch: number | undefined;
+  modRevision: number;
+  leaseId: number | undefined;
 }
 
 /** What the store takes; everything else gets 400 or 429. */
@@ -30,10 +30,10 @@
 export class FakeStore {
   readonly rows = new Map<string, Kept>();
   private readonly holds = new Map<number, { ttl: number; until: number }>();
-  private news: { key: string; value: unknown; stamp: number }[] = [];
+  private news: { key: string; value: unknown; modRevision: number }[] = [];
   private waiters: (() => void)[] = [];
   private nextHold = 1;
-  epoch = 0;
+  revision = 0;
   /** While set, every request gets 503. */
   out = false;
   /** Every request takes that long: half of it before it is carried out, half after. Watches and holds too. */
@@ -78,8 +78,8 @@
     if (url.pathname === '/store') return this.list(url.searchParams);
     const key = url.pathname.slice('/store/'.length);
     const row = this.rows.get(key);
-    if (row === undefined) return { status: 404, body: { Epoch: this.epoch } };
-    return { status: 200, body: { K: key, V: row.value, Stamp: row.stamp } };
+    if (row === undefined) return { status: 404, body: { Epoch: this.revision } };
+    return { status: 200, body: { K: key, V: row.value, Stamp: row.modRevision } };
   }
 
   private hold(method: string, parts: string[], body: { TtlMs: number }): Reply {
@@ -101,7 +101,7 @@
     for (const [id, hold] of this.holds) {
       if (this.clock.now() < hold.until) continue;
       this.holds.delete(id);
-      const keys = [...this.rows].filter(([, row]) => row.latch === id).map(([key]) => key);
+      const keys = [...this.rows].filter(([, row]) => row.leaseId === id).map(([key]) => key);
       if (keys.length > 0) this.change(keys.map((key) => ({ Drop: key })));
     }
   }
@@ -114,11 +114,11 @@
       return { status: 400, body: { error: 'no such lease' } };
     }
     const failed = (body.If ?? [])
-      .filter((each) => (this.rows.get(each.K)?.stamp ?? 0) !== each.Stamp)
+      .filter((each) => (this.rows.get(each.K)?.modRevision ?? 0) !== each.Stamp)
       .map((each) => each.K);
-    if (failed.length > 0) return { status: 409, body: { failed, Epoch: this.epoch } };
+    if (failed.length > 0) return { status: 409, body: { failed, Epoch: this.revision } };
     if (writes.length > 0) this.change(writes);
-    return { status: 200, body: { Epoch: this.epoch } };
+    return { status: 200, body: { Epoch: this.revision } };
   }
 
   /** What the limits say to a transaction. */
@@ -140,12 +140,12 @@
   }
 
   private change(writes: NonNullable<TxnBody['Apply']>): void {
-    this.epoch++;
+    this.revision++;
     for (const each of writes) {
       const key = each.Set ?? each.Drop!;
       if (each.Set === undefined) this.rows.delete(key);
-      else this.rows.set(key, { value: each.V, stamp: this.epoch, latch: each.Latch });
-      this.news.push({ key, value: each.Set === undefined ? undefined : each.V, stamp: this.epoch });
+      else this.rows.set(key, { value: each.V, modRevision: this.revision, leaseId: each.Latch });
+      this.news.push({ key, value: each.Set === undefined ? undefined : each.V, modRevision: this.revision });
     }
     for (const wake of this.waiters.splice(0)) wake();
   }
@@ -157,16 +157,16 @@
     const keys = [...this.rows.keys()].filter((key) => key.startsWith(prefix) && key > from).sort();
     const page = keys.slice(0, limit).map((key) => {
       const row = this.rows.get(key)!;
-      return { K: key, V: row.value, Stamp: row.stamp };
+      return { K: key, V: row.value, Stamp: row.modRevision };
     });
-    return { status: 200, body: { Rows: page, HasNext: keys.length > limit, Epoch: this.epoch } };
+    return { status: 200, body: { Rows: page, HasNext: keys.length > limit, Epoch: this.revision } };
   }
 
   private async watch(query: URLSearchParams, node: string | undefined): Promise<Reply> {
     const prefix = query.get('Starts') ?? '';
     const from = Number(query.get('From'));
     const end = this.clock.now() + Number(query.get('WaitMs') ?? 0);
-    const fresh = () => this.news.filter((each) => each.stamp > from && each.key.startsWith(prefix));
+    const fresh = () => this.news.filter((each) => each.modRevision > from && each.key.startsWith(prefix));
     while (this.isOutFor(node) || (fresh().length === 0 && this.clock.now() < end)) {
       const woken = new AbortController();
       this.waiters.push(() => woken.abort());
@@ -175,9 +175,9 @@
     }
     const News = fresh().map((each) =>
       each.value === undefined
-        ? { Drop: each.key, Stamp: each.stamp }
-        : { Set: each.key, V: each.value, Stamp: each.stamp },
+        ? { Drop: each.key, Stamp: each.modRevision }
+        : { Set: each.key, V: each.value, Stamp: each.modRevision },
     );
-    return { status: 200, body: { Epoch: this.epoch, News } };
+    return { status: 200, body: { Epoch: this.revision, News } };
   }
 }
--- a/src/testing/fake-users.ts
+++ b/src/testing/fake-users.ts
@@ -13,8 +13,8 @@
   nodes: number;
   isHealthy(node: number): boolean;
   post(body: unknown, node: number): Promise<Answer>;
-  ask(ref: string, node: number): Promise<Answer>;
-  cancel(ref: string, node: number): Promise<Answer>;
+  ask(jobId: string, node: number): Promise<Answer>;
+  cancel(jobId: string, node: number): Promise<Answer>;
 }
 
 /** Users as the protocol describes them: they repeat what fails, go on asking, and some ask for odd things. */
@@ -55,23 +55,23 @@
     return answer;
   }
 
-  async withdraw(ref: string): Promise<Answer> {
-    const answer = await this.repeat((node) => this.service.cancel(ref, node));
-    this.note(ref, answer);
+  async withdraw(jobId: string): Promise<Answer> {
+    const answer = await this.repeat((node) => this.service.cancel(jobId, node));
+    this.note(jobId, answer);
     return answer;
   }
 
-  private note(ref: string, answer: Answer): void {
-    const job = this.jobs.get(ref);
+  private note(jobId: string, answer: Answer): void {
+    const job = this.jobs.get(jobId);
     if (job !== undefined && answer.status === 200) job.phase = (answer.body as { Phase: string }).Phase;
   }
 
-  private async follow(ref: string): Promise<void> {
-    const job = this.jobs.get(ref)!;
+  private async follow(jobId: string): Promise<void> {
+    const job = this.jobs.get(jobId)!;
     for (;;) {
       const isOver = job.phase === 'done' || job.phase === 'withdrawn';
       await this.clock.sleep(this.random.jitter(isOver ? LATER_MS : POLL_MS));
-      this.note(ref, await this.service.ask(ref, this.anyNode()));
+      this.note(jobId, await this.service.ask(jobId, this.anyNode()));
     }
   }
 
@@ -82,8 +82,8 @@
   async askOddThings(): Promise<Answer[]> {
     const answers: Answer[] = [];
     const one = async (request: (node: number) => Promise<Answer>) => answers.push(await request(this.anyNode()));
-    for (const [ref, { body, phase }] of this.jobs) {
-      if (phase === 'done') await one((node) => this.service.cancel(ref, node));
+    for (const [jobId, { body, phase }] of this.jobs) {
+      if (phase === 'done') await one((node) => this.service.cancel(jobId, node));
       if (phase === 'done' || phase === 'withdrawn') continue;
       await one((node) => this.service.post(body, node));
       await one((node) => this.service.post({ ...body, Cpus: 1e9, MemGb: null }, node));
--- a/src/testing/fake-worker.ts
+++ b/src/testing/fake-worker.ts
@@ -46,17 +46,17 @@
 /** What all workers share. */
 export interface Surroundings {
   leaseS: number;
-  describe(ref: string): Description | undefined;
+  describe(jobId: string): Description | undefined;
   gangs: FakeGangs;
   /** Tasks that are done: their results are kept. */
   results: Set<string>;
 }
 
 export interface WorkerOptions {
-  host: string;
-  flavor?: string;
-  site?: string;
-  reclaimable?: boolean;
+  machineId: string;
+  machineType?: string;
+  zone?: string;
+  isSpot?: boolean;
   /** How long tasks run, ms; undefined, for services and for jobs named j-svc...: until they are killed. */
   runMs?: number;
   /** How long it takes to fetch an image; 0 if left out. */
@@ -64,7 +64,7 @@
   /** Every task that starts here fails. */
   sick?: boolean;
   /** Tasks that fail here, like those of a job that was submitted with a mistake. */
-  fails?: (shard: string) => boolean;
+  fails?: (taskId: string) => boolean;
 }
 
 export interface Room {
@@ -73,24 +73,24 @@
   MemGb: number;
 }
 
-const refOf = (shard: string) => shard.slice(0, shard.lastIndexOf('/'));
+const refOf = (taskId: string) => taskId.slice(0, taskId.lastIndexOf('/'));
 
 /** A stand-in of a worker, by the protocol's words; it also keeps account of what ran when. */
 export class FakeWorker {
   readonly tasks = new Map<string, Task>();
   endpoint: string;
-  readonly history: { shard: string; attempt: number; from: number; to: number | undefined }[] = [];
-  tenure = 1;
-  tick = 0;
-  fence = 0;
+  readonly history: { taskId: string; attempt: number; from: number; to: number | undefined }[] = [];
+  agentEpoch = 1;
+  sequence = 0;
+  fencingToken = 0;
   warningS: number | null = null;
   lastAnswered: number;
   /** Called when a task has its image; `orderedAt`: when the command was sent. */
-  onStart: (shard: string, orderedAt: number) => void = () => undefined;
+  onStart: (taskId: string, orderedAt: number) => void = () => undefined;
   /** Called when a launch has been carried out; `fence`: the token that it came with. */
-  onLaunch: (shard: string, attempt: number, fence: number) => void = () => undefined;
+  onLaunch: (taskId: string, attempt: number, fencingToken: number) => void = () => undefined;
   /** Called when a task that has started ends, also with the machine. */
-  onEnd: (shard: string, cause: string) => void = () => undefined;
+  onEnd: (taskId: string, cause: string) => void = () => undefined;
   private readonly images = new Set<string>();
   private dead = false;
   private hungSince: number | undefined;
@@ -109,7 +109,7 @@
     private readonly room: Room,
     private readonly around: Surroundings,
   ) {
-    this.endpoint = `${options.host}:9000`;
+    this.endpoint = `${options.machineId}:9000`;
     this.lastAnswered = clock.now();
     this.wake();
   }
@@ -121,7 +121,7 @@
   /** It stops: no task goes on, no command is carried out, until it goes on. */
   hang(): void {
     this.hungSince ??= this.clock.now();
-    for (const [shard, task] of this.tasks) this.around.gangs.hung(this, shard, task.Try);
+    for (const [taskId, task] of this.tasks) this.around.gangs.hung(this, taskId, task.Try);
   }
 
   /** It goes on where it stopped; what reached it in the meantime comes next, in order. */
@@ -142,7 +142,7 @@
 
   /** The machine is gone, with all that is on it. */
   die(): void {
-    for (const [shard, task] of this.tasks) if (task.Phase !== 'exited') this.end(shard, 'gone');
+    for (const [taskId, task] of this.tasks) if (task.Phase !== 'exited') this.end(taskId, 'gone');
     this.dead = true;
   }
 
@@ -152,7 +152,7 @@
 
   private beginSession(): void {
     this.tasks.clear();
-    this.tenure++;
+    this.agentEpoch++;
     this.lastAnswered = this.clock.now();
   }
 
@@ -174,78 +174,78 @@
     const now = this.clock.now();
     if (now >= this.leaseEnd && !this.leaseOver) {
       // What hangs can't go on any more after this moment, so it has ended too.
-      for (const [shard, task] of this.tasks) if (task.Phase !== 'exited') this.end(shard, 'killed');
+      for (const [taskId, task] of this.tasks) if (task.Phase !== 'exited') this.end(taskId, 'killed');
       if (this.hangs) this.leaseOver = true;
       else this.beginSession();
     }
     if (!this.hangs) {
-      for (const [shard, task] of this.tasks) {
-        if (task.Phase === 'running' && (this.options.sick === true || this.options.fails?.(shard) === true))
-          this.end(shard, 'error');
-        else if (now >= task.dueAt) this.step(shard, task);
+      for (const [taskId, task] of this.tasks) {
+        if (task.Phase === 'running' && (this.options.sick === true || this.options.fails?.(taskId) === true))
+          this.end(taskId, 'error');
+        else if (now >= task.dueAt) this.step(taskId, task);
       }
     }
     this.wake();
   }
 
-  private step(shard: string, task: Task): void {
-    if (task.Phase === 'fetching') this.hasImage(shard, task);
-    else if (task.Phase === 'waiting') this.end(shard, 'alone');
-    else if (task.Phase === 'running') this.end(shard, 'done');
-    else if (task.Phase === 'flushing') this.end(shard, 'stopped', true);
+  private step(taskId: string, task: Task): void {
+    if (task.Phase === 'fetching') this.hasImage(taskId, task);
+    else if (task.Phase === 'waiting') this.end(taskId, 'alone');
+    else if (task.Phase === 'running') this.end(taskId, 'done');
+    else if (task.Phase === 'flushing') this.end(taskId, 'stopped', true);
   }
 
-  private hasImage(shard: string, task: Task): void {
-    const job = this.around.describe(refOf(shard))!;
+  private hasImage(taskId: string, task: Task): void {
+    const job = this.around.describe(refOf(taskId))!;
     this.images.add(job.Bundle);
-    this.history.push({ shard, attempt: task.Try, from: this.clock.now(), to: undefined });
-    this.onStart(shard, task.orderedAt);
+    this.history.push({ taskId, attempt: task.Try, from: this.clock.now(), to: undefined });
+    this.onStart(taskId, task.orderedAt);
     task.Phase = 'running';
-    if (this.around.results.has(shard)) return this.end(shard, 'done');
-    if (job.Shape !== 'ensemble') return this.run(shard);
+    if (this.around.results.has(taskId)) return this.end(taskId, 'done');
+    if (job.Shape !== 'ensemble') return this.run(taskId);
     task.Phase = 'waiting';
     task.dueAt = this.clock.now() + this.around.gangs.waitMs;
-    this.around.gangs.join(this, shard, task.Try, job);
+    this.around.gangs.join(this, taskId, task.Try, job);
   }
 
   /** It runs from now on. How long a gang runs is up to all its members. */
-  run(shard: string): void {
-    const task = this.tasks.get(shard)!;
-    const { Shape } = this.around.describe(refOf(shard))!;
+  run(taskId: string): void {
+    const task = this.tasks.get(taskId)!;
+    const { Shape } = this.around.describe(refOf(taskId))!;
     task.Phase = 'running';
-    task.dueAt = Shape === 'ensemble' ? Infinity : this.clock.now() + this.runMs(shard);
+    task.dueAt = Shape === 'ensemble' ? Infinity : this.clock.now() + this.runMs(taskId);
     this.wake();
   }
 
-  runMs(shard: string): number {
-    const { Shape } = this.around.describe(refOf(shard))!;
-    return Shape === 'service' || shard.startsWith('j-svc') ? Infinity : (this.options.runMs ?? Infinity);
+  runMs(taskId: string): number {
+    const { Shape } = this.around.describe(refOf(taskId))!;
+    return Shape === 'service' || taskId.startsWith('j-svc') ? Infinity : (this.options.runMs ?? Infinity);
   }
 
-  end(shard: string, cause: string, saved?: boolean): void {
-    const task = this.tasks.get(shard)!;
+  end(taskId: string, cause: string, saved?: boolean): void {
+    const task = this.tasks.get(taskId)!;
     const hadImage = task.Phase !== 'fetching';
     Object.assign(task, { Phase: 'exited', Cause: cause, Saved: saved, dueAt: Infinity });
     if (!hadImage) return;
-    const run = this.history.findLast((each) => each.shard === shard && each.attempt === task.Try);
+    const run = this.history.findLast((each) => each.taskId === taskId && each.attempt === task.Try);
     if (run !== undefined) run.to = this.clock.now();
-    if (cause === 'done') this.around.results.add(shard);
-    this.onEnd(shard, cause);
-    this.around.gangs.left(shard, task.Try);
+    if (cause === 'done') this.around.results.add(taskId);
+    this.onEnd(taskId, cause);
+    this.around.gangs.left(taskId, task.Try);
   }
 
   /** Its report as it would send it now. */
   report(): Record<string, unknown> {
     this.pass();
     return {
-      Host: this.options.host,
+      Host: this.options.machineId,
       Endpoint: this.endpoint,
-      Flavor: this.options.flavor ?? 'c8',
-      Site: this.options.site ?? 'a',
-      Reclaimable: this.options.reclaimable ?? false,
-      Tenure: this.tenure,
-      Tick: ++this.tick,
-      Fence: this.fence,
+      Flavor: this.options.machineType ?? 'c8',
+      Site: this.options.zone ?? 'a',
+      Reclaimable: this.options.isSpot ?? false,
+      Tenure: this.agentEpoch,
+      Tick: ++this.sequence,
+      Fence: this.fencingToken,
       WarningS: this.warningS,
       Shards: [...this.tasks].map(([Shard, { Try, Phase, Cause, Saved }]) => ({ Shard, Try, Phase, Cause, Saved })),
     };
@@ -271,7 +271,7 @@
     const refusal = this.whyRefused(job, known);
     if (refusal === 'in_use') return;
     this.tasks.set(Shard, task);
-    if (refusal === undefined) this.onLaunch(Shard, Try, this.fence);
+    if (refusal === undefined) this.onLaunch(Shard, Try, this.fencingToken);
     if (refusal !== undefined) this.end(Shard, refusal);
     else if (dueAt <= this.clock.now()) this.hasImage(Shard, task);
   }
@@ -285,9 +285,9 @@
     // Which of the two attempts a report then shows is not told; the one that goes on is the one that matters.
     if (known !== undefined && known.Phase !== 'exited') return 'in_use';
     const free = { ...this.room };
-    for (const [shard, task] of this.tasks) {
+    for (const [taskId, task] of this.tasks) {
       if (task.Phase === 'exited') continue;
-      const other = this.around.describe(refOf(shard))!;
+      const other = this.around.describe(refOf(taskId))!;
       for (const amount of ['Cpus', 'Cards', 'MemGb'] as const) free[amount] -= other[amount];
     }
     const fits = job.Cpus <= free.Cpus && job.Cards <= free.Cards && job.MemGb <= free.MemGb;
@@ -312,8 +312,9 @@
     this.pass();
     if (path === '/show') return { status: 200, body: this.report() };
     const orders = body as Orders;
-    if (orders.Fence < this.fence || orders.Tenure !== this.tenure) return { status: 409, body: this.report() };
-    this.fence = orders.Fence;
+    if (orders.Fence < this.fencingToken || orders.Tenure !== this.agentEpoch)
+      return { status: 409, body: this.report() };
+    this.fencingToken = orders.Fence;
     this.obey(orders, sentAt);
     return { status: 200, body: this.report() };
   }
@@ -333,15 +334,15 @@
     this.at ??= nodes[0]!;
     const sentAt = this.clock.now();
     const report = this.report();
-    const tenure = this.tenure;
+    const agentEpoch = this.agentEpoch;
     const answer = await send(this.at, report);
     await this.awake();
     this.pass();
     const reply = this.clock.now() - sentAt > ANSWER_MS ? undefined : answer;
     if (reply?.status === 200) {
       const orders = reply.body as Orders;
-      if (this.dead || orders.Fence < this.fence || tenure !== this.tenure) return;
-      this.fence = orders.Fence;
+      if (this.dead || orders.Fence < this.fencingToken || agentEpoch !== this.agentEpoch) return;
+      this.fencingToken = orders.Fence;
       this.lastAnswered = sentAt;
       this.obey(orders, this.clock.now());
       return;
--- a/src/testing/fault-injector.ts
+++ b/src/testing/fault-injector.ts
@@ -1,7 +1,7 @@
 /** Brings the troubles of a random schedule about, and ends them. */
 import type { Cluster } from './cluster.js';
 import type { Fault } from './fake-network.js';
-import { NODES, SITES, type Trouble, type TroubleKind } from './random-schedule.js';
+import { NODES, ZONES, type Trouble, type TroubleKind } from './random-schedule.js';
 
 /** The most that a message is late, ms: well over a lease. */
 const LATE_MS = 25_000;
@@ -42,7 +42,7 @@
     deaf: ({ forMs, machines }) => this.among(this.cluster.deaf, this.hosts(machines), forMs),
     mute: ({ forMs, machines }) => this.among(this.cluster.mute, this.hosts(machines), forMs),
     hang: ({ forMs, machines }) => this.hang(this.hosts(machines), forMs),
-    machinesDie: ({ machines }) => this.hosts(machines).forEach((host) => this.cluster.kill(host)),
+    machinesDie: ({ machines }) => this.hosts(machines).forEach((machineId) => this.cluster.kill(machineId)),
     crash: ({ forMs, node = 0 }) => this.away([node], forMs),
     restart: ({ forMs, node = 0 }) => this.cluster.restart(node, forMs),
     allAway: ({ forMs }) => this.away(ALL_NODES, forMs),
@@ -54,7 +54,7 @@
         this.among(this.cluster.parted, this.meshLinks(node), forMs),
       ]),
     ownerOutOfReach: ({ forMs, node = 0, machines }) => {
-      const links = this.hosts(machines).map((host) => `${host}>${nameOf(node)}`);
+      const links = this.hosts(machines).map((machineId) => `${machineId}>${nameOf(node)}`);
       return this.among(this.cluster.unreachable, links, forMs);
     },
     meshCut: ({ forMs, node = 0 }) => this.among(this.cluster.parted, this.meshLinks(node), forMs),
@@ -80,7 +80,7 @@
 
   private hosts(indexes: number[] = []): string[] {
     const all = [...this.cluster.workers.keys()].sort();
-    return indexes.map((index) => all[index % all.length]!).filter((host) => host !== undefined);
+    return indexes.map((index) => all[index % all.length]!).filter((machineId) => machineId !== undefined);
   }
 
   private peersOf(node: number): string[] {
@@ -153,10 +153,10 @@
     ]);
   }
 
-  private hang(hosts: readonly string[], forMs: number): Promise<void> {
+  private hang(machineIds: readonly string[], forMs: number): Promise<void> {
     const { workers } = this.cluster;
-    hosts.forEach((host) => workers.get(host)?.hang());
-    return this.during(forMs, () => hosts.forEach((host) => workers.get(host)?.goOn()));
+    machineIds.forEach((machineId) => workers.get(machineId)?.hang());
+    return this.during(forMs, () => machineIds.forEach((machineId) => workers.get(machineId)?.goOn()));
   }
 
   private async leadersChange({ times = 1, forMs }: Trouble): Promise<void> {
@@ -168,9 +168,9 @@
 
   private zoneCut({ node = 0, forMs }: Trouble): Promise<void> {
     const { workers, network } = this.cluster;
-    const zone = SITES[node]!;
-    const inside = [...workers].filter(([, worker]) => worker.options.site === zone);
-    return this.during(forMs, network.split([nameOf(node), ...inside.map(([host]) => host)]));
+    const zone = ZONES[node]!;
+    const inside = [...workers].filter(([, worker]) => worker.options.zone === zone);
+    return this.during(forMs, network.split([nameOf(node), ...inside.map(([machineId]) => machineId)]));
   }
 
   private async meshHeld(node: number, forMs: number): Promise<void> {
@@ -185,8 +185,8 @@
   /** Users call each job off at the moment at which a task of it is done. */
   private cancelAtEnd(forMs: number): Promise<void> {
     const { cluster } = this;
-    cluster.onTaskEnd = (shard, cause) => {
-      if (cause === 'done') void cluster.users.withdraw(shard.slice(0, shard.lastIndexOf('/')));
+    cluster.onTaskEnd = (taskId, cause) => {
+      if (cause === 'done') void cluster.users.withdraw(taskId.slice(0, taskId.lastIndexOf('/')));
     };
     return this.during(forMs, () => (cluster.onTaskEnd = () => undefined));
   }
--- a/src/testing/fixtures.ts
+++ b/src/testing/fixtures.ts
@@ -1,8 +1,10 @@
 /** Settings, jobs and machine types that scenarios start from. */
 import type { StandbySettings } from '@dewlatch/standby';
 import { parseSettings, type Settings, type Tuning } from '../config/settings.js';
+import { decodeJobSpec, type WireJobSpec } from '../ledger/job-spec-codec.js';
+import type { JobSpec } from '../ledger/records.js';
 import type { Log } from '../controller/log.js';
-import type { TxnLimits } from '../state/draft.js';
+import type { TransactionLimits } from '../state/draft.js';
 import type { ProgramVersion } from './cluster.js';
 
 export const noLog: Log = {
@@ -24,7 +26,7 @@
   standbyOf?: (node: number) => Partial<StandbySettings>;
   /** Zones of the nodes; all in `a` if left out. */
   locations?: readonly string[];
-  flavors?: Record<string, unknown>[];
+  machineTypes?: Record<string, unknown>[];
   /** Rented machines are up after so many ms; without it they never are. */
   bootMs?: number;
   /** The version of the program that all nodes run at first; the present one if it is not given. */
@@ -100,8 +102,11 @@
   ...fields,
 });
 
+/** The same, as the program works with it. */
+export const specOf = (fields: object): JobSpec => decodeJobSpec(jobOf(fields) as WireJobSpec);
+
 /** Room in a transaction, where a test does not care for it. */
-export const anyTxnLimits = (fields: Partial<TxnLimits> = {}): TxnLimits => ({
+export const anyTransactionLimits = (fields: Partial<TransactionLimits> = {}): TransactionLimits => ({
   ops: 12,
   batchOps: 12,
   conditions: 48,
--- a/src/testing/invariant-checker.ts
+++ b/src/testing/invariant-checker.ts
@@ -48,11 +48,11 @@
 
 export interface InvariantCheckerOptions {
   teams: readonly { name: string; cpus_max?: number; gpus_max?: number }[];
-  flavors: readonly Record<string, unknown>[];
+  machineTypes: readonly Record<string, unknown>[];
   cancelS: number;
 }
 
-interface Flavor {
+interface MachineType {
   Sku: string;
   Cpus: number;
   Cards: number;
@@ -61,9 +61,9 @@
 }
 
 interface Machine {
-  flavor: string;
-  site: string;
-  reclaimable: boolean;
+  machineType: string;
+  zone: string;
+  isSpot: boolean;
   /** Can be reached and does not hang. */
   usable: boolean;
   /** A task failed there. */
@@ -85,14 +85,14 @@
 }
 
 interface Run {
-  host: string;
-  shard: string;
-  ref: string;
+  machineId: string;
+  taskId: string;
+  jobId: string;
 }
 
 export interface UserAnswer {
   kind: 'submit' | 'poll' | 'withdraw';
-  ref: string;
+  jobId: string;
   askedAt: number;
   at: number;
   /** 0: none in time, or no connection. */
@@ -100,8 +100,8 @@
   body: unknown;
 }
 
-const refOf = (shard: string) => shard.slice(0, shard.lastIndexOf('/'));
-const indexOf = (shard: string) => Number(shard.slice(shard.lastIndexOf('/') + 1));
+const refOf = (taskId: string) => taskId.slice(0, taskId.lastIndexOf('/'));
+const indexOf = (taskId: string) => Number(taskId.slice(taskId.lastIndexOf('/') + 1));
 
 export class InvariantChecker {
   /** Every rule that was broken, in the order of finding. */
@@ -118,12 +118,12 @@
   private readonly pipelines: PipelineChecker;
   /** Which launches workers carried out, over takeovers. */
   readonly placements = new PlacementHistory(
-    (shard) => this.jobs.get(refOf(shard))?.spec?.Shape === 'ensemble',
+    (taskId) => this.jobs.get(refOf(taskId))?.spec?.Shape === 'ensemble',
     (rule, at, what) => this.breaks(rule, at, what),
   );
 
   constructor(private readonly options: InvariantCheckerOptions) {
-    this.pipelines = new PipelineChecker((ref) => this.jobs.get(ref), options.cancelS * 1000);
+    this.pipelines = new PipelineChecker((jobId) => this.jobs.get(jobId), options.cancelS * 1000);
   }
 
   /** What was broken, in words; empty if all is well. */
@@ -139,98 +139,100 @@
     this.broken.push({ rule, at, what });
   }
 
-  private job(ref: string): Job {
-    const known = this.jobs.get(ref);
+  private job(jobId: string): Job {
+    const known = this.jobs.get(jobId);
     if (known !== undefined) return known;
     const job: Job = { done: new Set() };
-    this.jobs.set(ref, job);
+    this.jobs.set(jobId, job);
     return job;
   }
 
-  private flavor(sku: string): Flavor | undefined {
-    return this.options.flavors.find((each) => each.Sku === sku) as Flavor | undefined;
+  private machineType(name: string): MachineType | undefined {
+    return this.options.machineTypes.find((each) => each.Sku === name) as MachineType | undefined;
   }
 
   // What happens on machines.
 
-  machineUp(host: string, machine: { flavor: string; site: string; reclaimable: boolean }): void {
-    this.machines.set(host, { ...machine, usable: true, faulty: false });
+  machineUp(machineId: string, machine: { machineType: string; zone: string; isSpot: boolean }): void {
+    this.machines.set(machineId, { ...machine, usable: true, faulty: false });
   }
 
   /** Whether commands and answers reach it now. */
-  machineUsable(host: string, usable: boolean): void {
-    const machine = this.machines.get(host);
+  machineUsable(machineId: string, usable: boolean): void {
+    const machine = this.machines.get(machineId);
     if (machine !== undefined) machine.usable = usable;
   }
 
   /** The machine is gone, with all that was on it. */
-  machineGone(at: number, host: string): void {
-    for (const run of [...this.runs]) if (run.host === host) this.taskEnded(at, host, run.shard, 'gone');
-    this.machines.delete(host);
+  machineGone(at: number, machineId: string): void {
+    for (const run of [...this.runs])
+      if (run.machineId === machineId) this.taskEnded(at, machineId, run.taskId, 'gone');
+    this.machines.delete(machineId);
   }
 
   /** A task is on a machine: it has its image. `orderedAt`: when the command that led to it was sent. */
-  taskStarted(at: number, host: string, shard: string, orderedAt = at): void {
-    const ref = refOf(shard);
-    const job = this.job(ref);
+  taskStarted(at: number, machineId: string, taskId: string, orderedAt = at): void {
+    const jobId = refOf(taskId);
+    const job = this.job(jobId);
     const { spec, cancelledAt } = job;
     for (const other of this.runs) {
-      if (other.shard === shard) this.breaks('ran_twice', at, `${shard} starts on ${host} while on ${other.host}`);
+      if (other.taskId === taskId)
+        this.breaks('ran_twice', at, `${taskId} starts on ${machineId} while on ${other.machineId}`);
     }
     if (cancelledAt !== undefined && at > cancelledAt) {
-      const what = `${shard} on ${host}, ${at - cancelledAt} ms after its cancellation`;
+      const what = `${taskId} on ${machineId}, ${at - cancelledAt} ms after its cancellation`;
       if (orderedAt > cancelledAt) this.breaks('started_cancelled', at, what);
       else this.lateStarts.push(what);
     }
     const open = this.pipelines.openPredecessor(job);
-    if (open !== undefined) this.breaks('too_early', at, `${shard} on ${host}, before ${open} is done`);
-    const machine = this.machines.get(host);
+    if (open !== undefined) this.breaks('too_early', at, `${taskId} on ${machineId}, before ${open} is done`);
+    const machine = this.machines.get(machineId);
     if (spec !== undefined && machine !== undefined) {
       const why = this.whyWrongPlace(spec, machine);
-      if (why !== undefined) this.breaks('wrong_place', at, `${shard} on ${host}: ${why}`);
+      if (why !== undefined) this.breaks('wrong_place', at, `${taskId} on ${machineId}: ${why}`);
     }
-    this.runs.add({ host, shard, ref });
+    this.runs.add({ machineId, taskId, jobId });
     job.waitingSince = undefined;
     if (spec === undefined) return;
     const why = this.whyOverLimit(spec, 0);
-    if (why !== undefined) this.breaks('quota', at, `${shard}: ${why}`);
+    if (why !== undefined) this.breaks('quota', at, `${taskId}: ${why}`);
   }
 
-  taskEnded(at: number, host: string, shard: string, cause: string): void {
-    const job = this.job(refOf(shard));
+  taskEnded(at: number, machineId: string, taskId: string, cause: string): void {
+    const job = this.job(refOf(taskId));
     for (const run of this.runs) {
-      if (run.host !== host || run.shard !== shard) continue;
+      if (run.machineId !== machineId || run.taskId !== taskId) continue;
       this.checkGone(at, run);
       this.runs.delete(run);
     }
-    const machine = this.machines.get(host);
+    const machine = this.machines.get(machineId);
     if (machine !== undefined && cause === 'error') machine.faulty = true;
     if (cause !== 'done') return;
-    job.done.add(indexOf(shard));
+    job.done.add(indexOf(taskId));
     // A gang completes together.
     if (job.spec?.Shape === 'ensemble') for (let index = 0; index < job.spec.Shards; index++) job.done.add(index);
   }
 
   /** Is a task of a cancelled job still on its machine when it should be gone? */
   private checkGone(at: number, run: Run): void {
-    const { cancelledAt } = this.job(run.ref);
+    const { cancelledAt } = this.job(run.jobId);
     if (cancelledAt === undefined || at - cancelledAt <= this.options.cancelS * 1000) return;
-    this.breaks('ran_cancelled', at, `${run.shard} on ${run.host}, cancelled at ${cancelledAt}`);
+    this.breaks('ran_cancelled', at, `${run.taskId} on ${run.machineId}, cancelled at ${cancelledAt}`);
   }
 
-  private tasksOf(ref: string): Run[] {
-    return [...this.runs].filter((run) => run.ref === ref);
+  private tasksOf(jobId: string): Run[] {
+    return [...this.runs].filter((run) => run.jobId === jobId);
   }
 
   private whyWrongPlace(spec: JobFields, machine: Machine): string | undefined {
-    if (spec.Flavors?.includes(machine.flavor) === false) return `type ${machine.flavor}`;
-    if ((spec.Site ?? machine.site) !== machine.site) return `zone ${machine.site}`;
-    if (machine.reclaimable && !spec.Reclaimable) return 'a spot machine';
-    const sites = this.tasksOf(spec.Ref).map((run) => this.machines.get(run.host)?.site);
-    const other = sites.find((site) => site !== machine.site);
-    if (spec.OneZone && other !== undefined) return `zone ${machine.site} beside tasks in ${other}`;
-    const here = sites.filter((site) => site === machine.site).length;
-    if (spec.Spread && here + 1 > Math.ceil(spec.Shards / 2)) return `${here + 1} tasks in zone ${machine.site}`;
+    if (spec.Flavors?.includes(machine.machineType) === false) return `type ${machine.machineType}`;
+    if ((spec.Site ?? machine.zone) !== machine.zone) return `zone ${machine.zone}`;
+    if (machine.isSpot && !spec.Reclaimable) return 'a spot machine';
+    const zones = this.tasksOf(spec.Ref).map((run) => this.machines.get(run.machineId)?.zone);
+    const other = zones.find((zone) => zone !== machine.zone);
+    if (spec.OneZone && other !== undefined) return `zone ${machine.zone} beside tasks in ${other}`;
+    const here = zones.filter((zone) => zone === machine.zone).length;
+    if (spec.Spread && here + 1 > Math.ceil(spec.Shards / 2)) return `${here + 1} tasks in zone ${machine.zone}`;
     return undefined;
   }
 
@@ -238,17 +240,17 @@
   private whyOverLimit(spec: JobFields, more: number): string | undefined {
     const team = this.options.teams.find((each) => each.name === spec.Owner);
     let cpus = more * spec.Cpus;
-    let cards = more * spec.Cards;
+    let gpus = more * spec.Cards;
     for (const run of this.runs) {
-      const other = this.jobs.get(run.ref)?.spec;
+      const other = this.jobs.get(run.jobId)?.spec;
       if (other?.Owner !== spec.Owner) continue;
       cpus += other.Cpus;
-      cards += other.Cards;
+      gpus += other.Cards;
     }
     // 0 means no limit.
     const { cpus_max = 0, gpus_max = 0 } = team ?? {};
     if (cpus_max > 0 && spec.Cpus > 0 && cpus > cpus_max + EPS) return `${spec.Owner} uses ${cpus} CPUs`;
-    if (gpus_max > 0 && spec.Cards > 0 && cards > gpus_max + EPS) return `${spec.Owner} uses ${cards} cards`;
+    if (gpus_max > 0 && spec.Cards > 0 && gpus > gpus_max + EPS) return `${spec.Owner} uses ${gpus} cards`;
     return undefined;
   }
 
@@ -256,79 +258,79 @@
 
   /** A user sends a job, for the first time or again. */
   submitted(body: unknown): void {
-    const ref = (body as { Ref?: unknown } | null)?.Ref;
-    if (typeof ref !== 'string') return;
-    const job = this.job(ref);
+    const jobId = (body as { Ref?: unknown } | null)?.Ref;
+    if (typeof jobId !== 'string') return;
+    const job = this.job(jobId);
     if (badField(body) === undefined) job.spec ??= body as JobFields;
   }
 
-  cancelAsked(at: number, ref: string): void {
+  cancelAsked(at: number, jobId: string): void {
     // A job that nobody has submitted stays unknown.
-    const job = this.jobs.get(ref);
+    const job = this.jobs.get(jobId);
     if (job !== undefined) job.cancelAskedAt ??= at;
   }
 
   answered(answer: UserAnswer): void {
-    const { kind, ref, askedAt, at, status } = answer;
-    const job = this.jobs.get(ref);
+    const { kind, jobId, askedAt, at, status } = answer;
+    const job = this.jobs.get(jobId);
     const phase = (answer.body as { Phase?: string } | undefined)?.Phase;
     const accepted = job?.acceptedAt !== undefined && job.acceptedAt < askedAt;
-    if (status === 404 && accepted) this.breaks('forgotten', at, `${kind} of ${ref}: 404`);
+    if (status === 404 && accepted) this.breaks('forgotten', at, `${kind} of ${jobId}: 404`);
     if (kind === 'submit' && (status === 400 || status === 422) && accepted) {
-      this.breaks('forgotten', at, `${ref} submitted again: ${status}`);
+      this.breaks('forgotten', at, `${jobId} submitted again: ${status}`);
     }
     if (kind === 'poll' && job?.acceptedAt !== undefined) this.noteSilence(job, answer);
     if (status !== 200 && status !== 201) return;
-    if (job === undefined) return this.breaks('invented', at, `${kind} of ${ref}: ${phase}`);
+    if (job === undefined) return this.breaks('invented', at, `${kind} of ${jobId}: ${phase}`);
     if (job.acceptedAt === undefined) {
       const why = this.whyNever(job.spec) ?? this.whyNeverReleased(job);
-      if (why !== undefined) this.breaks('wrongly_accepted', at, `${ref}: ${why}`);
+      if (why !== undefined) this.breaks('wrongly_accepted', at, `${jobId}: ${why}`);
     }
     job.acceptedAt ??= at;
     this.takePhase(job, answer, phase);
   }
 
-  private takePhase(job: Job, { kind, ref, askedAt, at }: UserAnswer, phase: string | undefined): void {
+  private takePhase(job: Job, { kind, jobId, askedAt, at }: UserAnswer, phase: string | undefined): void {
     const final = job.cancelledAt !== undefined ? 'withdrawn' : job.doneAt !== undefined ? 'done' : undefined;
     if (phase === 'done' || phase === 'withdrawn') {
       // Only one of the two is ever true, so it doesn't matter here who asked first.
       if (final !== undefined && final !== phase)
-        this.breaks('went_back', at, `${kind} of ${ref}: ${phase}, was ${final}`);
+        this.breaks('went_back', at, `${kind} of ${jobId}: ${phase}, was ${final}`);
     } else {
       const toldAt = job.cancelledAt ?? job.doneAt;
       if (toldAt !== undefined && toldAt < askedAt) {
-        this.breaks('went_back', at, `${kind} of ${ref}: ${phase}, was ${final}`);
+        this.breaks('went_back', at, `${kind} of ${jobId}: ${phase}, was ${final}`);
       }
       const orphanedForMs = this.pipelines.orphanedForMs(job, at);
       if (orphanedForMs !== undefined) {
         this.breaks(
           'orphaned',
           at,
-          `${kind} of ${ref}: ${phase}, a job before it is cancelled for ${orphanedForMs} ms`,
+          `${kind} of ${jobId}: ${phase}, a job before it is cancelled for ${orphanedForMs} ms`,
         );
       }
     }
     if (phase === 'withdrawn') {
       if (job.cancelAskedAt === undefined && !this.pipelines.mayBeCancelled(job))
-        this.breaks('went_back', at, `${ref} withdrawn, though not by its user`);
+        this.breaks('went_back', at, `${jobId} withdrawn, though not by its user`);
       job.cancelledAt ??= at;
     }
     if (phase === 'done') {
       const { spec } = job;
       const isDone = spec !== undefined && spec.Shape !== 'service' && job.done.size === spec.Shards;
-      if (!isDone) this.breaks('not_done', at, `${ref}: ${job.done.size} of ${spec?.Shards} tasks are done`);
+      if (!isDone) this.breaks('not_done', at, `${jobId}: ${job.done.size} of ${spec?.Shards} tasks are done`);
       job.doneAt ??= at;
     }
   }
 
-  private noteSilence(job: Job, { ref, askedAt, at, status }: UserAnswer): void {
+  private noteSilence(job: Job, { jobId, askedAt, at, status }: UserAnswer): void {
     if (status === 200 || status === 404) {
       job.unansweredSince = undefined;
       return;
     }
     job.unansweredSince ??= askedAt;
     if (at - Math.max(job.unansweredSince, this.calmSince) < FORGOTTEN_MS) return;
-    this.breaks('forgotten', at, `no question about ${ref} was answered`);
+    this.breaks('forgotten', at, `no question about ${jobId} was answered`);
   }
 
   private whyNeverReleased(job: Job): string | undefined {
@@ -342,7 +344,7 @@
     const { Owner, Shape, Shards, Cpus, Cards, MemGb, Site } = spec;
     const team = this.options.teams.find((each) => each.name === Owner);
     if (team === undefined) return 'unknown team';
-    const fits = (this.options.flavors as unknown as Flavor[]).some(
+    const fits = (this.options.machineTypes as unknown as MachineType[]).some(
       (each) =>
         spec.Flavors?.includes(each.Sku) !== false &&
         each.Sites.includes(Site ?? each.Sites[0]!) &&
@@ -369,14 +371,14 @@
   look(at: number): void {
     for (const run of this.runs) this.checkGone(at, run);
     if (at < this.calmSince) return;
-    for (const [ref, job] of this.jobs) {
+    for (const [jobId, job] of this.jobs) {
       if (!this.hasRoom(job)) {
         job.waitingSince = undefined;
         continue;
       }
       job.waitingSince ??= at;
       if (at - Math.max(job.waitingSince, this.calmSince) < WAITING_MS) continue;
-      this.breaks('left_waiting', at, `${ref}, though there is room`);
+      this.breaks('left_waiting', at, `${jobId}, though there is room`);
     }
   }
 
@@ -386,18 +388,18 @@
     if (spec === undefined || acceptedAt === undefined || cancelAskedAt !== undefined) return false;
     if (this.pipelines.openPredecessor(job) !== undefined || this.pipelines.isCancelled(job)) return false;
     const on = this.tasksOf(spec.Ref);
-    const missing = spec.Shards - done.size - new Set(on.map((run) => run.shard)).size;
+    const missing = spec.Shards - done.size - new Set(on.map((run) => run.taskId)).size;
     if (missing <= 0) return false;
     const needed = spec.Shape === 'ensemble' ? missing : 1;
     if (this.whyOverLimit(spec, needed) !== undefined) return false;
     const slots = new Map<string, number>();
-    for (const [host, machine] of this.machines) {
+    for (const [machineId, machine] of this.machines) {
       if (!machine.usable || machine.faulty || this.whyWrongPlace(spec, machine) !== undefined) continue;
-      slots.set(machine.site, (slots.get(machine.site) ?? 0) + this.slotsOn(host, machine, spec));
+      slots.set(machine.zone, (slots.get(machine.zone) ?? 0) + this.slotsOn(machineId, machine, spec));
     }
     const half = Math.ceil(spec.Shards / 2);
-    const counts = [...slots].map(([site, count]) => {
-      const here = on.filter((run) => this.machines.get(run.host)?.site === site).length;
+    const counts = [...slots].map(([zone, count]) => {
+      const here = on.filter((run) => this.machines.get(run.machineId)?.zone === zone).length;
       return spec.Spread ? Math.min(count, half - here) : count;
     });
     const room = spec.OneZone ? Math.max(0, ...counts) : counts.reduce((a, b) => a + b, 0);
@@ -405,13 +407,13 @@
   }
 
   /** How many more tasks of that size the machine holds. */
-  private slotsOn(host: string, machine: Machine, spec: JobFields): number {
-    const flavor = this.flavor(machine.flavor);
-    if (flavor === undefined) return 0;
-    const free = { Cpus: flavor.Cpus, Cards: flavor.Cards, MemGb: flavor.MemGb };
+  private slotsOn(machineId: string, machine: Machine, spec: JobFields): number {
+    const machineType = this.machineType(machine.machineType);
+    if (machineType === undefined) return 0;
+    const free = { Cpus: machineType.Cpus, Cards: machineType.Cards, MemGb: machineType.MemGb };
     const amounts = ['Cpus', 'Cards', 'MemGb'] as const;
     for (const run of this.runs) {
-      const other = run.host === host ? this.jobs.get(run.ref)?.spec : undefined;
+      const other = run.machineId === machineId ? this.jobs.get(run.jobId)?.spec : undefined;
       if (other !== undefined) for (const amount of amounts) free[amount] -= other[amount];
     }
     const counts = amounts.filter((amount) => spec[amount] > 0).map((amount) => (free[amount] + EPS) / spec[amount]);
--- a/src/testing/loopback-cluster.ts
+++ b/src/testing/loopback-cluster.ts
@@ -56,11 +56,11 @@
 export class LoopbackCluster {
   readonly store = new FakeStore(idleClock);
   readonly cloud = new FakeCloud([C8]);
-  readonly checker = new InvariantChecker({ teams: [{ name: 'red' }], flavors: [C8], cancelS: 36 });
+  readonly checker = new InvariantChecker({ teams: [{ name: 'red' }], machineTypes: [C8], cancelS: 36 });
   /** What the controllers write to standard error. */
   readonly logLines: string[] = [];
   /** Called with each transaction that the store has made. */
-  onTxn: (txn: { conditions: ReadonlyMap<string, number>; writes: number }) => void = () => undefined;
+  onTxn: (transact: { conditions: ReadonlyMap<string, number>; writes: number }) => void = () => undefined;
   private readonly folder = mkdtempSync(join(tmpdir(), 'dewlatch-loopback-'));
   private readonly controllers: ControllerProcess[] = [];
   private readonly workers: FakeWorker[] = [];
@@ -102,29 +102,29 @@
   private async startWorkers(): Promise<void> {
     const around = {
       leaseS: 10,
-      describe: (ref: string) => this.jobs.get(ref),
+      describe: (jobId: string) => this.jobs.get(jobId),
       gangs: new FakeGangs(idleClock, 30_000, 4000),
       results: new Set<string>(),
     };
     for (let n = 0; n < this.options.machines; n++) {
-      const host = `i-${String(n).padStart(6, '0')}`;
-      const site = ['a', 'b', 'c'][n % 3]!;
+      const machineId = `i-${String(n).padStart(6, '0')}`;
+      const zone = ['a', 'b', 'c'][n % 3]!;
       const { runMs } = this.options;
-      const worker = new FakeWorker(idleClock, { host, site, runMs }, C8, around);
+      const worker = new FakeWorker(idleClock, { machineId, zone, runMs }, C8, around);
       worker.endpoint = await this.serve((method, path, body) => worker.handle(method, path, body));
-      this.watchWorker(worker, host, site);
+      this.watchWorker(worker, machineId, zone);
       this.workers.push(worker);
     }
   }
 
-  private watchWorker(worker: FakeWorker, host: string, site: string): void {
+  private watchWorker(worker: FakeWorker, machineId: string, zone: string): void {
     const now = () => systemClock.now();
-    this.checker.machineUp(host, { flavor: 'c8', site, reclaimable: false });
-    this.cloud.machines.set(host, { Flavor: 'c8', Site: site, Reclaimable: false, Phase: 'running', HeldS: 100 });
-    worker.onStart = (shard, orderedAt) => this.checker.taskStarted(now(), host, shard, orderedAt);
-    worker.onEnd = (shard, cause) => this.checker.taskEnded(now(), host, shard, cause);
-    worker.onLaunch = (shard, attempt, fence) =>
-      this.checker.placements.launched(now(), { host, shard, attempt, fence });
+    this.checker.machineUp(machineId, { machineType: 'c8', zone, isSpot: false });
+    this.cloud.machines.set(machineId, { Flavor: 'c8', Site: zone, Reclaimable: false, Phase: 'running', HeldS: 100 });
+    worker.onStart = (taskId, orderedAt) => this.checker.taskStarted(now(), machineId, taskId, orderedAt);
+    worker.onEnd = (taskId, cause) => this.checker.taskEnded(now(), machineId, taskId, cause);
+    worker.onLaunch = (taskId, attempt, fencingToken) =>
+      this.checker.placements.launched(now(), { machineId, taskId, attempt, fencingToken });
   }
 
   private async startControllers(state: string, cloud: string): Promise<void> {
@@ -169,9 +169,9 @@
 
   /** A user submits a job to one of the nodes, trying one after the other. */
   async submit(fields: object): Promise<boolean> {
-    const ref = `j-${String(this.submitted++).padStart(6, '0')}`;
-    const body = jobOf({ Ref: ref, ...fields });
-    this.jobs.set(ref, body as Description);
+    const jobId = `j-${String(this.submitted++).padStart(6, '0')}`;
+    const body = jobOf({ Ref: jobId, ...fields });
+    this.jobs.set(jobId, body as Description);
     this.checker.submitted(body);
     for (let turn = 0; turn < this.controllers.length * 2; turn++) {
       const { address } = this.controllers[(this.submitted + turn) % this.controllers.length]!;
@@ -183,10 +183,10 @@
     return false;
   }
 
-  claimOf(role: string): { node: number; stamp: number } | undefined {
+  claimOf(role: string): { node: number; fencingToken: number } | undefined {
     const row = this.store.rows.get(`live/claim/${role}`);
     if (row === undefined) return undefined;
-    return { node: Number((row.value as { node: string }).node.slice(1)), stamp: row.stamp };
+    return { node: Number((row.value as { node: string }).node.slice(1)), fencingToken: row.modRevision };
   }
 
   /** Waits for an event, without a fixed time; throws when it has not come about for very long. */
--- a/src/testing/loopback-takeover.ts
+++ b/src/testing/loopback-takeover.ts
@@ -23,7 +23,8 @@
   let decidedAt: number | undefined;
   cluster.onTxn = ({ conditions, writes }) => {
     const claim = cluster.claimOf('leader');
-    const isNew = claim !== undefined && claim.node !== before.node && conditions.get(LEADER_KEY) === claim.stamp;
+    const isNew =
+      claim !== undefined && claim.node !== before.node && conditions.get(LEADER_KEY) === claim.fencingToken;
     if (isNew && writes > 0) decidedAt ??= systemClock.now();
   };
   const lostAt = systemClock.now();
--- a/src/testing/pipeline-checker.ts
+++ b/src/testing/pipeline-checker.ts
@@ -10,22 +10,22 @@
 
 export class PipelineChecker {
   constructor(
-    private readonly jobOf: (ref: string) => CheckedJob | undefined,
+    private readonly jobOf: (jobId: string) => CheckedJob | undefined,
     /** ms within which a cancellation must have reached the jobs after it. */
     private readonly cancelMs: number,
   ) {}
 
   /** A job before this one of which not all tasks are done, if there is any. */
   openPredecessor(job: CheckedJob): string | undefined {
-    return job.spec?.Awaits?.find((ref) => {
-      const before = this.jobOf(ref);
+    return job.spec?.Awaits?.find((jobId) => {
+      const before = this.jobOf(jobId);
       return before?.spec === undefined || before.done.size < before.spec.Shards;
     });
   }
 
   /** A job before this one that was never submitted, if there is any. */
   unknownPredecessor(job: CheckedJob): string | undefined {
-    return job.spec?.Awaits?.find((ref) => this.jobOf(ref)?.spec === undefined);
+    return job.spec?.Awaits?.find((jobId) => this.jobOf(jobId)?.spec === undefined);
   }
 
   /** Has a user asked to cancel a job before this one, directly or through others? */
@@ -48,8 +48,8 @@
   private before(job: CheckedJob): CheckedJob[] {
     const found = new Set(job.spec?.Awaits ?? []);
     const jobs: CheckedJob[] = [];
-    for (const ref of found) {
-      const before = this.jobOf(ref);
+    for (const jobId of found) {
+      const before = this.jobOf(jobId);
       if (before === undefined) continue;
       jobs.push(before);
       // A set hands out what is added to it while it is looked through.
--- a/src/testing/play-large.ts
+++ b/src/testing/play-large.ts
@@ -3,7 +3,7 @@
  * and prints what each controller knows. Ends with the rules that were broken, if any.
  */
 import { Cluster } from './cluster.js';
-import { SITES } from './random-schedule.js';
+import { ZONES } from './random-schedule.js';
 
 const NODES = [0, 1, 2];
 const JOBS = 8;
@@ -13,13 +13,13 @@
 const standby = process.argv[3] === 'standby' ? { enabled: true, follow: true } : {};
 const cluster = new Cluster({ nodes: NODES.length, teams: [{ name: 'red', cpus_max: 100_000 }], standby });
 for (let n = 0; n < machines; n++) {
-  cluster.addWorker({ host: `i-${String(n).padStart(6, '0')}`, site: SITES[n % 3]!, runMs: 30_000 });
+  cluster.addWorker({ machineId: `i-${String(n).padStart(6, '0')}`, zone: ZONES[n % 3]!, runMs: 30_000 });
 }
 
 function show(moment: string): void {
   const words = NODES.filter((node) => cluster.has(node)).map((node) => {
-    const { fleet, owner } = cluster.node(node);
-    return `n${node} knows ${fleet.all().size}, owns ${owner.workers.size}, may use ${fleet.open().length}`;
+    const { inventory, workerManager } = cluster.node(node);
+    return `n${node} knows ${inventory.all().size}, owns ${workerManager.workers.size}, may use ${inventory.open().length}`;
   });
   console.log(`${moment}: ${words.join('; ')}`);
 }
--- a/src/testing/random-schedule.ts
+++ b/src/testing/random-schedule.ts
@@ -3,7 +3,7 @@
 
 export const NODES = 3;
 /** A controller each, and the machines in turn. */
-export const SITES = ['a', 'b', 'c'];
+export const ZONES = ['a', 'b', 'c'];
 /** How many machines there are at first, unless the schedule says otherwise. */
 export const MACHINES = 9;
 /** ms within which all troubles begin. */
--- a/src/testing/randomized-scenario.ts
+++ b/src/testing/randomized-scenario.ts
@@ -3,7 +3,7 @@
 import { Cluster } from './cluster.js';
 import { FaultInjector, lastsMs } from './fault-injector.js';
 import { jobOf } from './fixtures.js';
-import { MACHINES, NODES, SITES, SPELL_MS, type Schedule } from './random-schedule.js';
+import { MACHINES, NODES, ZONES, SPELL_MS, type Schedule } from './random-schedule.js';
 
 /** ms until the cluster is up, and for which the invariant checker watches after the troubles. */
 const READY_MS = 6000;
@@ -37,7 +37,7 @@
     const { machines = MACHINES, settleMs = READY_MS } = schedule;
     for (let n = 0; n < machines; n++) {
       const runMs = Math.round(this.random.jitter(RUNS_MS[this.random.below(RUNS_MS.length)]!));
-      cluster.addWorker({ host: `i-${String(n).padStart(6, '0')}`, site: SITES[n % 3]!, runMs });
+      cluster.addWorker({ machineId: `i-${String(n).padStart(6, '0')}`, zone: ZONES[n % 3]!, runMs });
     }
     await cluster.advance(settleMs);
     this.submitSome();
@@ -68,7 +68,7 @@
     job({ Shape: 'service', Rank: 'prod', GuessS: 0, Shards: 3, Spread: true, Owner });
     job({ Shape: 'ensemble', Rank: 'high', Shards: 3, Cpus: 3, OneZone: this.random.float() < 0.5 });
     job({ Shards: 1 + this.random.below(4), OneZone: this.random.float() < 0.3 });
-    job({ Shards: 2, Site: SITES[this.random.below(3)], Rank: 'low' });
+    job({ Shards: 2, Site: ZONES[this.random.below(3)], Rank: 'low' });
     // They come to all nodes at once, and their team is at its limit.
     for (let n = 0; n < 3; n++) job({ Shards: 1 + this.random.below(3), Owner: 'red' });
   }
@@ -76,7 +76,7 @@
   /** Users cancel jobs that are not over, as far as they know. */
   private cancelSome(count: number): void {
     const open = [...this.cluster.users.jobs].filter(([, { phase }]) => phase === 'queued' || phase === 'running');
-    for (const [ref] of this.random.sample(open, count)) void this.cluster.users.withdraw(ref);
+    for (const [jobId] of this.random.sample(open, count)) void this.cluster.users.withdraw(jobId);
   }
 }
 
--- a/src/testing/takeover-measurement.ts
+++ b/src/testing/takeover-measurement.ts
@@ -46,7 +46,7 @@
 export async function measureTakeover(trial: Trial, options: ClusterOptions = {}) {
   const cluster = new Cluster({ nodes: 3, teams: [{ name: 'red' }], ...options });
   for (let n = 0; n < MACHINES; n++) {
-    cluster.addWorker({ host: `i-${String(n).padStart(6, '0')}`, site: ['a', 'b', 'c'][n % 3]!, runMs: 3000 });
+    cluster.addWorker({ machineId: `i-${String(n).padStart(6, '0')}`, zone: ['a', 'b', 'c'][n % 3]!, runMs: 3000 });
   }
   await cluster.advance(WARM_UP_MS);
   let submitted = 0;
@@ -66,7 +66,7 @@
   const lost = cluster.leader()!;
   const role = trial.role === 'leader' ? 'leader' : `part-${lost}`;
   const key = `live/claim/${role}`;
-  const before = cluster.store.rows.get(key)!.stamp;
+  const before = cluster.store.rows.get(key)!.modRevision;
   const begun = cluster.clock.now();
   const logFrom = cluster.network.log.length;
   lose(cluster, lost, trial.loss);
@@ -79,13 +79,13 @@
     // An idle cluster decides something when a job comes.
     if (!trial.load && times.claimed !== undefined && submitted === 0) submitSome();
     const claim = cluster.store.rows.get(key);
-    note('detected', claim?.stamp !== before);
+    note('detected', claim?.modRevision !== before);
     const owner = claim === undefined ? undefined : Number((claim.value as { node: string }).node.slice(1));
     if (claim === undefined || owner === undefined || owner === lost || !cluster.has(owner)) continue;
     note('claimed', true);
-    note('copied', cluster.node(owner).replica.epoch >= claim.stamp);
-    note('answered', hasAnswered(cluster, role, claim.stamp));
-    note('decided', hasDecided(cluster, key, claim.stamp, logFrom));
+    note('copied', cluster.node(owner).replica.revision >= claim.modRevision);
+    note('answered', hasAnswered(cluster, role, claim.modRevision));
+    note('decided', hasDecided(cluster, key, claim.modRevision, logFrom));
   }
   load.abort();
   await submitting;
@@ -113,18 +113,18 @@
   }
 }
 
-function hasAnswered(cluster: Cluster, role: string, stamp: number): boolean {
+function hasAnswered(cluster: Cluster, role: string, token: number): boolean {
   const ofRole = [...cluster.workers.values()].filter(
-    ({ options }) => role === 'leader' || cluster.anyNode().owner.roleOf(options.host) === role,
+    ({ options }) => role === 'leader' || cluster.anyNode().workerManager.roleOf(options.machineId) === role,
   );
   // A leader answers no workers of its own: its first sign is its first decision.
-  return role === 'leader' || ofRole.some(({ fence }) => fence >= stamp);
+  return role === 'leader' || ofRole.some(({ fencingToken }) => fencingToken >= token);
 }
 
-function hasDecided(cluster: Cluster, key: string, stamp: number, logFrom: number): boolean {
+function hasDecided(cluster: Cluster, key: string, modRevision: number, logFrom: number): boolean {
   return cluster.network.log.slice(logFrom).some(({ path, body }) => {
     if (path !== '/txn') return false;
     const { If = [], Apply = [] } = body as Txn;
-    return If.some(({ K, Stamp }) => K === key && Stamp === stamp) && Apply.length > 0;
+    return If.some(({ K, Stamp }) => K === key && Stamp === modRevision) && Apply.length > 0;
   });
 }
--- a/src/testing/upgrade-scenario.ts
+++ b/src/testing/upgrade-scenario.ts
@@ -7,7 +7,7 @@
 import { Cluster, type ProgramVersion } from './cluster.js';
 import { FaultInjector, lastsMs } from './fault-injector.js';
 import { jobOf } from './fixtures.js';
-import { anyTrouble, MACHINES, NODES, SITES, SPELL_MS, type Trouble } from './random-schedule.js';
+import { anyTrouble, MACHINES, NODES, ZONES, SPELL_MS, type Trouble } from './random-schedule.js';
 
 export interface UpgradeSchedule {
   seed: number;
@@ -78,7 +78,7 @@
     const { cluster, schedule } = this;
     for (let n = 0; n < MACHINES; n++) {
       const runMs = Math.round(this.random.jitter(RUNS_MS[this.random.below(RUNS_MS.length)]!));
-      cluster.addWorker({ host: `i-${String(n).padStart(6, '0')}`, site: SITES[n % 3]!, runMs });
+      cluster.addWorker({ machineId: `i-${String(n).padStart(6, '0')}`, zone: ZONES[n % 3]!, runMs });
     }
     await cluster.advance(READY_MS);
     if (this.before !== undefined) await this.upgrade();
@@ -173,7 +173,7 @@
   /** Users cancel jobs that are not over, as far as they know. */
   private cancelSome(count: number): void {
     const open = [...this.cluster.users.jobs].filter(([, { phase }]) => phase === 'queued' || phase === 'running');
-    for (const [ref] of this.random.sample(open, count)) void this.cluster.users.withdraw(ref);
+    for (const [jobId] of this.random.sample(open, count)) void this.cluster.users.withdraw(jobId);
   }
 }
 
--- a/src/workers/commands.ts
+++ b/src/workers/commands.ts
@@ -1,11 +1,11 @@
 import { COMMAND_TIMEOUT_MS, CONNECT_TIMEOUT_MS } from '../constants.js';
 import { NoAnswer, type HttpClient } from '../net/http-client.js';
-import { decodeReport, encodeOrder, type Order, type Report } from './report.js';
+import { decodeWorkerStatus, encodeCommand, type WorkerCommand, type WorkerStatus } from './worker-wire-codec.js';
 
 export type CommandResult =
-  | { kind: 'done'; report: Report | undefined }
+  | { kind: 'done'; workerStatus: WorkerStatus | undefined }
   /** Nothing executed: a higher fence or another session. */
-  | { kind: 'refused'; report: Report | undefined }
+  | { kind: 'refused'; workerStatus: WorkerStatus | undefined }
   /** Never reached the worker. */
   | { kind: 'unsent' }
   /** May have been executed, or may be at any time while fence and session still match. */
@@ -15,18 +15,18 @@
 export async function sendCommands(
   http: HttpClient,
   endpoint: string,
-  fence: number,
-  tenure: number,
-  orders: Order[],
+  fencingToken: number,
+  agentEpoch: number,
+  commands: WorkerCommand[],
 ): Promise<CommandResult> {
   try {
-    const body = { Fence: fence, Tenure: tenure, Orders: orders.map(encodeOrder) };
+    const body = { Fence: fencingToken, Tenure: agentEpoch, Orders: commands.map(encodeCommand) };
     const reply = await http.call(endpoint, 'POST', '/commands', body, {
       timeoutMs: COMMAND_TIMEOUT_MS,
       connectMs: CONNECT_TIMEOUT_MS,
     });
-    if (reply.status === 200) return { kind: 'done', report: decodeReport(reply.body) };
-    if (reply.status === 409) return { kind: 'refused', report: decodeReport(reply.body) };
+    if (reply.status === 200) return { kind: 'done', workerStatus: decodeWorkerStatus(reply.body) };
+    if (reply.status === 409) return { kind: 'refused', workerStatus: decodeWorkerStatus(reply.body) };
     return reply.status === 400 ? { kind: 'unsent' } : { kind: 'unknown' };
   } catch (error) {
     return error instanceof NoAnswer && !error.sent ? { kind: 'unsent' } : { kind: 'unknown' };
--- a/src/workers/machine-state.ts
+++ b/src/workers/machine-state.ts
@@ -2,28 +2,28 @@
 
 /** How a machine presents itself, in each of its reports. */
 export interface MachineIdentity {
-  host: string;
+  machineId: string;
   endpoint: string;
-  flavor: string;
-  site: string;
-  reclaimable: boolean;
+  machineType: string;
+  zone: string;
+  isSpot: boolean;
   /** The worker's session: it grows with each lease that runs out. */
-  tenure: number;
+  agentEpoch: number;
   /** The sequence number of the newest report heard: older ones are late copies. */
-  tick: number;
+  sequence: number;
 }
 
 /** What the owner of a machine's partition says of it. */
 export interface MachineState extends MachineIdentity {
-  sick: boolean;
-  cooling: boolean;
+  isQuarantined: boolean;
+  isBackingOff: boolean;
   /** Nothing shows that answers reach it. */
-  unreached: boolean;
-  slow: boolean;
+  isUnreached: boolean;
+  isSlow: boolean;
   /** Its reports arrive, but answers have not reached it for a lease. */
-  mute: boolean;
+  isMute: boolean;
   images: string[];
   failedJobs: string[];
   /** The node that says so, as the owner of the machine's partition. */
-  owner: string;
+  partitionLeader: string;
 }
--- a/src/workers/reconcile.ts
+++ b/src/workers/reconcile.ts
@@ -1,34 +1,34 @@
-import type { Place } from '../ledger/book.js';
-import { shardName } from '../ledger/records.js';
+import type { PlacedTask } from '../ledger/book.js';
+import { taskIdOf } from '../ledger/records.js';
 import type { Ending } from '../ledger/edits.js';
 import type { Proof } from '../ledger/rules.js';
-import type { Order, ReportedTask } from './report.js';
+import type { WorkerCommand, ReportedTask } from './worker-wire-codec.js';
 import type { Worker } from './worker.js';
 
 export interface Desired {
-  place: Place;
+  placedTask: PlacedTask;
   /** The job is withdrawn: nothing of it is of use any more. */
-  withdrawn: boolean;
+  isCancelled: boolean;
   /** A member of a gang may come here again under the same attempt. */
   inGang: boolean;
 }
 
 export interface Free {
-  place: Place;
+  placedTask: PlacedTask;
   proof: Proof;
   ending: Ending;
   task: ReportedTask | undefined;
 }
 
 export interface Plan {
-  orders: Order[];
+  commands: WorkerCommand[];
   frees: Free[];
   /** Exits that can't be forgotten, or places that can't be freed, before the fence is raised. */
   needsRaise: boolean;
 }
 
 export interface Rights {
-  fence: number;
+  fencingToken: number;
   /** The ledger is known up to the claim, and the store confirmed it just now: launches are allowed. */
   mayLaunch: boolean;
   /** The ledger is known up to the claim: tasks without a place in it are strays. */
@@ -38,96 +38,102 @@
 }
 
 const endingOf = (task: ReportedTask): Ending => {
-  if (task.cause === 'done') return 'done';
-  return task.cause === 'error' || task.cause === 'unknown' ? 'failed' : 'lost';
+  if (task.exitReason === 'done') return 'done';
+  return task.exitReason === 'error' || task.exitReason === 'unknown' ? 'failed' : 'lost';
 };
 
 /**
  * The proof, as far as the worker's own reports give one, that a place is free. It holds only as long as these reports are the
  * newest: a gang's attempt may be placed on the same machine once more, and then an earlier exit says nothing of it.
  */
-export function findProof(worker: Worker, { place, withdrawn, inGang }: Desired, fence: number): Free | undefined {
-  const { slot } = place;
-  if (slot.tenure < worker.tenure) {
-    return { place, proof: { kind: 'tenure', tenure: worker.tenure }, ending: 'lost', task: undefined };
+export function findProof(
+  worker: Worker,
+  { placedTask, isCancelled, inGang }: Desired,
+  fencingToken: number,
+): Free | undefined {
+  const { placement } = placedTask;
+  if (placement.agentEpoch < worker.agentEpoch) {
+    return { placedTask, proof: { kind: 'tenure', agentEpoch: worker.agentEpoch }, ending: 'lost', task: undefined };
   }
-  if (slot.tenure > worker.tenure) return undefined;
-  const proof: Proof = { kind: 'exited', attempt: slot.attempt, tenure: slot.tenure };
-  const task = worker.tasks.get(nameOfPlace(place));
-  if (task?.attempt === slot.attempt) {
+  if (placement.agentEpoch > worker.agentEpoch) return undefined;
+  const proof: Proof = { kind: 'exited', attempt: placement.attempt, agentEpoch: placement.agentEpoch };
+  const task = worker.tasks.get(taskIdOfPlaced(placedTask));
+  if (task?.attempt === placement.attempt) {
     // A report from before the claim may tell of a member's first end, when it has been placed here once more since.
-    const isOld = inGang && worker.fence < fence;
-    return task.phase !== 'exited' || isOld ? undefined : { place, proof, ending: endingOf(task), task };
+    const isOld = inGang && worker.fencingToken < fencingToken;
+    return task.state !== 'exited' || isOld ? undefined : { placedTask, proof, ending: endingOf(task), task };
   }
-  const isUnwanted = withdrawn || slot.stop !== null;
-  if (!isUnwanted || !worker.isAbsenceFinal(attemptOf(place), fence)) return undefined;
-  return { place, proof, ending: 'lost', task: undefined };
+  const isUnwanted = isCancelled || placement.gracePeriodS !== null;
+  if (!isUnwanted || !worker.isAbsenceFinal(attemptKeyOf(placedTask), fencingToken)) return undefined;
+  return { placedTask, proof, ending: 'lost', task: undefined };
 }
 
 /** Compares what the ledger wants on a machine with what its worker reports. Pure, and level-triggered. */
 export function reconcile(worker: Worker, desired: Map<string, Desired>, rights: Rights): Plan {
-  const plan: Plan = { orders: [], frees: [], needsRaise: false };
+  const plan: Plan = { commands: [], frees: [], needsRaise: false };
   for (const [name, task] of worker.tasks) {
     const want = desired.get(name);
-    const slot = want?.place.slot;
-    const isWanted = want !== undefined && slot?.attempt === task.attempt && slot.tenure === worker.tenure;
+    const placement = want?.placedTask.placement;
+    const isWanted =
+      want !== undefined && placement?.attempt === task.attempt && placement.agentEpoch === worker.agentEpoch;
     if (isWanted) stopIfUnwanted(plan, name, task, want);
     else removeStray(plan, worker, name, task, rights);
   }
-  const launches: Order[] = [];
+  const launches: WorkerCommand[] = [];
   for (const [name, want] of desired) {
-    const free = findProof(worker, want, rights.fence);
+    const free = findProof(worker, want, rights.fencingToken);
     if (free !== undefined) plan.frees.push(free);
     else if (isMissing(worker, name, want)) launchOrExclude(plan, launches, worker, name, want, rights);
   }
-  plan.orders.push(...launches);
+  plan.commands.push(...launches);
   return plan;
 }
 
 /** A place of the worker's present session, of which its last report shows nothing. */
-function isMissing(worker: Worker, name: string, { place: { slot } }: Desired): boolean {
-  return slot.tenure === worker.tenure && worker.tasks.get(name)?.attempt !== slot.attempt;
+function isMissing(worker: Worker, name: string, { placedTask: { placement } }: Desired): boolean {
+  return placement.agentEpoch === worker.agentEpoch && worker.tasks.get(name)?.attempt !== placement.attempt;
 }
 
-function stopIfUnwanted(plan: Plan, name: string, task: ReportedTask, { place, withdrawn }: Desired): void {
-  const grace = withdrawn ? 0 : place.slot.stop;
-  if (task.phase === 'exited' || grace === null || (task.phase === 'flushing' && grace > 0)) return;
-  plan.orders.push({ verb: 'kill', shard: name, attempt: task.attempt, grace });
+function stopIfUnwanted(plan: Plan, name: string, task: ReportedTask, { placedTask, isCancelled }: Desired): void {
+  const gracePeriodS = isCancelled ? 0 : placedTask.placement.gracePeriodS;
+  if (task.state === 'exited' || gracePeriodS === null || (task.state === 'checkpointing' && gracePeriodS > 0)) return;
+  plan.commands.push({ kind: 'kill', taskId: name, attempt: task.attempt, gracePeriodS });
 }
 
 /** The ledger gives the task no place here: it is killed, and its exit forgotten. */
 function removeStray(plan: Plan, worker: Worker, name: string, task: ReportedTask, rights: Rights): void {
   if (!rights.mayJudge) return;
-  if (task.phase !== 'exited') {
-    plan.orders.push({ verb: 'kill', shard: name, attempt: task.attempt, grace: 0 });
+  if (task.state !== 'exited') {
+    plan.commands.push({ kind: 'kill', taskId: name, attempt: task.attempt, gracePeriodS: 0 });
     return;
   }
   if (!rights.inAnswer) return;
   // Late copies of a launch restart a forgotten task: first it must be certain that none is left.
-  if (worker.openCommands.has(`${name}#${task.attempt}`)) plan.needsRaise = true;
-  else plan.orders.push({ verb: 'forget', shard: name, attempt: task.attempt });
+  if (worker.unansweredLaunches.has(`${name}#${task.attempt}`)) plan.needsRaise = true;
+  else plan.commands.push({ kind: 'forget', taskId: name, attempt: task.attempt });
 }
 
 function launchOrExclude(
   plan: Plan,
-  launches: Order[],
+  launches: WorkerCommand[],
   worker: Worker,
   name: string,
-  { place, withdrawn }: Desired,
+  { placedTask, isCancelled }: Desired,
   rights: Rights,
 ): void {
-  const { slot } = place;
-  if (withdrawn || slot.stop !== null) {
-    if (worker.openCommands.has(attemptOf(place))) plan.needsRaise = true;
+  const { placement } = placedTask;
+  if (isCancelled || placement.gracePeriodS !== null) {
+    if (worker.unansweredLaunches.has(attemptKeyOf(placedTask))) plan.needsRaise = true;
     return;
   }
   // Another attempt still there refuses this one (`in_use`): it is killed or forgotten first.
   const present = worker.tasks.get(name);
-  const isClear = present === undefined || present.phase === 'exited';
-  if (rights.mayLaunch && isClear) launches.push({ verb: 'launch', shard: name, attempt: slot.attempt });
+  const isClear = present === undefined || present.state === 'exited';
+  if (rights.mayLaunch && isClear) launches.push({ kind: 'launch', taskId: name, attempt: placement.attempt });
 }
 
-export const keyOf = (order: Order): string => `${order.shard}#${order.attempt}`;
+export const attemptKeyOfCommand = (command: WorkerCommand): string => `${command.taskId}#${command.attempt}`;
 /** One start of a shard, as orders and workers name it. */
-export const attemptOf = (place: Place): string => `${nameOfPlace(place)}#${place.slot.attempt}`;
-export const nameOfPlace = (place: Place): string => shardName(place.ref, place.shard);
+export const attemptKeyOf = (placedTask: PlacedTask): string =>
+  `${taskIdOfPlaced(placedTask)}#${placedTask.placement.attempt}`;
+export const taskIdOfPlaced = (placedTask: PlacedTask): string => taskIdOf(placedTask.jobId, placedTask.taskIndex);
--- a/test/claims.test.ts
+++ b/test/claims.test.ts
@@ -25,11 +25,11 @@
 
 async function ready(): Promise<void> {
   cluster = new Cluster({ nodes: 3 });
-  for (const site of ['a', 'b', 'c']) cluster.addWorker({ host: `i-00000${site}`, site });
+  for (const zone of ['a', 'b', 'c']) cluster.addWorker({ machineId: `i-00000${zone}`, zone });
   await cluster.advance(5000);
 }
 
-const fenceOf = (node: number, role: string) => cluster.node(node).claims.holding(role)?.fence;
+const fenceOf = (node: number, role: string) => cluster.node(node).leadership.leadershipOf(role)?.fencingToken;
 
 describe('controllers that all come back, one a second later', () => {
   it('leave each other their own partitions, so that no worker connects anew for a handover', async () => {
@@ -37,7 +37,7 @@
     await restartAll([0, 400, 1000]);
     await cluster.advance(1000);
     const fences = NODES.map((node) => fenceOf(node, `part-${node}`));
-    for (const fence of fences) assert.notEqual(fence, undefined);
+    for (const fencingToken of fences) assert.notEqual(fencingToken, undefined);
     await cluster.advance(10_000);
     assert.deepEqual(
       NODES.map((node) => fenceOf(node, `part-${node}`)),
--- a/test/client.test.ts
+++ b/test/client.test.ts
@@ -15,7 +15,7 @@
 import { NoAnswer, type HttpClient, type Reply } from '../src/net/http-client.js';
 import { Random } from '../src/net/random.js';
 import { Priority } from '../src/net/token-bucket.js';
-import { StateClient, StateError } from '../src/state/client.js';
+import { StoreClient, StoreError } from '../src/state/client.js';
 import { FakeClock } from '../src/testing/fake-clock.js';
 import { sendCommands } from '../src/workers/commands.js';
 
@@ -23,7 +23,7 @@
   call: () => (reply instanceof NoAnswer ? Promise.reject(reply) : Promise.resolve(reply)),
 });
 const state = (reply: Reply | NoAnswer) =>
-  new StateClient(
+  new StoreClient(
     answering(reply),
     'x:1',
     { rps: 100, write_rps: 100, value_kb: 4, txn_ops: 12 },
@@ -31,35 +31,36 @@
     new FakeClock(),
     new Random(1),
   );
-const txn = (reply: Reply | NoAnswer) => state(reply).txn([], [{ key: 'a', value: 1 }], Priority.record);
+const transact = (reply: Reply | NoAnswer) => state(reply).transact([], [{ key: 'a', value: 1 }], Priority.record);
 
 describe('answers of the store', () => {
   it('to a transaction say whether it was, was not, or may yet be carried out', async () => {
-    assert.deepEqual(await txn({ status: 200, body: { Epoch: 5 } }), { kind: 'done', epoch: 5 });
-    const conflict = await txn({ status: 409, body: { failed: ['a'], Epoch: 5 } });
-    assert.deepEqual(conflict, { kind: 'conflict', failed: ['a'], epoch: 5 });
-    assert.equal((await txn({ status: 400, body: { error: 'no such lease' } })).kind, 'no_hold');
-    assert.equal((await txn({ status: 400, body: { error: 'bad' } })).kind, 'malformed');
-    assert.equal((await txn({ status: 429, body: {} })).kind, 'refused');
-    assert.equal((await txn({ status: 503, body: {} })).kind, 'refused');
-    assert.equal((await txn(new NoAnswer('never connected', false))).kind, 'refused');
-    assert.equal((await txn(new NoAnswer('timeout', true))).kind, 'unknown');
-    assert.equal((await txn({ status: 500, body: {} })).kind, 'unknown');
+    assert.deepEqual(await transact({ status: 200, body: { Epoch: 5 } }), { kind: 'done', revision: 5 });
+    const conflict = await transact({ status: 409, body: { failed: ['a'], Epoch: 5 } });
+    assert.deepEqual(conflict, { kind: 'conflict', failed: ['a'], revision: 5 });
+    assert.equal((await transact({ status: 400, body: { error: 'no such lease' } })).kind, 'lease_expired');
+    assert.equal((await transact({ status: 400, body: { error: 'bad' } })).kind, 'malformed');
+    assert.equal((await transact({ status: 429, body: {} })).kind, 'refused');
+    assert.equal((await transact({ status: 503, body: {} })).kind, 'refused');
+    assert.equal((await transact(new NoAnswer('never connected', false))).kind, 'refused');
+    assert.equal((await transact(new NoAnswer('timeout', true))).kind, 'unknown');
+    assert.equal((await transact({ status: 500, body: {} })).kind, 'unknown');
   });
 
   it('to a watch from too long ago ask for a new reading, and to a renewal say that the hold is over', async () => {
-    assert.equal(await state({ status: 410, body: {} }).watch('a', 1, 0, Priority.hold), undefined);
-    assert.equal(await state({ status: 404, body: {} }).renewHold(3), false);
-    await assert.rejects(state({ status: 503, body: {} }).renewHold(3), StateError);
+    assert.equal(await state({ status: 410, body: {} }).watch('a', 1, 0, Priority.lease), undefined);
+    assert.equal(await state({ status: 404, body: {} }).renewLease(3), false);
+    await assert.rejects(state({ status: 503, body: {} }).renewLease(3), StoreError);
   });
 });
 
 describe('answers of the cloud and of workers', () => {
-  const hire = { name: 'r-1-1', flavor: 'c8', site: 'a', reclaimable: false, count: 1 };
-  const rent = (reply: Reply | NoAnswer) => new CloudClient(answering(reply), 'x:1', 8, new FakeClock()).rent(hire);
+  const rental = { rentalId: 'r-1-1', machineType: 'c8', zone: 'a', isSpot: false, count: 1 };
+  const rent = (reply: Reply | NoAnswer) =>
+    new CloudClient(answering(reply), 'x:1', 8, new FakeClock()).scaleOut(rental);
 
   it('tell a lack of machines from trouble, after which the same request is sent again', async () => {
-    assert.deepEqual(await rent({ status: 200, body: { Hosts: ['i-1'] } }), { kind: 'rented', hosts: ['i-1'] });
+    assert.deepEqual(await rent({ status: 200, body: { Hosts: ['i-1'] } }), { kind: 'rented', machineIds: ['i-1'] });
     assert.equal((await rent({ status: 503, body: { error: 'no capacity' } })).kind, 'no_capacity');
     assert.equal((await rent({ status: 503, body: { error: 'trouble' } })).kind, 'refused');
     assert.equal((await rent({ status: 429, body: {} })).kind, 'refused');
@@ -77,8 +78,8 @@
       },
     };
     const cloud = new CloudClient(http, 'x:1', 1, clock, () => isLeader);
-    assert.equal(await cloud.giveBack(['i-1']), true);
-    const waiting = [cloud.giveBack(['i-2']), cloud.rent(hire)] as const;
+    assert.equal(await cloud.scaleIn(['i-1']), true);
+    const waiting = [cloud.scaleIn(['i-2']), cloud.scaleOut(rental)] as const;
     await clock.advance(1);
     isLeader = false;
     await clock.advance(60_000);
--- a/test/cluster.test.ts
+++ b/test/cluster.test.ts
@@ -9,7 +9,7 @@
 async function ready(options: ClusterOptions = {}, machines = 2): Promise<Cluster> {
   cluster = new Cluster(options);
   for (let index = 0; index < machines; index++) {
-    cluster.addWorker({ host: `i-00000${index}`, site: ['a', 'b', 'c'][index % 3]!, runMs: 5000 });
+    cluster.addWorker({ machineId: `i-00000${index}`, zone: ['a', 'b', 'c'][index % 3]!, runMs: 5000 });
   }
   await cluster.advance(5000);
   return cluster;
@@ -31,11 +31,11 @@
     const again = await cluster.submit({ Shards: 3 });
     assert.equal(again.status, 200);
     assert.equal(body(again).Phase, 'done');
-    for (const shard of [0, 1, 2]) assert.equal(cluster.runs(`j-000001/${shard}`).length, 1);
+    for (const taskIndex of [0, 1, 2]) assert.equal(cluster.runs(`j-000001/${taskIndex}`).length, 1);
   });
 
   it('of many tasks leave no ledger behind', async () => {
-    await ready({ teams: [{ name: 'red' }], flavors: [{ ...C8, Cpus: 1000, MemGb: 10_000 }] }, 1);
+    await ready({ teams: [{ name: 'red' }], machineTypes: [{ ...C8, Cpus: 1000, MemGb: 10_000 }] }, 1);
     await cluster.submit({ Ref: 'j-big', Shards: 1000, Cpus: 1, MemGb: 1 });
     await cluster.advance(40_000);
     assert.equal(body(await cluster.poll('j-big')).Phase, 'done');
@@ -59,8 +59,8 @@
     assert.equal(body(await cluster.withdraw('j-svc', 1)).Phase, 'withdrawn');
     for (const node of [0, 1, 2]) assert.equal(body(await cluster.poll('j-svc', node)).Phase, 'withdrawn');
     await cluster.advance(3000);
-    for (const shard of [0, 1, 2]) {
-      const runs = cluster.runs(`j-svc/${shard}`);
+    for (const taskIndex of [0, 1, 2]) {
+      const runs = cluster.runs(`j-svc/${taskIndex}`);
       assert.equal(runs.length, 1);
       assert.notEqual(runs[0]!.to, undefined);
     }
@@ -104,9 +104,9 @@
     await cluster.submit({ ...service, Shards: 1 });
     const [run] = cluster.runs('j-svc/0');
     cluster.remember();
-    cluster.cut.add(run!.host);
+    cluster.cut.add(run!.machineId);
     await cluster.advance(9000);
-    assert.ok(cluster.cloud.returned.includes(run!.host));
+    assert.ok(cluster.cloud.returned.includes(run!.machineId));
     assert.equal(cluster.runs('j-svc/0').length, 2);
     assert.equal(cluster.overlaps('j-svc/0'), 0);
   });
@@ -116,7 +116,7 @@
     await cluster.submit({ ...service, Shards: 1 });
     const [run] = cluster.runs('j-svc/0');
     cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
-    cluster.cut.add(run!.host);
+    cluster.cut.add(run!.machineId);
     await cluster.advance(8000);
     assert.equal(cluster.runs('j-svc/0').length, 1, 'it may still run there');
     await cluster.advance(8000);
@@ -175,7 +175,7 @@
     const zones = new Map<string, number>();
     for (const worker of cluster.workers.values()) {
       const count = [...worker.tasks.values()].filter((task) => task.Phase === 'running').length;
-      zones.set(worker.options.site!, (zones.get(worker.options.site!) ?? 0) + count);
+      zones.set(worker.options.zone!, (zones.get(worker.options.zone!) ?? 0) + count);
     }
     assert.equal(
       [...zones.values()].reduce((a, b) => a + b, 0),
@@ -193,7 +193,7 @@
     await cluster.submit(gang);
     await cluster.advance(3000);
     assert.equal([...cluster.workers.values()].flatMap((worker) => worker.history).length, 0);
-    cluster.addWorker({ host: 'i-000009', runMs: 5000 });
+    cluster.addWorker({ machineId: 'i-000009', runMs: 5000 });
     await cluster.advance(4000);
     const runs = [...cluster.workers.values()].flatMap((worker) => worker.history);
     assert.equal(runs.length, 10);
@@ -202,39 +202,39 @@
 
   it('stays in one zone if it must, and begins anew only when all of the old attempt have gone', async () => {
     await ready({ teams: [{ name: 'red' }] }, 3);
-    cluster.addWorker({ host: 'i-000007', site: 'b' });
-    cluster.addWorker({ host: 'i-000008', site: 'b' });
+    cluster.addWorker({ machineId: 'i-000007', zone: 'b' });
+    cluster.addWorker({ machineId: 'i-000008', zone: 'b' });
     await cluster.advance(3000);
     await cluster.submit({ ...gang, Ref: 'j-svc-gang', Shards: 6, OneZone: true });
     const started = [...cluster.workers.values()].filter((worker) => worker.history.length > 0);
-    assert.deepEqual([...new Set(started.map((worker) => worker.options.site))], ['b']);
+    assert.deepEqual([...new Set(started.map((worker) => worker.options.zone))], ['b']);
     // One member's machine is cut off: while the others may still be there, nothing starts in another zone or attempt.
     cluster.remember();
     cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
-    cluster.cut.add(started[0]!.options.host);
+    cluster.cut.add(started[0]!.options.machineId);
     await cluster.advance(40_000);
-    for (let shard = 0; shard < 6; shard++) assert.equal(cluster.overlaps(`j-svc-gang/${shard}`), 0);
-    const sites = [...cluster.workers.values()].filter((worker) => worker.history.length > 0);
-    assert.deepEqual([...new Set(sites.map((worker) => worker.options.site))], ['b']);
+    for (let taskIndex = 0; taskIndex < 6; taskIndex++) assert.equal(cluster.overlaps(`j-svc-gang/${taskIndex}`), 0);
+    const zones = [...cluster.workers.values()].filter((worker) => worker.history.length > 0);
+    assert.deepEqual([...new Set(zones.map((worker) => worker.options.zone))], ['b']);
   });
 });
 
 describe('members of a gang', () => {
   const gang = { Ref: 'j-svc-g', Shape: 'ensemble', Rank: 'high', Shards: 6, SnapshotEveryS: 10, SnapshotS: 2 };
-  const shards = [0, 1, 2, 3, 4, 5].map((shard) => `j-svc-g/${shard}`);
+  const taskIds = [0, 1, 2, 3, 4, 5].map((taskIndex) => `j-svc-g/${taskIndex}`);
 
   it('that are lost while the others wait are replaced under the same attempt', async () => {
     await ready({ teams: [{ name: 'red' }] }, 3);
     cluster.workers.get('i-000002')!.options.imageMs = 15_000;
     await cluster.submit({ ...gang, Cpus: 4 });
-    const waiting = shards.filter((name) => cluster.runs(name).length > 0);
+    const waiting = taskIds.filter((name) => cluster.runs(name).length > 0);
     assert.equal(waiting.length, 4, 'two fetch their image');
-    const lost = waiting.filter((name) => cluster.runs(name)[0]!.host === cluster.runs(waiting[0]!)[0]!.host);
+    const lost = waiting.filter((name) => cluster.runs(name)[0]!.machineId === cluster.runs(waiting[0]!)[0]!.machineId);
     cluster.remember();
-    cluster.addWorker({ host: 'i-000009' });
-    cluster.cut.add(cluster.runs(waiting[0]!)[0]!.host);
+    cluster.addWorker({ machineId: 'i-000009' });
+    cluster.cut.add(cluster.runs(waiting[0]!)[0]!.machineId);
     await cluster.advance(25_000);
-    for (const name of shards) {
+    for (const name of taskIds) {
       const runs = cluster.runs(name);
       assert.equal(runs.length, lost.includes(name) ? 2 : 1);
       assert.ok(runs.every((run) => run.attempt === 1));
@@ -245,9 +245,9 @@
   it('are all told to stop within a moment when one machine is to go', async () => {
     await ready({ nodes: 3, teams: [{ name: 'red' }] }, 3);
     await cluster.submit(gang);
-    cluster.workers.get(cluster.runs(shards[0]!)[0]!.host)!.warningS = 20;
+    cluster.workers.get(cluster.runs(taskIds[0]!)[0]!.machineId)!.warningS = 20;
     await cluster.advance(6000);
-    const ends = shards.map((name) => cluster.runs(name)[0]!.to ?? Infinity);
+    const ends = taskIds.map((name) => cluster.runs(name)[0]!.to ?? Infinity);
     assert.ok(Math.max(...ends) - Math.min(...ends) < 4000, ends.join(' '));
   });
 });
@@ -263,16 +263,16 @@
       },
       0,
     );
-    cluster.addWorker({ host: 'i-000001' });
-    cluster.addWorker({ host: 'i-000002', site: 'b' });
+    cluster.addWorker({ machineId: 'i-000001' });
+    cluster.addWorker({ machineId: 'i-000002', zone: 'b' });
     cluster.cloud.full.add('a').add('b').add('c');
     await cluster.advance(3000);
     await cluster.submit({ Ref: 'j-r1', Shards: 8 });
     await cluster.submit({ Ref: 'j-b1', Owner: 'blue', Shards: 4 });
     await cluster.advance(3000);
-    const running = (ref: string) =>
+    const running = (jobId: string) =>
       [...cluster.workers.values()].flatMap((worker) =>
-        [...worker.tasks].filter(([name, task]) => name.startsWith(ref) && task.Phase === 'running'),
+        [...worker.tasks].filter(([name, task]) => name.startsWith(jobId) && task.Phase === 'running'),
       ).length;
     assert.equal(running('j-b1'), 4);
     assert.equal(running('j-r1'), 4, 'and no more than that is taken');
@@ -285,8 +285,8 @@
       { name: 'red', gpus: 2 },
       { name: 'blue', gpus: 2 },
     ];
-    await ready({ teams, flavors: [{ ...C8, Cards: 4 }] }, 0);
-    cluster.addWorker({ host: 'i-000001' });
+    await ready({ teams, machineTypes: [{ ...C8, Cards: 4 }] }, 0);
+    cluster.addWorker({ machineId: 'i-000001' });
     cluster.cloud.full.add('a').add('b').add('c');
     await cluster.advance(3000);
     await cluster.submit({ Ref: 'j-cards', Cpus: 1, Cards: 1, Shards: 4 });
@@ -306,31 +306,31 @@
     await cluster.submit({ ...service, Shards: 3 });
     cluster.crash(0);
     await cluster.advance(9000);
-    assert.deepEqual(cluster.node(1).claims.ownerOf('part-0') !== 'n0', true);
-    for (const shard of [0, 1, 2]) assert.equal(cluster.runs(`j-svc/${shard}`)[0]!.to, undefined);
+    assert.deepEqual(cluster.node(1).leadership.leaderOf('part-0') !== 'n0', true);
+    for (const taskIndex of [0, 1, 2]) assert.equal(cluster.runs(`j-svc/${taskIndex}`)[0]!.to, undefined);
     cluster.start(0);
     await cluster.advance(12_000);
-    assert.equal(cluster.node(1).claims.ownerOf('part-0'), 'n0', 'the part goes home');
-    for (const shard of [0, 1, 2]) assert.equal(cluster.runs(`j-svc/${shard}`).length, 1);
+    assert.equal(cluster.node(1).leadership.leaderOf('part-0'), 'n0', 'the part goes home');
+    for (const taskIndex of [0, 1, 2]) assert.equal(cluster.runs(`j-svc/${taskIndex}`).length, 1);
   });
 
   it('that restarts within a moment takes its own claims over at once, with a higher fence', async () => {
     await ready({ nodes: 3 });
-    const fence = cluster.node(0).claims.holding('part-0')!.fence;
+    const fencingToken = cluster.node(0).leadership.leadershipOf('part-0')!.fencingToken;
     cluster.crash(0);
     cluster.start(0);
     await cluster.advance(1500);
-    assert.ok(cluster.node(0).claims.holding('part-0')!.fence > fence);
+    assert.ok(cluster.node(0).leadership.leadershipOf('part-0')!.fencingToken > fencingToken);
   });
 
   it('alone without the store stops answering as soon as a peer has it', async () => {
     await ready({ nodes: 3 }, 3);
     cluster.network.fault({ from: 'n0', to: 'store:1', kind: 'status', status: 503 });
     await cluster.advance(6000);
-    assert.equal(cluster.node(0).claims.mayAnswer('part-0'), undefined);
+    assert.equal(cluster.node(0).leadership.servingLeadershipOf('part-0'), undefined);
     assert.equal(cluster.node(0).up().status, 503);
     await cluster.advance(4000);
-    assert.ok(['n1', 'n2'].includes(cluster.node(1).claims.ownerOf('part-0')!));
+    assert.ok(['n1', 'n2'].includes(cluster.node(1).leadership.leaderOf('part-0')!));
   });
 
   it('cut off from store and peers answers no longer than a cancellation allows', async () => {
@@ -338,9 +338,9 @@
     cluster.network.fault({ from: 'n0', to: 'store:1', kind: 'lose' });
     for (const pair of ['n0>n1', 'n0>n2', 'n1>n0', 'n2>n0']) cluster.parted.add(pair);
     await cluster.advance(15_000);
-    assert.notEqual(cluster.node(0).claims.mayAnswer('part-0'), undefined);
+    assert.notEqual(cluster.node(0).leadership.servingLeadershipOf('part-0'), undefined);
     await cluster.advance(12_000);
-    assert.equal(cluster.node(0).claims.mayAnswer('part-0'), undefined);
+    assert.equal(cluster.node(0).leadership.servingLeadershipOf('part-0'), undefined);
   });
 
   it('learns of machines by way of a third when it can not hear their owner', async () => {
@@ -348,8 +348,8 @@
     for (const pair of ['n0>n1', 'n1>n0']) cluster.parted.add(pair);
     await cluster.advance(20_000);
     for (const node of [0, 1]) {
-      const known = [...cluster.node(node).fleet.all().values()];
-      assert.equal(known.filter((machine) => cluster.node(node).fleet.isOpen(machine)).length, 6);
+      const known = [...cluster.node(node).inventory.all().values()];
+      assert.equal(known.filter((machine) => cluster.node(node).inventory.isOpen(machine)).length, 6);
     }
   });
 
@@ -357,9 +357,9 @@
     await ready({ nodes: 3 }, 3);
     await cluster.submit({ ...service, Shards: 3 });
     const [run] = cluster.runs('j-svc/0');
-    const owner = cluster.node(0).claims.ownerOf(cluster.node(0).owner.roleOf(run!.host));
-    cluster.unreachable.add(`${run!.host}>${owner}`);
-    cluster.network.fault({ from: owner, to: `${run!.host}:9000`, kind: 'lose' });
+    const partitionLeader = cluster.node(0).leadership.leaderOf(cluster.node(0).workerManager.roleOf(run!.machineId));
+    cluster.unreachable.add(`${run!.machineId}>${partitionLeader}`);
+    cluster.network.fault({ from: partitionLeader, to: `${run!.machineId}:9000`, kind: 'lose' });
     await cluster.advance(40_000);
     assert.equal(cluster.runs('j-svc/0').length, 1);
     assert.equal(cluster.runs('j-svc/0')[0]!.to, undefined);
@@ -374,10 +374,10 @@
     const [run] = cluster.runs('j-svc0/0');
     cluster.remember();
     for (const node of [0, 1, 2]) cluster.crash(node);
-    cluster.cut.add(run!.host);
+    cluster.cut.add(run!.machineId);
     for (const node of [0, 1, 2]) cluster.start(node);
     await cluster.advance(20_000);
-    assert.ok(cluster.cloud.returned.includes(run!.host));
+    assert.ok(cluster.cloud.returned.includes(run!.machineId));
     assert.equal(cluster.cloud.returned.length, 1);
     assert.equal(cluster.runs('j-svc0/0').length, 2);
     for (let n = 0; n < 6; n++) assert.equal(cluster.overlaps(`j-svc${n}/0`), 0);
@@ -390,8 +390,8 @@
     await cluster.advance(60_000);
     cluster.store.endOutage();
     await cluster.advance(5000);
-    for (const shard of [0, 1, 2]) {
-      const runs = cluster.runs(`j-svc/${shard}`);
+    for (const taskIndex of [0, 1, 2]) {
+      const runs = cluster.runs(`j-svc/${taskIndex}`);
       assert.equal(runs.length, 1);
       assert.equal(runs[0]!.to, undefined);
     }
@@ -404,8 +404,8 @@
     cluster.cloud.full.add('a');
     await cluster.submit({ Shards: 8 });
     await cluster.advance(20_000);
-    const hosts = [...cluster.cloud.hires.values()].flat();
-    assert.equal(hosts.length, 2, '8 tasks of 2 CPUs on machines of 8');
+    const machineIds = [...cluster.cloud.rentals.values()].flat();
+    assert.equal(machineIds.length, 2, '8 tasks of 2 CPUs on machines of 8');
     assert.ok([...cluster.cloud.machines.values()].every((machine) => machine.Site !== 'a'));
   });
 
@@ -414,13 +414,13 @@
     cluster.network.fault({ to: 'cloud:1', path: /^\/rentals$/, kind: 'answerLost', times: 1 });
     await cluster.submit({ Shards: 4 });
     await cluster.advance(25_000);
-    assert.equal([...cluster.cloud.hires.values()].flat().length, 1);
+    assert.equal([...cluster.cloud.rentals.values()].flat().length, 1);
   });
 
   it('that are slow lose their batch work to others', async () => {
     await ready({}, 0);
-    const slow = cluster.addWorker({ host: 'i-000001', runMs: 40_000 });
-    cluster.addWorker({ host: 'i-000002', runMs: 5000, site: 'b' });
+    const slow = cluster.addWorker({ machineId: 'i-000001', runMs: 40_000 });
+    cluster.addWorker({ machineId: 'i-000002', runMs: 5000, zone: 'b' });
     await cluster.advance(3000);
     // 16 tasks of 2 CPUs: four at a time on each; the other machine ends its share many times over.
     await cluster.submit({ Ref: 'j-slow', Shards: 16 });
@@ -438,14 +438,15 @@
 
   it('behind a cut from their owner and from the leader are not given back, since a third node hears them', async () => {
     await ready({ nodes: 3 }, 6);
-    const leader = Number(cluster.node(0).claims.ownerOf('leader')!.slice(1));
+    const leader = Number(cluster.node(0).leadership.leaderOf('leader')!.slice(1));
     const far = (leader + 1) % 3;
-    const hosts = [...cluster.workers.keys()].filter(
-      (host) => cluster.node(0).claims.ownerOf(cluster.node(0).owner.roleOf(host)) === `n${leader}`,
+    const machineIds = [...cluster.workers.keys()].filter(
+      (machineId) =>
+        cluster.node(0).leadership.leaderOf(cluster.node(0).workerManager.roleOf(machineId)) === `n${leader}`,
     );
-    assert.ok(hosts.length > 0);
+    assert.ok(machineIds.length > 0);
     // One zone with these machines and a node can't reach the leader's; the third node hears both.
-    for (const host of hosts) cluster.unreachable.add(`${host}>n${leader}`);
+    for (const machineId of machineIds) cluster.unreachable.add(`${machineId}>n${leader}`);
     cluster.parted.add(`n${far}>n${leader}`).add(`n${leader}>n${far}`);
     await cluster.advance(30_000);
     assert.deepEqual(cluster.cloud.returned, []);
@@ -453,8 +454,8 @@
 
   it('that fail all their tasks are told from jobs that do, and given back', async () => {
     await ready({}, 0);
-    cluster.addWorker({ host: 'i-000001', runMs: 60_000, sick: true });
-    cluster.addWorker({ host: 'i-000002', runMs: 60_000, site: 'b' });
+    cluster.addWorker({ machineId: 'i-000001', runMs: 60_000, sick: true });
+    cluster.addWorker({ machineId: 'i-000002', runMs: 60_000, zone: 'b' });
     await cluster.advance(3000);
     for (let n = 0; n < 4; n++) await cluster.submit({ Ref: `j-s${n}`, Shards: 2, Cpus: 8 });
     await cluster.advance(15_000);
--- a/test/combined-faults-jobs.test.ts
+++ b/test/combined-faults-jobs.test.ts
@@ -13,8 +13,8 @@
   cluster = new Cluster({ nodes: 3, ...options });
   for (let index = 0; index < machines; index++) {
     cluster.addWorker({
-      host: `i-00000${index}`,
-      site: ['a', 'b', 'c'][index % 3]!,
+      machineId: `i-00000${index}`,
+      zone: ['a', 'b', 'c'][index % 3]!,
       runMs,
     });
   }
@@ -23,11 +23,11 @@
 }
 
 const body = (answer: Answer) => answer.body as { Phase: string; done: number; running: number };
-const phase = async (ref: string, node = 0) => body(await cluster.poll(ref, node)).Phase;
+const phase = async (jobId: string, node = 0) => body(await cluster.poll(jobId, node)).Phase;
 const service = { Shape: 'service', Rank: 'prod', GuessS: 0 };
-const running = (ref: string) =>
+const running = (jobId: string) =>
   [...cluster.workers.values()].flatMap((worker) =>
-    [...worker.tasks].filter(([name, task]) => name.startsWith(`${ref}/`) && task.Phase === 'running'),
+    [...worker.tasks].filter(([name, task]) => name.startsWith(`${jobId}/`) && task.Phase === 'running'),
   ).length;
 
 /** What users do at some time from now. */
@@ -54,12 +54,12 @@
 }
 
 /** Users ask about the jobs every 5 s, each time another node, until the scenario ends. */
-function askAll(refs: readonly string[], forMs: number): Map<string, Answer[]> {
-  const answers = new Map<string, Answer[]>(refs.map((ref) => [ref, []]));
-  for (const [at, ref] of refs.entries()) {
+function askAll(jobIds: readonly string[], forMs: number): Map<string, Answer[]> {
+  const answers = new Map<string, Answer[]>(jobIds.map((jobId) => [jobId, []]));
+  for (const [at, jobId] of jobIds.entries()) {
     for (let turn = 0; turn * 5000 < forMs; turn++) {
       after(turn * 5000 + ((at * 370) % 5000), async () =>
-        answers.get(ref)!.push(await cluster.ask(ref, (at + turn) % 3)),
+        answers.get(jobId)!.push(await cluster.ask(jobId, (at + turn) % 3)),
       );
     }
   }
@@ -102,21 +102,21 @@
     it(`meets cancellations, questions and repeated submissions, ${name}: one end is told`, async () => {
       await ready({ teams: [{ name: 'red' }] });
       begin();
-      const refs = Array.from({ length: 40 }, (_, n) => `j-end${n}`);
-      for (const [n, ref] of refs.entries()) {
+      const jobIds = Array.from({ length: 40 }, (_, n) => `j-end${n}`);
+      for (const [n, jobId] of jobIds.entries()) {
         const job = jobOf({
-          Ref: ref,
+          Ref: jobId,
           Cpus: 0.1,
           MemGb: 0.1,
           Shards: 1 + (n % 2),
         });
         void cluster.post(job, n % 3);
         const at = 4600 + n * 60;
-        after(at, () => cluster.cancel(ref, n % 3));
+        after(at, () => cluster.cancel(jobId, n % 3));
         for (const late of [0, 150, 400, 1200]) {
-          after(at + late, () => cluster.ask(ref, (n + 1) % 3));
+          after(at + late, () => cluster.ask(jobId, (n + 1) % 3));
           after(at + late, () => cluster.post(job, (n + 2) % 3));
-          after(at + late + 50, () => cluster.cancel(ref, (n + 1) % 3));
+          after(at + late + 50, () => cluster.cancel(jobId, (n + 1) % 3));
         }
       }
       await cluster.advance(30_000);
@@ -124,13 +124,13 @@
       cluster.checker.troublesOver(cluster.clock.now());
       await cluster.advance(10_000);
       const ends = new Set<string>();
-      for (const ref of refs) {
-        const phases = await Promise.all([0, 1, 2].map((node) => phase(ref, node)));
-        assert.equal(new Set(phases).size, 1, `${ref}: ${phases.join(' ')}`);
+      for (const jobId of jobIds) {
+        const phases = await Promise.all([0, 1, 2].map((node) => phase(jobId, node)));
+        assert.equal(new Set(phases).size, 1, `${jobId}: ${phases.join(' ')}`);
         ends.add(phases[0]!);
         assert.deepEqual(
-          [...cluster.store.rows.keys()].filter((key) => key.endsWith(`/${ref}`) || key.includes(`/${ref}/`)),
-          [`ended/${ref}`],
+          [...cluster.store.rows.keys()].filter((key) => key.endsWith(`/${jobId}`) || key.includes(`/${jobId}/`)),
+          [`ended/${jobId}`],
         );
       }
       assert.deepEqual([...ends].sort(), ['done', 'withdrawn'], 'the moments lie on both sides');
@@ -145,7 +145,7 @@
       await ready({ teams }, 6);
       for (let n = 0; n < 3; n++) await cluster.submit({ ...service, Ref: `j-svc${n}` }, n);
       for (let n = 0; n < 4; n++) await cluster.submit({ Ref: `j-more${n}`, Shards: 2 }, n % 3);
-      const lost = [0, 1].map((n) => cluster.runs(`j-svc${n}/0`)[0]!.host);
+      const lost = [0, 1].map((n) => cluster.runs(`j-svc${n}/0`)[0]!.machineId);
       const cloudBack = cluster.network.fault({
         to: 'cloud:1',
         kind: 'status',
@@ -153,7 +153,7 @@
         body: { error: 'trouble' },
       });
       cluster.remember();
-      for (const host of lost) cluster.cut.add(host);
+      for (const machineId of lost) cluster.cut.add(machineId);
       for (let turn = 0; turn < 3; turn++) {
         const old = cluster.leader()!;
         // Answers of the others' transactions get lost while they take over, and one of them comes late.
@@ -176,14 +176,14 @@
         cluster.network.release();
       }
       cloudBack();
-      for (const host of lost) cluster.cut.delete(host);
+      for (const machineId of lost) cluster.cut.delete(machineId);
       await cluster.advance(5000);
       for (let n = 0; n < 3; n++) await cluster.withdraw(`j-svc${n}`, n);
       cluster.checker.troublesOver(cluster.clock.now());
-      const refs = [0, 1, 2, 3].map((n) => `j-more${n}`);
-      askAll(refs, 100_000);
+      const jobIds = [0, 1, 2, 3].map((n) => `j-more${n}`);
+      askAll(jobIds, 100_000);
       await cluster.advance(100_000);
-      for (const ref of refs) assert.equal(await phase(ref), 'done');
+      for (const jobId of jobIds) assert.equal(await phase(jobId), 'done');
       const team = cluster.store.rows.get('live/team/red')?.value as {
         cpus: number;
       };
@@ -197,15 +197,15 @@
     await ready({ teams: [{ name: 'red', cpus: 4, cpus_max: 6 }] }, 6);
     for (const from of [0, 1, 2]) for (const to of [0, 1, 2]) cluster.parted.add(`n${from}>n${to}`);
     slowStore(300, 900);
-    const refs = Array.from({ length: 9 }, (_, n) => `j-same${n}`);
-    for (const [n, ref] of refs.entries()) void cluster.post(jobOf({ Ref: ref, Shards: 2, Rank: 'prod' }), n % 3);
+    const jobIds = Array.from({ length: 9 }, (_, n) => `j-same${n}`);
+    for (const [n, jobId] of jobIds.entries()) void cluster.post(jobOf({ Ref: jobId, Shards: 2, Rank: 'prod' }), n % 3);
     await cluster.advance(60_000);
     heal();
     cluster.parted.clear();
     cluster.checker.troublesOver(cluster.clock.now());
-    askAll(refs, 95_000);
+    askAll(jobIds, 95_000);
     await cluster.advance(95_000);
-    for (const ref of refs) assert.equal(await phase(ref), 'done');
+    for (const jobId of jobIds) assert.equal(await phase(jobId), 'done');
   });
 });
 
@@ -220,21 +220,22 @@
         teams: [{ name: 'red' }, { name: 'blue', cpus: 8, cpus_max: 16 }],
       });
       for (const zone of ['a', 'b', 'c']) cluster.cloud.full.add(zone);
-      const owners = () => ['leader', 'part-0', 'part-1', 'part-2'].map((role) => cluster.node(0).claims.ownerOf(role));
+      const owners = () =>
+        ['leader', 'part-0', 'part-1', 'part-2'].map((role) => cluster.node(0).leadership.leaderOf(role));
       const before = owners();
       slowStore(...ms);
       await cluster.advance(3000);
-      const refs: string[] = [];
+      const jobIds: string[] = [];
       for (let n = 0; n < 24; n++) {
-        const ref = `j-mix${n}`;
-        refs.push(ref);
+        const jobId = `j-mix${n}`;
+        jobIds.push(jobId);
         const kinds = [
           { Rank: 'low', Shards: 6 },
           { Rank: 'normal', Shards: 4, Owner: 'blue' },
           { Rank: 'high', Shape: 'ensemble', Shards: 5 },
           { Rank: 'prod', Shards: 2 },
         ];
-        after(n * 300, () => cluster.post(jobOf({ Ref: ref, ...kinds[n % 4] }), n % 3));
+        after(n * 300, () => cluster.post(jobOf({ Ref: jobId, ...kinds[n % 4] }), n % 3));
       }
       await cluster.advance(12_000);
       let up = 0;
@@ -243,14 +244,14 @@
           for (const node of [0, 1, 2]) if (cluster.node(node).up().status === 200) up++;
         });
       }
-      const answers = askAll(refs, 150_000);
+      const answers = askAll(jobIds, 150_000);
       await cluster.advance(150_000);
       const all = [...answers.values()].flat();
       const good = all.filter(({ status }) => status === 200).length;
       assert.ok(good > 0.9 * all.length, `${good} of ${all.length} questions answered`);
       assert.ok(up > 0.95 * 240, `${up} of 240 looks found a node up`);
       assert.deepEqual(owners(), before, 'no hold was lost');
-      for (const ref of refs) assert.equal(await phase(ref), 'done', ref);
+      for (const jobId of jobIds) assert.equal(await phase(jobId), 'done', jobId);
     });
   }
 });
@@ -275,8 +276,8 @@
         await ready({ teams: [{ name: 'red' }] }, 0);
         for (let n = 0; n < 4; n++)
           cluster.addWorker({
-            host: `i-00001${n}`,
-            site: n < 2 ? 'a' : 'b',
+            machineId: `i-00001${n}`,
+            zone: n < 2 ? 'a' : 'b',
             runMs: 9000,
           });
         await cluster.advance(3000);
@@ -284,8 +285,8 @@
         await cluster.submit(job, 1);
         await cluster.advance(1000);
         const [first] = cluster.runs(`${job.Ref}/0`);
-        const site = cluster.workers.get(first!.host)!.options.site!;
-        const lost = [...cluster.workers.values()].filter((worker) => worker.options.site === site);
+        const zone = cluster.workers.get(first!.machineId)!.options.zone!;
+        const lost = [...cluster.workers.values()].filter((worker) => worker.options.zone === zone);
         const cloudBack = cloudDown
           ? cluster.network.fault({
               to: 'cloud:1',
@@ -296,14 +297,14 @@
           : () => undefined;
         cluster.remember();
         // One of them is only out of reach: its tasks go on until its lease ends.
-        for (const { options } of lost) cluster.cut.add(options.host);
+        for (const { options } of lost) cluster.cut.add(options.machineId);
         const old = cluster.leader()!;
         cluster.crash(old);
         await cluster.advance(9000);
         cluster.start(old);
         await cluster.advance(31_000);
         cloudBack();
-        if ('Site' in fields || 'Spread' in fields) cluster.addWorker({ host: 'i-000020', site, runMs: 9000 });
+        if ('Site' in fields || 'Spread' in fields) cluster.addWorker({ machineId: 'i-000020', zone, runMs: 9000 });
         await cluster.advance(3000);
         cluster.checker.troublesOver(cluster.clock.now());
         askAll([job.Ref], 100_000);
@@ -323,11 +324,11 @@
   ] as [number, number][]) {
     it(`while the store is slow (${slow.join(' to ')} ms), refuses the leader, then all for longer than cancel_s`, async () => {
       await ready({ teams: [{ name: 'red' }] }, 6, 90_000);
-      const refs = Array.from({ length: 12 }, (_, n) => `j-ask${n}`);
-      for (const [n, ref] of refs.entries()) {
-        await cluster.submit({ Ref: ref, Cpus: 1, MemGb: 1, Shards: 2 }, n % 3);
+      const jobIds = Array.from({ length: 12 }, (_, n) => `j-ask${n}`);
+      for (const [n, jobId] of jobIds.entries()) {
+        await cluster.submit({ Ref: jobId, Cpus: 1, MemGb: 1, Shards: 2 }, n % 3);
       }
-      const answers = askAll(refs, 150_000);
+      const answers = askAll(jobIds, 150_000);
       slowStore(...slow);
       await cluster.advance(6000);
       const alone = `n${cluster.leader()!}`;
@@ -341,7 +342,7 @@
       });
       for (let n = 0; n < 6; n++) {
         for (let again = 0; again < 40; again++) {
-          after(n * 500 + again * 2000, () => cluster.cancel(refs[n]!, (n + again) % 3));
+          after(n * 500 + again * 2000, () => cluster.cancel(jobIds[n]!, (n + again) % 3));
         }
       }
       await cluster.advance(2600);
@@ -350,7 +351,7 @@
       for (let n = 0; n < 20; n++) {
         after(4000 + n * 1500, async () => {
           const began = cluster.clock.now();
-          late.push(await cluster.ask(refs[6 + (n % 6)]!, n % 3));
+          late.push(await cluster.ask(jobIds[6 + (n % 6)]!, n % 3));
           assert.ok(cluster.clock.now() - began < 50, 'told at once');
         });
       }
@@ -364,11 +365,11 @@
       cluster.checker.troublesOver(cluster.clock.now());
       await cluster.advance(4000);
       for (const node of [0, 1, 2]) {
-        const known = await cluster.during(Promise.all(refs.map((ref) => cluster.ask(ref, node))), 1000);
-        for (const [n, answer] of known.entries()) assert.equal(answer.status, 200, `${refs[n]} at n${node}`);
+        const known = await cluster.during(Promise.all(jobIds.map((jobId) => cluster.ask(jobId, node))), 1000);
+        for (const [n, answer] of known.entries()) assert.equal(answer.status, 200, `${jobIds[n]} at n${node}`);
       }
       await cluster.advance(90_000);
-      for (const [n, ref] of refs.entries()) assert.equal(await phase(ref), n < 6 ? 'withdrawn' : 'done', ref);
+      for (const [n, jobId] of jobIds.entries()) assert.equal(await phase(jobId), n < 6 ? 'withdrawn' : 'done', jobId);
       assert.ok([...answers.values()].every((list) => list.length > 0));
     });
   }
@@ -395,22 +396,22 @@
     await ready({ teams: [{ name: 'red' }] }, 0);
     for (const zone of ['a', 'b', 'c']) cluster.cloud.full.add(zone);
     for (let n = 0; n < 4; n++) {
-      cluster.addWorker({ host: `i-00001${n}`, runMs: 5000, sick: true });
+      cluster.addWorker({ machineId: `i-00001${n}`, runMs: 5000, sick: true });
       await cluster.advance(4000);
       if (n === 0) await cluster.submit({ ...service, Ref: 'j-svc-r', Rank: 'normal' });
       await cluster.advance(12_000);
     }
     assert.ok(cluster.runs('j-svc-r/0').length > 2, 'it has failed more than twice');
-    for (const host of [...cluster.workers.keys()]) cluster.kill(host);
+    for (const machineId of [...cluster.workers.keys()]) cluster.kill(machineId);
     cluster.cloud.full.clear();
     await cluster.advance(90_000);
-    assert.equal([...cluster.cloud.hires.values()].flat().length, 1);
+    assert.equal([...cluster.cloud.rentals.values()].flat().length, 1);
   });
 
   it('jobs with a mistake do not close the machines to those without', async () => {
     await ready({ teams: [{ name: 'red' }] });
     for (const zone of ['a', 'b', 'c']) cluster.cloud.full.add(zone);
-    for (const worker of cluster.workers.values()) worker.options.fails = (shard) => shard.startsWith('j-bad');
+    for (const worker of cluster.workers.values()) worker.options.fails = (taskId) => taskId.startsWith('j-bad');
     for (let n = 0; n < 3; n++) await cluster.submit({ Ref: `j-bad${n}`, Shards: 6 }, n);
     await cluster.advance(10_000);
     for (let n = 0; n < 6; n++) await cluster.submit({ Ref: `j-good${n}`, Shards: 4, Rank: 'low' }, n % 3);
@@ -428,19 +429,19 @@
       Cpus: 8,
       Rank: 'high',
     });
-    const [first, second] = [0, 1].map((shard) => cluster.runs(`j-gang/${shard}`)[0]!);
+    const [first, second] = [0, 1].map((taskIndex) => cluster.runs(`j-gang/${taskIndex}`)[0]!);
     const end = first!.from + 12_000;
     cluster.remember();
     await cluster.advance(end - 4000 - cluster.clock.now());
-    cluster.cut.add(first!.host);
+    cluster.cut.add(first!.machineId);
     await cluster.advance(3200);
-    cluster.cut.add(second!.host);
-    while (!cluster.cloud.returned.includes(first!.host)) await cluster.advance(100);
+    cluster.cut.add(second!.machineId);
+    while (!cluster.cloud.returned.includes(first!.machineId)) await cluster.advance(100);
     assert.ok(cluster.clock.now() > end, 'its task is through by then');
     await cluster.advance(200);
-    cluster.cut.delete(second!.host);
+    cluster.cut.delete(second!.machineId);
     await cluster.advance(5000);
-    assert.deepEqual(cluster.cloud.returned, [first!.host]);
+    assert.deepEqual(cluster.cloud.returned, [first!.machineId]);
     assert.equal(await phase('j-gang'), 'done');
   });
 
@@ -465,9 +466,9 @@
     await cluster.store.handle('POST', '/txn', {
       Apply: [{ Set: 'live/ledger/j-gang/0000', V }],
     });
-    for (const host of ['i-000011', 'i-000012']) cluster.addWorker({ host, runMs: 30_000 });
+    for (const machineId of ['i-000011', 'i-000012']) cluster.addWorker({ machineId, runMs: 30_000 });
     await cluster.advance(25_000);
-    const from = [0, 1, 2, 3].map((shard) => cluster.runs(`j-gang/${shard}`)[0]!.from);
+    const from = [0, 1, 2, 3].map((taskIndex) => cluster.runs(`j-gang/${taskIndex}`)[0]!.from);
     assert.ok(Math.max(...from) - Math.min(...from) < 1500, from.join(' '));
   });
 });
