--- a/test/combined-faults-leaders.test.ts
+++ b/test/combined-faults-leaders.test.ts
@@ -15,24 +15,24 @@
 async function ready(machines: number, options: ClusterOptions = {}, runMs = 5000): Promise<void> {
   cluster = new Cluster({ nodes: 3, ...options });
   for (let index = 0; index < machines; index++) {
-    cluster.addWorker({ host: `i-00000${index}`, site: ['a', 'b', 'c'][index % 3]!, runMs });
+    cluster.addWorker({ machineId: `i-00000${index}`, zone: ['a', 'b', 'c'][index % 3]!, runMs });
   }
   await cluster.advance(5000);
 }
 
 const someNode = () => NODES.map((node) => cluster.has(node)).indexOf(true);
-const roleOf = (host: string) => cluster.node(someNode()).owner.roleOf(host);
+const roleOf = (machineId: string) => cluster.node(someNode()).workerManager.roleOf(machineId);
 /** The node that holds a role, as the others see it. */
-const holder = (role: string) => Number(cluster.node(someNode()).claims.ownerOf(role)?.slice(1));
+const holder = (role: string) => Number(cluster.node(someNode()).leadership.leaderOf(role)?.slice(1));
 const body = (answer: { body: unknown }) => answer.body as { Phase: string; done: number };
-const phase = async (ref: string, node = 0) => body(await cluster.poll(ref, node)).Phase;
+const phase = async (jobId: string, node = 0) => body(await cluster.poll(jobId, node)).Phase;
 const cloudDown = () =>
   cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
 
 /** Every host whose machine is of the role's part, of so many names. */
 function hostsOf(role: string, count: number): string[] {
-  const hosts = Array.from({ length: 60 }, (_, n) => `i-${String(n + 10).padStart(6, '0')}`);
-  return hosts.filter((host) => roleOf(host) === role).slice(0, count);
+  const machineIds = Array.from({ length: 60 }, (_, n) => `i-${String(n + 10).padStart(6, '0')}`);
+  return machineIds.filter((machineId) => roleOf(machineId) === role).slice(0, count);
 }
 
 /** Nothing runs any more, and the team's use says so. */
@@ -53,12 +53,12 @@
   it('are done when the last has ended, and not before, though the leader and the owners change in between', async () => {
     await ready(0, red);
     for (const [n, runMs] of [4000, 16_000, 30_000].entries()) {
-      cluster.addWorker({ host: `i-00000${n}`, site: ['a', 'b', 'c'][n]!, runMs });
+      cluster.addWorker({ machineId: `i-00000${n}`, zone: ['a', 'b', 'c'][n]!, runMs });
     }
     await cluster.advance(4000);
     await cluster.submit({ Ref: 'j-three', Shards: 3, Cpus: 8 });
     // One after the other, on the only machine of its zone, which for a while takes no new work.
-    for (const site of ['a', 'b', 'c']) cluster.cloud.full.add(site);
+    for (const zone of ['a', 'b', 'c']) cluster.cloud.full.add(zone);
     await cluster.submit({ Ref: 'j-next', Shards: 3, Cpus: 8, Site: 'a' });
     cluster.remember();
     for (let round = 0; round < 9; round++) {
@@ -76,7 +76,7 @@
     assert.equal(await phase('j-three'), 'done');
     await cluster.advance(20_000);
     assert.equal(await phase('j-next'), 'done');
-    for (const shard of [0, 1, 2]) assert.equal(cluster.runs(`j-three/${shard}`).length, 1);
+    for (const taskIndex of [0, 1, 2]) assert.equal(cluster.runs(`j-three/${taskIndex}`).length, 1);
     assertKept();
   });
 
@@ -85,28 +85,28 @@
     const leader = holder('leader');
     const owner = NODES.find((node) => node !== leader && holder(`part-${node}`) === node)!;
     for (const role of [`part-${leader}`, `part-${owner}`]) {
-      cluster.addWorker({ host: hostsOf(role, 1)[0]!, runMs: 20_000 });
+      cluster.addWorker({ machineId: hostsOf(role, 1)[0]!, runMs: 20_000 });
     }
     await cluster.advance(3000);
     await cluster.submit(gang);
     const runs = [...cluster.runs('j-gang/0'), ...cluster.runs('j-gang/1')];
     const [kept, lost] = [`part-${owner}`, `part-${leader}`].map((role) =>
-      runs.find((run) => roleOf(run.host) === role),
+      runs.find((run) => roleOf(run.machineId) === role),
     );
     await cluster.advance(kept!.from + 19_800 - cluster.clock.now());
     // Both end. One machine dies before it can say so; the other's owner gets no answers from the store for a while.
     cluster.remember();
-    cluster.cut.add(lost!.host);
+    cluster.cut.add(lost!.machineId);
     const heal = cluster.network.fault({
       from: `n${owner}`,
       path: /^\/txn/,
-      where: (txn) => JSON.stringify(txn).includes('j-gang'),
+      where: (transact) => JSON.stringify(transact).includes('j-gang'),
       kind: 'lose',
     });
     await cluster.advance(20_000);
     heal();
     await cluster.advance(5000);
-    assert.ok(cluster.cloud.returned.includes(lost!.host));
+    assert.ok(cluster.cloud.returned.includes(lost!.machineId));
     cluster.checker.troublesOver(cluster.clock.now());
     assert.equal(await phase('j-gang'), 'done');
     assertKept();
@@ -122,15 +122,15 @@
     cluster.cut.add(lost);
     await cluster.advance(45_000);
     const [again] = cluster.runs('j-gang/1');
-    assert.notEqual(again!.host, lost);
+    assert.notEqual(again!.machineId, lost);
     assert.equal(again!.attempt, 1, 'the other was still waiting for it');
-    cluster.addWorker({ host: 'i-000007', runMs: 600_000 });
-    cluster.addWorker({ host: 'i-000008', runMs: 600_000 });
+    cluster.addWorker({ machineId: 'i-000007', runMs: 600_000 });
+    cluster.addWorker({ machineId: 'i-000008', runMs: 600_000 });
     await cluster.advance(5000);
-    cluster.workers.get(again!.host)!.end('j-gang/1', 'error');
+    cluster.workers.get(again!.machineId)!.end('j-gang/1', 'error');
     // The other notices, and exits as well.
     await cluster.advance(23_000);
-    const attempts = (shard: number) => cluster.runs(`j-gang/${shard}`).map((run) => run.attempt);
+    const attempts = (taskIndex: number) => cluster.runs(`j-gang/${taskIndex}`).map((run) => run.attempt);
     assert.deepEqual(
       [attempts(0), attempts(1)],
       [
@@ -146,9 +146,9 @@
     await cluster.submit(gang);
     cloudDown();
     const [here] = cluster.runs('j-gang/0');
-    cluster.cut.add(cluster.runs('j-gang/1')[0]!.host);
+    cluster.cut.add(cluster.runs('j-gang/1')[0]!.machineId);
     await cluster.advance(4000);
-    cluster.workers.get(here!.host)!.end('j-gang/0', 'peers');
+    cluster.workers.get(here!.machineId)!.end('j-gang/0', 'peers');
     cluster.crash(holder('leader'));
     await cluster.advance(60_000);
     assert.deepEqual(
@@ -164,24 +164,24 @@
     await ready(6);
     for (let n = 0; n < 4; n++) await cluster.submit({ ...service, Ref: `j-svc${n}`, Shards: 3 });
     cluster.store.out = true;
-    for (const node of NODES) void cluster.node(node).claims.cede(`part-${node}`, 'scenario', 3000);
+    for (const node of NODES) void cluster.node(node).leadership.release(`part-${node}`, 'scenario', 3000);
     await cluster.advance(45_000);
     cluster.store.endOutage();
     await cluster.advance(15_000);
-    for (const worker of cluster.workers.values()) assert.equal(worker.tenure, 1);
+    for (const worker of cluster.workers.values()) assert.equal(worker.agentEpoch, 1);
     for (const role of ['part-0', 'part-1', 'part-2', 'leader']) assert.ok(NODES.includes(holder(role)), role);
     assertKept();
   });
 
   it('that have given up their own part leave it to others for the while that was said', async () => {
     await ready(3);
-    const taken = cluster.node(0).claims.holding('part-0')!.fence;
-    void cluster.node(0).claims.cede('part-0', 'scenario', 8000);
+    const taken = cluster.node(0).leadership.leadershipOf('part-0')!.fencingToken;
+    void cluster.node(0).leadership.release('part-0', 'scenario', 8000);
     await cluster.advance(5000);
     assert.notEqual(holder('part-0'), 0);
     await cluster.advance(8000);
     assert.equal(holder('part-0'), 0);
-    assert.ok(cluster.node(0).claims.holding('part-0')!.fence > taken);
+    assert.ok(cluster.node(0).leadership.leadershipOf('part-0')!.fencingToken > taken);
     assertKept();
   });
 
@@ -194,8 +194,9 @@
       for (let round = 0; round < 6; round++) {
         const from = holder(`part-${round % 3}`);
         if (!cluster.has(from)) continue;
-        void cluster.node(from).claims.cede(`part-${round % 3}`, 'scenario', 500);
-        if (cluster.has(holder('leader'))) void cluster.node(holder('leader')).claims.cede('leader', 'scenario', 500);
+        void cluster.node(from).leadership.release(`part-${round % 3}`, 'scenario', 500);
+        if (cluster.has(holder('leader')))
+          void cluster.node(holder('leader')).leadership.release('leader', 'scenario', 500);
         await cluster.advance(300);
         cluster.crash(from);
         await cluster.advance(150 * round);
@@ -204,7 +205,7 @@
       }
       // Some machines can't be reached meanwhile, nor can the cloud say that they are gone.
       const heal = cloudDown();
-      for (const shard of [0, 1]) cluster.cut.add(cluster.runs(`j-svc/${shard}`).at(-1)!.host);
+      for (const taskIndex of [0, 1]) cluster.cut.add(cluster.runs(`j-svc/${taskIndex}`).at(-1)!.machineId);
       for (const node of NODES) cluster.crash(node);
       await cluster.advance(awayMs);
       cluster.start(1);
@@ -234,8 +235,8 @@
     await ready(0, { ...red, cluster: { workers } });
     const leader = holder('leader');
     const [early, late] = [hostsOf(`part-${leader}`, 1)[0]!, hostsOf(`part-${(leader + 1) % 3}`, 1)[0]!];
-    cluster.addWorker({ host: early });
-    cluster.addWorker({ host: late, imageMs: 200_000 });
+    cluster.addWorker({ machineId: early });
+    cluster.addWorker({ machineId: late, imageMs: 200_000 });
     await cluster.advance(3000);
     await cluster.submit(gang);
     const [first] = [...cluster.workers.get(early)!.tasks.keys()];
@@ -244,7 +245,7 @@
     // It is recorded and forgotten, and the member is placed there once more: the others wait for it.
     await cluster.advance(15_000);
     assert.deepEqual(
-      cluster.runs(first!).map(({ host, attempt, to }) => [host, attempt, to === undefined]),
+      cluster.runs(first!).map(({ machineId, attempt, to }) => [machineId, attempt, to === undefined]),
       [
         [early, 1, false],
         [early, 1, true],
@@ -253,7 +254,7 @@
     const heal = cloudDown();
     cluster.cut.add(early);
     cluster.crash(leader);
-    cluster.addWorker({ host: hostsOf(`part-${(leader + 1) % 3}`, 2)[1]! });
+    cluster.addWorker({ machineId: hostsOf(`part-${(leader + 1) % 3}`, 2)[1]! });
     await cluster.advance(5000);
     const owner = holder(`part-${leader}`);
     assert.notEqual(owner, leader);
@@ -268,8 +269,8 @@
   it('does not free the place of a task that is told to stop and still saves', async () => {
     await ready(0, red);
     const leader = holder('leader');
-    const host = hostsOf(`part-${(leader + 1) % 3}`, 1)[0]!;
-    const worker = cluster.addWorker({ host });
+    const machineId = hostsOf(`part-${(leader + 1) % 3}`, 1)[0]!;
+    const worker = cluster.addWorker({ machineId });
     await cluster.advance(3000);
     cluster.crash(leader);
     await cluster.advance(5000);
@@ -277,12 +278,12 @@
     const held = worker.report();
     const saves = { Ref: 'j-svc-saves', SnapshotEveryS: 2, SnapshotS: 12 };
     assert.equal((await cluster.submit(saves, (leader + 1) % 3)).status, 201);
-    cluster.addWorker({ host: 'i-000001', site: 'b' });
+    cluster.addWorker({ machineId: 'i-000001', zone: 'b' });
     await cluster.advance(6000);
     worker.warningS = 30;
     await cluster.advance(3000);
     assert.equal(worker.tasks.get('j-svc-saves/0')!.Phase, 'flushing');
-    const owner = holder(roleOf(host));
+    const owner = holder(roleOf(machineId));
     cluster.node(owner).hello(JSON.parse(JSON.stringify(held)));
     await cluster.advance(20_000);
     assert.equal(cluster.runs('j-svc-saves/0').length, 2);
@@ -329,7 +330,7 @@
       assert.equal(confirmed.status, 200);
       for (const node of NODES) cluster.crash(node);
       const [dead] = cluster.runs('j-svc/0');
-      cluster.cut.add(dead!.host);
+      cluster.cut.add(dead!.machineId);
       await cluster.advance(15_000);
       for (const worker of cluster.workers.values()) assert.equal(worker.tasks.size, 0);
       cluster.start(2);
@@ -367,7 +368,7 @@
       await cluster.submit({ Ref: 'j-batch', Shards: 16 });
       const heal = cloudDown();
       const [, one] = cluster.runs('j-svc/0').concat(cluster.runs('j-svc/1'));
-      cluster.cut.add(one!.host);
+      cluster.cut.add(one!.machineId);
       for (let round = 0; round < 10; round++) {
         const leader = NODES.find((node) => cluster.has(node) && node === holder('leader')) ?? round % 3;
         if (round === 4 && outageMs > 0) cluster.store.out = true;
@@ -387,7 +388,7 @@
       await cluster.advance(15_000);
       cluster.checker.troublesOver(cluster.clock.now());
       await cluster.advance(60_000);
-      for (const ref of ['j-batch', 'j-gang', 'j-zone']) assert.equal(await phase(ref, 1), 'done', ref);
+      for (const jobId of ['j-batch', 'j-gang', 'j-zone']) assert.equal(await phase(jobId, 1), 'done', jobId);
       assert.equal(await phase('j-svc', 2), 'running');
       await cluster.withdraw('j-svc', 1);
       await cluster.advance(5000);
@@ -418,7 +419,7 @@
         if (round % 2 === 1) void cluster.users.withdraw(`j-a${round}0`);
         const part = `part-${round % 3}`;
         const [owner, leader] = [holder(part), holder('leader')];
-        if (round % 3 === 0 && cluster.has(owner)) void cluster.node(owner).claims.cede(part, 'scenario', 2000);
+        if (round % 3 === 0 && cluster.has(owner)) void cluster.node(owner).leadership.release(part, 'scenario', 2000);
         if (round % 3 === 1 && cluster.has(leader)) void cluster.restart(leader, 300);
         await cluster.advance(3000);
       }
@@ -427,9 +428,9 @@
       cluster.checker.troublesOver(cluster.clock.now());
       await cluster.advance(70_000);
       // Some were called off before they were accepted, and so never.
-      for (const [ref, { phase }] of cluster.users.jobs) if (phase === 'running') void cluster.users.withdraw(ref);
+      for (const [jobId, { phase }] of cluster.users.jobs) if (phase === 'running') void cluster.users.withdraw(jobId);
       await cluster.advance(20_000);
-      for (const [ref, job] of cluster.users.jobs) assert.ok(['done', 'withdrawn'].includes(job.phase), ref);
+      for (const [jobId, job] of cluster.users.jobs) assert.ok(['done', 'withdrawn'].includes(job.phase), jobId);
       assertTeamFree();
       assertKept();
     });
@@ -437,10 +438,10 @@
 
   it('of rentals rent nothing twice and leave no record', async () => {
     await ready(0);
-    for (const site of ['a', 'b', 'c']) cluster.cloud.full.add(site);
+    for (const zone of ['a', 'b', 'c']) cluster.cloud.full.add(zone);
     const heal = cluster.network.fault({
       path: /^\/txn/,
-      where: (txn) => JSON.stringify(txn).includes('live/hire/'),
+      where: (transact) => JSON.stringify(transact).includes('live/hire/'),
       kind: 'late',
       share: 0.5,
     });
@@ -451,10 +452,10 @@
     await cluster.advance(12_000);
     cluster.crash(holder('leader'));
     await cluster.advance(10_000);
-    const hosts = [...cluster.cloud.hires.values()].flat();
-    assert.equal(hosts.length, 2, '8 tasks of 2 CPUs on machines of 8');
-    for (const site of ['a', 'b', 'c']) cluster.cloud.full.add(site);
-    for (const host of hosts) cluster.addWorker({ host, runMs: 5000 });
+    const machineIds = [...cluster.cloud.rentals.values()].flat();
+    assert.equal(machineIds.length, 2, '8 tasks of 2 CPUs on machines of 8');
+    for (const zone of ['a', 'b', 'c']) cluster.cloud.full.add(zone);
+    for (const machineId of machineIds) cluster.addWorker({ machineId, runMs: 5000 });
     await cluster.advance(25_000);
     assert.deepEqual(
       [...cluster.store.rows.keys()].filter((key) => key.startsWith('live/hire/')),
--- a/test/combined-faults-workers.test.ts
+++ b/test/combined-faults-workers.test.ts
@@ -10,29 +10,29 @@
 async function ready(machines: number, options: ClusterOptions = { nodes: 3 }, runMs = 5000): Promise<Cluster> {
   cluster = new Cluster(options);
   for (let index = 0; index < machines; index++) {
-    cluster.addWorker({ host: `i-00000${index}`, site: ['a', 'b', 'c'][index % 3]!, runMs });
+    cluster.addWorker({ machineId: `i-00000${index}`, zone: ['a', 'b', 'c'][index % 3]!, runMs });
   }
   await cluster.advance(6000);
   return cluster;
 }
 
 const service = { Ref: 'j-svc', Shape: 'service', Rank: 'prod', GuessS: 0, Shards: 1 };
-const where = (name: string) => cluster.runs(name).at(-1)!.host;
+const where = (name: string) => cluster.runs(name).at(-1)!.machineId;
 const phase = (answer: { body: unknown }) => (answer.body as { Phase: string }).Phase;
-const isOpen = (node: number, host: string) => {
-  const machine = cluster.node(node).fleet.get(host);
-  return machine !== undefined && cluster.node(node).fleet.isOpen(machine);
+const isOpen = (node: number, machineId: string) => {
+  const machine = cluster.node(node).inventory.get(machineId);
+  return machine !== undefined && cluster.node(node).inventory.isOpen(machine);
 };
 
 describe('a machine that can open no connection, though commands reach it', () => {
   it('gets no new work by its answers to commands, and its service comes up elsewhere for good', async () => {
     await ready(2);
     await cluster.submit(service);
-    const host = where('j-svc/0');
-    const machine = cluster.workers.get(host)!;
+    const machineId = where('j-svc/0');
+    const machine = cluster.workers.get(machineId)!;
     cluster.remember();
     const since = cluster.clock.now();
-    cluster.mute.add(host);
+    cluster.mute.add(machineId);
     for (let second = 0; second < 40; second++) {
       // Some job goes to every machine that counts as open, and each command's answer is one more report of it.
       void cluster.post(jobOf({ Ref: `j-${second}`, Shards: 1, Cpus: 1 }), second % 3);
@@ -42,8 +42,8 @@
       machine.history.filter((run) => run.from > since + 5000),
       [],
     );
-    assert.equal(isOpen(0, host), false);
-    assert.ok(cluster.cloud.returned.includes(host), 'given back');
+    assert.equal(isOpen(0, machineId), false);
+    assert.ok(cluster.cloud.returned.includes(machineId), 'given back');
     const runs = cluster.runs('j-svc/0');
     assert.equal(runs.length, 2);
     assert.ok(runs[1]!.from - since < 16_000, `${runs[1]!.from - since} ms`);
@@ -56,8 +56,8 @@
   it('is told of a cancellation by a command, long before its lease is over', async () => {
     await ready(3);
     await cluster.submit(service);
-    const host = where('j-svc/0');
-    cluster.mute.add(host);
+    const machineId = where('j-svc/0');
+    cluster.mute.add(machineId);
     await cluster.advance(4500);
     const asked = cluster.clock.now();
     assert.equal(phase(await cluster.withdraw('j-svc', 1)), 'withdrawn');
@@ -69,13 +69,13 @@
   it('keeps the place of a task that was killed there until its exit is proved', async () => {
     await ready(3, { nodes: 3, teams: [{ name: 'red', cpus_max: 2 }] });
     await cluster.submit(service);
-    const host = where('j-svc/0');
+    const machineId = where('j-svc/0');
     cluster.remember();
     cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
     const since = cluster.clock.now();
-    cluster.mute.add(host);
+    cluster.mute.add(machineId);
     // The kill arrives, its answer does not: nobody knows that the task has gone.
-    cluster.network.fault({ to: `${host}:9000`, kind: 'answerLost' });
+    cluster.network.fault({ to: `${machineId}:9000`, kind: 'answerLost' });
     await cluster.advance(1000);
     await cluster.submit({ ...service, Ref: 'j-svc2' });
     assert.equal(phase(await cluster.withdraw('j-svc', 1)), 'withdrawn');
@@ -164,26 +164,26 @@
     await ready(2);
     cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
     for (const hangMs of [8000, 14_000]) {
-      const ref = `j-svc-${hangMs}`;
-      await cluster.submit({ ...service, Ref: ref });
-      const host = where(`${ref}/0`);
-      const machine = cluster.workers.get(host)!;
+      const jobId = `j-svc-${hangMs}`;
+      await cluster.submit({ ...service, Ref: jobId });
+      const machineId = where(`${jobId}/0`);
+      const machine = cluster.workers.get(machineId)!;
       machine.hang();
-      void cluster.cancel(ref, 1);
+      void cluster.cancel(jobId, 1);
       // Launches are on their way there too.
       for (let n = 0; n < 4; n++) void cluster.post(jobOf({ Ref: `j-${hangMs}-${n}`, Shards: 2 }), n % 3);
       await cluster.advance(hangMs);
       machine.goOn();
       await cluster.advance(2000);
-      assert.notEqual(cluster.runs(`${ref}/0`)[0]!.to, undefined);
+      assert.notEqual(cluster.runs(`${jobId}/0`)[0]!.to, undefined);
       await cluster.advance(30_000);
       for (let n = 0; n < 4; n++) assert.equal(phase(await cluster.poll(`j-${hangMs}-${n}`)), 'done');
     }
   });
 });
 
-const partitionOf = (name: string) => cluster.node(0).claims.partitionOf(name);
-const isPlaced = (ref: string) => JSON.stringify(cluster.store.rows.get(`live/ledger/${ref}/0000`)?.value ?? '');
+const partitionOf = (name: string) => cluster.node(0).leadership.partitionOf(name);
+const isPlaced = (jobId: string) => JSON.stringify(cluster.store.rows.get(`live/ledger/${jobId}/0000`)?.value ?? '');
 const until = (condition: () => boolean, ms = 20_000) => cluster.until(condition, ms);
 
 describe('a machine that is back just when its lease is proved over', () => {
@@ -191,38 +191,40 @@
     await ready(3);
     cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
     // Its job is placed by another node than the one that answers for the machine.
-    const leader = cluster.node(0).claims.ownerOf('leader');
-    const hosts = [...cluster.workers.keys()];
-    const host = hosts.find((each) => `n${partitionOf(each)}` !== leader)!;
-    const others = hosts.filter((each) => each !== host);
-    const ref = ['j-svc1', 'j-svc2', 'j-svc3', 'j-svc4'].find((each) => partitionOf(each) !== partitionOf(host))!;
+    const leader = cluster.node(0).leadership.leaderOf('leader');
+    const machineIds = [...cluster.workers.keys()];
+    const machineId = machineIds.find((each) => `n${partitionOf(each)}` !== leader)!;
+    const others = machineIds.filter((each) => each !== machineId);
+    const jobId = ['j-svc1', 'j-svc2', 'j-svc3', 'j-svc4'].find(
+      (each) => partitionOf(each) !== partitionOf(machineId),
+    )!;
     for (const other of others) cluster.workers.get(other)!.warningS = 1000;
     await cluster.advance(2000);
-    await cluster.submit({ ...service, Ref: ref, Rank: 'high' });
-    assert.equal(where(`${ref}/0`), host);
-    cluster.mute.add(host);
+    await cluster.submit({ ...service, Ref: jobId, Rank: 'high' });
+    assert.equal(where(`${jobId}/0`), machineId);
+    cluster.mute.add(machineId);
     await cluster.advance(8500);
-    const owner = partitionOf(host);
+    const owner = partitionOf(machineId);
     // The proof is recorded, but the answer is lost: the owner tries again later.
     cluster.network.fault({ from: `n${owner}`, to: 'store:1', path: /^\/txn/, kind: 'answerLost', times: 1 });
-    await until(() => !isPlaced(ref).includes(host));
-    cluster.mute.delete(host);
+    await until(() => !isPlaced(jobId).includes(machineId));
+    cluster.mute.delete(machineId);
     // In the meantime the machine is back, in a new session.
-    const machine = cluster.workers.get(host)!;
+    const machine = cluster.workers.get(machineId)!;
     for (let report = 0; report < 2; report++) {
       void cluster.node(owner).hello(machine.report());
       await cluster.advance(report === 0 ? 490 : 0);
     }
     // It is slow to read again what has become of it.
     const heal = cluster.network.fault({ from: `n${owner}`, to: 'store:1', path: /^\/watch/, kind: 'lose' });
-    await until(() => cluster.runs(`${ref}/0`).length === 2, 1500);
+    await until(() => cluster.runs(`${jobId}/0`).length === 2, 1500);
     heal();
     for (const other of others) cluster.workers.get(other)!.warningS = null;
     await cluster.advance(12_000);
-    const runs = cluster.runs(`${ref}/0`);
+    const runs = cluster.runs(`${jobId}/0`);
     assert.equal(runs.length, 2);
-    assert.equal(cluster.overlaps(`${ref}/0`), 0);
-    assert.equal(runs[1]!.host, host);
+    assert.equal(cluster.overlaps(`${jobId}/0`), 0);
+    assert.equal(runs[1]!.machineId, machineId);
   });
 });
 
@@ -230,36 +232,36 @@
   it('starts nothing there that has gone elsewhere', async () => {
     await ready(3);
     // The part's own node is away, and another one answers for its machines.
-    const host = [...cluster.workers.keys()].find(
-      (each) => `n${partitionOf(each)}` !== cluster.node(0).claims.ownerOf('leader'),
+    const machineId = [...cluster.workers.keys()].find(
+      (each) => `n${partitionOf(each)}` !== cluster.node(0).leadership.leaderOf('leader'),
     )!;
-    const home = partitionOf(host);
+    const home = partitionOf(machineId);
     const role = `part-${home}`;
     cluster.crash(home);
     const others = [0, 1, 2].filter((node) => node !== home);
     await cluster.advance(8000);
-    const former = Number(cluster.node(others[0]!).claims.ownerOf(role)!.slice(1));
+    const former = Number(cluster.node(others[0]!).leadership.leaderOf(role)!.slice(1));
     assert.notEqual(former, home);
-    for (const other of cluster.workers.keys()) if (other !== host) cluster.workers.get(other)!.warningS = 1000;
+    for (const other of cluster.workers.keys()) if (other !== machineId) cluster.workers.get(other)!.warningS = 1000;
     await cluster.advance(2000);
     await cluster.submit({ ...service, Rank: 'high' }, former);
-    assert.equal(where('j-svc/0'), host);
-    for (const other of cluster.workers.keys()) if (other !== host) cluster.workers.get(other)!.warningS = null;
+    assert.equal(where('j-svc/0'), machineId);
+    for (const other of cluster.workers.keys()) if (other !== machineId) cluster.workers.get(other)!.warningS = null;
     // Its heartbeats come every 0.8 s from its start on: the last before its watch is lost must keep it in touch for long enough.
     await cluster.advance(2600);
     cluster.start(home);
     await cluster.advance(700);
-    cluster.workers.get(host)!.warningS = 1000;
-    const leads = Number(cluster.node(former).claims.ownerOf('leader')!.slice(1));
-    await until(() => cluster.node(leads).fleet.get(host)!.warnedUntil !== null);
+    cluster.workers.get(machineId)!.warningS = 1000;
+    const leads = Number(cluster.node(former).leadership.leaderOf('leader')!.slice(1));
+    await until(() => cluster.node(leads).inventory.get(machineId)!.spotNoticeUntil !== null);
     // What happens from here on it learns from nobody: the task is stopped, forgotten, and starts on another machine.
     const heal = cluster.network.fault({ from: `n${home}`, to: 'store:1', path: /^\/watch/, kind: 'lose' });
     for (const node of others) cluster.parted.add(`n${node}>n${home}`);
-    await until(() => cluster.runs('j-svc/0').length === 2 && !cluster.workers.get(host)!.tasks.has('j-svc/0'));
+    await until(() => cluster.runs('j-svc/0').length === 2 && !cluster.workers.get(machineId)!.tasks.has('j-svc/0'));
     for (const node of others) cluster.parted.delete(`n${node}>n${home}`);
-    void cluster.node(former).claims.cede(role, 'for the scenario', 15_000);
-    await until(() => cluster.node(home).claims.holding(role) !== undefined, 1000);
-    assert.ok(cluster.node(home).claims.inTouch);
+    void cluster.node(former).leadership.release(role, 'for the scenario', 15_000);
+    await until(() => cluster.node(home).leadership.leadershipOf(role) !== undefined, 1000);
+    assert.ok(cluster.node(home).leadership.isInTouchWithStore);
     await cluster.advance(1000);
     heal();
     await cluster.advance(5000);
@@ -275,24 +277,24 @@
       cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
       const copies = [...cluster.workers.values()].map((worker) => worker.report());
       await cluster.submit(service);
-      const host = where('j-svc/0');
-      const owner = partitionOf(host);
-      const copy = copies.find(({ Host }) => Host === host)!;
-      cluster.cut.add(host);
+      const machineId = where('j-svc/0');
+      const owner = partitionOf(machineId);
+      const copy = copies.find(({ Host }) => Host === machineId)!;
+      cluster.cut.add(machineId);
       void cluster.cancel('j-svc', owner);
       await cluster.advance(50);
       void cluster.post(jobOf({ ...service, Ref: 'j-svc2' }), owner);
       if (restarts) {
         void cluster.restart(owner);
         await cluster.advance(300);
-        assert.notEqual(cluster.node(owner).claims.holding(`part-${owner}`), undefined);
+        assert.notEqual(cluster.node(owner).leadership.leadershipOf(`part-${owner}`), undefined);
       }
       for (const node of [0, 1, 2]) void cluster.node(node).hello(copy);
-      const relay = { node: `n${(owner + 1) % 3}`, id: 1, report: JSON.stringify(copy) };
+      const relay = { node: `n${(owner + 1) % 3}`, id: 1, status: JSON.stringify(copy) };
       cluster.node(owner).receive({ relay });
       await cluster.advance(5000);
       assert.equal(cluster.runs('j-svc2/0').length, 0, 'the team is at its limit');
-      cluster.cut.delete(host);
+      cluster.cut.delete(machineId);
       await cluster.advance(15_000);
       assert.notEqual(cluster.runs('j-svc/0')[0]!.to, undefined);
       assert.equal(cluster.runs('j-svc2/0').length, 1);
@@ -302,27 +304,27 @@
   it('frees no task of a gang that has been started there again under its attempt', async () => {
     await ready(4, { nodes: 3, teams: [{ name: 'red' }] });
     // The gang waits for the image of its last task.
-    cluster.addWorker({ host: 'i-000004', imageMs: 60_000 });
+    cluster.addWorker({ machineId: 'i-000004', imageMs: 60_000 });
     await cluster.advance(3000);
     const gang = { Ref: 'j-svc-g', Shape: 'ensemble', Rank: 'high', Shards: 5, Cpus: 8, GuessS: 30 };
     await cluster.submit(gang);
-    const first = [0, 1, 2, 3, 4].find((shard) => cluster.runs(`j-svc-g/${shard}`).length > 0)!;
+    const first = [0, 1, 2, 3, 4].find((taskIndex) => cluster.runs(`j-svc-g/${taskIndex}`).length > 0)!;
     const name = `j-svc-g/${first}`;
-    const host = where(name);
-    const machine = cluster.workers.get(host)!;
+    const machineId = where(name);
+    const machine = cluster.workers.get(machineId)!;
     machine.end(name, 'no_room');
     const copy = JSON.parse(JSON.stringify(machine.report())) as unknown;
     await until(() => cluster.runs(name).length === 2, 20_000);
-    assert.deepEqual([where(name), cluster.runs(name)[1]!.attempt], [host, 1]);
-    cluster.addWorker({ host: 'i-000009' });
+    assert.deepEqual([where(name), cluster.runs(name)[1]!.attempt], [machineId, 1]);
+    cluster.addWorker({ machineId: 'i-000009' });
     await cluster.advance(2000);
     // A new owner hears the copy before the machine itself, which no answer or command reaches for a while.
     cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
-    const owner = partitionOf(host);
-    cluster.deaf.add(host);
-    cluster.mute.add(host);
+    const owner = partitionOf(machineId);
+    cluster.deaf.add(machineId);
+    cluster.mute.add(machineId);
     void cluster.restart(owner);
-    await until(() => cluster.node(owner).claims.holding(`part-${owner}`) !== undefined);
+    await until(() => cluster.node(owner).leadership.leadershipOf(`part-${owner}`) !== undefined);
     await cluster.advance(500);
     void cluster.node(owner).hello(copy);
     await cluster.advance(8500);
@@ -356,7 +358,7 @@
     await cluster.advance(30_000);
     for (let round = 0; round < 8; round++) {
       assert.equal(phase(await cluster.poll(`j-a${round}`)), 'done');
-      for (const shard of [0, 1]) assert.equal(cluster.overlaps(`j-svc${round}/${shard}`), 0);
+      for (const taskIndex of [0, 1]) assert.equal(cluster.overlaps(`j-svc${round}/${taskIndex}`), 0);
     }
     assert.equal(phase(await cluster.withdraw('j-svc')), 'withdrawn');
     const use = cluster.store.rows.get('live/team/red')!.value as { cpus: number };
@@ -372,22 +374,22 @@
   it('while machines hear no answer: what they run ends in time, and comes up elsewhere only then', async () => {
     await ready(6);
     for (const Ref of four) await cluster.submit({ ...service, Ref });
-    const hosts = [...new Set(four.map((ref) => where(`${ref}/0`)))];
+    const machineIds = [...new Set(four.map((jobId) => where(`${jobId}/0`)))];
     cluster.remember();
     cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
-    const leader = Number(cluster.node(0).claims.ownerOf('leader')!.slice(1));
-    const owner = partitionOf(hosts[0]!);
-    for (const host of hosts) cluster.deaf.add(host);
+    const leader = Number(cluster.node(0).leadership.leaderOf('leader')!.slice(1));
+    const owner = partitionOf(machineIds[0]!);
+    for (const machineId of machineIds) cluster.deaf.add(machineId);
     for (const node of new Set([leader, owner])) cluster.crash(node);
     await cluster.advance(4000);
     const other = [0, 1, 2].find((node) => node !== leader && node !== owner)!;
     void cluster.cancel('j-svc0', other);
     await cluster.advance(36_000);
     assert.notEqual(cluster.runs('j-svc0/0')[0]!.to, undefined);
-    for (const ref of four.slice(1)) {
-      assert.equal(cluster.overlaps(`${ref}/0`), 0);
-      assert.equal(cluster.runs(`${ref}/0`).at(-1)!.to, undefined, `${ref} runs again`);
-      assert.equal(hosts.includes(where(`${ref}/0`)), false);
+    for (const jobId of four.slice(1)) {
+      assert.equal(cluster.overlaps(`${jobId}/0`), 0);
+      assert.equal(cluster.runs(`${jobId}/0`).at(-1)!.to, undefined, `${jobId} runs again`);
+      assert.equal(machineIds.includes(where(`${jobId}/0`)), false);
     }
     assert.ok(
       cluster.store.rows.has('ended/j-svc0'),
@@ -395,19 +397,19 @@
     );
     cluster.deaf.clear();
     await cluster.advance(8000);
-    for (const host of hosts) assert.ok(isOpen(other, host), `${host} is open again`);
+    for (const machineId of machineIds) assert.ok(isOpen(other, machineId), `${machineId} is open again`);
   });
 
   it('while machines can not be reached: their tasks start elsewhere once the leases are proved over', async () => {
     await ready(6);
     for (const Ref of four) await cluster.submit({ ...service, Ref });
-    const hosts = [...new Set(four.map((ref) => where(`${ref}/0`)))];
+    const machineIds = [...new Set(four.map((jobId) => where(`${jobId}/0`)))];
     cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
-    const leader = Number(cluster.node(0).claims.ownerOf('leader')!.slice(1));
+    const leader = Number(cluster.node(0).leadership.leaderOf('leader')!.slice(1));
     // The answers of its last moment are on their way when it ends.
     const held = cluster.network.cut({ to: `n${leader}:8080` });
     await cluster.advance(1500);
-    for (const host of hosts) cluster.cut.add(host);
+    for (const machineId of machineIds) cluster.cut.add(machineId);
     held();
     await cluster.advance(20);
     cluster.crash(leader);
@@ -416,13 +418,13 @@
     void cluster.cancel('j-svc0', other);
     // Two machines are reached again within their lease, the others after it.
     await cluster.advance(3000);
-    cluster.cut.delete(hosts[1]!);
+    cluster.cut.delete(machineIds[1]!);
     await cluster.advance(50_000);
-    for (const host of hosts) cluster.cut.delete(host);
+    for (const machineId of machineIds) cluster.cut.delete(machineId);
     await cluster.advance(8000);
-    for (const ref of four.slice(1)) {
-      assert.equal(cluster.overlaps(`${ref}/0`), 0);
-      assert.equal(cluster.runs(`${ref}/0`).at(-1)!.to, undefined, `${ref} runs again`);
+    for (const jobId of four.slice(1)) {
+      assert.equal(cluster.overlaps(`${jobId}/0`), 0);
+      assert.equal(cluster.runs(`${jobId}/0`).at(-1)!.to, undefined, `${jobId} runs again`);
     }
     assert.ok(cluster.store.rows.has('ended/j-svc0'));
   });
@@ -433,23 +435,23 @@
     cluster = new Cluster({ nodes: 3 });
     // The node inside answers for all machines of the zone.
     for (let index = 10; index < 28; index++) {
-      const host = `i-0000${index}`;
-      cluster.addWorker({ host, site: ['a', 'b', 'c'][partitionOf(host)]!, runMs: 20_000 });
+      const machineId = `i-0000${index}`;
+      cluster.addWorker({ machineId, zone: ['a', 'b', 'c'][partitionOf(machineId)]!, runMs: 20_000 });
     }
     await cluster.advance(6000);
-    const refs = [0, 1, 2, 3, 4, 5].map((n) => `j-svc${n}`);
-    for (const [n, Ref] of refs.entries()) {
+    const jobIds = [0, 1, 2, 3, 4, 5].map((n) => `j-svc${n}`);
+    for (const [n, Ref] of jobIds.entries()) {
       const more = n % 2 === 0 ? { Site: 'b' } : { Spread: true };
       await cluster.submit({ ...service, ...more, Ref, Shards: 2, Cpus: 1 });
     }
     for (let n = 0; n < 3; n++) void cluster.post(jobOf({ Ref: `j-a${n}`, Shards: 4, Cpus: 1 }), n);
     await cluster.advance(1000);
-    const inside = [...cluster.workers.values()].filter((worker) => worker.options.site === 'b');
+    const inside = [...cluster.workers.values()].filter((worker) => worker.options.zone === 'b');
     assert.ok(inside.length >= 4);
     const since = cluster.clock.now();
-    const heal = cluster.network.split(['n1', ...inside.map((worker) => worker.options.host)]);
+    const heal = cluster.network.split(['n1', ...inside.map((worker) => worker.options.machineId)]);
     await cluster.advance(300);
-    for (const ref of refs.slice(0, 3)) void cluster.cancel(ref, 0);
+    for (const jobId of jobIds.slice(0, 3)) void cluster.cancel(jobId, 0);
     await cluster.advance(12_000);
     assert.ok(
       inside.some((worker) => [...worker.tasks.values()].some((task) => task.Phase === 'running')),
@@ -458,17 +460,17 @@
     await cluster.advance(40_000);
     heal();
     await cluster.advance(20_000);
-    for (const ref of refs) {
-      for (const shard of [0, 1]) assert.equal(cluster.overlaps(`${ref}/${shard}`), 0);
+    for (const jobId of jobIds) {
+      for (const taskIndex of [0, 1]) assert.equal(cluster.overlaps(`${jobId}/${taskIndex}`), 0);
     }
-    for (const ref of refs.slice(3)) {
-      for (const shard of [0, 1])
-        assert.equal(cluster.runs(`${ref}/${shard}`).at(-1)!.to, undefined, `${ref}/${shard}`);
+    for (const jobId of jobIds.slice(3)) {
+      for (const taskIndex of [0, 1])
+        assert.equal(cluster.runs(`${jobId}/${taskIndex}`).at(-1)!.to, undefined, `${jobId}/${taskIndex}`);
     }
     for (let n = 0; n < 3; n++) assert.equal(phase(await cluster.poll(`j-a${n}`)), 'done');
-    for (const { options } of inside) assert.ok(isOpen(0, options.host), `${options.host} is open again`);
+    for (const { options } of inside) assert.ok(isOpen(0, options.machineId), `${options.machineId} is open again`);
     for (const { options } of inside)
-      for (const run of cluster.workers.get(options.host)!.history.filter((run) => run.from < since))
+      for (const run of cluster.workers.get(options.machineId)!.history.filter((run) => run.from < since))
         assert.ok((run.to ?? 0) - since < 36_000);
   });
 });
--- a/test/committer.test.ts
+++ b/test/committer.test.ts
@@ -2,30 +2,31 @@
 import { describe, it } from 'node:test';
 import { Priority } from '../src/net/token-bucket.js';
 import { Random } from '../src/net/random.js';
-import type { StateClient, TxnResult } from '../src/state/client.js';
-import { Committer } from '../src/state/committer.js';
-import type { Draft } from '../src/state/draft.js';
+import type { StoreClient } from '../src/state/client.js';
+import type { TransactionResult } from '../src/state/wire-codec.js';
+import { TransactionBatcher } from '../src/state/committer.js';
+import type { TransactionDraft } from '../src/state/draft.js';
 import { Replica } from '../src/state/replica.js';
 import { FakeClock } from '../src/testing/fake-clock.js';
-import { anyTxnLimits } from '../src/testing/fixtures.js';
+import { anyTransactionLimits } from '../src/testing/fixtures.js';
 
 describe('the committer', () => {
   it('lets a submission pass batch starts that wait for the write rate', async () => {
     const clock = new FakeClock();
     const asked: string[] = [];
-    const txn = (_: unknown, writes: { key: string }[], priority: number): Promise<TxnResult> => {
+    const transact = (_: unknown, writes: { key: string }[], priority: number): Promise<TransactionResult> => {
       asked.push(writes[0]!.key);
       // Batch starts hang, as they do in the bucket while the rate is used up.
       return priority === Priority.background
         ? new Promise(() => undefined)
-        : Promise.resolve({ kind: 'done', epoch: 1 });
+        : Promise.resolve({ kind: 'done', revision: 1 });
     };
-    const client = { txn } as unknown as StateClient;
+    const client = { transact } as unknown as StoreClient;
     const replica = new Replica(client, 'live/', clock);
-    const limits = anyTxnLimits();
-    const committer = new Committer(client, replica, limits, 'live/', clock, new Random(1));
+    const limits = anyTransactionLimits();
+    const transactions = new TransactionBatcher(client, replica, limits, 'live/', clock, new Random(1));
     const put = (key: string, priority: Priority) =>
-      committer.commit(key, priority, (draft) => {
+      transactions.commit(key, priority, (draft) => {
         draft.set(key, {});
         return true;
       });
@@ -42,19 +43,26 @@
   it('makes decisions again by themselves that the store has rejected together, and tells of one that it rejects alone', async () => {
     const clock = new FakeClock();
     const sent: string[][] = [];
-    const txn = (_: unknown, writes: { key: string }[]): Promise<TxnResult> => {
+    const transact = (_: unknown, writes: { key: string }[]): Promise<TransactionResult> => {
       const keys = writes.map(({ key }) => key);
       sent.push(keys);
       const isRejected = keys.includes('live/large');
-      return Promise.resolve(isRejected ? { kind: 'malformed', why: 'too large' } : { kind: 'done', epoch: 1 });
+      return Promise.resolve(isRejected ? { kind: 'malformed', why: 'too large' } : { kind: 'done', revision: 1 });
     };
-    const client = { txn } as unknown as StateClient;
-    const limits = anyTxnLimits({ valueBytes: 4096, lastingValueBytes: 2048 });
-    const committer = new Committer(client, new Replica(client, 'live/', clock), limits, 'live/', clock, new Random(1));
+    const client = { transact } as unknown as StoreClient;
+    const limits = anyTransactionLimits({ valueBytes: 4096, lastingValueBytes: 2048 });
+    const transactions = new TransactionBatcher(
+      client,
+      new Replica(client, 'live/', clock),
+      limits,
+      'live/',
+      clock,
+      new Random(1),
+    );
     const rejected: string[] = [];
-    committer.onRejected = (name) => rejected.push(name);
+    transactions.onRejected = (name) => rejected.push(name);
     const put = (key: string, value: unknown) =>
-      committer.commit(key, Priority.start, (draft) => {
+      transactions.commit(key, Priority.start, (draft) => {
         draft.set(key, value);
         return true;
       });
@@ -75,24 +83,31 @@
     const clock = new FakeClock();
     const sent: string[] = [];
     let isHeld = true;
-    const txn = async (_: unknown, writes: { key: string }[], priority: number): Promise<TxnResult> => {
+    const transact = async (_: unknown, writes: { key: string }[], priority: number): Promise<TransactionResult> => {
       // The first batch start hangs, and the others wait behind it.
       while (isHeld && priority === Priority.background) await clock.sleep(10);
       sent.push(...writes.map(({ key }) => key));
-      return { kind: 'done', epoch: 1 };
+      return { kind: 'done', revision: 1 };
     };
-    const client = { txn } as unknown as StateClient;
-    const limits = anyTxnLimits({ ops: 1, batchOps: 1, valueBytes: 4096, lastingValueBytes: 4096 });
-    const committer = new Committer(client, new Replica(client, 'live/', clock), limits, 'live/', clock, new Random(1));
+    const client = { transact } as unknown as StoreClient;
+    const limits = anyTransactionLimits({ ops: 1, batchOps: 1, valueBytes: 4096, lastingValueBytes: 4096 });
+    const transactions = new TransactionBatcher(
+      client,
+      new Replica(client, 'live/', clock),
+      limits,
+      'live/',
+      clock,
+      new Random(1),
+    );
     for (const key of ['live/a', 'live/b', 'live/c']) {
-      const decide = (draft: Draft): boolean => {
+      const decide = (draft: TransactionDraft): boolean => {
         draft.set(key, {});
         return true;
       };
-      void committer.commit('start', Priority.background, decide, 5000, { key, shared: undefined });
+      void transactions.commit('start', Priority.background, decide, 5000, { key, shared: undefined });
     }
     await clock.advance(20);
-    committer.promote((key) => key === 'live/c', Priority.background, Priority.start);
+    transactions.promote((key) => key === 'live/c', Priority.background, Priority.start);
     await clock.advance(20);
     assert.deepEqual(sent, ['live/c']);
     isHeld = false;
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -1,18 +1,20 @@
 import assert from 'node:assert/strict';
 import { afterEach, describe, it } from 'node:test';
 import { MAX_GOSSIP_BYTES } from '../src/constants.js';
-import { decodeChunk, withSlot, type Slot } from '../src/ledger/records.js';
-import { encodeMessage, type Gossip, type MachineNews } from '../src/mesh/messages.js';
+import { decodeChunk, withPlacement } from '../src/ledger/placement-codec.js';
+import type { TaskPlacement } from '../src/ledger/records.js';
+import type { StoreClient } from '../src/state/client.js';
+import type { TransactionResult } from '../src/state/wire-codec.js';
+import { TransactionBatcher } from '../src/state/committer.js';
+import type { TransactionDraft } from '../src/state/draft.js';
+import { Replica } from '../src/state/replica.js';
+import { jsonLength } from '../src/state/sizes.js';
+import { encodeMessage, type Gossip, type MachineUpdate } from '../src/mesh/messages.js';
 import { ReceivedMachineUpdates, describeOwnMachines, SentMachineUpdates } from '../src/mesh/machine-updates.js';
 import { Priority } from '../src/net/token-bucket.js';
 import { Random } from '../src/net/random.js';
-import type { StateClient, TxnResult } from '../src/state/client.js';
-import { Committer } from '../src/state/committer.js';
-import type { Draft } from '../src/state/draft.js';
-import { Replica } from '../src/state/replica.js';
-import { jsonLength } from '../src/state/sizes.js';
 import { Cluster } from '../src/testing/cluster.js';
-import { anyTxnLimits, jobOf } from '../src/testing/fixtures.js';
+import { anyTransactionLimits, jobOf } from '../src/testing/fixtures.js';
 import { FakeClock } from '../src/testing/fake-clock.js';
 
 let cluster: Cluster | undefined;
@@ -25,17 +27,34 @@
 async function ready(nodes: number, machines: number, cluster_ = {}, teams = [{ name: 'red' }]): Promise<Cluster> {
   cluster = new Cluster({ nodes, teams, cluster: cluster_ });
   for (let index = 0; index < machines; index++) {
-    const host = `i-${String(index).padStart(6, '0')}`;
-    cluster.addWorker({ host, site: ['a', 'b', 'c'][index % 3]!, runMs: 5000 });
+    const machineId = `i-${String(index).padStart(6, '0')}`;
+    cluster.addWorker({ machineId, zone: ['a', 'b', 'c'][index % 3]!, runMs: 5000 });
   }
   await cluster.advance(6000);
   return cluster;
 }
 
-const machine = (host: string, fields: Partial<MachineNews> = {}): MachineNews => ({
-  ...{ host, number: -1, endpoint: `${host}:9000`, flavor: 'c8', site: 'a', reclaimable: false, tenure: 1, tick: 5 },
-  ...{ heardAgeMs: 100, knownAgeMs: 0, warnedMs: null, sick: false, cooling: false, unreached: false, slow: false },
-  ...{ mute: false, images: ['img-1'], failedJobs: [], owner: 'n0' },
+const machine = (machineId: string, fields: Partial<MachineUpdate> = {}): MachineUpdate => ({
+  ...{
+    machineId,
+    number: -1,
+    endpoint: `${machineId}:9000`,
+    machineType: 'c8',
+    zone: 'a',
+    isSpot: false,
+    agentEpoch: 1,
+    sequence: 5,
+  },
+  ...{
+    heardAgeMs: 100,
+    knownAgeMs: 0,
+    spotNoticeMs: null,
+    isQuarantined: false,
+    isBackingOff: false,
+    isUnreached: false,
+    isSlow: false,
+  },
+  ...{ isMute: false, images: ['img-1'], failedJobs: [], partitionLeader: 'n0' },
   ...fields,
 });
 
@@ -44,16 +63,16 @@
     node: 'n0',
     upMs: 1,
     freshAgeMs: 1,
-    withoutStore: false,
-    hears: [],
+    isWithoutStore: false,
+    reachablePeers: [],
     clock: 0,
     echo: null,
-    loaded: true,
+    isLoaded: true,
     version: 0,
-    wants: false,
-    knocks: [],
-    avoids: [],
-    gone: [],
+    wantsSnapshot: false,
+    misroutedHeartbeats: [],
+    avoidedRoles: [],
+    terminated: [],
   },
   ...told,
 });
@@ -68,17 +87,17 @@
       heard.take(asGossip(sentUpdates.compose('n1', describeOwnMachines(0, many), [], 0))).machines.length,
       300,
     );
-    const later = many.map((each, n) => ({ ...each, tick: 9, heardAgeMs: 40, cooling: n === 7 }));
+    const later = many.map((each, n) => ({ ...each, sequence: 9, heardAgeMs: 40, isBackingOff: n === 7 }));
     const told = sentUpdates.compose('n1', describeOwnMachines(1000, later), [], 1010);
     assert.deepEqual(
-      told.machines.map(({ host }) => host),
+      told.machines.map(({ machineId }) => machineId),
       ['i-7'],
     );
-    const { machines, same, gap } = heard.take(asGossip(told));
+    const { machines, unchanged, gap } = heard.take(asGossip(told));
     assert.equal(gap, false);
-    assert.equal(machines.length + same.length, 300);
-    const other = same.find(({ machine }) => machine.host === 'i-8')!;
-    assert.deepEqual([other.tick, other.heardAgeMs], [9, 50]);
+    assert.equal(machines.length + unchanged.length, 300);
+    const other = unchanged.find(({ machine }) => machine.machineId === 'i-8')!;
+    assert.deepEqual([other.sequence, other.heardAgeMs], [9, 50]);
   });
 
   it('is told whole again to a peer that has missed some, which believes nothing built on it until then', () => {
@@ -86,15 +105,15 @@
     const heard = new ReceivedMachineUpdates();
     heard.take(asGossip(sentUpdates.compose('n1', describeOwnMachines(0, many), [], 0)));
     // Lost: machine 3 has begun a new session.
-    const now = many.map((each, n) => (n === 3 ? { ...each, tenure: 2 } : each));
+    const now = many.map((each, n) => (n === 3 ? { ...each, agentEpoch: 2 } : each));
     sentUpdates.compose('n1', describeOwnMachines(1000, now), [], 1000);
     const after = heard.take(asGossip(sentUpdates.compose('n1', describeOwnMachines(2000, now), [], 2000)));
     assert.equal(after.gap, true);
-    assert.equal(after.machines.length + after.same.length, 0);
+    assert.equal(after.machines.length + after.unchanged.length, 0);
     sentUpdates.renew('n1');
     const whole = heard.take(asGossip(sentUpdates.compose('n1', describeOwnMachines(3000, now), [], 3000)));
     assert.equal(whole.gap, false);
-    assert.equal(whole.machines.find(({ host }) => host === 'i-3')!.tenure, 2);
+    assert.equal(whole.machines.find(({ machineId }) => machineId === 'i-3')!.agentEpoch, 2);
   });
 
   it('of thousands of machines goes in messages that a peer takes, until it knows them all', () => {
@@ -111,7 +130,7 @@
       assert.ok(encodeMessage({ gossip }).length < MAX_GOSSIP_BYTES);
       const { machines, gap } = heard.take(gossip);
       assert.equal(gap, false);
-      for (const { host } of machines) (host.startsWith('i-other') ? passedOn : known).add(host);
+      for (const { machineId } of machines) (machineId.startsWith('i-other') ? passedOn : known).add(machineId);
     }
     assert.equal(known.size, 6000);
     assert.equal(passedOn.size, 6000);
@@ -135,25 +154,25 @@
     cluster!.node(0).gossip('n1');
     cluster!.parted.delete('n0>n1');
     await cluster!.advance(3000);
-    const all = [...cluster!.node(1).fleet.all().values()];
+    const all = [...cluster!.node(1).inventory.all().values()];
     assert.equal(all.length, 12);
-    assert.ok(all.every((each) => cluster!.node(1).fleet.isOpen(each)));
+    assert.ok(all.every((each) => cluster!.node(1).inventory.isOpen(each)));
   });
 });
 
 describe('a chunk of a ledger', () => {
-  const placed: Slot = {
-    ...{ kind: 'placed', attempt: 1, fails: 0, host: 'i-1', tenure: 1, stop: null, site: 'a' },
+  const placed: TaskPlacement = {
+    ...{ kind: 'placed', attempt: 1, failures: 0, machineId: 'i-1', agentEpoch: 1, gracePeriodS: null, zone: 'a' },
   };
 
   it('keeps the slots that a change leaves alone, and its measured length', () => {
-    const one = withSlot(undefined, 64, 3, placed);
-    const two = withSlot(one, 64, 9, placed);
+    const one = withPlacement(undefined, 64, 3, placed);
+    const two = withPlacement(one, 64, 9, placed);
     assert.equal(decodeChunk(two, 64)[3], decodeChunk(one, 64)[3]);
     assert.equal(jsonLength(two), JSON.stringify(two).length);
     // As it comes from the store or a peer.
     const copy = decodeChunk(JSON.parse(JSON.stringify(two)), 64, decodeChunk(two, 64));
-    assert.ok(copy.every((slot, at) => slot === decodeChunk(two, 64)[at]));
+    assert.ok(copy.every((placement, at) => placement === decodeChunk(two, 64)[at]));
     assert.deepEqual(decodeChunk(JSON.parse(JSON.stringify(two)), 64), decodeChunk(two, 64));
   });
 });
@@ -162,13 +181,13 @@
   it('that come one by one share a transaction; a submission among them does not wait', async () => {
     const clock = new FakeClock();
     const sent: { keys: number; at: number }[] = [];
-    const txn = (_: unknown, writes: unknown[]): Promise<TxnResult> => {
+    const transact = (_: unknown, writes: unknown[]): Promise<TransactionResult> => {
       sent.push({ keys: writes.length, at: clock.now() });
-      return Promise.resolve({ kind: 'done', epoch: sent.length });
+      return Promise.resolve({ kind: 'done', revision: sent.length });
     };
-    const client = { txn } as unknown as StateClient;
-    const limits = anyTxnLimits();
-    const committer = new Committer(
+    const client = { transact } as unknown as StoreClient;
+    const limits = anyTransactionLimits();
+    const transactions = new TransactionBatcher(
       client,
       new Replica(client, 'live/', clock),
       limits,
@@ -178,7 +197,7 @@
       200,
     );
     const put = (key: string, priority: Priority) =>
-      void committer.commit(key, priority, (draft) => {
+      void transactions.commit(key, priority, (draft) => {
         draft.set(key, {});
         return true;
       });
@@ -201,22 +220,29 @@
     const clock = new FakeClock();
     let writes = 0;
     const sent: string[][] = [];
-    const txn = (_: unknown, all: { key: string }[]): Promise<TxnResult> => {
+    const transact = (_: unknown, all: { key: string }[]): Promise<TransactionResult> => {
       writes += all.length;
       sent.push(all.map(({ key }) => key));
-      return clock.sleep(200).then(() => ({ kind: 'done', epoch: writes }));
+      return clock.sleep(200).then(() => ({ kind: 'done', revision: writes }));
     };
-    const client = { txn } as unknown as StateClient;
-    const limits = anyTxnLimits();
-    const committer = new Committer(client, new Replica(client, 'live/', clock), limits, 'live/', clock, new Random(1));
+    const client = { transact } as unknown as StoreClient;
+    const limits = anyTransactionLimits();
+    const transactions = new TransactionBatcher(
+      client,
+      new Replica(client, 'live/', clock),
+      limits,
+      'live/',
+      clock,
+      new Random(1),
+    );
     for (let n = 0; n < 600; n++) {
       const key = `live/ledger/${n % 30}`;
-      const decide = (draft: Draft) => {
+      const decide = (draft: TransactionDraft) => {
         draft.set(key, { n });
         draft.set(`live/team/${n % 3}`, { n });
         return true;
       };
-      void committer.commit('free', Priority.record, decide, 60_000, { key, shared: `team/${n % 3}` });
+      void transactions.commit('free', Priority.record, decide, 60_000, { key, shared: `team/${n % 3}` });
     }
     await clock.advance(20_000);
     assert.ok(
@@ -234,7 +260,7 @@
       teams: [{ name: 'red' }],
       cluster: { state: { rps: 500, write_rps: 200, value_kb: 1, txn_ops: 12 } },
     });
-    cluster.addWorker({ host: 'i-900001', runMs: 600_000 });
+    cluster.addWorker({ machineId: 'i-900001', runMs: 600_000 });
     await cluster.advance(5000);
     await cluster.submit({ Ref: 'j-big1', Shards: 400, Cpus: 8, GuessS: 600 });
     await cluster.advance(40_000);
@@ -251,7 +277,7 @@
     await cluster!.submit({ Ref: 'j-svc1', Shape: 'service', Shards: 400, MemGb: 1, Rank: 'prod' });
     await cluster!.advance(8000);
     const asked = () => cluster!.network.log.filter(({ from, path }) => from === 'n0' && path === '/commands').length;
-    for (const host of cluster!.workers.keys()) cluster!.cut.add(host);
+    for (const machineId of cluster!.workers.keys()) cluster!.cut.add(machineId);
     cluster!.crash(1);
     const start = asked();
     let before = start;
@@ -270,10 +296,10 @@
 describe('an idle cluster of 900 machines', () => {
   it('looks at each machine a few times a second, however many duties there are', async () => {
     await ready(3, 900);
-    const { fleet } = cluster!.node(0);
+    const { inventory } = cluster!.node(0);
     let looks = 0;
-    const isSilent = fleet.isSilent.bind(fleet);
-    fleet.isSilent = (each) => {
+    const isSilent = inventory.isSilent.bind(inventory);
+    inventory.isSilent = (each) => {
       looks++;
       return isSilent(each);
     };
@@ -287,8 +313,8 @@
     await ready(2, 10);
     let most = 0;
     const look = () => {
-      const { book } = cluster!.node(1);
-      for (const host of cluster!.workers.keys()) most = Math.max(most, book.takenOn(host)?.cpus ?? 0);
+      const { clusterState } = cluster!.node(1);
+      for (const machineId of cluster!.workers.keys()) most = Math.max(most, clusterState.usedOn(machineId)?.cpus ?? 0);
     };
     const refuse = cluster!.network.fault({ from: 'n0', path: /txn/, kind: 'status', status: 429 });
     const jobs = Array.from({ length: 12 }, (_, n) =>
--- a/test/gossip-format.test.ts
+++ b/test/gossip-format.test.ts
@@ -4,40 +4,40 @@
  */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { decodeMessage, encodeMessage, type Gossip, type MachineNews, type Message } from '../src/mesh/messages.js';
+import { decodeMessage, encodeMessage, type Gossip, type MachineUpdate, type Message } from '../src/mesh/messages.js';
 
-const FLAGGED: MachineNews = {
-  host: 'i-000001',
+const FLAGGED: MachineUpdate = {
+  machineId: 'i-000001',
   number: 300,
   endpoint: 'i-000001:9000',
-  flavor: 'c8',
-  site: 'zone-a',
-  reclaimable: true,
-  tenure: 3,
-  tick: 70_000,
+  machineType: 'c8',
+  zone: 'zone-a',
+  isSpot: true,
+  agentEpoch: 3,
+  sequence: 70_000,
   heardAgeMs: 12.5,
   knownAgeMs: 250,
-  warnedMs: 29_000,
-  sick: true,
-  cooling: true,
-  unreached: true,
-  slow: true,
-  mute: true,
+  spotNoticeMs: 29_000,
+  isQuarantined: true,
+  isBackingOff: true,
+  isUnreached: true,
+  isSlow: true,
+  isMute: true,
   images: ['img-1', 'img-2'],
   failedJobs: ['j-000001'],
-  owner: 'n2',
+  partitionLeader: 'n2',
 };
 
-const PLAIN: MachineNews = {
+const PLAIN: MachineUpdate = {
   ...FLAGGED,
   number: -1,
-  reclaimable: false,
-  warnedMs: null,
-  sick: false,
-  cooling: false,
-  unreached: false,
-  slow: false,
-  mute: false,
+  isSpot: false,
+  spotNoticeMs: null,
+  isQuarantined: false,
+  isBackingOff: false,
+  isUnreached: false,
+  isSlow: false,
+  isMute: false,
   images: [],
   failedJobs: [],
 };
@@ -46,36 +46,36 @@
   node: 'n0',
   upMs: 60_000,
   freshAgeMs: 150.5,
-  withoutStore: true,
+  isWithoutStore: true,
   clock: 61_000,
-  echo: { life: 29077790030248, clock: 60_500 },
-  loaded: true,
+  echo: { incarnation: 29077790030248, clock: 60_500 },
+  isLoaded: true,
   version: 42,
-  hears: ['n1', 'n2'],
-  life: 13428899909963,
-  seq: 17,
-  whole: true,
-  wants: true,
+  reachablePeers: ['n1', 'n2'],
+  incarnation: 13428899909963,
+  messageNumber: 17,
+  isSnapshot: true,
+  wantsSnapshot: true,
   machines: [FLAGGED],
-  same: { numbers: [1, 2], heardAgesMs: [30, 40], ticks: [500, 600] },
-  knocks: [{ host: 'i-000003', ageMs: 75 }],
-  avoids: ['part-1'],
-  gone: ['i-000004'],
+  unchanged: { numbers: [1, 2], heardAgesMs: [30, 40], sequences: [500, 600] },
+  misroutedHeartbeats: [{ machineId: 'i-000003', ageMs: 75 }],
+  avoidedRoles: ['part-1'],
+  terminated: ['i-000004'],
 };
 
 const QUIET: Gossip = {
   ...FULL,
-  withoutStore: false,
+  isWithoutStore: false,
   echo: null,
-  loaded: false,
-  hears: [],
-  whole: false,
-  wants: false,
+  isLoaded: false,
+  reachablePeers: [],
+  isSnapshot: false,
+  wantsSnapshot: false,
   machines: [PLAIN],
-  same: { numbers: [], heardAgesMs: [], ticks: [] },
-  knocks: [],
-  avoids: [],
-  gone: [],
+  unchanged: { numbers: [], heardAgesMs: [], sequences: [] },
+  misroutedHeartbeats: [],
+  avoidedRoles: [],
+  terminated: [],
 };
 
 const ENCODED: readonly [name: string, message: Message, hex: string][] = [
@@ -91,57 +91,57 @@
   ],
   [
     'gossip of a machine that is only sick',
-    { gossip: { ...QUIET, machines: [{ ...PLAIN, sick: true }] } },
+    { gossip: { ...QUIET, machines: [{ ...PLAIN, isQuarantined: true }] } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610006e0c50800000000000029400000000000406f400001000000000000046e32000000000000000000000000',
   ],
   [
     'gossip of a machine that is only cooling',
-    { gossip: { ...QUIET, machines: [{ ...PLAIN, cooling: true }] } },
+    { gossip: { ...QUIET, machines: [{ ...PLAIN, isBackingOff: true }] } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610006e0c50800000000000029400000000000406f400000010000000000046e32000000000000000000000000',
   ],
   [
     'gossip of a machine that is only unreached',
-    { gossip: { ...QUIET, machines: [{ ...PLAIN, unreached: true }] } },
+    { gossip: { ...QUIET, machines: [{ ...PLAIN, isUnreached: true }] } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610006e0c50800000000000029400000000000406f400000000100000000046e32000000000000000000000000',
   ],
   [
     'gossip of a machine that is only slow',
-    { gossip: { ...QUIET, machines: [{ ...PLAIN, slow: true }] } },
+    { gossip: { ...QUIET, machines: [{ ...PLAIN, isSlow: true }] } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610006e0c50800000000000029400000000000406f400000000001000000046e32000000000000000000000000',
   ],
   [
     'gossip of a machine that is only mute',
-    { gossip: { ...QUIET, machines: [{ ...PLAIN, mute: true }] } },
+    { gossip: { ...QUIET, machines: [{ ...PLAIN, isMute: true }] } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610006e0c50800000000000029400000000000406f400000000000010000046e32000000000000000000000000',
   ],
   [
     'gossip of a machine that is only reclaimable',
-    { gossip: { ...QUIET, machines: [{ ...PLAIN, reclaimable: true }] } },
+    { gossip: { ...QUIET, machines: [{ ...PLAIN, isSpot: true }] } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610106e0c50800000000000029400000000000406f400000000000000000046e32000000000000000000000000',
   ],
   [
     'gossip with only the flag withoutStore',
-    { gossip: { ...QUIET, machines: [], withoutStore: true } },
+    { gossip: { ...QUIET, machines: [], isWithoutStore: true } },
     '02046e3000000000004ced400000000000d06240010000000000c9ed400000540096c5f88cd58d06220000000000000000000000000000',
   ],
   [
     'gossip with only the flag loaded',
-    { gossip: { ...QUIET, machines: [], loaded: true } },
+    { gossip: { ...QUIET, machines: [], isLoaded: true } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400001540096c5f88cd58d06220000000000000000000000000000',
   ],
   [
     'gossip with only the flag whole',
-    { gossip: { ...QUIET, machines: [], whole: true } },
+    { gossip: { ...QUIET, machines: [], isSnapshot: true } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d06220100000000000000000000000000',
   ],
   [
     'gossip with only the flag wants',
-    { gossip: { ...QUIET, machines: [], wants: true } },
+    { gossip: { ...QUIET, machines: [], wantsSnapshot: true } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d06220001000000000000000000000000',
   ],
   [
     'relay',
-    { relay: { node: 'n1', id: 300, report: '{"Host":"i-000001"}' } },
+    { relay: { node: 'n1', id: 300, status: '{"Host":"i-000001"}' } },
     '0002046e31d804267b22486f7374223a22692d303030303031227d00000000',
   ],
   [
@@ -154,8 +154,8 @@
     {
       news: {
         changes: [
-          { key: 'live/team/red', value: '{"cpus":4}', stamp: 99 },
-          { key: 'live/job/j-1', value: null, stamp: 100 },
+          { key: 'live/team/red', value: '{"cpus":4}', modRevision: 99 },
+          { key: 'live/job/j-1', value: null, modRevision: 100 },
         ],
       },
     },
@@ -167,16 +167,16 @@
     {
       delta: {
         node: 'n2',
-        life: 13428899909963,
+        incarnation: 13428899909963,
         version: 42,
         from: 1000,
         after: 2000,
         last: 3000,
-        whole: false,
+        isComplete: false,
         upTo: 4000,
         changes: [
-          { key: 'live/team/red', value: '{"cpus":4}', stamp: 3000 },
-          { key: 'live/job/j-1', value: null, stamp: 2999 },
+          { key: 'live/team/red', value: '{"cpus":4}', modRevision: 3000 },
+          { key: 'live/job/j-1', value: null, modRevision: 2999 },
         ],
       },
     },
@@ -187,12 +187,12 @@
     {
       delta: {
         node: 'n2',
-        life: 1,
+        incarnation: 1,
         version: 42,
         from: 1000,
         after: 2000,
         last: 2000,
-        whole: true,
+        isComplete: true,
         upTo: 4000,
         changes: [],
       },
@@ -202,7 +202,15 @@
   [
     'follow request of the standby stream',
     {
-      stream: { follow: { node: 'n1', life: 13428899909963, clock: 61_000.5, followedLife: 29077790030248, upTo: 77 } },
+      stream: {
+        follow: {
+          node: 'n1',
+          incarnation: 13428899909963,
+          clock: 61_000.5,
+          followedIncarnation: 29077790030248,
+          upTo: 77,
+        },
+      },
     },
     'ff02046e3196c5f88cd58d060000000010c9ed40d0e6c3b5c69c0d9a0100',
   ],
@@ -212,13 +220,13 @@
       stream: {
         batch: {
           node: 'n0',
-          life: 29077790030248,
+          incarnation: 29077790030248,
           after: 70,
           upTo: 77,
           isSnapshot: true,
           part: 1,
           parts: 2,
-          echo: { life: 13428899909963, clock: 61_000.5 },
+          echo: { incarnation: 13428899909963, clock: 61_000.5 },
           entries: [
             { kind: 'health', name: 'j-1', ageMs: 100, healthy: 5, unhealthy: 2, isRemoved: false },
             { kind: 'moved', name: 'j-1/0', ageMs: 200, healthy: 0, unhealthy: 0, isRemoved: false },
@@ -237,13 +245,13 @@
       stream: {
         batch: {
           node: 'n0',
-          life: 1,
+          incarnation: 1,
           after: 70,
           upTo: 77,
           isSnapshot: false,
           part: 0,
           parts: 1,
-          echo: { life: 2, clock: 3 },
+          echo: { incarnation: 2, clock: 3 },
           entries: [],
         },
       },
--- a/test/input.test.ts
+++ b/test/input.test.ts
@@ -9,7 +9,7 @@
 async function ready(options: ClusterOptions = {}, machines = 2): Promise<Cluster> {
   cluster = new Cluster(options);
   for (let index = 0; index < machines; index++) {
-    cluster.addWorker({ host: `i-00000${index}`, site: ['a', 'b', 'c'][index % 3]!, runMs: 5000 });
+    cluster.addWorker({ machineId: `i-00000${index}`, zone: ['a', 'b', 'c'][index % 3]!, runMs: 5000 });
   }
   await cluster.advance(5000);
   return cluster;
@@ -197,10 +197,10 @@
     await ready({ nodes: 2 });
     const node = cluster.node(1);
     await cluster.submit({ Ref: 'j-old', Shape: 'service' });
-    const { stamp } = node.replica.get('live/job/j-old');
+    const { modRevision } = node.replica.get('live/job/j-old');
     const changes = [
-      { key: 'live/job/j-old', value: null, stamp: stamp + 1000 },
-      { key: 'live/job/j-new', value: '{"spec":', stamp: stamp + 1000 },
+      { key: 'live/job/j-old', value: null, modRevision: modRevision + 1000 },
+      { key: 'live/job/j-new', value: '{"spec":', modRevision: modRevision + 1000 },
     ];
     assert.doesNotThrow(() => node.receive({ news: { changes } }));
     assert.notEqual(node.replica.get('live/job/j-old').value, undefined, 'no half of it is believed');
@@ -213,8 +213,8 @@
 
   it('that relays no report is left unanswered and ends nothing', async () => {
     await ready({ nodes: 2 });
-    for (const report of ['{', '7', 'null', '{"Host":"i-000000"}']) {
-      assert.doesNotThrow(() => cluster.node(1).receive({ relay: { node: 'n0', id: 1, report } }));
+    for (const status of ['{', '7', 'null', '{"Host":"i-000000"}']) {
+      assert.doesNotThrow(() => cluster.node(1).receive({ relay: { node: 'n0', id: 1, status } }));
     }
     cluster.node(1).receive({ relayAnswer: { node: 'n0', id: 99, status: 200, body: '{' } });
     assert.equal((await cluster.submit({ Ref: 'j-after' }, 1)).status, 201);
@@ -226,9 +226,9 @@
     await cluster.advance(1500);
     cluster.parted.clear();
     await cluster.advance(5000);
-    for (const { fleet } of [cluster.node(0), cluster.node(1)]) {
-      const machines = [...fleet.all().values()];
-      assert.equal(machines.filter((machine) => fleet.isOpen(machine)).length, 4);
+    for (const { inventory } of [cluster.node(0), cluster.node(1)]) {
+      const machines = [...inventory.all().values()];
+      assert.equal(machines.filter((machine) => inventory.isOpen(machine)).length, 4);
       for (const { heardAt } of machines) assert.ok(cluster.clock.now() - heardAt < 3000, 'and heard of just now');
     }
   });
--- a/test/invariant-checker.test.ts
+++ b/test/invariant-checker.test.ts
@@ -10,23 +10,23 @@
   now = 1000;
   checker = new InvariantChecker({
     teams: [{ name: 'red', cpus_max: 8 }, { name: 'blue' }],
-    flavors: [C8, { ...C8, Sku: 'big', Cpus: 64, MemGb: 512 }],
+    machineTypes: [C8, { ...C8, Sku: 'big', Cpus: 64, MemGb: 512 }],
     cancelS: 36,
   });
-  checker.machineUp('i-1', { flavor: 'c8', site: 'a', reclaimable: false });
-  checker.machineUp('i-2', { flavor: 'c8', site: 'b', reclaimable: false });
-  checker.machineUp('i-spot', { flavor: 'big', site: 'a', reclaimable: true });
+  checker.machineUp('i-1', { machineType: 'c8', zone: 'a', isSpot: false });
+  checker.machineUp('i-2', { machineType: 'c8', zone: 'b', isSpot: false });
+  checker.machineUp('i-spot', { machineType: 'big', zone: 'a', isSpot: true });
 });
 
-const ref = 'j-000001';
+const jobId = 'j-000001';
 const answer = (kind: UserAnswer['kind'], status: number, phase?: string, askedAt = now - 1) =>
   checker.answered({
     kind,
-    ref,
+    jobId,
     askedAt,
     at: now,
     status,
-    body: phase === undefined ? {} : { Ref: ref, Phase: phase },
+    body: phase === undefined ? {} : { Ref: jobId, Phase: phase },
   });
 /** A user submits a job and is told that it is accepted. */
 const accept = (fields: object = {}) => {
@@ -35,13 +35,14 @@
   now += 100;
 };
 const cancel = () => {
-  checker.cancelAsked(now - 1, ref);
+  checker.cancelAsked(now - 1, jobId);
   answer('withdraw', 200, 'withdrawn');
   now += 100;
 };
-const start = (host: string, shard = 0, orderedAt = now, job = ref) =>
-  checker.taskStarted(now, host, `${job}/${shard}`, orderedAt);
-const end = (host: string, shard = 0, cause = 'done') => checker.taskEnded(now, host, `${ref}/${shard}`, cause);
+const start = (machineId: string, taskIndex = 0, orderedAt = now, job = jobId) =>
+  checker.taskStarted(now, machineId, `${job}/${taskIndex}`, orderedAt);
+const end = (machineId: string, taskIndex = 0, cause = 'done') =>
+  checker.taskEnded(now, machineId, `${jobId}/${taskIndex}`, cause);
 const rules = () => {
   checker.verdict(now);
   return checker.broken.map((each) => each.rule);
@@ -62,7 +63,7 @@
     end('i-2', 1);
     now += 3000;
     answer('poll', 200, 'done');
-    checker.cancelAsked(now, ref);
+    checker.cancelAsked(now, jobId);
     answer('withdraw', 200, 'done');
     assert.deepEqual(rules(), []);
   });
@@ -90,12 +91,12 @@
   const AFTER = 'j-000002';
   const LAST = 'j-000003';
   const tell = (job: string, phase: string, kind: UserAnswer['kind'] = 'poll') =>
-    checker.answered({ kind, ref: job, askedAt: now - 1, at: now, status: 200, body: { Ref: job, Phase: phase } });
+    checker.answered({ kind, jobId: job, askedAt: now - 1, at: now, status: 200, body: { Ref: job, Phase: phase } });
   /** A chain of three jobs, all accepted. */
   const acceptChain = () => {
     accept({ Shards: 2 });
     for (const [job, before] of [
-      [AFTER, ref],
+      [AFTER, jobId],
       [LAST, AFTER],
     ] as const) {
       checker.submitted(jobOf({ Ref: job, Awaits: [before] }));
@@ -284,7 +285,7 @@
     answer('poll', 200, 'done');
     assert.deepEqual(rules(), ['not_done']);
     checker.submitted(jobOf({ Ref: 'j-svc', Shape: 'service' }));
-    checker.answered({ kind: 'poll', ref: 'j-svc', askedAt: now, at: now, status: 200, body: { Phase: 'done' } });
+    checker.answered({ kind: 'poll', jobId: 'j-svc', askedAt: now, at: now, status: 200, body: { Phase: 'done' } });
     assert.deepEqual(rules(), ['not_done', 'not_done']);
   });
 
@@ -302,7 +303,7 @@
     accept();
     start('i-1');
     end('i-1');
-    checker.cancelAsked(now, ref);
+    checker.cancelAsked(now, jobId);
     const askedAt = now - 50;
     answer('poll', 200, 'done');
     answer('withdraw', 200, 'withdrawn', askedAt);
@@ -333,7 +334,7 @@
     ];
     never.forEach((fields, n) => {
       checker.submitted(jobOf({ Ref: `j-${n}`, ...fields }));
-      const told = { kind: 'submit' as const, ref: `j-${n}`, askedAt: now, at: now, status: 201 };
+      const told = { kind: 'submit' as const, jobId: `j-${n}`, askedAt: now, at: now, status: 201 };
       checker.answered({ ...told, body: { Phase: 'queued' } });
       assert.equal(rules().length, n + 1, JSON.stringify(fields));
     });
@@ -347,13 +348,13 @@
     for (const name of names) {
       [undefined, null, {}].forEach((value, n) => {
         checker.submitted(jobOf({ Ref: `j-${name}-${n}`, [name]: value }));
-        const told = { kind: 'submit' as const, ref: `j-${name}-${n}`, askedAt: now, at: now, status: 201 };
+        const told = { kind: 'submit' as const, jobId: `j-${name}-${n}`, askedAt: now, at: now, status: 201 };
         checker.answered({ ...told, body: { Phase: 'queued' } });
       });
     }
     assert.equal(rules().length, names.length * 3);
     // A repeat of an accepted job gets its state, whatever it looks like.
-    checker.submitted({ Ref: ref });
+    checker.submitted({ Ref: jobId });
     answer('submit', 200, 'queued');
     assert.equal(rules().length, names.length * 3);
   });
@@ -391,7 +392,7 @@
     checker.troublesOver(now);
     pass(100);
     assert.deepEqual(rules(), [], 'four fit in each zone');
-    checker.machineUp('i-3', { flavor: 'c8', site: 'b', reclaimable: false });
+    checker.machineUp('i-3', { machineType: 'c8', zone: 'b', isSpot: false });
     pass(91);
     assert.deepEqual(rules(), ['left_waiting']);
   });
@@ -400,20 +401,24 @@
 describe('a cluster feeds its checker', () => {
   it('with what its workers really run, whoever told them to, and with what its users were really told', async () => {
     const cluster = new Cluster();
-    const first = cluster.addWorker({ host: 'i-1' });
-    const second = cluster.addWorker({ host: 'i-2', site: 'b' });
+    const first = cluster.addWorker({ machineId: 'i-1' });
+    const second = cluster.addWorker({ machineId: 'i-2', zone: 'b' });
     await cluster.advance(5000);
     await cluster.submit({ Ref: 'j-svc', Shape: 'service', Rank: 'prod', GuessS: 0 });
-    const host = cluster.runs('j-svc/0')[0]!.host;
-    const other = host === 'i-1' ? second : first;
+    const machineId = cluster.runs('j-svc/0')[0]!.machineId;
+    const other = machineId === 'i-1' ? second : first;
     const orders = [{ Verb: 'launch', Shard: 'j-svc/0', Try: 9 }];
-    await other.handle('POST', '/commands', { Fence: other.fence, Tenure: 1, Orders: orders });
+    await other.handle('POST', '/commands', { Fence: other.fencingToken, Tenure: 1, Orders: orders });
     assert.deepEqual(
       cluster.checker.broken.map((each) => each.rule),
       ['ran_twice'],
     );
     await cluster.withdraw('j-svc');
-    await other.handle('POST', '/commands', { Fence: other.fence, Tenure: 1, Orders: [{ ...orders[0], Try: 10 }] });
+    await other.handle('POST', '/commands', {
+      Fence: other.fencingToken,
+      Tenure: 1,
+      Orders: [{ ...orders[0], Try: 10 }],
+    });
     assert.deepEqual(
       cluster.checker.broken.map((each) => each.rule),
       ['ran_twice', 'started_cancelled'],
--- a/test/matching.test.ts
+++ b/test/matching.test.ts
@@ -5,14 +5,14 @@
 
 const open: MatchRules = { allowed: () => true, zoneAllows: () => true, hostAllows: () => true, tier: () => 0 };
 
-const room = (cpus: number, memGb: number) => ({ cpus, memGb, cards: 0 });
-const seeker = (id: string, cpus: number, memGb = 1): Seeker => ({
+const room = (cpus: number, memoryGb: number) => ({ cpus, memoryGb, gpus: 0 });
+const seeker = (id: string, cpus: number, memoryGb = 1): Seeker => ({
   id,
   group: id,
-  use: room(cpus, memGb),
-  peak: room(cpus, memGb),
+  use: room(cpus, memoryGb),
+  peak: room(cpus, memoryGb),
 });
-const host = (id: string, cpus: number, memGb = 64, site = 'a'): Host => ({ id, site, free: room(cpus, memGb) });
+const host = (id: string, cpus: number, memoryGb = 64, zone = 'a'): Host => ({ id, zone, free: room(cpus, memoryGb) });
 
 describe('matching', () => {
   it('sends a task to the machine whose free room is nearest to its use', () => {
@@ -35,10 +35,10 @@
     const tasks = ['x', 'y', 'z'].map((id) => ({ ...seeker(id, 1), group: 'g' }));
     const rules = {
       ...open,
-      zoneAllows: (_: string, site: string, taken: ReadonlyMap<string, number>) => (taken.get(site) ?? 0) < 2,
+      zoneAllows: (_: string, zone: string, taken: ReadonlyMap<string, number>) => (taken.get(zone) ?? 0) < 2,
     };
     const found = match(tasks, [host('a1', 8, 64, 'a'), host('b1', 8, 64, 'b')], rules);
-    const zones = [...found.values()].map((each) => each.site).sort();
+    const zones = [...found.values()].map((each) => each.zone).sort();
     assert.deepEqual(zones, ['a', 'a', 'b']);
   });
 
@@ -56,9 +56,9 @@
         const found = match(seekers, machines, open);
         for (const machine of machines) {
           const here = seekers.filter((each) => found.get(each.id) === machine);
-          const sum = (key: 'cpus' | 'memGb', list: Seeker[]) =>
+          const sum = (key: 'cpus' | 'memoryGb', list: Seeker[]) =>
             list.reduce((total, each) => total + each.peak[key], 0);
-          assert.ok(sum('cpus', here) <= machine.free.cpus && sum('memGb', here) <= machine.free.memGb);
+          assert.ok(sum('cpus', here) <= machine.free.cpus && sum('memoryGb', here) <= machine.free.memoryGb);
           for (const task of seekers) {
             const list = preferences(task, machines, open);
             const rank = list.indexOf(machine);
@@ -68,7 +68,7 @@
             const kept = here.filter((each) => ranksBefore(each, task));
             const blocks =
               sum('cpus', kept) + task.peak.cpus <= machine.free.cpus &&
-              sum('memGb', kept) + task.peak.memGb <= machine.free.memGb;
+              sum('memoryGb', kept) + task.peak.memoryGb <= machine.free.memoryGb;
             assert.ok(!blocks, `${task.id} and ${machine.id} block`);
           }
         }
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -2,14 +2,14 @@
 import { describe, it } from 'node:test';
 import { DEFAULT_STANDBY_SETTINGS } from '@dewlatch/standby';
 import { DEFAULT_TUNING, MAX_PLAN_REST_MS, PLAN_REST_LEAST, WORK_SHARE } from '../src/constants.js';
-import type { Claims } from '../src/controller/claims.js';
-import type { Fleet } from '../src/controller/fleet.js';
+import type { RoleLeadership } from '../src/controller/claims.js';
+import type { MachineInventory } from '../src/controller/fleet.js';
 import { Rescheduler } from '../src/controller/rescheduler.js';
-import { planRestMs, type Planner } from '../src/controller/planner.js';
-import type { Book } from '../src/ledger/book.js';
+import { planRestMs, type PlacementPlanner } from '../src/controller/planner.js';
+import type { ClusterState } from '../src/ledger/book.js';
 import { Random } from '../src/net/random.js';
 import { Happiness } from '../src/placement/happiness.js';
-import type { Committer } from '../src/state/committer.js';
+import type { TransactionBatcher } from '../src/state/committer.js';
 import { noLog } from '../src/testing/fixtures.js';
 import { FakeClock } from '../src/testing/fake-clock.js';
 
@@ -25,20 +25,20 @@
     const stop = new AbortController();
     let placed = 1;
     let looks = 0;
-    const record = { spec: { Shape: 'service', Shards: 5 }, phase: 'active' };
+    const record = { spec: { kind: 'service', taskCount: 5 }, state: 'active' };
     const jobs = { values: () => [{ record, placed }] };
     const all = () => {
       looks++;
       return new Map();
     };
-    const fleet = { all, isOpen: () => true };
+    const inventory = { all, isOpen: () => true };
     const rescheduler = new Rescheduler(
       { ...DEFAULT_TUNING, standby: DEFAULT_STANDBY_SETTINGS },
-      { inTouch: true, ownedPartitions: () => [0], partitionOf: () => 0 } as unknown as Claims,
-      { jobs, placesOn: () => [] } as unknown as Book,
-      fleet as unknown as Fleet,
-      {} as Planner,
-      {} as Committer,
+      { isInTouchWithStore: true, ledPartitions: () => [0], partitionOf: () => 0 } as unknown as RoleLeadership,
+      { jobs, tasksOn: () => [] } as unknown as ClusterState,
+      inventory as unknown as MachineInventory,
+      {} as PlacementPlanner,
+      {} as TransactionBatcher,
       new Happiness(30_000),
       clock,
       new Random(1),
--- a/test/pipeline-index.test.ts
+++ b/test/pipeline-index.test.ts
@@ -1,23 +1,23 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { PipelineProgress, type PipelineProgressDependencies } from '../src/controller/pipeline-progress.js';
-import { Pipelines } from '../src/ledger/pipelines.js';
-import { RANKS, type JobRecord, type JobSpec } from '../src/ledger/records.js';
-import { jobOf, noLog } from '../src/testing/fixtures.js';
+import { JobDependencies } from '../src/ledger/pipelines.js';
+import { JOB_PRIORITIES, type JobRecord } from '../src/ledger/records.js';
+import { noLog, specOf } from '../src/testing/fixtures.js';
 
 let changes = 0;
 const pipelines = () => {
   changes = 0;
-  return new Pipelines(() => changes++);
+  return new JobDependencies(() => changes++);
 };
-const waiting = (awaits: string[], fields: object = {}): JobRecord => ({
-  spec: jobOf({ Rank: 'low', DueS: null, ...fields }) as JobSpec,
-  phase: 'waiting',
-  at: 0,
-  chunk: 64,
-  awaits,
+const waiting = (dependencies: string[], fields: object = {}): JobRecord => ({
+  spec: specOf({ Rank: 'low', DueS: null, ...fields }),
+  state: 'waiting',
+  submittedAtMs: 0,
+  tasksPerChunk: 64,
+  dependencies,
 });
-const rankOf = (index: Pipelines, ref: string) => RANKS[index.urgencyOf(ref).rank];
+const priorityIndexOf = (index: JobDependencies, jobId: string) => JOB_PRIORITIES[index.urgencyOf(jobId).priorityIndex];
 
 describe('what jobs inherit from those that need them', () => {
   it('costs a chain of thousands one step for each new job, and one walk for a more urgent one', () => {
@@ -27,12 +27,12 @@
     assert.equal(changes, length - 1);
     index.update('j-last', waiting([`j-${length - 1}`], { Rank: 'high', DueS: 1000, GuessS: 10 }));
     assert.equal(changes, 2 * length - 1);
-    assert.equal(rankOf(index, 'j-0'), 'high');
+    assert.equal(priorityIndexOf(index, 'j-0'), 'high');
     // The first one is done: nothing before the others changes.
-    index.update('j-1', { ...waiting([]), phase: 'active' });
+    index.update('j-1', { ...waiting([]), state: 'active' });
     assert.equal(changes, 2 * length);
-    assert.equal(rankOf(index, 'j-0'), undefined);
-    assert.equal(rankOf(index, 'j-1'), 'high');
+    assert.equal(priorityIndexOf(index, 'j-0'), undefined);
+    assert.equal(priorityIndexOf(index, 'j-1'), 'high');
   });
 
   it('costs a wide fan and a diamond no more than their edges, in whatever order they come', () => {
@@ -41,14 +41,14 @@
     const middle = Array.from({ length: width }, (_, n) => `j-middle-${n}`);
     // Pages of records bring them in the order of their names, not of their submission.
     index.update('j-end', waiting(middle, { Rank: 'prod', DueS: 100, GuessS: 10 }));
-    for (const ref of middle) index.update(ref, waiting(['j-begin'], { GuessS: 20 }));
-    assert.equal(rankOf(index, 'j-begin'), 'prod');
+    for (const jobId of middle) index.update(jobId, waiting(['j-begin'], { GuessS: 20 }));
+    assert.equal(priorityIndexOf(index, 'j-begin'), 'prod');
     assert.equal(index.urgencyOf('j-begin').finishBy, (100 - 10 - 20) * 1000);
     assert.ok(changes <= 2 * width + 1, `${changes}`);
     index.update('j-end', undefined);
-    assert.equal(rankOf(index, 'j-begin'), 'low');
+    assert.equal(priorityIndexOf(index, 'j-begin'), 'low');
     assert.equal(index.urgencyOf('j-begin').finishBy, Infinity);
-    for (const ref of middle) index.update(ref, undefined);
+    for (const jobId of middle) index.update(jobId, undefined);
     assert.equal(index.hasSuccessors('j-begin'), false);
     assert.equal(index.waitingCount, 0);
   });
@@ -71,9 +71,9 @@
     let looks = 0;
     const steps: string[] = [];
     const progress = new PipelineProgress({
-      claims: { inTouch: true, partitionOf: () => 0, holding: () => ({}) },
-      book: { pipelines: index, jobs: new Map() },
-      committer: {
+      leadership: { isInTouchWithStore: true, partitionOf: () => 0, leadershipOf: () => ({}) },
+      clusterState: { pipelines: index, jobs: new Map() },
+      transactions: {
         commit: (name: string) => {
           steps.push(name);
           return Promise.resolve({ kind: 'void' });
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -11,18 +11,18 @@
 async function ready(nodes = 3, options: ClusterOptions = {}, machines = 3, runMs = 3000): Promise<Cluster> {
   const cluster_ = { state: { rps: 250, write_rps: 15, value_kb: 4, txn_ops: 12, next: LATER } };
   cluster = new Cluster({ nodes, cluster: cluster_, ...options });
-  for (let n = 0; n < machines; n++) cluster.addWorker({ host: `i-00000${n}`, site: 'abc'[n % 3]!, runMs });
+  for (let n = 0; n < machines; n++) cluster.addWorker({ machineId: `i-00000${n}`, zone: 'abc'[n % 3]!, runMs });
   await cluster.advance(6000);
   return cluster;
 }
 
 const submit = async (Ref: string, Awaits: unknown, fields: object = {}, node = 0) =>
   (await cluster.submit({ Ref, Awaits, ...fields }, node)).status;
-const phase = async (ref: string, node = 0) => ((await cluster.poll(ref, node)).body as { Phase: string }).Phase;
-const startOf = (shard: string) => cluster.runs(shard)[0]?.from ?? Infinity;
-const endOf = (shard: string) => cluster.runs(shard)[0]?.to ?? Infinity;
-const recordOf = (ref: string) =>
-  cluster.store.rows.get(`live/job/${ref}`)?.value as { phase: string; awaits?: string[] } | undefined;
+const phase = async (jobId: string, node = 0) => ((await cluster.poll(jobId, node)).body as { Phase: string }).Phase;
+const startOf = (taskId: string) => cluster.runs(taskId)[0]?.from ?? Infinity;
+const endOf = (taskId: string) => cluster.runs(taskId)[0]?.to ?? Infinity;
+const recordOf = (jobId: string) =>
+  cluster.store.rows.get(`live/job/${jobId}`)?.value as { phase: string; awaits?: string[] } | undefined;
 
 describe('a job that names others', () => {
   it('starts soon after the last of them is done', async () => {
@@ -185,7 +185,7 @@
     assert.equal(recordOf('j-b')?.phase, 'waiting');
     await cluster.until(() => cluster.store.rows.has('ended/j-a'), 10_000);
     for (const node of [0, 1, 2]) cluster.crash(node);
-    cluster.store.rows.set('live/job/j-b', { ...waiting, stamp: ++cluster.store.epoch });
+    cluster.store.rows.set('live/job/j-b', { ...waiting, modRevision: ++cluster.store.revision });
     for (const node of [0, 1, 2]) cluster.start(node);
     await cluster.advance(18_000);
     assert.equal(await phase('j-b'), 'done');
@@ -211,17 +211,17 @@
 describe('the urgency of a job', () => {
   it('is that of the most urgent job that needs it, and follows as such jobs come and go', async () => {
     await ready(2, {}, 1, 60_000);
-    const rank = (ref: string) => cluster.node(0).book.jobs.get(ref)?.record.spec.Rank;
+    const priorityIndex = (jobId: string) => cluster.node(0).clusterState.jobs.get(jobId)?.record.spec.priority;
     assert.equal(await submit('j-a', null, { Rank: 'low', GuessS: 20 }), 201);
     assert.equal(await submit('j-b', ['j-a'], { Rank: 'low', GuessS: 30 }), 201);
-    assert.equal(rank('j-a'), 'low');
+    assert.equal(priorityIndex('j-a'), 'low');
     assert.equal(await submit('j-c', ['j-b'], { Rank: 'high', DueS: 300, GuessS: 10 }), 201);
-    assert.equal(rank('j-a'), 'high');
-    const { finishBy } = cluster.node(0).book.jobs.get('j-a')!;
-    const { at } = cluster.node(0).book.jobs.get('j-c')!.record;
-    assert.equal(finishBy, at + (300 - 10 - 30) * 1000);
+    assert.equal(priorityIndex('j-a'), 'high');
+    const { finishBy } = cluster.node(0).clusterState.jobs.get('j-a')!;
+    const { submittedAtMs } = cluster.node(0).clusterState.jobs.get('j-c')!.record;
+    assert.equal(finishBy, submittedAtMs + (300 - 10 - 30) * 1000);
     assert.equal((await cluster.withdraw('j-c')).status, 200);
-    assert.equal(rank('j-a'), 'low');
+    assert.equal(priorityIndex('j-a'), 'low');
   });
 
   it('lets the first step of an urgent pipeline pass work of its own rank', async () => {
--- a/test/record-formats.test.ts
+++ b/test/record-formats.test.ts
@@ -2,28 +2,26 @@
 import { readFileSync } from 'node:fs';
 import { describe, it } from 'node:test';
 import { fileURLToPath } from 'node:url';
-import { decodeCatalog } from '../src/cloud/client.js';
+import { decodeCatalog } from '../src/cloud/wire-codec.js';
 import { recordSizer } from '../src/ledger/record-sizes.js';
 import {
-  chunkKey,
-  compactChunk,
-  CorruptRecord,
-  decodeChunk,
-  decodeEnded,
-  decodeHire,
-  decodeJob,
-  decodeTeam,
-  ENDED_PREFIX,
+  FINAL_JOB_PREFIX,
   FORMAT_COMPLETE_KEY,
-  jobKey,
   JOB_PREFIX,
-  LEDGER_PREFIX,
-  withSlot,
-  type JobRecord,
-  type Slot,
-} from '../src/ledger/records.js';
-import { decodeMessage, encodeMessage } from '../src/mesh/messages.js';
+  jobKey,
+  PLACEMENT_PREFIX,
+  placementChunkKey,
+} from '../src/ledger/record-keys.js';
+import { compactChunk, decodeChunk, withPlacement } from '../src/ledger/placement-codec.js';
+import { CorruptRecord, type JobRecord, type TaskPlacement } from '../src/ledger/records.js';
+import {
+  decodeFinalJobRecord,
+  decodeJobRecord,
+  decodeRentalRecord,
+  decodeTeamUsage,
+} from '../src/ledger/record-codecs.js';
 import { jsonLength } from '../src/state/sizes.js';
+import { decodeMessage, encodeMessage } from '../src/mesh/messages.js';
 import { Cluster } from '../src/testing/cluster.js';
 import { jobOf } from '../src/testing/fixtures.js';
 
@@ -39,11 +37,11 @@
 /** Throws where a record can't be read. */
 function read(key: string, value: unknown): unknown {
   const kind = key.split('/')[1]!;
-  if (key.startsWith(JOB_PREFIX)) return decodeJob(value);
-  if (key.startsWith(ENDED_PREFIX)) return decodeEnded(value);
-  if (key.startsWith(LEDGER_PREFIX)) return decodeChunk(value, (value as { s: unknown[] }).s.length);
-  if (kind === 'team') return decodeTeam(value);
-  if (kind === 'hire') return decodeHire(value);
+  if (key.startsWith(JOB_PREFIX)) return decodeJobRecord(value);
+  if (key.startsWith(FINAL_JOB_PREFIX)) return decodeFinalJobRecord(value);
+  if (key.startsWith(PLACEMENT_PREFIX)) return decodeChunk(value, (value as { s: unknown[] }).s.length);
+  if (kind === 'team') return decodeTeamUsage(value);
+  if (kind === 'hire') return decodeRentalRecord(value);
   if (kind === 'flavor') return assert.ok(decodeCatalog({ Flavors: [value] })?.size === 1);
   return assert.equal(kind, 'claim');
 }
@@ -68,18 +66,18 @@
 
 describe('a ledger chunk', () => {
   const zones = ['bucuresti-nord', 'cluj-vest', 'iasi-est'];
-  const placed = (n: number): Slot => ({
+  const placed = (n: number): TaskPlacement => ({
     kind: 'placed',
     attempt: 12,
-    fails: 3,
-    host: `i-${String(n).padStart(6, '0')}`,
-    tenure: 10,
-    stop: n % 2 === 0 ? null : 4.5,
-    site: zones[n % 3]!,
+    failures: 3,
+    machineId: `i-${String(n).padStart(6, '0')}`,
+    agentEpoch: 10,
+    gracePeriodS: n % 2 === 0 ? null : 4.5,
+    zone: zones[n % 3]!,
   });
   const whole = (size: number) => {
     let value: unknown;
-    for (let n = 0; n < size; n++) value = withSlot(value, size, n, placed(n));
+    for (let n = 0; n < size; n++) value = withPlacement(value, size, n, placed(n));
     return value;
   };
 
@@ -90,8 +88,8 @@
     const copy = JSON.parse(JSON.stringify(compact)) as unknown;
     assert.deepEqual(decodeChunk(copy, size), decodeChunk(value, size));
     assert.ok(jsonLength(value) > 2048 && jsonLength(compact) <= 2048, `${jsonLength(value)}, ${jsonLength(compact)}`);
-    const elsewhere: Slot = { ...(placed(5) as object), site: 'elsewhere' } as Slot;
-    const changed = withSlot(withSlot(copy, size, 5, elsewhere), size, 6, { kind: 'done' });
+    const elsewhere: TaskPlacement = { ...(placed(5) as object), zone: 'elsewhere' } as TaskPlacement;
+    const changed = withPlacement(withPlacement(copy, size, 5, elsewhere), size, 6, { kind: 'done' });
     assert.equal(jsonLength(changed), JSON.stringify(changed).length);
     assert.deepEqual(decodeChunk(JSON.parse(JSON.stringify(changed)), size)[5], elsewhere);
     assert.deepEqual(decodeChunk(JSON.parse(JSON.stringify(changed)), size)[7], placed(7));
@@ -104,7 +102,7 @@
 
   it('is written in its compact form where it is too large, once all controllers read that', () => {
     const value = whole(64);
-    const key = chunkKey('j-000001', 0);
+    const key = placementChunkKey('j-000001', 0);
     let isComplete = false;
     const resize = recordSizer(2048, () => isComplete);
     assert.equal(resize(key, value), value);
@@ -124,7 +122,7 @@
     assert.equal(resize(key, job), job);
     const withdrawn = resize(key, { ...job, phase: 'withdrawn' }) as JobRecord;
     assert.ok(jsonLength(withdrawn) <= 2048);
-    assert.equal(decodeJob(withdrawn).spec.Shards, 1);
+    assert.equal(decodeJobRecord(withdrawn).spec.taskCount, 1);
   });
 });
 
--- a/test/reports.test.ts
+++ b/test/reports.test.ts
@@ -2,7 +2,7 @@
 import { afterEach, describe, it } from 'node:test';
 import { Cluster } from '../src/testing/cluster.js';
 import { jobOf } from '../src/testing/fixtures.js';
-import { decodeReport } from '../src/workers/report.js';
+import { decodeWorkerStatus } from '../src/workers/worker-wire-codec.js';
 import { Worker } from '../src/workers/worker.js';
 
 let cluster: Cluster;
@@ -11,32 +11,33 @@
 async function ready(nodes: number, machines: number): Promise<Cluster> {
   cluster = new Cluster({ nodes });
   for (let index = 0; index < machines; index++) {
-    cluster.addWorker({ host: `i-00000${index}`, site: ['a', 'b', 'c'][index % 3]!, runMs: 5000 });
+    cluster.addWorker({ machineId: `i-00000${index}`, zone: ['a', 'b', 'c'][index % 3]!, runMs: 5000 });
   }
   await cluster.advance(6000);
   return cluster;
 }
 
 const service = { Ref: 'j-svc', Shape: 'service', Rank: 'prod', GuessS: 0, Shards: 1 };
-const where = (name: string) => cluster.runs(name).at(-1)!.host;
-const ownerOf = (host: string) => Number(cluster.node(0).claims.ownerOf(cluster.node(0).owner.roleOf(host))!.slice(1));
-const isOpen = (node: number, host: string) => {
-  const machine = cluster.node(node).fleet.get(host);
-  return machine !== undefined && cluster.node(node).fleet.isOpen(machine);
+const where = (name: string) => cluster.runs(name).at(-1)!.machineId;
+const ownerOf = (machineId: string) =>
+  Number(cluster.node(0).leadership.leaderOf(cluster.node(0).workerManager.roleOf(machineId))!.slice(1));
+const isOpen = (node: number, machineId: string) => {
+  const machine = cluster.node(node).inventory.get(machineId);
+  return machine !== undefined && cluster.node(node).inventory.isOpen(machine);
 };
 
 describe('a machine that no answer reaches', () => {
   it('gets no new work, and its service comes up elsewhere once its lease has run out', async () => {
     await ready(3, 4);
     await cluster.submit(service);
-    const host = where('j-svc/0');
+    const machineId = where('j-svc/0');
     cluster.remember();
     const since = cluster.clock.now();
-    cluster.deaf.add(host);
+    cluster.deaf.add(machineId);
     await cluster.advance(12_000);
-    for (const node of [0, 1, 2]) assert.equal(isOpen(node, host), false);
+    for (const node of [0, 1, 2]) assert.equal(isOpen(node, machineId), false);
     await cluster.advance(8000);
-    assert.ok(cluster.cloud.returned.includes(host));
+    assert.ok(cluster.cloud.returned.includes(machineId));
     const runs = cluster.runs('j-svc/0');
     assert.equal(runs.length, 2);
     assert.ok(runs[1]!.from - since < 16_000, `${runs[1]!.from - since} ms`);
@@ -58,17 +59,17 @@
   it('is no late copy, and its worker counts as reached', async () => {
     await ready(1, 1);
     const known = new Worker('i-000000');
-    const report = decodeReport(cluster.workers.get('i-000000')!.report())!;
-    known.take({ ...report, tick: report.tick + 5 }, 100, false);
-    assert.equal(known.isLate(report), false);
-    known.noteAnswer(report, 1, undefined, 2250, 100);
-    assert.equal(known.isLate(report), true);
+    const workerStatus = decodeWorkerStatus(cluster.workers.get('i-000000')!.report())!;
+    known.applyStatus({ ...workerStatus, sequence: workerStatus.sequence + 5 }, 100, false);
+    assert.equal(known.isLate(workerStatus), false);
+    known.noteAnswer(workerStatus, 1, undefined, 2250, 100);
+    assert.equal(known.isLate(workerStatus), true);
     for (let n = 1; n <= 5; n++) {
       // Every report crosses a command's answer; the worker is with this node and in time all the same.
-      const next = { ...report, tick: report.tick + n, fence: 1 };
+      const next = { ...workerStatus, sequence: workerStatus.sequence + n, fencingToken: 1 };
       assert.equal(known.isLate(next), false);
       known.noteAnswer(next, 1, undefined, 2250, 100 + n * 1000);
-      known.take({ ...next, tick: next.tick + 50 }, 100 + n * 1000, false);
+      known.applyStatus({ ...next, sequence: next.sequence + 50 }, 100 + n * 1000, false);
       assert.equal(known.isReached, true);
     }
   });
@@ -78,11 +79,13 @@
   it('judges no run that it has not seen start: the rest of it would make all later ones seem long', async () => {
     await ready(1, 1);
     const known = new Worker('i-000000');
-    const report = decodeReport(cluster.workers.get('i-000000')!.report())!;
+    const workerStatus = decodeWorkerStatus(cluster.workers.get('i-000000')!.report())!;
     const running = (...names: string[]) =>
-      new Map(names.map((name) => [name, { attempt: 1, phase: 'running' as const, cause: null, saved: false }]));
-    known.take({ ...report, tick: 1, tasks: running('j-1/0') }, 1000, true);
-    known.take({ ...report, tick: 2, tasks: running('j-1/0', 'j-1/1') }, 2000, true);
+      new Map(
+        names.map((name) => [name, { attempt: 1, state: 'running' as const, exitReason: null, isCheckpointed: false }]),
+      );
+    known.applyStatus({ ...workerStatus, sequence: 1, tasks: running('j-1/0') }, 1000, true);
+    known.applyStatus({ ...workerStatus, sequence: 2, tasks: running('j-1/0', 'j-1/1') }, 2000, true);
     assert.deepEqual([...known.runningSince], [['j-1/1#1', 2000]]);
   });
 });
@@ -91,17 +94,17 @@
   it('is no sign of life: the machine is given back as soon as without it', async () => {
     await ready(3, 4);
     await cluster.submit(service);
-    const host = where('j-svc/0');
-    const copy = cluster.workers.get(host)!.report();
+    const machineId = where('j-svc/0');
+    const copy = cluster.workers.get(machineId)!.report();
     await cluster.advance(2000);
     cluster.remember();
-    cluster.cut.add(host);
+    cluster.cut.add(machineId);
     for (let second = 0; second < 12; second++) {
       // Wherever it comes: at its owner, and at nodes that would take it for a worker cut off from its owner.
       for (const node of [0, 1, 2]) void cluster.node(node).hello(JSON.parse(JSON.stringify(copy)));
       await cluster.advance(1000);
     }
-    assert.ok(cluster.cloud.returned.includes(host));
+    assert.ok(cluster.cloud.returned.includes(machineId));
     assert.equal(cluster.runs('j-svc/0').length, 2);
     assert.equal(cluster.overlaps('j-svc/0'), 0);
   });
@@ -115,7 +118,7 @@
     for (const node of [0, 1, 2]) {
       void cluster.node(node).hello(JSON.parse(JSON.stringify(copy)));
       assert.equal(isOpen(node, 'i-000001'), false);
-      assert.equal(cluster.node(node).owner.workers.has('i-000001'), false);
+      assert.equal(cluster.node(node).workerManager.workers.has('i-000001'), false);
     }
   });
 
@@ -176,18 +179,18 @@
 describe('a zone that is cut off', () => {
   it('keeps its machines, its tasks start elsewhere when the leases are over, and its machines are used again', async () => {
     await ready(3, 9);
-    const inZone = [...cluster.workers.values()].filter((worker) => worker.options.site === 'b');
+    const inZone = [...cluster.workers.values()].filter((worker) => worker.options.zone === 'b');
     await cluster.submit({ ...service, Shards: 4, Spread: true });
-    for (const { options } of inZone) cluster.cut.add(options.host);
+    for (const { options } of inZone) cluster.cut.add(options.machineId);
     await cluster.advance(14_000);
     const cutOff = [0, 1, 2, 3].filter((n) => cluster.runs(`j-svc/${n}`).length > 1);
-    for (const n of cutOff) assert.notEqual(cluster.workers.get(where(`j-svc/${n}`))!.options.site, 'b');
+    for (const n of cutOff) assert.notEqual(cluster.workers.get(where(`j-svc/${n}`))!.options.zone, 'b');
     assert.ok(cutOff.length > 0);
     for (let n = 0; n < 4; n++) assert.equal(cluster.overlaps(`j-svc/${n}`), 0);
     assert.deepEqual(cluster.cloud.returned, []);
-    for (const { options } of inZone) cluster.cut.delete(options.host);
+    for (const { options } of inZone) cluster.cut.delete(options.machineId);
     await cluster.advance(5000);
-    for (const { options } of inZone) assert.ok(isOpen(ownerOf(options.host), options.host));
+    for (const { options } of inZone) assert.ok(isOpen(ownerOf(options.machineId), options.machineId));
   });
 });
 
@@ -197,10 +200,10 @@
     for (const from of [0, 1, 2]) for (const to of [0, 1, 2]) cluster.parted.add(`n${from}>n${to}`);
     await cluster.advance(20_000);
     for (const node of [0, 1, 2]) {
-      for (const host of cluster.workers.keys()) assert.ok(isOpen(node, host), `${host} at n${node}`);
+      for (const machineId of cluster.workers.keys()) assert.ok(isOpen(node, machineId), `${machineId} at n${node}`);
     }
     await cluster.submit({ ...service, Shards: 6, Spread: true });
-    const hosts = new Set([0, 1, 2, 3, 4, 5].map((n) => where(`j-svc/${n}`)));
-    assert.equal(hosts.size, 6);
+    const machineIds = new Set([0, 1, 2, 3, 4, 5].map((n) => where(`j-svc/${n}`)));
+    assert.equal(machineIds.size, 6);
   });
 });
--- a/test/single-execution.test.ts
+++ b/test/single-execution.test.ts
@@ -22,11 +22,11 @@
  */
 const longJob = (n: number) => ({ Ref: `j-svc-${n}`, Shards: 1, Cpus: 3, OneZone: true });
 
-const partitionOf = (host: string) => cluster.node(0).claims.partitionOf(host);
-const ownerOf = (role: string) => Number(cluster.node(0).claims.ownerOf(role)!.slice(1));
+const partitionOf = (machineId: string) => cluster.node(0).leadership.partitionOf(machineId);
+const ownerOf = (role: string) => Number(cluster.node(0).leadership.leaderOf(role)!.slice(1));
 
-const reportsTo = (address: string, host: string) =>
-  cluster.network.log.filter(({ from, to }) => from === host && to === address).length;
+const reportsTo = (address: string, machineId: string) =>
+  cluster.network.log.filter(({ from, to }) => from === machineId && to === address).length;
 
 const until = (condition: () => boolean, ms = 10_000) => cluster.until(condition, ms);
 
@@ -34,7 +34,7 @@
 async function settled(machines: number, options: ClusterOptions = { nodes: 3 }): Promise<void> {
   cluster = new Cluster(options);
   for (let index = 0; index < machines; index++) {
-    cluster.addWorker({ host: `i-0000${String(index).padStart(2, '0')}`, site: ['a', 'b', 'c'][index % 3]! });
+    cluster.addWorker({ machineId: `i-0000${String(index).padStart(2, '0')}`, zone: ['a', 'b', 'c'][index % 3]! });
   }
   await cluster.advance(READY_MS);
   cluster.network.fault(CLOUD_OUTAGE);
@@ -42,8 +42,8 @@
 }
 
 /** The cloud says that it will take these machines, so that nothing more is placed there. */
-async function closeToNewWork(hosts: readonly string[]): Promise<void> {
-  for (const host of hosts) cluster.workers.get(host)!.warningS = 1000;
+async function closeToNewWork(machineIds: readonly string[]): Promise<void> {
+  for (const machineId of machineIds) cluster.workers.get(machineId)!.warningS = 1000;
   await cluster.advance(1000);
 }
 
@@ -51,20 +51,22 @@
   ((body as { Apply?: Record<string, unknown>[] }).Apply ?? []).some((write) => write[verb] === `live/claim/${role}`);
 
 /** Long tasks run on all machines, those of one partition are closed to new work. Returns the latter and their owner. */
-async function tasksOnOnePartition(): Promise<{ role: string; hosts: string[]; owner: number }> {
+async function tasksOnOnePartition(): Promise<{ role: string; machineIds: string[]; owner: number }> {
   await settled(9, { nodes: 3, teams: [{ name: 'red' }] });
   for (let n = 0; n < 9; n++) await cluster.submit(longJob(n), n % 3);
-  const hosts = [...cluster.workers.keys()].filter((host) => partitionOf(host) === partitionOf('i-000000'));
+  const machineIds = [...cluster.workers.keys()].filter(
+    (machineId) => partitionOf(machineId) === partitionOf('i-000000'),
+  );
   const role = `part-${partitionOf('i-000000')}`;
-  return { role, hosts, owner: ownerOf(role) };
+  return { role, machineIds, owner: ownerOf(role) };
 }
 
 describe('a controller that does not see its own claim for a moment', () => {
   it('frees no task whose worker reports a little later, when a raised token comes by the watch before its answer', async () => {
-    const { role, hosts, owner } = await tasksOnOnePartition();
-    const isBusy = (host: string) => cluster.workers.get(host)!.tasks.size > 0;
-    const commanded = hosts.find((host) => !isBusy(host))!;
-    const others = hosts.filter(isBusy);
+    const { role, machineIds, owner } = await tasksOnOnePartition();
+    const isBusy = (machineId: string) => cluster.workers.get(machineId)!.tasks.size > 0;
+    const commanded = machineIds.find((machineId) => !isBusy(machineId))!;
+    const others = machineIds.filter(isBusy);
     // A start on one machine stays without an answer, and its job is cancelled: the token is raised to shut the start out.
     cluster.mute.add(commanded);
     cluster.network.fault({ to: `${commanded}:9000`, kind: 'hold' });
@@ -80,17 +82,17 @@
     await cluster.advance(600);
     // The other workers of the partition do not get through for less than a lease: they and their tasks live on.
     await closeToNewWork(others);
-    for (const host of others) cluster.mute.add(host);
+    for (const machineId of others) cluster.mute.add(machineId);
     for (let n = 0; n < 9; n++) void cluster.cancel(`j-once-${n}`, n % 3);
     await cluster.advance(6000);
-    for (const host of others) cluster.mute.delete(host);
+    for (const machineId of others) cluster.mute.delete(machineId);
     await cluster.advance(15_000);
     assert.equal(ownerOf(role), owner, 'the partition has not changed hands');
   });
 
   it('frees no task whose worker reports a little later, when it keeps a partition that it could not hand over', async () => {
-    const { role, hosts, owner } = await tasksOnOnePartition();
-    await closeToNewWork(hosts);
+    const { role, machineIds, owner } = await tasksOnOnePartition();
+    await closeToNewWork(machineIds);
     const heal = cluster.network.fault({
       from: `n${owner}`,
       to: 'store:1',
@@ -99,11 +101,11 @@
       kind: 'status',
       status: 429,
     });
-    void cluster.node(owner).claims.cede(role, 'for the scenario', 15_000);
-    for (const host of hosts) cluster.mute.add(host);
+    void cluster.node(owner).leadership.release(role, 'for the scenario', 15_000);
+    for (const machineId of machineIds) cluster.mute.add(machineId);
     await cluster.advance(6000);
     heal();
-    for (const host of hosts) cluster.mute.delete(host);
+    for (const machineId of machineIds) cluster.mute.delete(machineId);
     await cluster.advance(15_000);
   });
 });
@@ -111,17 +113,17 @@
 describe('a controller that passes reports on and is back within a second', () => {
   it('gives no worker the answer that its former life asked for another one', async () => {
     cluster = new Cluster({ nodes: 2 });
-    const hosts = Array.from({ length: 12 }, (_, index) => `i-0000${String(index).padStart(2, '0')}`)
-      .filter((host) => partitionOf(host) === 0)
+    const machineIds = Array.from({ length: 12 }, (_, index) => `i-0000${String(index).padStart(2, '0')}`)
+      .filter((machineId) => partitionOf(machineId) === 0)
       .slice(0, 2);
-    const [first, second] = hosts as [string, string];
-    for (const host of hosts) cluster.addWorker({ host });
+    const [first, second] = machineIds as [string, string];
+    for (const machineId of machineIds) cluster.addWorker({ machineId });
     await cluster.advance(READY_MS);
     assert.equal(ownerOf('part-0'), 0);
     // Neither of the two reaches its owner, nor the owner them; one of them has been given a task.
-    for (const host of hosts) {
-      cluster.network.fault({ from: host, to: 'n0:8080', kind: 'refuse' });
-      cluster.network.fault({ from: 'n0', to: `${host}:9000`, kind: 'refuse' });
+    for (const machineId of machineIds) {
+      cluster.network.fault({ from: machineId, to: 'n0:8080', kind: 'refuse' });
+      cluster.network.fault({ from: 'n0', to: `${machineId}:9000`, kind: 'refuse' });
     }
     await closeToNewWork([second]);
     const release = cluster.network.cut({ from: 'n1', to: 'n0' });
@@ -139,6 +141,6 @@
     cluster.mute.add(second);
     blocked();
     await cluster.advance(6000);
-    assert.equal(cluster.runs('j-svc-0/0').at(-1)!.host, first);
+    assert.equal(cluster.runs('j-svc-0/0').at(-1)!.machineId, first);
   });
 });
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -2,12 +2,13 @@
 import { afterEach, describe, it } from 'node:test';
 import { Random } from '../src/net/random.js';
 import { Priority, TokenBucket } from '../src/net/token-bucket.js';
-import type { StateClient, TxnResult } from '../src/state/client.js';
-import { Committer } from '../src/state/committer.js';
+import type { StoreClient } from '../src/state/client.js';
+import type { TransactionResult } from '../src/state/wire-codec.js';
+import { TransactionBatcher } from '../src/state/committer.js';
 import { Replica } from '../src/state/replica.js';
 import { Cluster } from '../src/testing/cluster.js';
 import { FakeClock } from '../src/testing/fake-clock.js';
-import { anyTxnLimits } from '../src/testing/fixtures.js';
+import { anyTransactionLimits } from '../src/testing/fixtures.js';
 
 let cluster: Cluster | undefined;
 afterEach(() => {
@@ -19,8 +20,8 @@
 async function ready(nodes: number, machines: number): Promise<Cluster> {
   cluster = new Cluster({ nodes, teams: [{ name: 'red' }] });
   for (let index = 0; index < machines; index++) {
-    const host = `i-${String(index).padStart(6, '0')}`;
-    cluster.addWorker({ host, site: ['a', 'b', 'c'][index % 3]!, runMs: 5000 });
+    const machineId = `i-${String(index).padStart(6, '0')}`;
+    cluster.addWorker({ machineId, zone: ['a', 'b', 'c'][index % 3]!, runMs: 5000 });
   }
   await cluster.advance(6000);
   return cluster;
@@ -55,13 +56,13 @@
 
   it('a burst of starts and exits shares changes of the store', async () => {
     await ready(3, 60);
-    const before = cluster!.store.epoch;
+    const before = cluster!.store.revision;
     await cluster!.submit({ Ref: 'j-many', Shards: 200, MemGb: 1 });
     await cluster!.advance(12_000);
     assert.equal((await cluster!.poll('j-many')).status, 200);
-    const runs = Array.from({ length: 200 }, (_, shard) => cluster!.runs(`j-many/${shard}`).length);
+    const runs = Array.from({ length: 200 }, (_, taskIndex) => cluster!.runs(`j-many/${taskIndex}`).length);
     assert.ok(runs.every((count) => count === 1));
-    const used = cluster!.store.epoch - before;
+    const used = cluster!.store.revision - before;
     assert.ok(used < 60, `${used} transactions for 200 tasks started and finished`);
   });
 });
@@ -69,7 +70,7 @@
 describe('under a stream of small jobs that takes all room', () => {
   it('the largest array, and one of the lowest rank, begin within four minutes', async () => {
     cluster = new Cluster({ nodes: 1, teams: [{ name: 'red' }] });
-    cluster.addWorker({ host: 'i-000001', runMs: 4000 });
+    cluster.addWorker({ machineId: 'i-000001', runMs: 4000 });
     cluster.cloud.full.add('a').add('b').add('c');
     await cluster.advance(4000);
     const small = (n: number) => cluster!.submit({ Ref: `j-small${n}`, Shards: 6, GuessS: 4 });
@@ -77,9 +78,9 @@
     await cluster.submit({ Ref: 'j-largest', Shards: 300, GuessS: 60 });
     await cluster.submit({ Ref: 'j-lowest', Shards: 2, Rank: 'low', GuessS: 4 });
     for (let n = 4; n < 70; n++) await small(n);
-    for (const ref of ['j-largest', 'j-lowest']) {
-      const begun = [0, 1, 2, 3].flatMap((shard) => cluster!.runs(`${ref}/${shard}`));
-      assert.ok(begun.length > 0, `${ref} has not begun`);
+    for (const jobId of ['j-largest', 'j-lowest']) {
+      const begun = [0, 1, 2, 3].flatMap((taskIndex) => cluster!.runs(`${jobId}/${taskIndex}`));
+      assert.ok(begun.length > 0, `${jobId} has not begun`);
       assert.ok(Math.min(...begun.map((run) => run.from)) > 100_000, 'the small ones go first for a while');
     }
   });
@@ -96,21 +97,21 @@
     });
     await cluster!.advance(1000);
     assert.equal((await answer).status, 201);
-    for (const shard of [0, 1, 2]) assert.equal(cluster!.runs(`j-svc/${shard}`).length, 1);
+    for (const taskIndex of [0, 1, 2]) assert.equal(cluster!.runs(`j-svc/${taskIndex}`).length, 1);
   });
 });
 
 describe('news of a record', () => {
   it('older than what the copy is complete beyond brings nothing back', async () => {
     const clock = new FakeClock();
-    const page = { rows: [{ key: 'live/b', value: 1, stamp: 7 }], more: false, epoch: 9 };
-    const replica = new Replica({ list: () => Promise.resolve(page) } as unknown as StateClient, 'live/', clock);
+    const page = { rows: [{ key: 'live/b', value: 1, modRevision: 7 }], more: false, revision: 9 };
+    const replica = new Replica({ list: () => Promise.resolve(page) } as unknown as StoreClient, 'live/', clock);
     await replica.load();
     // Dropped at 8, as far as the store says; a peer's word of 5 was held back by a cut.
-    replica.hear({ key: 'live/a', value: 1, stamp: 5 });
-    assert.equal(replica.get('live/a').stamp, 0);
-    replica.hear({ key: 'live/a', value: 2, stamp: 12 });
-    assert.equal(replica.get('live/a').stamp, 12);
+    replica.applyFromPeer({ key: 'live/a', value: 1, modRevision: 5 });
+    assert.equal(replica.get('live/a').modRevision, 0);
+    replica.applyFromPeer({ key: 'live/a', value: 2, modRevision: 12 });
+    assert.equal(replica.get('live/a').modRevision, 12);
   });
 });
 
@@ -136,7 +137,7 @@
     await clock.advance(1);
     assert.ok(batch > 0 && batch < 10, `${batch} of a burst of 10`);
     let urgent = false;
-    void calm.take(1, Priority.hold).then(() => (urgent = true));
+    void calm.take(1, Priority.lease).then(() => (urgent = true));
     await clock.advance(1);
     assert.ok(urgent);
   });
@@ -187,16 +188,16 @@
 describe('a long queue', () => {
   it('costs work in proportion to its length', async () => {
     const clock = new FakeClock();
-    let epoch = 0;
-    const txn = (): Promise<TxnResult> => Promise.resolve({ kind: 'done', epoch: ++epoch });
-    const client = { txn } as unknown as StateClient;
+    let revision = 0;
+    const transact = (): Promise<TransactionResult> => Promise.resolve({ kind: 'done', revision: ++revision });
+    const client = { transact } as unknown as StoreClient;
     const replica = new Replica(client, 'live/', clock);
-    const limits = anyTxnLimits();
-    const committer = new Committer(client, replica, limits, 'live/', clock, new Random(1));
+    const limits = anyTransactionLimits();
+    const transactions = new TransactionBatcher(client, replica, limits, 'live/', clock, new Random(1));
     let decided = 0;
     const intents = 1200;
     const done = Array.from({ length: intents }, (_, n) =>
-      committer.commit('start', Priority.background, (draft) => {
+      transactions.commit('start', Priority.background, (draft) => {
         decided++;
         draft.set(`live/${n}`, { n });
         return true;
@@ -204,7 +205,7 @@
     );
     await clock.advance(500);
     assert.ok((await Promise.all(done)).every((outcome) => outcome.kind === 'done'));
-    assert.equal(epoch, intents / 12);
+    assert.equal(revision, intents / 12);
     assert.ok(decided < intents * 1.5, `${decided} decisions for ${intents} intents`);
   });
 });
@@ -213,16 +214,16 @@
   it('stays small, since the store refuses large ones while small ones use up its rate; a gang still starts whole', async () => {
     const clock = new FakeClock();
     const sizes: number[] = [];
-    const txn = (_: unknown, writes: unknown[]): Promise<TxnResult> => {
+    const transact = (_: unknown, writes: unknown[]): Promise<TransactionResult> => {
       sizes.push(writes.length);
-      return Promise.resolve({ kind: 'done', epoch: sizes.length });
+      return Promise.resolve({ kind: 'done', revision: sizes.length });
     };
-    const client = { txn } as unknown as StateClient;
+    const client = { transact } as unknown as StoreClient;
     const replica = new Replica(client, 'live/', clock);
-    const limits = anyTxnLimits({ batchOps: 4 });
-    const committer = new Committer(client, replica, limits, 'live/', clock, new Random(1));
+    const limits = anyTransactionLimits({ batchOps: 4 });
+    const transactions = new TransactionBatcher(client, replica, limits, 'live/', clock, new Random(1));
     const put = (name: string, keys: number) =>
-      committer.commit(name, Priority.start, (draft) => {
+      transactions.commit(name, Priority.start, (draft) => {
         for (let n = 0; n < keys; n++) draft.set(`live/${name}/${n}`, { n });
         return true;
       });
--- a/test/standby-schedules.test.ts
+++ b/test/standby-schedules.test.ts
@@ -58,7 +58,8 @@
     bootMs: 3000,
     runMs: 4000,
   });
-  for (let n = 0; n < 5; n++) cluster.addWorker({ host: `i-00000${n}`, site: ['a', 'b', 'c'][n % 3]!, runMs: 4000 });
+  for (let n = 0; n < 5; n++)
+    cluster.addWorker({ machineId: `i-00000${n}`, zone: ['a', 'b', 'c'][n % 3]!, runMs: 4000 });
   await cluster.advance(7000);
   for (let at = 0; at < SPELL_MS; at += 2000) {
     cluster.clock.after(at, () => {
--- a/test/standby-stream.test.ts
+++ b/test/standby-stream.test.ts
@@ -16,7 +16,7 @@
 
 async function ready(options: ClusterOptions = {}): Promise<void> {
   cluster = new Cluster({ nodes: 3, teams: [{ name: 'red' }], standby: ON, ...options });
-  for (let n = 0; n < 6; n++) cluster.addWorker({ host: `i-00000${n}`, site: ['a', 'b', 'c'][n % 3]! });
+  for (let n = 0; n < 6; n++) cluster.addWorker({ machineId: `i-00000${n}`, zone: ['a', 'b', 'c'][n % 3]! });
   await cluster.advance(8000);
 }
 
@@ -36,7 +36,7 @@
 
 const leaderAfter = async (former: number): Promise<number> => {
   await cluster.until(() => cluster.leader() !== undefined && cluster.leader() !== former, 8000);
-  await cluster.until(() => cluster.node(cluster.leader()!).claims.isLeader, 2000);
+  await cluster.until(() => cluster.node(cluster.leader()!).leadership.isLeader, 2000);
   return cluster.leader()!;
 };
 
@@ -48,14 +48,14 @@
     await cluster.advance(12_000);
     memory.restoreRefusal(OFFER, cluster.clock.now());
     await cluster.advance(2000);
-    const idle = new Map([...memory.idle()].map(({ host, at }) => [host, at]));
+    const idle = new Map([...memory.idle()].map(({ machineId, at }) => [machineId, at]));
     assert.equal(idle.size, 6);
     cluster.crash(leader);
     const successor = cluster.node(await leaderAfter(leader)).leader.memory;
     assert.ok([...successor.refused()].some(({ offer }) => offer === OFFER));
     const taken = [...successor.idle()];
     assert.equal(taken.length, 6);
-    for (const { host, at } of taken) assert.ok(Math.abs(at - idle.get(host)!) <= MAX_LAG_MS, host);
+    for (const { machineId, at } of taken) assert.ok(Math.abs(at - idle.get(machineId)!) <= MAX_LAG_MS, machineId);
   });
 
   it('tells the successor of a planned handover which attempts were just asked to stop', async () => {
@@ -101,9 +101,9 @@
   it('are known to the successor of their partition', async () => {
     await ready();
     await cluster.submit({ Ref: 'j-svc', Shape: 'service', Rank: 'prod', GuessS: 0, Shards: 3 });
-    const place = cluster.runs('j-svc/0')[0]!.host;
-    const role = cluster.anyNode().owner.roleOf(place);
-    const owner = Number(cluster.anyNode().claims.ownerOf(role)!.slice(1));
+    const place = cluster.runs('j-svc/0')[0]!.machineId;
+    const role = cluster.anyNode().workerManager.roleOf(place);
+    const owner = Number(cluster.anyNode().leadership.leaderOf(role)!.slice(1));
     const { happiness } = cluster.node(owner);
     for (let n = 0; n < 6; n++) happiness.note('j-svc/0', false, cluster.clock.now());
     const before = happiness.of('j-svc/0', cluster.clock.now())!;
@@ -111,7 +111,7 @@
     await cluster.advance(2500);
     cluster.crash(owner);
     const others = NODES.filter((node) => node !== owner);
-    const taker = () => others.find((node) => cluster.node(node).claims.holding(role) !== undefined);
+    const taker = () => others.find((node) => cluster.node(node).leadership.leadershipOf(role) !== undefined);
     await cluster.until(() => taker() !== undefined, 6000);
     await cluster.advance(600);
     const known = cluster.node(taker()!).happiness.of('j-svc/0', cluster.clock.now());
@@ -139,11 +139,11 @@
 
 describe('messages of the stream', () => {
   it('are read as they were written, and begin like no other message', () => {
-    const echo = { life: 4, clock: 5.5 };
+    const echo = { incarnation: 4, clock: 5.5 };
     const entry = { kind: 'health' as const, name: 'j-1/0', ageMs: 7, healthy: 8, unhealthy: 9, isRemoved: false };
     const batch = {
       node: 'n0',
-      life: 1,
+      incarnation: 1,
       after: 2,
       upTo: 3,
       isSnapshot: false,
@@ -152,13 +152,13 @@
       echo,
       entries: [entry],
     };
-    const follow = { node: 'n1', life: 4, clock: 5.5, followedLife: 1, upTo: 3 };
+    const follow = { node: 'n1', incarnation: 4, clock: 5.5, followedIncarnation: 1, upTo: 3 };
     for (const stream of [{ batch }, { follow }]) {
       const bytes = encodeMessage({ stream });
       assert.deepEqual(JSON.parse(JSON.stringify(decodeMessage(bytes))), { stream });
       assert.equal(bytes[0], 0xff);
     }
-    assert.notEqual(encodeMessage({ relay: { node: 'n0', id: 1, report: '' } })[0], 0xff);
+    assert.notEqual(encodeMessage({ relay: { node: 'n0', id: 1, status: '' } })[0], 0xff);
     assert.throws(() => decodeMessage(Buffer.from([0xff, 1, 2, 3])));
   });
 });
--- a/test/standby.test.ts
+++ b/test/standby.test.ts
@@ -14,7 +14,7 @@
 async function ready(options: ClusterOptions = {}, machines = 6): Promise<void> {
   cluster = new Cluster({ nodes: 3, teams: [{ name: 'red' }], standby: ON, ...options });
   for (let n = 0; n < machines; n++) {
-    cluster.addWorker({ host: `i-${String(n).padStart(6, '0')}`, site: ['a', 'b', 'c'][n % 3]!, runMs: 4000 });
+    cluster.addWorker({ machineId: `i-${String(n).padStart(6, '0')}`, zone: ['a', 'b', 'c'][n % 3]!, runMs: 4000 });
   }
   await cluster.advance(8000);
 }
@@ -51,7 +51,7 @@
   it('is claimed by its designated successor as soon as the hold is over, and by no other', async () => {
     await ready();
     const leader = cluster.leader()!;
-    const [one, two] = others(leader).map((node) => cluster.node(node).claims.succession.successorOf('leader'));
+    const [one, two] = others(leader).map((node) => cluster.node(node).leadership.succession.successorOf('leader'));
     assert.equal(one, two);
     cluster.crash(leader);
     await cluster.until(() => claimOf('leader')?.node !== `n${leader}`, 5000);
@@ -66,7 +66,7 @@
     await ready();
     const leader = cluster.leader()!;
     const successor = Number(
-      cluster.node(leader).claims.succession.successorOf('leader')?.slice(1) ?? others(leader)[0],
+      cluster.node(leader).leadership.succession.successorOf('leader')?.slice(1) ?? others(leader)[0],
     );
     const [third] = others(leader, successor);
     const lostAt = cluster.clock.now();
@@ -90,11 +90,11 @@
   it('has one holder though two nodes think themselves its successor', async () => {
     await ready();
     const leader = cluster.leader()!;
-    for (const node of others(leader)) cluster.node(node).claims.succession.successorOf = () => `n${node}`;
+    for (const node of others(leader)) cluster.node(node).leadership.succession.successorOf = () => `n${node}`;
     submitFor(9000);
     cluster.crash(leader);
     await cluster.advance(5000);
-    const leading = others(leader).filter((node) => cluster.node(node).claims.isLeader);
+    const leading = others(leader).filter((node) => cluster.node(node).leadership.isLeader);
     assert.equal(leading.length, 1);
     await assertServes();
   });
@@ -106,7 +106,7 @@
     const tokens: number[] = [];
     for (let round = 0; round < 10; round++) {
       const leader = cluster.leader()!;
-      tokens.push(cluster.store.rows.get('live/claim/leader')!.stamp);
+      tokens.push(cluster.store.rows.get('live/claim/leader')!.modRevision);
       cluster.crash(leader);
       await cluster.until(() => claimOf('leader') !== undefined && holderOf('leader') !== leader, 5000);
       await cluster.advance(3000);
@@ -171,11 +171,11 @@
     cluster.network.fault({ from: `n${node}`, to: 'store:1', kind: 'lose' });
     await cluster.advance(4001);
     const worker = [...cluster.workers.values()].find(
-      ({ options }) => cluster.node(node).owner.roleOf(options.host) === `part-${node}`,
+      ({ options }) => cluster.node(node).workerManager.roleOf(options.machineId) === `part-${node}`,
     )!;
     const answer = await cluster.node(node).hello(worker.report());
     assert.equal(answer.status, 503);
-    assert.deepEqual(cluster.node(node).claims.ownedPartitions(), []);
+    assert.deepEqual(cluster.node(node).leadership.ledPartitions(), []);
   });
 });
 
@@ -184,7 +184,7 @@
     await ready();
     submitFor(12_000);
     const leader = cluster.leader()!;
-    const successor = Number(cluster.node(others(leader)[0]!).claims.succession.successorOf('leader')!.slice(1));
+    const successor = Number(cluster.node(others(leader)[0]!).leadership.succession.successorOf('leader')!.slice(1));
     cluster.crash(leader);
     cluster.freezeAt(successor, {
       when: 'answered',
@@ -201,8 +201,8 @@
   it('decides nothing before its copy is complete up to its claim', async () => {
     await ready();
     const leader = cluster.leader()!;
-    const successor = Number(cluster.node(others(leader)[0]!).claims.succession.successorOf('leader')!.slice(1));
-    const { claims, replica } = cluster.node(successor);
+    const successor = Number(cluster.node(others(leader)[0]!).leadership.succession.successorOf('leader')!.slice(1));
+    const { leadership, replica } = cluster.node(successor);
     // The claim's answer comes long before the answer to the read that follows it.
     cluster.store.slowMs = 600;
     cluster.crash(leader);
@@ -210,10 +210,10 @@
     let waited = 0;
     for (let ms = 0; ms < 8000; ms += 20) {
       await cluster.advance(20);
-      const held = claims.holding('leader');
-      const isBehind = held !== undefined && replica.epoch < held.acquisition.stamp;
+      const held = leadership.leadershipOf('leader');
+      const isBehind = held !== undefined && replica.revision < held.term.startRevision;
       if (isBehind) waited++;
-      if (isBehind && claims.isLeader) decidedEarly.push(ms);
+      if (isBehind && leadership.isLeader) decidedEarly.push(ms);
     }
     cluster.store.slowMs = 0;
     assert.ok(waited > 0);
@@ -247,7 +247,7 @@
     await cluster.advance(5);
     // Also of roles that it does not hold: it is nobody's successor any more.
     const other = others(leader).at(0)!;
-    const named = NODES.map((node) => cluster.node(other).claims.succession.successorOf(`part-${node}`));
+    const named = NODES.map((node) => cluster.node(other).leadership.succession.successorOf(`part-${node}`));
     assert.ok(!named.includes(`n${leader}`));
     const roles = ['leader', `part-${leader}`];
     await cluster.until(() => roles.every((role) => claimOf(role) !== undefined && holderOf(role) !== leader), 1500);
--- a/test/standins.test.ts
+++ b/test/standins.test.ts
@@ -12,7 +12,7 @@
 
 function ready(options: ClusterOptions = {}, machines = 1, runMs = 5000): Cluster {
   cluster = new Cluster(options);
-  for (let n = 0; n < machines; n++) cluster.addWorker({ host: `i-${n}`, site: ['a', 'b', 'c'][n % 3]!, runMs });
+  for (let n = 0; n < machines; n++) cluster.addWorker({ machineId: `i-${n}`, zone: ['a', 'b', 'c'][n % 3]!, runMs });
   return cluster;
 }
 
@@ -25,14 +25,14 @@
 }
 
 const worker = (n: number) => cluster.workers.get(`i-${n}`)!;
-const launch = (n: number, shard: string, attempt = 1) => command(n, { Verb: 'launch', Shard: shard, Try: attempt });
-const command = (n: number, order: object, tenure = worker(n).tenure) =>
+const launch = (n: number, taskId: string, attempt = 1) => command(n, { Verb: 'launch', Shard: taskId, Try: attempt });
+const command = (n: number, order: object, agentEpoch = worker(n).agentEpoch) =>
   cluster.network
     .client('test')
-    .call(`i-${n}:9000`, 'POST', '/commands', { Fence: 5, Tenure: tenure, Orders: [order] }, { timeoutMs: 1500 })
+    .call(`i-${n}:9000`, 'POST', '/commands', { Fence: 5, Tenure: agentEpoch, Orders: [order] }, { timeoutMs: 1500 })
     .catch(() => undefined);
-const phase = (n: number, shard: string) => {
-  const task = worker(n).tasks.get(shard);
+const phase = (n: number, taskId: string) => {
+  const task = worker(n).tasks.get(taskId);
   return task === undefined ? undefined : task.Phase === 'exited' ? task.Cause : task.Phase;
 };
 
@@ -64,12 +64,12 @@
     worker(0).hang();
     void launch(0, 'j-000001/1');
     await cluster.advance(15_000);
-    assert.equal(worker(0).tenure, 1);
+    assert.equal(worker(0).agentEpoch, 1);
     // It can't go on with it after the lease, so from then on it is on no machine.
     assert.equal(worker(0).history[0]!.to! - worker(0).lastAnswered, 10_000);
     worker(0).goOn();
     await cluster.advance(10);
-    assert.equal(worker(0).tenure, 2);
+    assert.equal(worker(0).agentEpoch, 2);
     assert.equal(worker(0).tasks.size, 0);
     assert.equal(worker(0).history.length, 1);
   });
@@ -82,8 +82,14 @@
     cluster.mute.add('i-0');
     const { lastAnswered } = worker(0);
     void cluster.post(jobOf({}));
-    const fence = { Fence: worker(0).fence, Tenure: 1, Orders: [{ Verb: 'launch', Shard: 'j-000001/0', Try: 7 }] };
-    const answer = cluster.network.client('n0').call('i-0:9000', 'POST', '/commands', fence, { timeoutMs: 1500 });
+    const fencingToken = {
+      Fence: worker(0).fencingToken,
+      Tenure: 1,
+      Orders: [{ Verb: 'launch', Shard: 'j-000001/0', Try: 7 }],
+    };
+    const answer = cluster.network
+      .client('n0')
+      .call('i-0:9000', 'POST', '/commands', fencingToken, { timeoutMs: 1500 });
     await cluster.advance(3000);
     assert.equal((await answer).status, 200);
     assert.equal(worker(0).history.length, 1);
@@ -296,8 +302,8 @@
   it('save together if all are told in time', async () => {
     alone(2, 60_000, 60);
     void cluster.post(jobOf(gang));
-    const stop = (n: number, shard: string) =>
-      command(n, { Verb: 'kill', Shard: shard, Try: worker(n).tasks.get(shard)!.Try, WindDownS: 2 });
+    const stop = (n: number, taskId: string) =>
+      command(n, { Verb: 'kill', Shard: taskId, Try: worker(n).tasks.get(taskId)!.Try, WindDownS: 2 });
     for (const [attempt, both] of [true, false].entries()) {
       void launch(0, first, attempt);
       void launch(1, second, attempt);
@@ -317,7 +323,7 @@
   it('refuses what has no room, what is there with another attempt, and what nobody has submitted', async () => {
     alone();
     void cluster.post(jobOf({ Shards: 5 }));
-    for (const shard of [0, 1, 2, 3, 4]) void launch(0, `j-000001/${shard}`);
+    for (const taskIndex of [0, 1, 2, 3, 4]) void launch(0, `j-000001/${taskIndex}`);
     void launch(0, 'j-nobody/0');
     await cluster.advance(100);
     assert.equal(phase(0, 'j-000001/4'), 'no_room');
--- a/test/startup-snapshot.test.ts
+++ b/test/startup-snapshot.test.ts
@@ -17,12 +17,13 @@
 const settings = JSON.parse(readFileSync('.ci/settings.json', 'utf8')) as object;
 
 /** Listens as a peer controller, and hands over the number of each life that it hears of. */
-async function listenForLives(hear: (life: number) => void): Promise<Server> {
+async function listenForLives(hear: (incarnation: number) => void): Promise<Server> {
   const server = createServer((socket) => {
     const frames = new Frames(MAX_MESSAGE_BYTES);
     socket.on('error', () => socket.destroy());
     socket.on('data', (bytes) => {
-      for (const message of frames.push(bytes).map(decodeMessage)) if ('gossip' in message) hear(message.gossip.life);
+      for (const message of frames.push(bytes).map(decodeMessage))
+        if ('gossip' in message) hear(message.gossip.incarnation);
     });
   });
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
@@ -39,9 +40,9 @@
 
   /** Starts the deployed program; returns the number of its life, after which it has ended. */
   async function lifeOfProcess(): Promise<number> {
-    let hear: (life: number) => void = () => undefined;
+    let hear: (incarnation: number) => void = () => undefined;
     const heard = new Promise<number>((resolve) => (hear = resolve));
-    const peer = await listenForLives((life) => hear(life));
+    const peer = await listenForLives((incarnation) => hear(incarnation));
     const address = `127.0.0.1:${(peer.address() as AddressInfo).port}`;
     const file = join(folder, 'settings.json');
     const own = { bind: '127.0.0.1:0', mesh_addr: '127.0.0.1:0', outside: { cloud: NOWHERE, state: NOWHERE } };
--- a/test/store-outage.test.ts
+++ b/test/store-outage.test.ts
@@ -14,7 +14,7 @@
 async function ready(options: ClusterOptions = {}): Promise<void> {
   cluster = new Cluster({ nodes: 3, ...options });
   for (let index = 0; index < 9; index++) {
-    cluster.addWorker({ host: `i-00000${index}`, site: ['a', 'b', 'c'][index % 3]! });
+    cluster.addWorker({ machineId: `i-00000${index}`, zone: ['a', 'b', 'c'][index % 3]! });
   }
   await cluster.advance(5000);
 }
@@ -22,10 +22,14 @@
 /** A service whose task runs on a machine of n0's part: n0 is then the one to be refused. */
 async function runOnNode0(): Promise<string> {
   for (let n = 0; n < 8; n++) {
-    const ref = `j-svc${n}`;
-    await cluster.submit({ ...service, Ref: ref });
-    const host = cluster.runs(`${ref}/0`)[0]?.host;
-    if (host !== undefined && cluster.node(0).claims.ownerOf(cluster.node(0).owner.roleOf(host)) === 'n0') return ref;
+    const jobId = `j-svc${n}`;
+    await cluster.submit({ ...service, Ref: jobId });
+    const machineId = cluster.runs(`${jobId}/0`)[0]?.machineId;
+    if (
+      machineId !== undefined &&
+      cluster.node(0).leadership.leaderOf(cluster.node(0).workerManager.roleOf(machineId)) === 'n0'
+    )
+      return jobId;
   }
   throw new Error('no task on a machine of n0');
 }
@@ -42,59 +46,59 @@
 }
 
 /** A service of a machine of n0's part; the store then refuses n0, and its peers are cut off from it. */
-async function isolateOwner(): Promise<{ ref: string; reconnect: () => void }> {
+async function isolateOwner(): Promise<{ jobId: string; reconnect: () => void }> {
   await ready();
-  const ref = await runOnNode0();
+  const jobId = await runOnNode0();
   cluster.store.refused.add('n0');
-  return { ref, reconnect: part('n0') };
+  return { jobId, reconnect: part('n0') };
 }
 
 /** Calls a job off through a node that is not the refused one; returns the steady ms of the confirmation. */
-async function callOff(ref: string, node: number): Promise<number> {
+async function callOff(jobId: string, node: number): Promise<number> {
   let at = NaN;
-  const asked = cluster.cancel(ref, node);
+  const asked = cluster.cancel(jobId, node);
   void asked.then(() => (at = cluster.clock.now()));
   const answer: Answer = await cluster.during(asked, 300);
-  assert.deepEqual(answer.body, { Ref: ref, Phase: 'withdrawn' });
+  assert.deepEqual(answer.body, { Ref: jobId, Phase: 'withdrawn' });
   return at;
 }
 
-const endOf = (ref: string): number => cluster.runs(`${ref}/0`)[0]!.to ?? Infinity;
+const endOf = (jobId: string): number => cluster.runs(`${jobId}/0`)[0]!.to ?? Infinity;
 
-function assertGoneInTime(ref: string, confirmedAt: number): void {
-  const late = endOf(ref) - confirmedAt - CANCEL_MS;
-  assert.ok(late <= 0, `${ref} was on its machine for ${late / 1000} s too long`);
-  assert.equal(cluster.runs(`${ref}/0`).length, 1, 'and never started again');
+function assertGoneInTime(jobId: string, confirmedAt: number): void {
+  const late = endOf(jobId) - confirmedAt - CANCEL_MS;
+  assert.ok(late <= 0, `${jobId} was on its machine for ${late / 1000} s too long`);
+  assert.equal(cluster.runs(`${jobId}/0`).length, 1, 'and never started again');
 }
 
 describe('the store refuses an owner alone, a peer confirms a cancellation, then the store is out for all', () => {
   for (const refusedMs of [200, 1000, 2000, 2700]) {
     it(`after ${refusedMs} ms: the tasks are gone in time, though the news was lost`, async () => {
-      const { ref, reconnect } = await isolateOwner();
+      const { jobId, reconnect } = await isolateOwner();
       await cluster.advance(refusedMs / 2);
-      const at = await callOff(ref, 1);
+      const at = await callOff(jobId, 1);
       await cluster.advance(Math.max(0, refusedMs / 2 - 300));
       cluster.store.out = true;
       reconnect();
       await cluster.advance(64_000);
-      assertGoneInTime(ref, at);
+      assertGoneInTime(jobId, at);
     });
   }
 
   it('and they are gone in time where the mesh stays cut, by the clock alone', async () => {
-    const { ref } = await isolateOwner();
-    const at = await callOff(ref, 1);
+    const { jobId } = await isolateOwner();
+    const at = await callOff(jobId, 1);
     cluster.store.out = true;
     await cluster.advance(64_000);
-    assertGoneInTime(ref, at);
+    assertGoneInTime(jobId, at);
   });
 
   it('and the word of a node that came back in the outage does not stand for what its former life confirmed', async () => {
-    const { ref, reconnect } = await isolateOwner();
+    const { jobId, reconnect } = await isolateOwner();
     // Nobody but n1 hears of it either.
     const alone = part('n1');
     const watch = cluster.network.fault({ from: 'n2', path: /^\/watch/, kind: 'lose' });
-    const at = await callOff(ref, 1);
+    const at = await callOff(jobId, 1);
     cluster.store.out = true;
     cluster.crash(1);
     watch();
@@ -102,12 +106,12 @@
     alone();
     reconnect();
     await cluster.advance(64_000);
-    assertGoneInTime(ref, at);
+    assertGoneInTime(jobId, at);
   });
 
   it('and what nobody called off lives through the outage, though the copies differed by seconds', async () => {
     await ready();
-    const ref = await runOnNode0();
+    const jobId = await runOnNode0();
     cluster.store.refused.add('n0');
     await cluster.advance(2700);
     cluster.store.out = true;
@@ -115,15 +119,15 @@
     cluster.store.refused.clear();
     cluster.store.endOutage();
     await cluster.advance(8000);
-    assert.equal(endOf(ref), Infinity);
-    assert.equal(cluster.runs(`${ref}/0`).length, 1);
+    assert.equal(endOf(jobId), Infinity);
+    assert.equal(cluster.runs(`${jobId}/0`).length, 1);
   });
 
   it('and tasks called off are stopped by whoever reaches the machine, without waiting for their owner', async () => {
-    const { ref } = await isolateOwner();
-    const at = await callOff(ref, 1);
+    const { jobId } = await isolateOwner();
+    const at = await callOff(jobId, 1);
     cluster.store.out = true;
     await cluster.advance(8000);
-    assert.ok(endOf(ref) - at < 8000, 'within seconds');
+    assert.ok(endOf(jobId) - at < 8000, 'within seconds');
   });
 });
--- a/test/team-accounting.test.ts
+++ b/test/team-accounting.test.ts
@@ -1,28 +1,34 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import type { Team } from '../src/config/settings.js';
-import { teamKey, type JobSpec, type TeamRecord } from '../src/ledger/records.js';
+import { teamKey } from '../src/ledger/record-keys.js';
+import type { TeamUsage } from '../src/ledger/records.js';
 import { TeamAccounting } from '../src/ledger/team-accounting.js';
-import { Draft } from '../src/state/draft.js';
-import { jobOf } from '../src/testing/fixtures.js';
+import { TransactionDraft } from '../src/state/draft.js';
+import { specOf } from '../src/testing/fixtures.js';
+import { encodeTeamUsage, decodeTeamUsage } from '../src/ledger/record-codecs.js';
 
 const team: Team = { name: 'red', cpus: 0, cpus_max: 20, gpus: 0, gpus_max: 0 };
-const spec = jobOf({ Cpus: 2 }) as JobSpec;
+const spec = specOf({ Cpus: 2 });
 const KEY = teamKey('red');
 /** The revision of the team's last change, and the one up to which the copy is complete. */
-const STAMP = 7;
+const REVISION = 7;
 
-function prepare({ recorded = 10, placed = 4, completeTo = STAMP, mayDefer = true } = {}) {
-  const record: TeamRecord = { cpus: recorded, cards: 0 };
-  const read = () => ({ value: record, stamp: STAMP });
+function prepare({ recorded = 10, placed = 4, completeTo = REVISION, mayDefer = true } = {}) {
+  const record: TeamUsage = { cpus: recorded, gpus: 0 };
+  const read = () => ({ value: encodeTeamUsage(record), modRevision: REVISION });
   const accounting = new TeamAccounting({
     teams: [team],
-    placedUse: (_, upTo) => (completeTo >= upTo ? { cpus: placed, cards: 0 } : undefined),
+    placedUse: (_, upTo) => (completeTo >= upTo ? { cpus: placed, gpus: 0 } : undefined),
     recordOf: read,
     mayDefer: () => mayDefer,
   });
-  const draft = new Draft(read);
-  return { accounting, draft, written: () => (draft.writes.get(KEY) as TeamRecord | undefined)?.cpus };
+  const draft = new TransactionDraft(read);
+  return {
+    accounting,
+    draft,
+    written: () => (draft.writes.has(KEY) ? decodeTeamUsage(draft.writes.get(KEY)).cpus : undefined),
+  };
 }
 
 describe("a team's record", () => {
@@ -31,11 +37,11 @@
     accounting.addStart(draft, team, spec);
     accounting.addStart(draft, team, spec);
     assert.equal(written(), 8);
-    assert.equal(draft.conditions.get(KEY), STAMP);
+    assert.equal(draft.conditions.get(KEY), REVISION);
   });
 
   it('is believed where the copy may lack a start that it counts', () => {
-    const { accounting, draft, written } = prepare({ completeTo: STAMP - 1 });
+    const { accounting, draft, written } = prepare({ completeTo: REVISION - 1 });
     accounting.addStart(draft, team, spec);
     assert.equal(written(), 12);
   });
@@ -64,6 +70,6 @@
     assert.ok(accounting.settle(draft, 'red'));
     assert.equal(written(), 4);
     assert.equal(prepare({ placed: 10 }).accounting.isOverstated('red'), false);
-    assert.equal(prepare({ completeTo: STAMP - 1 }).accounting.isOverstated('red'), false);
+    assert.equal(prepare({ completeTo: REVISION - 1 }).accounting.isOverstated('red'), false);
   });
 });
--- a/test/wire-format.test.ts
+++ b/test/wire-format.test.ts
@@ -73,7 +73,7 @@
 describe('the stored record', () => {
   it('of an array, a gang and a service, and of their places', async () => {
     begin();
-    cluster.addWorker({ host: 'i-000001' });
+    cluster.addWorker({ machineId: 'i-000001' });
     await cluster.advance(5000);
     const array = '"Shape":"array","Rank":"low","Shards":2,"Cpus":1';
     const gang = '"Shape":"ensemble","Rank":"high","Shards":2,"Cpus":1';
@@ -99,7 +99,7 @@
 
   it('of a job that waits, is released, is withdrawn, and of ended ones', async () => {
     begin();
-    cluster.addWorker({ host: 'i-000001', runMs: 20_000 });
+    cluster.addWorker({ machineId: 'i-000001', runMs: 20_000 });
     await cluster.advance(5000);
     await simple('j-a');
     const awaits = ',"Awaits":["j-a"]}';
@@ -128,8 +128,8 @@
 
   it('of places: queued, placed, to be stopped, failed, stopped, done', async () => {
     begin();
-    const machine = cluster.addWorker({ host: 'i-000001', fails: (shard) => shard.startsWith('j-bad') });
-    cluster.addWorker({ host: 'i-000002', site: 'b', runMs: 20_000 });
+    const machine = cluster.addWorker({ machineId: 'i-000001', fails: (shard) => shard.startsWith('j-bad') });
+    cluster.addWorker({ machineId: 'i-000002', zone: 'b', runMs: 20_000 });
     await cluster.advance(5000);
     const two = '"Shape":"array","Rank":"normal","Shards":2,"Cpus":2';
     await submit(submission('j-sn', two) + ',"SnapshotEveryS":5,"SnapshotS":2}');
@@ -164,13 +164,13 @@
 
   it('of a chunk that is too large for the store: its compact form', async () => {
     const zone = 'z'.repeat(190);
-    const flavors = [{ Sku: 'c8/x', Cpus: 8, MemGb: 64, Sites: [] }];
+    const machineTypes = [{ Sku: 'c8/x', Cpus: 8, MemGb: 64, Sites: [] }];
     const state = { rps: 500, write_rps: 200, value_kb: 1, txn_ops: 12 };
-    begin({ cluster: { zones: [zone], state }, locations: [zone], flavors });
+    begin({ cluster: { zones: [zone], state }, locations: [zone], machineTypes });
     const old = '"Shape":"array","Rank":"normal","Shards":6,"Cpus":1';
     const job = `${spec('j-old', old)},"phase":"active","at":1700000000000,"chunk":6}`;
     await cluster.store.handle('POST', '/txn', JSON.parse(`{"Apply":[{"Set":"live/job/j-old","V":${job}}]}`));
-    cluster.addWorker({ host: 'i-000001', site: zone, flavor: 'c8/x' });
+    cluster.addWorker({ machineId: 'i-000001', zone: zone, machineType: 'c8/x' });
     await cluster.advance(20_000);
     const slot = '[1,0,"i-000001",1,-1,0]';
     const compact = `{"z":["${zone}"],"s":[${slot},${slot},${slot},${slot},${slot},${slot}]}`;
@@ -196,7 +196,7 @@
 
   it('of a rental, and what the cloud is asked', async () => {
     begin({ bootMs: 3000, runMs: 2000, teams: [{ name: 'red', cpus_max: 500 }] });
-    cluster.addWorker({ host: 'i-000001', runMs: 2000 });
+    cluster.addWorker({ machineId: 'i-000001', runMs: 2000 });
     await cluster.advance(5000);
     await submit(submission('j-e', '"Shape":"array","Rank":"normal","Shards":2,"Cpus":8') + END);
     await cluster.advance(400_000);
@@ -284,7 +284,7 @@
 
   it('has orders to launch, kill and forget', async () => {
     begin();
-    cluster.addWorker({ host: 'i-000001', runMs: 4000 });
+    cluster.addWorker({ machineId: 'i-000001', runMs: 4000 });
     cluster.network.fault({ path: /^\/commands/, kind: 'refuse' });
     await cluster.advance(5000);
     await simple('j-a');
@@ -338,7 +338,7 @@
     await cluster.advance(5000);
     assert.equal(await simple('j-a'), '201 {"Ref":"j-a","Phase":"queued"}');
     assert.equal(await simple('j-a'), '200 {"Ref":"j-a","Phase":"queued","done":0,"running":0}');
-    cluster.addWorker({ host: 'i-000001', runMs: 20_000 });
+    cluster.addWorker({ machineId: 'i-000001', runMs: 20_000 });
     await cluster.advance(6000);
     assert.equal(await poll('j-a'), '200 {"Ref":"j-a","Phase":"running","done":0,"running":1}');
     await cluster.advance(25_000);
--- a/test/worker-registry.test.ts
+++ b/test/worker-registry.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import type { Acquisition, Claims } from '../src/controller/claims.js';
+import type { LeadershipTerm, RoleLeadership } from '../src/controller/claims.js';
 import { WorkerRegistry } from '../src/controller/worker-registry.js';
 import { Worker, leaseOverAt } from '../src/workers/worker.js';
 
@@ -9,10 +9,10 @@
 const HOST = 'i-000001';
 
 /** A registry over one partition, whose acquisition tests replace. */
-function registryOver(acquisition: Acquisition) {
-  const owned: { acquisition: Acquisition | undefined } = { acquisition };
-  const claims = { partitionCount: 1, partitionOf: () => 0, acquisition: () => owned.acquisition } as unknown as Claims;
-  return { owned, registry: new WorkerRegistry(claims, SETTINGS) };
+function registryOver(term: LeadershipTerm) {
+  const owned: { term: LeadershipTerm | undefined } = { term };
+  const leadership = { partitionCount: 1, partitionOf: () => 0, termOf: () => owned.term } as unknown as RoleLeadership;
+  return { owned, registry: new WorkerRegistry(leadership, SETTINGS) };
 }
 
 function workerHeardAt(ms: number): Worker {
@@ -23,34 +23,34 @@
 
 describe('what is known of the workers of a partition', () => {
   it('ends with the acquisition of its claim, and leases then count from the next one', () => {
-    const { owned, registry } = registryOver({ stamp: 5, at: 1000 });
+    const { owned, registry } = registryOver({ startRevision: 5, at: 1000 });
     registry.add(workerHeardAt(500_000));
-    owned.acquisition = { stamp: 9, at: 600_000 };
+    owned.term = { startRevision: 9, at: 600_000 };
     assert.equal(registry.has(HOST), false);
     assert.equal(registry.size, 0);
-    assert.ok(registry.leaseOverAt(HOST, { fence: 9, acquisition: owned.acquisition }) > 600_000 + LEASE_S * 1000);
+    assert.ok(registry.leaseOverAt(HOST, { fencingToken: 9, term: owned.term }) > 600_000 + LEASE_S * 1000);
   });
 
   it('outlives a raised token, which begins no new acquisition', () => {
-    const acquisition = { stamp: 5, at: 1000 };
-    const { registry } = registryOver(acquisition);
+    const term = { startRevision: 5, at: 1000 };
+    const { registry } = registryOver(term);
     registry.add(workerHeardAt(500_000));
-    const raised = { fence: 12, acquisition };
+    const raised = { fencingToken: 12, term };
     assert.equal(registry.leaseOverAt(HOST, raised), leaseOverAt(500_000, LEASE_S));
   });
 
   it('proves no lease over by having been forgotten', () => {
-    const acquisition = { stamp: 5, at: 1000 };
-    const { registry } = registryOver(acquisition);
+    const term = { startRevision: 5, at: 1000 };
+    const { registry } = registryOver(term);
     registry.add(workerHeardAt(500_000));
     registry.forget(HOST);
     assert.equal(registry.has(HOST), false);
-    assert.equal(registry.leaseOverAt(HOST, { fence: 5, acquisition }), leaseOverAt(500_000, LEASE_S));
+    assert.equal(registry.leaseOverAt(HOST, { fencingToken: 5, term }), leaseOverAt(500_000, LEASE_S));
   });
 
   it('takes nothing in for a partition that is not owned', () => {
-    const { owned, registry } = registryOver({ stamp: 5, at: 1000 });
-    owned.acquisition = undefined;
+    const { owned, registry } = registryOver({ startRevision: 5, at: 1000 });
+    owned.term = undefined;
     registry.add(workerHeardAt(500_000));
     assert.deepEqual([...registry.values()], []);
   });
