--- a/src/api/job-lookup.ts
+++ b/src/api/job-lookup.ts
@@ -30,8 +30,8 @@
   states: PredecessorStates;
   limits: TransactionLimits;
   clock: Clock;
-  /** s within which a cancellation must have taken effect. */
-  cancelS: number;
+  /** Time within which a cancellation must have taken effect. */
+  cancelDeadlineMs: number;
 }
 
 export class JobLookup {
@@ -48,8 +48,8 @@
 
   /** Does the copy hold each cancellation that may be due to have reached the jobs after it? */
   get knowsCancellations(): boolean {
-    const { replica, clock, cancelS } = this.dependencies;
-    return clock.now() - replica.freshAt < cancelS * 1000 * QUEUED_FRESH_SHARE;
+    const { replica, clock, cancelDeadlineMs } = this.dependencies;
+    return clock.now() - replica.freshAt < cancelDeadlineMs * QUEUED_FRESH_SHARE;
   }
 
   /** A final state from memory: it never changes. */
--- a/src/api/jobs.ts
+++ b/src/api/jobs.ts
@@ -7,7 +7,6 @@
   SUBMIT_DEADLINE_MS,
 } from '../constants.js';
 import type { Settings, Team } from '../config/settings.js';
-import { lastingLimits } from '../config/state-limits.js';
 import type { MachineInventory } from '../controller/fleet.js';
 import type { Log } from '../controller/log.js';
 import type { PredecessorStates } from '../controller/predecessor-states.js';
@@ -59,9 +58,9 @@
   private readonly chunk: number;
 
   constructor(private readonly dependencies: JobsDependencies) {
-    const { teams, state } = dependencies.settings.cluster;
+    const { teams, store } = dependencies.settings.cluster;
     this.teams = new Map(teams.map((team) => [team.name, team]));
-    this.valueBytes = lastingLimits(state).valueBytes;
+    this.valueBytes = store.lasting.valueBytes;
     this.chunk = Math.max(1, Math.min(MAX_CHUNK_SHARDS, Math.floor(this.valueBytes / LEDGER_ENTRY_BYTES)));
   }
 
@@ -89,7 +88,7 @@
       whyNever(spec, this.teams.get(spec.team), inventory.catalog.values()) ?? this.whyTooLarge(spec, dependencies);
     if (why !== undefined) return { answer: never(why), isForAll: false };
     // Over budget: told at once, with the time until the writers before this one are through.
-    const behindS = transactions.backlog(Priority.accept) / settings.cluster.state.write_rps;
+    const behindS = transactions.backlog(Priority.accept) / settings.cluster.store.present.writesPerSecond;
     if (behindS <= 1) return undefined;
     const retryAfter = Math.min(MAX_RETRY_AFTER_S, Math.ceil(behindS));
     return { answer: { status: 429, body: { error: 'busy' }, retryAfter }, isForAll: true };
@@ -187,7 +186,7 @@
     return this.ifKnown(jobId, { status: 404, body: { error: 'no such job' } });
   }
 
-  async withdraw(jobId: string): Promise<Answer> {
+  async cancel(jobId: string): Promise<Answer> {
     const { lookup, clock, transactions, log } = this.dependencies;
     const over = lookup.final(jobId);
     if (over !== undefined) return { status: 200, body: encodeJobState(over) };
--- a/src/api/routes.ts
+++ b/src/api/routes.ts
@@ -5,8 +5,8 @@
 export interface Handlers {
   submit(body: unknown): Promise<Answer>;
   poll(jobId: string): Promise<Answer>;
-  withdraw(jobId: string): Promise<Answer>;
-  hello(body: unknown): Answer | Promise<Answer>;
+  cancel(jobId: string): Promise<Answer>;
+  answerHeartbeat(body: unknown): Answer | Promise<Answer>;
   up(): Answer;
 }
 
@@ -28,7 +28,10 @@
 
   constructor(private readonly handlers: Handlers) {
     this.fixed = new Map<string, Route>([
-      ['/hello', { method: 'POST', isBounded: false, takesBody: true, handle: (body) => handlers.hello(body) }],
+      [
+        '/hello',
+        { method: 'POST', isBounded: false, takesBody: true, handle: (body) => handlers.answerHeartbeat(body) },
+      ],
       ['/up', { method: 'GET', isBounded: false, takesBody: false, handle: () => handlers.up() }],
       [JOBS_PATH, { method: 'POST', isBounded: true, takesBody: true, handle: (body) => handlers.submit(body) }],
     ]);
@@ -47,7 +50,7 @@
     if (jobId === undefined) return undefined;
     const isCancellation = match?.[2] !== undefined;
     return isCancellation
-      ? { method: 'POST', isBounded: true, takesBody: false, handle: () => this.handlers.withdraw(jobId) }
+      ? { method: 'POST', isBounded: true, takesBody: false, handle: () => this.handlers.cancel(jobId) }
       : { method: 'GET', isBounded: true, takesBody: false, handle: () => this.handlers.poll(jobId) };
   }
 }
--- a/src/config/least-limits.ts
+++ b/src/config/least-limits.ts
@@ -8,9 +8,7 @@
   LEAST_TRANSACTION_WRITES,
   LEAST_VALUE_KB,
 } from '../constants.js';
-import type { Settings } from './settings.js';
-
-type StateSettings = Settings['cluster']['state'];
+import type { SettingsFile, StoreSection } from './settings-file-codec.js';
 
 interface Limit {
   field: string;
@@ -19,7 +17,7 @@
 }
 
 /** What is not announced to change stays as it is. */
-function stateLimitsOf(path: string, state: Partial<StateSettings>, nodes: number): Limit[] {
+function storeLimitsOf(path: string, store: Partial<StoreSection>, nodes: number): Limit[] {
   const least = {
     rps: LEAST_STATE_REQUESTS_PER_NODE * nodes,
     write_rps: LEAST_STATE_WRITES,
@@ -28,21 +26,21 @@
   };
   return Object.entries(least).map(([name, each]) => ({
     field: `${path}.${name}`,
-    value: state[name as keyof typeof least] ?? Infinity,
+    value: store[name as keyof typeof least] ?? Infinity,
     least: each,
   }));
 }
 
-const limitsOf = ({ cluster }: Settings): Limit[] => [
+const limitsOf = ({ cluster }: SettingsFile): Limit[] => [
   { field: 'cluster.limits.cpu', value: cluster.limits.cpu, least: LEAST_CPU_SHARE },
   { field: 'cluster.limits.ram_mb', value: cluster.limits.ram_mb, least: LEAST_RAM_MB },
   { field: 'cluster.limits.sockets', value: cluster.limits.sockets, least: LEAST_SOCKETS },
-  ...stateLimitsOf('cluster.state', cluster.state, cluster.size),
-  ...stateLimitsOf('cluster.state.next', cluster.state.next ?? {}, cluster.size),
+  ...storeLimitsOf('cluster.state', cluster.state, cluster.size),
+  ...storeLimitsOf('cluster.state.next', cluster.state.next ?? {}, cluster.size),
 ];
 
 /** What is wrong with the first limit that is too small, with the field's name; undefined: nothing. */
-export function limitTooSmall(settings: Settings): string | undefined {
-  const limit = limitsOf(settings).find(({ value, least }) => value < least);
+export function findLimitTooSmall(file: SettingsFile): string | undefined {
+  const limit = limitsOf(file).find(({ value, least }) => value < least);
   return limit === undefined ? undefined : `${limit.field}: must be ${limit.least} at least, is ${limit.value}`;
 }
--- /dev/null
+++ b/src/config/load-settings.ts
@@ -0,0 +1,75 @@
+/** Reads the settings files and checks them field by field. */
+import { readFileSync } from 'node:fs';
+import { findContradiction } from '@dewlatch/standby';
+import { parse as parseToml } from 'smol-toml';
+import * as v from 'valibot';
+import { HOLD_TTL_MS, MAX_GOSSIP_BYTES } from '../constants.js';
+import { findLimitTooSmall } from './least-limits.js';
+import {
+  decodeSettings,
+  decodeTuning,
+  SettingsFileSchema,
+  TuningFileSchema,
+  type SettingsFile,
+  type TuningFile,
+} from './settings-file-codec.js';
+import type { Settings, Tuning } from './settings.js';
+
+/** A settings file that can't be used; the message names the file and the field. */
+export class SettingsError extends Error {
+  readonly code = 'settings_invalid';
+}
+
+function check<S extends v.GenericSchema>(schema: S, value: unknown, where: string): v.InferOutput<S> {
+  const result = v.safeParse(schema, value);
+  if (result.success) return result.output;
+  const issue = result.issues[0];
+  throw new SettingsError(`${where}: ${v.getDotPath(issue) ?? '(top level)'}: ${issue.message}`);
+}
+
+function readText(path: string): string {
+  try {
+    return readFileSync(path, 'utf8');
+  } catch (error) {
+    throw new SettingsError(`${path}: cannot be read: ${(error as Error).message}`, { cause: error });
+  }
+}
+
+/** The checked content of a settings file, in the file's own form. `where` names it in errors. */
+export function parseSettingsFile(json: string, where: string): SettingsFile {
+  let raw: unknown;
+  try {
+    raw = JSON.parse(json);
+  } catch (error) {
+    throw new SettingsError(`${where}: not JSON: ${(error as Error).message}`, { cause: error });
+  }
+  const file = check(SettingsFileSchema, raw, where);
+  const fault = findLimitTooSmall(file);
+  if (fault !== undefined) throw new SettingsError(`${where}: ${fault}`);
+  return file;
+}
+
+function parseTuningFile(toml: string, where: string): TuningFile {
+  let raw: unknown;
+  try {
+    raw = parseToml(toml);
+  } catch (error) {
+    throw new SettingsError(`${where}: not TOML: ${(error as Error).message}`, { cause: error });
+  }
+  return check(TuningFileSchema, raw, where);
+}
+
+export const parseSettings = (json: string, where: string): Settings => decodeSettings(parseSettingsFile(json, where));
+
+export function parseTuning(toml: string, where: string): Tuning {
+  const tuning = decodeTuning(parseTuningFile(toml, where));
+  const fault = findContradiction(tuning.standby, { holdMs: HOLD_TTL_MS, linkMessageBytes: MAX_GOSSIP_BYTES });
+  if (fault !== undefined) throw new SettingsError(`${where}: standby.${fault}`);
+  return tuning;
+}
+
+export const loadSettings = (path: string): Settings => parseSettings(readText(path), path);
+
+/** Without a file the defaults are in force. */
+export const loadTuning = (path: string | undefined): Tuning =>
+  path === undefined ? parseTuning('', '(defaults)') : parseTuning(readText(path), path);
--- /dev/null
+++ b/src/config/settings-file-codec.ts
@@ -0,0 +1,159 @@
+/** The platform's settings (JSON) and the operators' (TOML) as they stand in the files, and their translation. */
+import { DEFAULT_STANDBY_SETTINGS, StandbySettingsSchema } from '@dewlatch/standby';
+import * as v from 'valibot';
+import { DEFAULT_TUNING } from '../constants.js';
+import type {
+  ServiceLevelObjective,
+  Settings,
+  StoreLimits,
+  StoreSettings,
+  Team,
+  Tuning,
+  WorkerTimings,
+} from './settings.js';
+
+const MS_PER_S = 1000;
+const BYTES_PER_KB = 1024;
+
+const text = v.pipe(v.string(), v.minLength(1));
+const address = v.pipe(v.string(), v.regex(/^[^\s:]+:\d{1,5}$/, 'must be HOST:PORT'));
+const amount = v.pipe(v.number(), v.finite(), v.minValue(0));
+const positive = v.pipe(v.number(), v.finite(), v.gtValue(0));
+const count = v.pipe(v.number(), v.integer(), v.minValue(1));
+
+const TeamSchema = v.object({
+  name: text,
+  cpus: v.optional(amount, 0),
+  cpus_max: v.optional(amount, 0),
+  gpus: v.optional(amount, 0),
+  gpus_max: v.optional(amount, 0),
+});
+
+const ObjectiveSchema = v.object({
+  kind: v.string(),
+  class: v.optional(v.string()),
+  within_s: v.optional(v.number()),
+  times: v.optional(v.number()),
+});
+
+const StoreLimitsSchema = { rps: positive, write_rps: positive, value_kb: positive, txn_ops: count };
+
+/** What `limits` says where it is left out. */
+const DEFAULT_PROCESS_LIMITS = { cpu: 1, ram_mb: 146, sockets: 500 };
+const DEFAULT_CLOCK_ERROR_MS = 100;
+
+export const SettingsFileSchema = v.object({
+  node: text,
+  location: v.optional(v.string(), ''),
+  bind: address,
+  mesh_addr: address,
+  peers: v.array(v.object({ node: text, location: v.optional(v.string(), ''), address })),
+  outside: v.object({ cloud: address, state: address }),
+  cluster: v.object({
+    size: count,
+    zones: v.array(text),
+    teams: v.array(TeamSchema),
+    objectives: v.optional(v.array(ObjectiveSchema), []),
+    workers: v.object({
+      report_s: positive,
+      lease_s: positive,
+      gang_wait_s: positive,
+      gang_peer_s: positive,
+      cancel_s: positive,
+    }),
+    state: v.object({ ...StoreLimitsSchema, next: v.optional(v.nullable(v.partial(v.object(StoreLimitsSchema)))) }),
+    cloud: v.object({ rps: positive, list_lag_s: amount }),
+    limits: v.optional(
+      v.object({
+        cpu: v.optional(positive, DEFAULT_PROCESS_LIMITS.cpu),
+        ram_mb: v.optional(positive, DEFAULT_PROCESS_LIMITS.ram_mb),
+        sockets: v.optional(count, DEFAULT_PROCESS_LIMITS.sockets),
+      }),
+      {},
+    ),
+    clock_error_ms: v.optional(amount, DEFAULT_CLOCK_ERROR_MS),
+  }),
+});
+
+const share = v.pipe(v.number(), v.minValue(0), v.maxValue(1));
+
+export const TuningFileSchema = v.strictObject({
+  threshold: v.optional(share, DEFAULT_TUNING.threshold),
+  window_s: v.optional(positive, DEFAULT_TUNING.window_s),
+  check_s: v.optional(positive, DEFAULT_TUNING.check_s),
+  moves_per_round: v.optional(v.pipe(v.number(), v.integer(), v.minValue(0)), DEFAULT_TUNING.moves_per_round),
+  image_bonus: v.optional(share, DEFAULT_TUNING.image_bonus),
+  standby: v.optional(StandbySettingsSchema, DEFAULT_STANDBY_SETTINGS),
+});
+
+export type SettingsFile = v.InferOutput<typeof SettingsFileSchema>;
+export type StoreSection = SettingsFile['cluster']['state'];
+export type TuningFile = v.InferOutput<typeof TuningFileSchema>;
+
+const decodeTeam = ({ name, cpus, cpus_max, gpus, gpus_max }: SettingsFile['cluster']['teams'][number]): Team => ({
+  name,
+  guaranteed: { cpus, gpus },
+  limit: { cpus: cpus_max, gpus: gpus_max },
+});
+
+const decodeObjective = (objective: SettingsFile['cluster']['objectives'][number]): ServiceLevelObjective => ({
+  kind: objective.kind,
+  ...(objective.class === undefined ? {} : { jobClass: objective.class }),
+  ...(objective.within_s === undefined ? {} : { withinMs: objective.within_s * MS_PER_S }),
+  ...(objective.times === undefined ? {} : { deadlineFactor: objective.times }),
+});
+
+const decodeWorkerTimings = (workers: SettingsFile['cluster']['workers']): WorkerTimings => ({
+  heartbeatIntervalMs: workers.report_s * MS_PER_S,
+  workerLeaseMs: workers.lease_s * MS_PER_S,
+  gangStartTimeoutMs: workers.gang_wait_s * MS_PER_S,
+  gangPeerTimeoutMs: workers.gang_peer_s * MS_PER_S,
+  cancelDeadlineMs: workers.cancel_s * MS_PER_S,
+});
+
+const presentLimits = (store: StoreSection): StoreLimits => ({
+  writesPerSecond: store.write_rps,
+  valueBytes: store.value_kb * BYTES_PER_KB,
+  transactionWrites: store.txn_ops,
+});
+
+/** What is not announced to change stays as it is. */
+const lastingLimits = (store: StoreSection): StoreLimits => ({
+  writesPerSecond: Math.min(store.write_rps, store.next?.write_rps ?? Infinity),
+  valueBytes: Math.min(store.value_kb, store.next?.value_kb ?? Infinity) * BYTES_PER_KB,
+  transactionWrites: Math.min(store.txn_ops, store.next?.txn_ops ?? Infinity),
+});
+
+export const decodeStoreSettings = (store: StoreSection): StoreSettings => ({
+  requestsPerSecond: store.rps,
+  present: presentLimits(store),
+  lasting: lastingLimits(store),
+});
+
+export const decodeSettings = (file: SettingsFile): Settings => ({
+  node: file.node,
+  zone: file.location,
+  apiAddress: file.bind,
+  gossipAddress: file.mesh_addr,
+  peers: file.peers.map(({ node, location, address: peerAddress }) => ({ node, zone: location, address: peerAddress })),
+  cloudAddress: file.outside.cloud,
+  storeAddress: file.outside.state,
+  cluster: {
+    size: file.cluster.size,
+    teams: file.cluster.teams.map(decodeTeam),
+    serviceLevelObjectives: file.cluster.objectives.map(decodeObjective),
+    workers: decodeWorkerTimings(file.cluster.workers),
+    store: decodeStoreSettings(file.cluster.state),
+    cloud: { requestsPerSecond: file.cluster.cloud.rps },
+    sockets: file.cluster.limits.sockets,
+  },
+});
+
+export const decodeTuning = (file: TuningFile): Tuning => ({
+  happinessThreshold: file.threshold,
+  happinessWindowMs: file.window_s * MS_PER_S,
+  checkIntervalMs: file.check_s * MS_PER_S,
+  movesPerRound: file.moves_per_round,
+  imageBonus: file.image_bonus,
+  standby: file.standby,
+});
--- a/src/controller/claims.ts
+++ b/src/controller/claims.ts
@@ -8,7 +8,7 @@
   START_GRACE_MS,
   SUCCESSOR_HEAD_START_MS,
 } from '../constants.js';
-import type { Settings } from '../config/settings.js';
+import type { Settings, WorkerTimings } from '../config/settings.js';
 import type { ClusterState } from '../ledger/book.js';
 import { leadershipKey } from '../ledger/record-keys.js';
 import type { StoreClient } from '../state/client.js';
@@ -46,8 +46,8 @@
 }
 
 /** ms for which an owner may go on answering after the moment as of which its copy holds all that anybody has confirmed. */
-export const degradedServingMs = (workers: Settings['cluster']['workers']): number =>
-  Math.max(0, (workers.cancel_s - workers.lease_s) * 1000 * (1 - CLOCK_DRIFT) - HOLDOVER_MARGIN_MS);
+export const degradedServingMs = ({ cancelDeadlineMs, workerLeaseMs }: WorkerTimings): number =>
+  Math.max(0, (cancelDeadlineMs - workerLeaseMs) * (1 - CLOCK_DRIFT) - HOLDOVER_MARGIN_MS);
 
 /**
  * One stay of a role with this process, from the claim by which it came to its loss; raising the token does not end it. What
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -14,7 +14,6 @@
 import { ApiServer } from '../api/server.js';
 import { CloudClient } from '../cloud/client.js';
 import type { Settings, Tuning } from '../config/settings.js';
-import { lastingLimits } from '../config/state-limits.js';
 import { ClusterState } from '../ledger/book.js';
 import { recordSizer } from '../ledger/record-sizes.js';
 import { TeamAccounting } from '../ledger/team-accounting.js';
@@ -86,8 +85,6 @@
   private readonly heartbeatForwarder: HeartbeatForwarder;
   /** Set by whoever links the controllers: the mesh, or a test. */
   send: (node: string, message: Message) => boolean = () => false;
-  /** ms between two reports of a worker. */
-  private readonly periodMs: number;
   private readonly sentUpdates: SentMachineUpdates;
   private readonly messages: PeerMessageRouter;
   private readonly exchange: GossipExchange;
@@ -107,15 +104,15 @@
     seed: number = randomInt(2 ** 31 - 1),
   ) {
     this.random = new Random(seed);
-    this.periodMs = settings.cluster.workers.report_s * 1000;
+    const periodMs = settings.cluster.workers.heartbeatIntervalMs;
     const incarnation = randomInt(2 ** 47);
     this.sentUpdates = new SentMachineUpdates(incarnation);
-    const limits = transactionLimits(settings.cluster.state);
+    const limits = transactionLimits(settings.cluster.store);
     const peerNodes = settings.peers.map((peer) => peer.node);
     this.client = new StoreClient(
       http,
-      settings.outside.state,
-      settings.cluster.state,
+      settings.storeAddress,
+      settings.cluster.store,
       settings.cluster.size,
       clock,
       this.random,
@@ -135,7 +132,7 @@
       LIVE,
       clock,
       this.random,
-      this.periodMs * BATCH_GATHER_SHARE,
+      periodMs * BATCH_GATHER_SHARE,
     );
     this.peerDirectory = new PeerDirectory(peerNodes, clock, () => this.replica.freshAt);
     this.replicaFreshness = new ReplicaFreshness(
@@ -156,7 +153,7 @@
     });
     this.transactions.announce = (changes) => this.broadcast.announce(changes);
     this.transactions.onRejected = (name, why) => log.error({ change: name, why }, 'the store does not take a change');
-    const { valueBytes } = lastingLimits(settings.cluster.state);
+    const { valueBytes } = settings.cluster.store.lasting;
     this.transactions.resize = recordSizer(valueBytes, () => this.formatUpgrade.isComplete);
     this.leadership = new RoleLeadership({
       settings,
@@ -174,7 +171,7 @@
     this.heartbeatForwarder = new HeartbeatForwarder(settings.node, incarnation, clock, (node, message) =>
       this.send(node, message),
     );
-    this.happiness = new Happiness(tuning.window_s * 1000);
+    this.happiness = new Happiness(tuning.happinessWindowMs);
     const healthChecks = new HealthChecks({ clusterState: this.clusterState, happiness: this.happiness, clock });
     const accounting = new TeamAccounting({
       teams: settings.cluster.teams,
@@ -213,8 +210,12 @@
       random: this.random,
       log,
     });
-    const cloud = new CloudClient(http, settings.outside.cloud, settings.cluster.cloud.rps, clock, (call) =>
-      this.standby === undefined ? true : maySend(call, () => this.leadership.isLeader),
+    const cloud = new CloudClient(
+      http,
+      settings.cloudAddress,
+      settings.cluster.cloud.requestsPerSecond,
+      clock,
+      (call) => (this.standby === undefined ? true : maySend(call, () => this.leadership.isLeader)),
     );
     this.leader = new ClusterLeader({
       settings,
@@ -263,7 +264,7 @@
     this.gossipSender = new GossipSender({
       peers: peerNodes,
       clock,
-      compose: (node) => this.gossip(node),
+      compose: (node) => this.composeGossip(node),
       send: (node, message) => this.send(node, message),
     });
     this.reports = new HeartbeatService({
@@ -285,7 +286,7 @@
       inventory: this.inventory,
       limits,
       maxTransactionWrites: limits.ops,
-      reportPeriodMs: this.periodMs,
+      reportPeriodMs: periodMs,
       clock,
       log,
     });
@@ -361,30 +362,30 @@
       {
         submit: (body) => this.jobs.submit(body),
         poll: (jobId) => this.jobs.poll(jobId),
-        withdraw: (jobId) => this.jobs.withdraw(jobId),
-        hello: (body) => this.hello(body),
+        cancel: (jobId) => this.jobs.cancel(jobId),
+        answerHeartbeat: (body) => this.answerHeartbeat(body),
         up: () => this.up(),
       },
       this.log,
-      Math.floor(this.settings.cluster.limits.sockets * HTTP_SERVER_SOCKET_SHARE),
+      Math.floor(this.settings.cluster.sockets * HTTP_SERVER_SOCKET_SHARE),
     );
-    const [machineId, port] = splitAddress(this.settings.bind);
+    const [machineId, port] = splitAddress(this.settings.apiAddress);
     await server.listen(machineId, port, signal);
-    this.log.info({ bind: this.settings.bind }, 'listening');
+    this.log.info({ bind: this.settings.apiAddress }, 'listening');
     const peerLinks = new PeerLinks(
       this.settings,
       this.clock,
       this.log,
-      (node) => this.gossip(node),
+      (node) => this.composeGossip(node),
       (message) => this.receive(message),
       (node) => this.sentUpdates.renew(node),
     );
     this.send = (node, message) => peerLinks.send(node, message);
-    await Promise.all([peerLinks.run(signal), this.duties(signal)]);
+    await Promise.all([peerLinks.run(signal), this.runDuties(signal)]);
   }
 
   /** The long-lived duties, without the sockets. */
-  async duties(signal: AbortSignal): Promise<void> {
+  async runDuties(signal: AbortSignal): Promise<void> {
     const { clock, log, leadership, clusterState, workerManager, inventory, leader } = this;
     const periodic = { clock, log, signal };
     const announcer = new TokenAnnouncer({ leadership, clusterState, workerManager, inventory, leader });
@@ -418,12 +419,12 @@
   }
 
   /** Answers a worker's report. */
-  hello(body: unknown): Answer | Promise<Answer> {
+  answerHeartbeat(body: unknown): Answer | Promise<Answer> {
     return this.reports.answer(body);
   }
 
   /** What this node has to tell one peer. */
-  gossip(to: string): Gossip {
+  composeGossip(to: string): Gossip {
     return this.exchange.compose(to);
   }
 
--- a/src/controller/exit-recorder.ts
+++ b/src/controller/exit-recorder.ts
@@ -80,7 +80,7 @@
     if (task !== undefined && (ending === 'done' || ending === 'failed'))
       worker.noteExit(placedTask.jobId, ending, now);
     if (task?.exitReason === 'insufficient_resources' || task?.exitReason === 'already_present') {
-      worker.backoffUntil = now + settings.cluster.workers.report_s * 1000;
+      worker.backoffUntil = now + settings.cluster.workers.heartbeatIntervalMs;
     }
     if (ending === 'done' && began !== undefined) {
       events.completed(placedTask, (now - began) / 1000);
--- a/src/controller/fleet.ts
+++ b/src/controller/fleet.ts
@@ -130,7 +130,7 @@
       isBackingOff: now < worker.backoffUntil,
       isUnreached: !worker.isReached,
       isSlow: worker.isSlow(now),
-      isMute: worker.hasExpiredDespiteHeartbeats(now, this.settings.cluster.workers.lease_s),
+      isMute: worker.hasExpiredDespiteHeartbeats(now, this.settings.cluster.workers.workerLeaseMs),
       images: [...worker.images.keys()],
       failedJobs: worker.failedJobs(now),
       partitionLeader: this.settings.node,
@@ -252,7 +252,7 @@
   }
 
   isSilent(machine: MachineInfo): boolean {
-    const allowed = SILENT_REPORTS * this.settings.cluster.workers.report_s * 1000;
+    const allowed = SILENT_REPORTS * this.settings.cluster.workers.heartbeatIntervalMs;
     const now = this.clock.now();
     if (this.leadershipFor(machine.machineId) !== undefined) return now - machine.heardAt > allowed;
     const knownAt = this.knownAt.get(machine.machineId) ?? -Infinity;
--- a/src/controller/gang-attempts.ts
+++ b/src/controller/gang-attempts.ts
@@ -1,11 +1,11 @@
 /** Under which attempt the tasks of a gang start that have no place: all anew, or as replacements in one that has not begun. */
-import type { Settings } from '../config/settings.js';
+import type { WorkerTimings } from '../config/settings.js';
 import type { JobView } from '../ledger/book.js';
 import type { Clock } from '../net/clock.js';
 import type { MachineInventory } from './fleet.js';
 
 export interface GangAttemptsDependencies {
-  workers: Settings['cluster']['workers'];
+  workers: WorkerTimings;
   inventory: MachineInventory;
   clock: Clock;
 }
@@ -40,9 +40,9 @@
     const now = clock.now();
     const since = this.brokenSince.get(view.jobId) ?? now;
     this.brokenSince.set(view.jobId, since);
-    const { gang_peer_s, report_s } = workers;
-    const noticedAt = since + (gang_peer_s + report_s) * 1000;
-    return heardAt > noticedAt && now - since > (gang_peer_s + 3 * report_s) * 1000 ? placed : undefined;
+    const { gangPeerTimeoutMs, heartbeatIntervalMs } = workers;
+    const noticedAt = since + gangPeerTimeoutMs + heartbeatIntervalMs;
+    return heardAt > noticedAt && now - since > gangPeerTimeoutMs + 3 * heartbeatIntervalMs ? placed : undefined;
   }
 
   /** The gang is whole: its next loss is told anew. */
--- a/src/controller/job-duties.ts
+++ b/src/controller/job-duties.ts
@@ -6,7 +6,7 @@
 import { PipelineProgress } from './pipeline-progress.js';
 import { PredecessorStates, type PredecessorStatesDependencies } from './predecessor-states.js';
 
-type Joined = 'states' | 'completion' | 'pipelineProgress' | 'lookup' | 'cancelS';
+type Joined = 'states' | 'completion' | 'pipelineProgress' | 'lookup' | 'cancelDeadlineMs';
 
 export type JobDutiesDependencies = Omit<
   JobLookupDependencies &
@@ -30,8 +30,8 @@
   const completion = new JobCompletion({ ...dependencies, states });
   const pipelineProgress = new PipelineProgress({ ...dependencies, states });
   const reactions = new JobReactions({ ...dependencies, completion, pipelineProgress });
-  const cancelS = dependencies.settings.cluster.workers.cancel_s;
-  const lookup = new JobLookup({ ...dependencies, states, cancelS });
+  const { cancelDeadlineMs } = dependencies.settings.cluster.workers;
+  const lookup = new JobLookup({ ...dependencies, states, cancelDeadlineMs });
   const jobs = new Jobs({ ...dependencies, states, lookup });
   return { jobs, completion, reactions, pipelineProgress };
 }
--- a/src/controller/owner.ts
+++ b/src/controller/owner.ts
@@ -84,7 +84,7 @@
   }
 
   isSilent(worker: Worker, now: number): boolean {
-    return now - worker.reportedAt > SILENT_REPORTS * this.settings.cluster.workers.report_s * 1000;
+    return now - worker.reportedAt > SILENT_REPORTS * this.settings.cluster.workers.heartbeatIntervalMs;
   }
 
   /** Answers a report; `door` is the node that passed it on, if one did. */
@@ -195,7 +195,7 @@
     const { workers } = this.settings.cluster;
     return (
       now - worker.cancelledLaunchOpenSince >=
-      degradedServingMs(workers) - leaseOverAt(0, workers.lease_s) - 2 * FRESH_MS
+      degradedServingMs(workers) - leaseOverAt(0, workers.workerLeaseMs) - 2 * FRESH_MS
     );
   }
 
@@ -381,7 +381,7 @@
   }
 
   private forgetSilent(now: number): void {
-    const silentMs = FORGET_WORKER_LEASES * this.settings.cluster.workers.lease_s * 1000;
+    const silentMs = FORGET_WORKER_LEASES * this.settings.cluster.workers.workerLeaseMs;
     for (const { machineId, heardAt } of [...this.workers.values()]) {
       if (now - heardAt > silentMs && this.clusterState.taskCountOn(machineId) === 0) this.workers.forget(machineId);
     }
--- a/src/controller/placer.ts
+++ b/src/controller/placer.ts
@@ -193,7 +193,7 @@
   private tier(spec: JobSpec, machine: MachineInfo): number {
     const machineType = this.inventory.catalog.get(machine.machineType);
     const fetchS = spec.imageGb / (machineType?.fetchGbPerS || 1);
-    let tier = machine.images.includes(spec.image) ? 0 : this.tuning.image_bonus * (1 + fetchS / FETCH_TIER_S);
+    let tier = machine.images.includes(spec.image) ? 0 : this.tuning.imageBonus * (1 + fetchS / FETCH_TIER_S);
     // Cards are scarce: what needs none leaves their machines to what does.
     if (spec.gpus === 0 && (machineType?.gpus ?? 0) > 0) tier += GPU_TIER;
     return tier;
--- a/src/controller/planner.ts
+++ b/src/controller/planner.ts
@@ -236,7 +236,7 @@
       list.push({
         record: view.record,
         guaranteed: withinGuarantee(team, use, spec),
-        feasible: isFeasible(targetsOf(view.record, this.settings.cluster.objectives), needS, now),
+        feasible: isFeasible(targetsOf(view.record, this.settings.cluster.serviceLevelObjectives), needS, now),
         work: open * spec.cpus * needS,
         overdue:
           spec.kind === 'array' && open === spec.taskCount && now - runnableSinceMs(view.record) > BEGIN_WITHIN_MS,
--- a/src/controller/preempter.ts
+++ b/src/controller/preempter.ts
@@ -180,8 +180,7 @@
     if (kind === undefined || !this.isOwed(spec, demands)) return false;
     for (const [name, use] of uses) {
       const team = this.teams.get(name);
-      if (name !== spec.team && team !== undefined && use[kind] > (kind === 'cpus' ? team.cpus : team.gpus))
-        return true;
+      if (name !== spec.team && team !== undefined && use[kind] > team.guaranteed[kind]) return true;
     }
     return false;
   }
--- a/src/controller/renter.ts
+++ b/src/controller/renter.ts
@@ -14,7 +14,6 @@
 import { allowedOn, zoneAllows } from '../ledger/rules.js';
 import type { TransactionBatcher } from '../state/committer.js';
 import type { Settings } from '../config/settings.js';
-import { lastingLimits } from '../config/state-limits.js';
 import type { Clock } from '../net/clock.js';
 import { Priority } from '../net/token-bucket.js';
 import {
@@ -57,7 +56,7 @@
     /** The cloud's list, as last read. */
     private readonly listed: () => ReadonlyMap<string, ListedMachine>,
   ) {
-    this.mostRecords = lastingLimits(settings.cluster.state).transactionWrites;
+    this.mostRecords = settings.cluster.store.lasting.transactionWrites;
   }
 
   /** Offers that the cloud has lately refused, with the steady ms. */
--- a/src/controller/rescheduler.ts
+++ b/src/controller/rescheduler.ts
@@ -38,7 +38,7 @@
   /** Checks are jittered, so that the controllers' re-matches do not start in one tick. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await this.clock.sleep(this.random.jitter(this.tuning.check_s * 1000), signal);
+      await this.clock.sleep(this.random.jitter(this.tuning.checkIntervalMs), signal);
       if (signal.aborted || !this.leadership.isInTouchWithStore || this.othersComeFirst()) continue;
       for (const partition of this.leadership.ledPartitions()) this.round(partition);
     }
@@ -53,7 +53,7 @@
     for (const { record, placed } of this.clusterState.jobs.values()) {
       if (record.spec.kind === 'service' && record.state === 'active') waiting += record.spec.taskCount - placed;
     }
-    return waiting > this.tuning.moves_per_round;
+    return waiting > this.tuning.movesPerRound;
   }
 
   private round(partition: number): void {
@@ -71,7 +71,7 @@
     }
     const unhappy = running.filter(({ name }) => {
       const happiness = this.happiness.of(name, now);
-      return happiness !== undefined && happiness < this.tuning.threshold;
+      return happiness !== undefined && happiness < this.tuning.happinessThreshold;
     });
     if (unhappy.length === 0) return;
     const target = this.rematch(running, machines);
@@ -81,7 +81,7 @@
       const host = target.get(name);
       // Unmatched tasks stay put, and so do those matched to the machine they are on.
       if (host === undefined || host.id === placedTask.placement.machineId) continue;
-      if (moves >= this.tuning.moves_per_round || moving.has(placedTask.jobId) || !this.happiness.mayMove(name, now))
+      if (moves >= this.tuning.movesPerRound || moving.has(placedTask.jobId) || !this.happiness.mayMove(name, now))
         continue;
       if (this.isMoving(placedTask.jobId)) continue;
       moves++;
--- a/src/controller/standby.ts
+++ b/src/controller/standby.ts
@@ -134,14 +134,14 @@
     const rolesOf = (node: string) => holders.filter((holder) => holder === node).length;
     const own: Candidate = {
       node: settings.node,
-      zone: settings.location,
+      zone: settings.zone,
       isServing: leadership.isInTouchWithStore && this.isConfirmed,
       avoidsRole: leadership.avoidedRoles().includes(role),
       roles: rolesOf(settings.node),
     };
-    const others = settings.peers.map(({ node, location }): Candidate => ({
+    const others = settings.peers.map(({ node, zone }): Candidate => ({
       node,
-      zone: location,
+      zone,
       isServing: peerDirectory.hasStore(node),
       avoidsRole: peerDirectory.avoidsRole(node, role),
       roles: rolesOf(node),
--- a/src/controller/worker-registry.ts
+++ b/src/controller/worker-registry.ts
@@ -4,7 +4,7 @@
  * also known since when every answer to it would have been noted here.
  */
 import { FRESH_MS } from '../constants.js';
-import type { Settings } from '../config/settings.js';
+import type { WorkerTimings } from '../config/settings.js';
 import { leaseOverAt, Worker } from '../workers/worker.js';
 import {
   degradedServingMs,
@@ -28,7 +28,7 @@
 
   constructor(
     private readonly leadership: RoleLeadership,
-    private readonly settings: Settings['cluster']['workers'],
+    private readonly timings: WorkerTimings,
   ) {}
 
   get(machineId: string): Worker | undefined {
@@ -83,14 +83,14 @@
     // A worker that has shown this token drops what former owners answer.
     const hasSeenToken = worker !== undefined && worker.fencingToken >= held.fencingToken;
     const last = hasSeenToken ? known : Math.max(known, this.othersAnsweredUntil(held.term));
-    return leaseOverAt(last, this.settings.lease_s);
+    return leaseOverAt(last, this.timings.workerLeaseMs);
   }
 
   /** Steady ms from which on nobody else can have answered a worker that has not shown this node's token yet. */
   private othersAnsweredUntil(term: LeadershipTerm): number {
     // A former owner's copy can have been complete until its hold ended, even if only its renewals were lost; and what it was
     // told by this node since then would have shown it the new claim.
-    return term.at + Math.max(FRESH_MS, degradedServingMs(this.settings));
+    return term.at + Math.max(FRESH_MS, degradedServingMs(this.timings));
   }
 
   private knowledgeFor(machineId: string): PartitionKnowledge | undefined {
--- a/src/ledger/rules.ts
+++ b/src/ledger/rules.ts
@@ -60,13 +60,13 @@
 }
 
 /** Does the team's committed use, with this added, stay within its limit? 0 means no limit. */
-export const quotaAllows = (team: Team, use: TeamUsage, cpus: number, gpus: number): boolean =>
-  (team.cpus_max === 0 || cpus === 0 || use.cpus + cpus <= team.cpus_max + EPS) &&
-  (team.gpus_max === 0 || gpus === 0 || use.gpus + gpus <= team.gpus_max + EPS);
+export const quotaAllows = ({ limit }: Team, use: TeamUsage, cpus: number, gpus: number): boolean =>
+  (limit.cpus === 0 || cpus === 0 || use.cpus + cpus <= limit.cpus + EPS) &&
+  (limit.gpus === 0 || gpus === 0 || use.gpus + gpus <= limit.gpus + EPS);
 
 /** Does the team have any limit that this job counts against? Without one its use is not recorded. */
-export const isLimited = (team: Team, job: JobSpec): boolean =>
-  (team.cpus_max > 0 && job.cpus > 0) || (team.gpus_max > 0 && job.gpus > 0);
+export const isLimited = ({ limit }: Team, job: JobSpec): boolean =>
+  (limit.cpus > 0 && job.cpus > 0) || (limit.gpus > 0 && job.gpus > 0);
 
 /** Everything compared in the transaction of a start, and nothing else. */
 export interface StartFacts {
--- a/src/ledger/team-accounting.ts
+++ b/src/ledger/team-accounting.ts
@@ -28,9 +28,9 @@
 });
 
 /** Is there so much room under the limit that the next start need not know of every exit? */
-const isFarBelow = (use: TeamUsage, team: Team): boolean =>
-  (team.cpus_max === 0 || use.cpus <= team.cpus_max * TEAM_DEFER_SHARE) &&
-  (team.gpus_max === 0 || use.gpus <= team.gpus_max * TEAM_DEFER_SHARE);
+const isFarBelow = (use: TeamUsage, { limit }: Team): boolean =>
+  (limit.cpus === 0 || use.cpus <= limit.cpus * TEAM_DEFER_SHARE) &&
+  (limit.gpus === 0 || use.gpus <= limit.gpus * TEAM_DEFER_SHARE);
 
 export class TeamAccounting {
   private readonly teams: ReadonlyMap<string, Team>;
--- a/src/main.ts
+++ b/src/main.ts
@@ -3,7 +3,7 @@
 import { setMaxListeners } from 'node:events';
 import { startupSnapshot } from 'node:v8';
 import { Command, CommanderError } from 'commander';
-import { SettingsError, loadSettings, loadTuning } from './config/settings.js';
+import { SettingsError, loadSettings, loadTuning } from './config/load-settings.js';
 import { HTTP_CLIENT_SOCKET_SHARE, VERSION } from './constants.js';
 import { Controller } from './controller/controller.js';
 import { createLog, type Log } from './controller/log.js';
@@ -77,7 +77,7 @@
   }
   const log = createLog(settings.node, process.env['LOG_LEVEL']);
   surviveErrors(log);
-  const http = new NodeHttpClient(Math.floor(settings.cluster.limits.sockets * HTTP_CLIENT_SOCKET_SHARE));
+  const http = new NodeHttpClient(Math.floor(settings.cluster.sockets * HTTP_CLIENT_SOCKET_SHARE));
   const controller = new Controller(settings, tuning, http, systemClock, log);
   const stop = stopSignal(() => controller.handOver());
   controller.run(stop).then(
--- a/src/mesh/mesh.ts
+++ b/src/mesh/mesh.ts
@@ -45,7 +45,7 @@
     });
     server.maxConnections = this.settings.peers.length * 4;
     server.on('error', (error) => this.log.error({ error: String(error) }, 'mesh server'));
-    const [host, port] = splitAddress(this.settings.mesh_addr);
+    const [host, port] = splitAddress(this.settings.gossipAddress);
     server.listen(port, host);
     signal.addEventListener('abort', () => {
       server.close();
--- a/src/placement/queue.ts
+++ b/src/placement/queue.ts
@@ -1,5 +1,5 @@
 import { Priority } from '../net/token-bucket.js';
-import type { Objective, Team } from '../config/settings.js';
+import type { ServiceLevelObjective, Team } from '../config/settings.js';
 import { JOB_PRIORITIES, runnableSinceMs, type JobRecord, type JobSpec, type TeamUsage } from '../ledger/records.js';
 
 /** A job that waits for places, with all that decides about its turn. */
@@ -29,43 +29,40 @@
 
 /** The resource by which a job counts against its team's guarantee; 0 means that the team has none of that kind. */
 export function guaranteeOf(team: Team, spec: JobSpec): 'cpus' | 'gpus' | undefined {
-  if (spec.gpus > 0 && team.gpus > 0) return 'gpus';
-  return spec.gpus === 0 && team.cpus > 0 ? 'cpus' : undefined;
+  if (spec.gpus > 0 && team.guaranteed.gpus > 0) return 'gpus';
+  return spec.gpus === 0 && team.guaranteed.cpus > 0 ? 'cpus' : undefined;
 }
 
-const guaranteed = (team: Team, kind: 'cpus' | 'gpus'): number => (kind === 'cpus' ? team.cpus : team.gpus);
-const needOf = (spec: JobSpec, kind: 'cpus' | 'gpus'): number => (kind === 'cpus' ? spec.cpus : spec.gpus);
-
 /** Does one more task of the job fit into the team's guarantee? */
 export function withinGuarantee(team: Team, use: TeamUsage, spec: JobSpec): boolean {
   const kind = guaranteeOf(team, spec);
-  return kind !== undefined && use[kind] + needOf(spec, kind) <= guaranteed(team, kind);
+  return kind !== undefined && use[kind] + spec[kind] <= team.guaranteed[kind];
 }
 
 /** A team whose unfinished jobs all fit into its guarantee together need not wait for others; `demand` counts them all. */
 export function isOwed(team: Team, demand: TeamUsage, spec: JobSpec): boolean {
   const kind = guaranteeOf(team, spec);
-  return kind !== undefined && demand[kind] <= guaranteed(team, kind);
+  return kind !== undefined && demand[kind] <= team.guaranteed[kind];
 }
 
 /** May such a task be stopped for another's guarantee of that kind: does its team keep its own even without it? */
 export const isBorrowed = (team: Team, use: TeamUsage, spec: JobSpec, kind: 'cpus' | 'gpus'): boolean =>
-  needOf(spec, kind) > 0 && use[kind] - needOf(spec, kind) >= guaranteed(team, kind);
+  spec[kind] > 0 && use[kind] - spec[kind] >= team.guaranteed[kind];
 
 /**
  * Times of day, ms, by which the operators want a job to be complete. Deadlines count from its submission, however long it
  * waits for other jobs; all else counts from when it may run.
  */
-export function targetsOf(record: JobRecord, objectives: readonly Objective[]): number[] {
+export function targetsOf(record: JobRecord, objectives: readonly ServiceLevelObjective[]): number[] {
   const { spec, submittedAtMs } = record;
   const targets: number[] = [];
   for (const objective of objectives) {
-    if (objective.class !== spec.jobClass) continue;
-    if (objective.kind === 'finished' && objective.within_s !== undefined) {
-      targets.push(runnableSinceMs(record) + objective.within_s * 1000);
+    if (objective.jobClass !== spec.jobClass) continue;
+    if (objective.kind === 'finished' && objective.withinMs !== undefined) {
+      targets.push(runnableSinceMs(record) + objective.withinMs);
     }
     if (objective.kind === 'deadline' && spec.deadlineS !== null) {
-      targets.push(submittedAtMs + spec.deadlineS * (objective.times ?? 1) * 1000);
+      targets.push(submittedAtMs + spec.deadlineS * (objective.deadlineFactor ?? 1) * 1000);
     }
   }
   if (targets.length === 0 && spec.deadlineS !== null) targets.push(submittedAtMs + spec.deadlineS * 1000);
--- a/src/state/client.ts
+++ b/src/state/client.ts
@@ -1,6 +1,6 @@
 /** Calls to the store. Its limits of requests and of changes a second are kept here, by priority. */
 import { RATE_SHARE, STATE_TIMEOUT_MS } from '../constants.js';
-import type { Settings } from '../config/settings.js';
+import type { StoreSettings } from '../config/settings.js';
 import type { Clock } from '../net/clock.js';
 import { NoAnswer, type HttpClient, type Reply } from '../net/http-client.js';
 import type { Random } from '../net/random.js';
@@ -76,17 +76,17 @@
   constructor(
     private readonly http: HttpClient,
     private readonly address: string,
-    limits: Settings['cluster']['state'],
+    { requestsPerSecond, present }: StoreSettings,
     nodes: number,
     private readonly clock: Clock,
     private readonly random: Random,
   ) {
-    const { rps, write_rps } = limits;
-    const requests = rps * RATE_SHARE;
-    this.requestBucket = new TokenBucket(clock, requests, requests, Math.min(requests, rps / nodes));
-    const writes = write_rps * RATE_SHARE;
+    const { writesPerSecond } = present;
+    const requests = requestsPerSecond * RATE_SHARE;
+    this.requestBucket = new TokenBucket(clock, requests, requests, Math.min(requests, requestsPerSecond / nodes));
+    const writes = writesPerSecond * RATE_SHARE;
     const burst = Math.max(writes, LEAST_WRITE_BURST);
-    this.writeBucket = new TokenBucket(clock, writes, burst, Math.min(writes, write_rps / nodes));
+    this.writeBucket = new TokenBucket(clock, writes, burst, Math.min(writes, writesPerSecond / nodes));
   }
 
   private async call({ method, path, body, priority, timeoutMs, writes = 0 }: Call): Promise<Reply> {
--- a/src/state/draft.ts
+++ b/src/state/draft.ts
@@ -1,7 +1,6 @@
 /** Transactions under construction, and the room that the store has for one. */
 import { BATCH_TXN_LEAST, BATCH_TXN_SHARE, CONDITIONS_PER_WRITE, MAX_TXN_BYTES } from '../constants.js';
-import type { Settings } from '../config/settings.js';
-import { lastingLimits, presentLimits } from '../config/state-limits.js';
+import type { StoreSettings } from '../config/settings.js';
 import type { StoredValue } from './replica.js';
 import { jsonLength } from './sizes.js';
 
@@ -18,16 +17,16 @@
 }
 
 /** Room that is left after an announced change of the store's limits too; but what is stored already may be larger. */
-export function transactionLimits(state: Settings['cluster']['state']): TransactionLimits {
-  const { transactionWrites, writesPerSecond, valueBytes } = lastingLimits(state);
+export function transactionLimits({ present, lasting }: StoreSettings): TransactionLimits {
+  const { transactionWrites, writesPerSecond } = lasting;
   const batchOps = Math.max(BATCH_TXN_LEAST, Math.floor(writesPerSecond * BATCH_TXN_SHARE));
   return {
     ops: transactionWrites,
     batchOps: Math.min(transactionWrites, batchOps),
     conditions: transactionWrites * CONDITIONS_PER_WRITE,
     bytes: MAX_TXN_BYTES,
-    valueBytes: presentLimits(state).valueBytes,
-    lastingValueBytes: valueBytes,
+    valueBytes: present.valueBytes,
+    lastingValueBytes: lasting.valueBytes,
   };
 }
 
--- a/src/testing/cluster.ts
+++ b/src/testing/cluster.ts
@@ -2,8 +2,14 @@
 import type { Answer } from '../api/jobs.js';
 import { DEFAULT_STANDBY_SETTINGS } from '@dewlatch/standby';
 import { DEFAULT_TUNING } from '../constants.js';
-import { Controller } from '../controller/controller.js';
-import { decodeMessage, encodeMessage, type Message } from '../mesh/messages.js';
+import type { Controller } from '../controller/controller.js';
+import {
+  PRESENT_VERSION,
+  presentController,
+  type OpaqueMessage,
+  type ProgramVersion,
+  type TestedController,
+} from './program-version.js';
 import { NoAnswer, type Reply } from '../net/http-client.js';
 import { Random } from '../net/random.js';
 import { FakeClock } from './fake-clock.js';
@@ -12,7 +18,7 @@
 import { FakeNetwork, type Fault } from './fake-network.js';
 import { FakeStore } from './fake-store.js';
 import { FakeUsers } from './fake-users.js';
-import { C8, jobOf, noLog, settingsOf, type ClusterOptions } from './fixtures.js';
+import { C8, jobOf, settingsFileOf, type ClusterOptions } from './fixtures.js';
 import { Freezer, type Trap } from './freezer.js';
 import { ANSWER_MS, FakeWorker, type Description, type Room, type WorkerOptions } from './fake-worker.js';
 import { InvariantChecker, type UserAnswer } from './invariant-checker.js';
@@ -23,18 +29,9 @@
 /** ms between two looks at whether something has come about. */
 const UNTIL_STEP_MS = 5;
 
-/** A version of the program, as far as the stand-ins need to know one from another. */
-export interface ProgramVersion {
-  Controller: typeof Controller;
-  encodeMessage: typeof encodeMessage;
-  decodeMessage: typeof decodeMessage;
-}
-
-const PRESENT_VERSION: ProgramVersion = { Controller, encodeMessage, decodeMessage };
-
 interface Node {
   version: ProgramVersion;
-  controller: Controller;
+  controller: TestedController;
   stop: AbortController;
   freezer: Freezer;
 }
@@ -79,7 +76,7 @@
 
   constructor(private readonly options: ClusterOptions = {}) {
     const machineTypes = options.machineTypes ?? [C8];
-    const { teams, workers } = settingsOf(0, 1, options).cluster;
+    const { teams, workers } = settingsFileOf(0, 1, options).cluster;
     this.leaseS = workers.lease_s;
     this.gangs = new FakeGangs(this.clock, workers.gang_wait_s * 1000, workers.gang_peer_s * 1000);
     this.checker = new InvariantChecker({ teams, machineTypes, cancelS: workers.cancel_s });
@@ -94,7 +91,7 @@
     this.users = new FakeUsers(
       {
         nodes: options.nodes ?? 1,
-        isHealthy: (index) => this.nodes.get(`n${index}`)?.controller.up().status === 200,
+        isHealthy: (index) => this.nodes.get(`n${index}`)?.controller.isHealthy() === true,
         post: (body, node) => this.post(body, node),
         ask: (jobId, node) => this.ask(jobId, node),
         cancel: (jobId, node) => this.cancel(jobId, node),
@@ -124,22 +121,22 @@
   start(index: number): void {
     const stop = new AbortController();
     setMaxListeners(0, stop.signal);
-    const settings = settingsOf(index, this.options.nodes ?? 1, this.options);
+    const settings = settingsFileOf(index, this.options.nodes ?? 1, this.options);
     const standby = { ...DEFAULT_STANDBY_SETTINGS, ...this.options.standby, ...this.options.standbyOf?.(index) };
     const tuning = { ...DEFAULT_TUNING, ...this.options.tuning, standby };
     const freezer = new Freezer(this.clock);
     const client = freezer.client(this.network.client(settings.node), stop.signal);
     const version = this.versions.get(index) ?? PRESENT_VERSION;
-    const controller = new version.Controller(settings, tuning, client, freezer.thawed, noLog, 7 + index);
+    const controller = version.createController(settings, tuning, client, freezer.thawed, 7 + index);
     const node = { version, controller, stop, freezer };
     this.nodes.set(settings.node, node);
     this.network.serve(`${settings.node}:8080`, async (_method, path, body) => {
-      const answer = await freezer.serve(path, () => controller.hello(body));
+      const answer = await freezer.serve(path, () => controller.answerHeartbeat(body));
       if (stop.signal.aborted) throw new NoAnswer('reset', true);
       return answer;
     });
-    controller.send = (to, message) => !stop.signal.aborted && this.carry(settings.node, to, message);
-    void controller.duties(stop.signal);
+    controller.connect((to, message) => !stop.signal.aborted && this.carry(settings.node, to, message));
+    void controller.runDuties(stop.signal);
   }
 
   /** From its next start on, the node runs the present version. */
@@ -163,7 +160,7 @@
 
   /** Some node that is up. */
   anyNode(): Controller {
-    return [...this.nodes.values()][0]!.controller;
+    return presentController([...this.nodes.values()][0]!.controller);
   }
 
   /**
@@ -196,7 +193,7 @@
   /** The node that holds the claim to lead, if it is up. */
   leader(): number | undefined {
     for (const [name, { controller }] of this.nodes) {
-      if (controller.leadership.leadershipOf('leader') !== undefined) return Number(name.slice(1));
+      if (controller.isLeader()) return Number(name.slice(1));
     }
     return undefined;
   }
@@ -207,7 +204,7 @@
   }
 
   node(index: number): Controller {
-    return this.nodes.get(`n${index}`)!.controller;
+    return presentController(this.nodes.get(`n${index}`)!.controller);
   }
 
   addWorker(options: WorkerOptions): FakeWorker {
@@ -277,7 +274,7 @@
       }
       for (const [from, { controller, freezer }] of this.nodes) {
         if (freezer.isFrozen) continue;
-        for (const to of this.nodes.keys()) if (from !== to) this.carry(from, to, { gossip: controller.gossip(to) });
+        for (const to of this.nodes.keys()) if (from !== to) this.carry(from, to, controller.composeGossip(to));
       }
     }
   }
@@ -296,7 +293,7 @@
     return say(machineId);
   }
 
-  private carry(from: string, to: string, message: Message): boolean {
+  private carry(from: string, to: string, message: OpaqueMessage): boolean {
     const bytes = (this.nodes.get(from)?.version ?? PRESENT_VERSION).encodeMessage(message);
     this.network.post(from, to, () => {
       const node = this.nodes.get(to);
@@ -324,23 +321,23 @@
     const jobId = String((body as { Ref?: unknown } | null)?.Ref);
     // Its user uploads it for the workers.
     if (!this.jobs.has(jobId)) this.jobs.set(jobId, body as Description);
-    return this.asUser('submit', jobId, node, ({ jobs }) => jobs.submit(body));
+    return this.asUser('submit', jobId, node, (controller) => controller.submit(body));
   }
 
   ask(jobId: string, node = 0): Promise<Answer> {
-    return this.asUser('poll', jobId, node, ({ jobs }) => jobs.poll(jobId));
+    return this.asUser('poll', jobId, node, (controller) => controller.poll(jobId));
   }
 
   cancel(jobId: string, node = 0): Promise<Answer> {
     this.checker.cancelAsked(this.clock.now(), jobId);
-    return this.asUser('withdraw', jobId, node, ({ jobs }) => jobs.withdraw(jobId));
+    return this.asUser('withdraw', jobId, node, (controller) => controller.cancel(jobId));
   }
 
   private async asUser(
     kind: UserAnswer['kind'],
     jobId: string,
     index: number,
-    call: (controller: Controller) => Promise<Answer>,
+    call: (controller: TestedController) => Promise<Answer>,
   ): Promise<Answer> {
     const askedAt = this.clock.now();
     const node = this.nodes.get(`n${index}`);
--- a/src/testing/fixtures.ts
+++ b/src/testing/fixtures.ts
@@ -1,11 +1,12 @@
 /** Settings, jobs and machine types that scenarios start from. */
 import type { StandbySettings } from '@dewlatch/standby';
-import { parseSettings, type Settings, type Tuning } from '../config/settings.js';
+import { parseSettingsFile } from '../config/load-settings.js';
+import type { SettingsFile, TuningFile } from '../config/settings-file-codec.js';
 import { decodeJobSpec, type WireJobSpec } from '../ledger/job-spec-codec.js';
 import type { JobSpec } from '../ledger/records.js';
 import type { Log } from '../controller/log.js';
 import type { TransactionLimits } from '../state/draft.js';
-import type { ProgramVersion } from './cluster.js';
+import type { ProgramVersion } from './program-version.js';
 
 export const noLog: Log = {
   error: () => undefined,
@@ -19,7 +20,7 @@
   nodes?: number;
   teams?: object[];
   cluster?: object;
-  tuning?: Partial<Omit<Tuning, 'standby'>>;
+  tuning?: Partial<Omit<TuningFile, 'standby'>>;
   /** Settings of the warm standby that differ from the defaults. */
   standby?: Partial<StandbySettings>;
   /** The same for one node. */
@@ -49,10 +50,10 @@
   Sites: ['a', 'b', 'c'],
 };
 
-/** The settings of one of the controllers. */
-export function settingsOf(node: number, nodes: number, options: ClusterOptions = {}): Settings {
+/** The settings file of one of the controllers. */
+export function settingsFileOf(node: number, nodes: number, options: ClusterOptions = {}): SettingsFile {
   const all = Array.from({ length: nodes }, (_, index) => index);
-  return parseSettings(
+  return parseSettingsFile(
     JSON.stringify({
       node: `n${node}`,
       location: options.locations?.[node] ?? 'a',
--- a/src/testing/loopback-cluster.ts
+++ b/src/testing/loopback-cluster.ts
@@ -14,7 +14,7 @@
 import { FakeGangs } from './fake-gangs.js';
 import { FakeStore } from './fake-store.js';
 import { ANSWER_MS, FakeWorker, type Description } from './fake-worker.js';
-import { C8, jobOf, settingsOf } from './fixtures.js';
+import { C8, jobOf, settingsFileOf } from './fixtures.js';
 import { InvariantChecker } from './invariant-checker.js';
 import { freeAddress, LoopbackServer } from './loopback-server.js';
 
@@ -132,7 +132,7 @@
     const addresses = [];
     for (let n = 0; n < nodes; n++) addresses.push({ bind: await freeAddress(), mesh: await freeAddress() });
     for (const [n, { bind, mesh }] of addresses.entries()) {
-      const settings = settingsOf(n, nodes, { teams: [{ name: 'red' }] });
+      const settings = settingsFileOf(n, nodes, { teams: [{ name: 'red' }] });
       const peers = addresses.map((each, index) => ({ node: `n${index}`, location: 'a', address: each.mesh }));
       const own = { ...settings, bind, mesh_addr: mesh, peers: peers.filter((_, index) => index !== n) };
       const settingsFile = join(this.folder, `n${n}.json`);
--- /dev/null
+++ b/src/testing/production-version.ts
@@ -0,0 +1,93 @@
+/** The version in production, as built from the history: its controllers under the names that it has for things. */
+import { resolve } from 'node:path';
+import { pathToFileURL } from 'node:url';
+import type { Answer } from '../api/jobs.js';
+import type { Clock } from '../net/clock.js';
+import type { HttpClient } from '../net/http-client.js';
+import { noLog } from './fixtures.js';
+import type { OpaqueMessage, ProgramVersion, TestedController } from './program-version.js';
+
+interface ProductionController {
+  send: (node: string, message: OpaqueMessage) => boolean;
+  duties(signal: AbortSignal): Promise<void>;
+  up(): Answer;
+  readonly claims: { holding(role: string): unknown };
+  readonly jobs: {
+    submit(body: unknown): Promise<Answer>;
+    poll(jobId: string): Promise<Answer>;
+    withdraw(jobId: string): Promise<Answer>;
+  };
+  hello(body: unknown): Answer | Promise<Answer>;
+  gossip(to: string): object;
+  receive(message: OpaqueMessage): void;
+}
+
+type ProductionConstructor = new (
+  settings: object,
+  tuning: object,
+  http: HttpClient,
+  clock: Clock,
+  log: typeof noLog,
+  seed: number,
+) => ProductionController;
+
+class ProductionNode implements TestedController {
+  constructor(private readonly controller: ProductionController) {}
+
+  connect(send: (node: string, message: OpaqueMessage) => boolean): void {
+    this.controller.send = send;
+  }
+
+  runDuties(signal: AbortSignal): Promise<void> {
+    return this.controller.duties(signal);
+  }
+
+  /** That version knows no planned handover. */
+  async handOver(): Promise<void> {}
+
+  isHealthy(): boolean {
+    return this.controller.up().status === 200;
+  }
+
+  isLeader(): boolean {
+    return this.controller.claims.holding('leader') !== undefined;
+  }
+
+  submit(body: unknown): Promise<Answer> {
+    return this.controller.jobs.submit(body);
+  }
+
+  poll(jobId: string): Promise<Answer> {
+    return this.controller.jobs.poll(jobId);
+  }
+
+  cancel(jobId: string): Promise<Answer> {
+    return this.controller.jobs.withdraw(jobId);
+  }
+
+  answerHeartbeat(body: unknown): Answer | Promise<Answer> {
+    return this.controller.hello(body);
+  }
+
+  composeGossip(to: string): OpaqueMessage {
+    return { gossip: this.controller.gossip(to) };
+  }
+
+  receive(message: OpaqueMessage): void {
+    this.controller.receive(message);
+  }
+}
+
+/** `checkout`: the folder of the version, compiled with its tests. */
+export async function loadProductionVersion(checkout: string): Promise<ProgramVersion> {
+  const load = (file: string) =>
+    import(pathToFileURL(resolve(checkout, 'target/test/src', file)).href) as Promise<unknown>;
+  const { Controller } = (await load('controller/controller.js')) as { Controller: ProductionConstructor };
+  const messages = (await load('mesh/messages.js')) as Pick<ProgramVersion, 'encodeMessage' | 'decodeMessage'>;
+  return {
+    createController: (settings, tuning, http, clock, seed) =>
+      new ProductionNode(new Controller(settings, tuning, http, clock, noLog, seed)),
+    encodeMessage: (message) => messages.encodeMessage(message),
+    decodeMessage: (bytes) => messages.decodeMessage(bytes),
+  };
+}
--- /dev/null
+++ b/src/testing/program-version.ts
@@ -0,0 +1,101 @@
+/** A version of the program, as far as the stand-ins need to know one from another. */
+import type { Answer } from '../api/jobs.js';
+import { decodeSettings, decodeTuning, type SettingsFile, type TuningFile } from '../config/settings-file-codec.js';
+import { Controller } from '../controller/controller.js';
+import { decodeMessage, encodeMessage, type Message } from '../mesh/messages.js';
+import type { Clock } from '../net/clock.js';
+import type { HttpClient } from '../net/http-client.js';
+import { noLog } from './fixtures.js';
+
+/** A message between controllers, in the form of the version that sends or receives it. */
+export type OpaqueMessage = object;
+
+/** A controller of any version, by what is asked of it from outside. */
+export interface TestedController {
+  /** `send` carries a message to another node; false: there is no way to it. */
+  connect(send: (node: string, message: OpaqueMessage) => boolean): void;
+  runDuties(signal: AbortSignal): Promise<void>;
+  handOver(): Promise<void>;
+  isHealthy(): boolean;
+  isLeader(): boolean;
+  submit(body: unknown): Promise<Answer>;
+  poll(jobId: string): Promise<Answer>;
+  cancel(jobId: string): Promise<Answer>;
+  answerHeartbeat(body: unknown): Answer | Promise<Answer>;
+  composeGossip(to: string): OpaqueMessage;
+  receive(message: OpaqueMessage): void;
+}
+
+export interface ProgramVersion {
+  createController(
+    settings: SettingsFile,
+    tuning: TuningFile,
+    http: HttpClient,
+    clock: Clock,
+    seed: number,
+  ): TestedController;
+  encodeMessage(message: OpaqueMessage): Buffer;
+  decodeMessage(bytes: Buffer): OpaqueMessage;
+}
+
+/** The present version. */
+class PresentController implements TestedController {
+  constructor(readonly controller: Controller) {}
+
+  connect(send: (node: string, message: OpaqueMessage) => boolean): void {
+    this.controller.send = send;
+  }
+
+  runDuties(signal: AbortSignal): Promise<void> {
+    return this.controller.runDuties(signal);
+  }
+
+  handOver(): Promise<void> {
+    return this.controller.handOver();
+  }
+
+  isHealthy(): boolean {
+    return this.controller.up().status === 200;
+  }
+
+  isLeader(): boolean {
+    return this.controller.leadership.leadershipOf('leader') !== undefined;
+  }
+
+  submit(body: unknown): Promise<Answer> {
+    return this.controller.jobs.submit(body);
+  }
+
+  poll(jobId: string): Promise<Answer> {
+    return this.controller.jobs.poll(jobId);
+  }
+
+  cancel(jobId: string): Promise<Answer> {
+    return this.controller.jobs.cancel(jobId);
+  }
+
+  answerHeartbeat(body: unknown): Answer | Promise<Answer> {
+    return this.controller.answerHeartbeat(body);
+  }
+
+  composeGossip(to: string): OpaqueMessage {
+    return { gossip: this.controller.composeGossip(to) };
+  }
+
+  receive(message: OpaqueMessage): void {
+    this.controller.receive(message as Message);
+  }
+}
+
+/** The controller itself, for tests that look into it; only of the present version. */
+export function presentController(tested: TestedController): Controller {
+  if (!(tested instanceof PresentController)) throw new Error('the node runs another version');
+  return tested.controller;
+}
+
+export const PRESENT_VERSION: ProgramVersion = {
+  createController: (settings, tuning, http, clock, seed) =>
+    new PresentController(new Controller(decodeSettings(settings), decodeTuning(tuning), http, clock, noLog, seed)),
+  encodeMessage: (message) => encodeMessage(message as Message),
+  decodeMessage,
+};
--- a/src/testing/upgrade-scenario.ts
+++ b/src/testing/upgrade-scenario.ts
@@ -4,7 +4,8 @@
  */
 import fc from 'fast-check';
 import { Random } from '../net/random.js';
-import { Cluster, type ProgramVersion } from './cluster.js';
+import { Cluster } from './cluster.js';
+import type { ProgramVersion } from './program-version.js';
 import { FaultInjector, lastsMs } from './fault-injector.js';
 import { jobOf } from './fixtures.js';
 import { anyTrouble, MACHINES, NODES, ZONES, SPELL_MS, type Trouble } from './random-schedule.js';
--- a/src/workers/worker.ts
+++ b/src/workers/worker.ts
@@ -11,7 +11,7 @@
   SLOW_MS,
   SLOW_TASKS,
 } from '../constants.js';
-import type { Settings } from '../config/settings.js';
+import type { WorkerTimings } from '../config/settings.js';
 import { isNewerThan, type WorkerStatus, type ReportedTask } from './worker-wire-codec.js';
 
 /** What an owner knows of one worker of its part. Lost with the process; reports bring it back. */
@@ -153,8 +153,8 @@
   }
 
   /** It reports, but by all it shows no answer has reached it for so long that its lease has run out. */
-  hasExpiredDespiteHeartbeats(now: number, leaseS: number): boolean {
-    return this.hasMissedAnswer && now > leaseOverAt(this.confirmedAt, leaseS);
+  hasExpiredDespiteHeartbeats(now: number, leaseMs: number): boolean {
+    return this.hasMissedAnswer && now > leaseOverAt(this.confirmedAt, leaseMs);
   }
 
   private noteTimes(now: number, first: boolean): void {
@@ -250,13 +250,16 @@
  * Steady ms at which a worker's lease is certainly over, if nobody answers it again: counted from the receipt of the
  * last report that anybody could have answered, with the clocks' drift and a margin.
  */
-export const leaseOverAt = (lastAnswerableMs: number, leaseS: number): number =>
-  lastAnswerableMs + leaseS * 1000 * (1 + CLOCK_DRIFT) + LEASE_MARGIN_MS;
+export const leaseOverAt = (lastAnswerableMs: number, leaseMs: number): number =>
+  lastAnswerableMs + leaseMs * (1 + CLOCK_DRIFT) + LEASE_MARGIN_MS;
+
+/** Workers send a heartbeat every interval, give or take a quarter of it. */
+const LATEST_HEARTBEAT_SHARE = 1.25;
 
 /** ms after a report by which the next is late. */
-export const reportLateMs = (workers: Settings['cluster']['workers']): number =>
-  1.25 * workers.report_s * 1000 + ANSWER_MISSED_MS;
+export const reportLateMs = (workers: WorkerTimings): number =>
+  LATEST_HEARTBEAT_SHARE * workers.heartbeatIntervalMs + ANSWER_MISSED_MS;
 
 /** ms of silence after which a worker that lives would have knocked at another node. */
-export const silenceLimitMs = (workers: Settings['cluster']['workers']): number =>
-  1.25 * workers.report_s * 1000 + ROUND_TRIP_MS;
+export const silenceLimitMs = (workers: WorkerTimings): number =>
+  LATEST_HEARTBEAT_SHARE * workers.heartbeatIntervalMs + ROUND_TRIP_MS;
--- a/test/api-server.test.ts
+++ b/test/api-server.test.ts
@@ -11,7 +11,14 @@
 function connect(handlers: Partial<Handlers>): { open: () => Duplex; openBoth: () => [Duplex, Duplex] } {
   const unexpected = () => assert.fail('not asked for');
   const server = new ApiServer(
-    { submit: unexpected, poll: unexpected, withdraw: unexpected, hello: unexpected, up: unexpected, ...handlers },
+    {
+      submit: unexpected,
+      poll: unexpected,
+      cancel: unexpected,
+      answerHeartbeat: unexpected,
+      up: unexpected,
+      ...handlers,
+    },
     noLog,
     1000,
   );
@@ -42,7 +49,7 @@
   it('answers report after report on one connection, also one that comes in pieces', async () => {
     const heard: unknown[] = [];
     const { open } = connect({
-      hello: (body) => {
+      answerHeartbeat: (body) => {
         heard.push(body);
         return { status: 200, body: { Fence: 1, Orders: [] } };
       },
@@ -87,7 +94,7 @@
 
   it('answers 503 with Retry-After where a handler fails, at once or later', async () => {
     const { open } = connect({
-      hello: () => {
+      answerHeartbeat: () => {
         throw new Error('broken');
       },
       poll: () => Promise.reject(new Error('broken')),
@@ -102,7 +109,7 @@
   it('refuses users at once while too many of their requests are open, and takes them again after', async () => {
     let answerAll: (answer: Answer) => void = () => undefined;
     const later = new Promise<Answer>((resolve) => (answerAll = resolve));
-    const { open } = connect({ poll: () => later, hello: () => ({ status: 200, body: {} }) });
+    const { open } = connect({ poll: () => later, answerHeartbeat: () => ({ status: 200, body: {} }) });
     const waiting = Array.from({ length: MAX_OPEN_REQUESTS }, () => ask(open(), get('/v1/jobs/j-1')));
     const connection = open();
     const refused = await ask(connection, get('/v1/jobs/j-1'));
--- a/test/client.test.ts
+++ b/test/client.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { CloudClient } from '../src/cloud/client.js';
-import { parseSettings, parseTuning, SettingsError } from '../src/config/settings.js';
+import { parseSettings, parseTuning, SettingsError } from '../src/config/load-settings.js';
 import {
   LEAST_CPU_SHARE,
   LEAST_RAM_MB,
@@ -11,13 +11,14 @@
   LEAST_TRANSACTION_WRITES,
   LEAST_VALUE_KB,
 } from '../src/constants.js';
-import { settingsOf } from '../src/testing/fixtures.js';
+import { settingsFileOf } from '../src/testing/fixtures.js';
 import { NoAnswer, type HttpClient, type Reply } from '../src/net/http-client.js';
 import { Random } from '../src/net/random.js';
 import { Priority } from '../src/net/token-bucket.js';
 import { StoreClient, StoreError } from '../src/state/client.js';
 import { FakeClock } from '../src/testing/fake-clock.js';
 import { sendCommands } from '../src/workers/commands.js';
+import { decodeStoreSettings } from '../src/config/settings-file-codec.js';
 
 const answering = (reply: Reply | NoAnswer): HttpClient => ({
   call: () => (reply instanceof NoAnswer ? Promise.reject(reply) : Promise.resolve(reply)),
@@ -26,7 +27,7 @@
   new StoreClient(
     answering(reply),
     'x:1',
-    { rps: 100, write_rps: 100, value_kb: 4, txn_ops: 12 },
+    decodeStoreSettings({ rps: 100, write_rps: 100, value_kb: 4, txn_ops: 12 }),
     1,
     new FakeClock(),
     new Random(1),
@@ -106,7 +107,7 @@
     );
     assert.throws(() => parseTuning('threshold = 2', 'f.toml'), /threshold/);
     assert.throws(() => parseTuning('treshold = 0.9', 'f.toml'), /treshold/);
-    assert.equal(parseTuning('threshold = 0.8', 'f.toml').threshold, 0.8);
+    assert.equal(parseTuning('threshold = 0.8', 'f.toml').happinessThreshold, 0.8);
     const standby = (line: string) => () => parseTuning(`[standby]\n${line}`, 'f.toml');
     assert.throws(standby('folow = true'), /f\.toml: standby\.folow/);
     assert.throws(standby('max_lag_ms = "2 s"'), /f\.toml: standby\.max_lag_ms/);
@@ -116,7 +117,7 @@
   });
 
   it('with a limit too small to run with are refused with the name of the field and what is needed', () => {
-    const good = settingsOf(0, 3);
+    const good = settingsFileOf(0, 3);
     const parse = (cluster: object) => parseSettings(JSON.stringify({ ...good, cluster }), 'f.json');
     const tooSmall: [group: 'limits' | 'state', field: string, value: number][] = [
       ['limits', 'cpu', LEAST_CPU_SHARE / 2],
--- a/test/combined-faults-leaders.test.ts
+++ b/test/combined-faults-leaders.test.ts
@@ -258,7 +258,7 @@
     await cluster.advance(5000);
     const owner = holder(`part-${leader}`);
     assert.notEqual(owner, leader);
-    cluster.node(owner).hello(JSON.parse(JSON.stringify(held)));
+    cluster.node(owner).answerHeartbeat(JSON.parse(JSON.stringify(held)));
     await cluster.advance(20_000);
     cluster.cut.clear();
     heal();
@@ -284,7 +284,7 @@
     await cluster.advance(3000);
     assert.equal(worker.tasks.get('j-svc-saves/0')!.Phase, 'flushing');
     const owner = holder(roleOf(machineId));
-    cluster.node(owner).hello(JSON.parse(JSON.stringify(held)));
+    cluster.node(owner).answerHeartbeat(JSON.parse(JSON.stringify(held)));
     await cluster.advance(20_000);
     assert.equal(cluster.runs('j-svc-saves/0').length, 2);
     assertKept();
--- a/test/combined-faults-workers.test.ts
+++ b/test/combined-faults-workers.test.ts
@@ -212,7 +212,7 @@
     // In the meantime the machine is back, in a new session.
     const machine = cluster.workers.get(machineId)!;
     for (let report = 0; report < 2; report++) {
-      void cluster.node(owner).hello(machine.report());
+      void cluster.node(owner).answerHeartbeat(machine.report());
       await cluster.advance(report === 0 ? 490 : 0);
     }
     // It is slow to read again what has become of it.
@@ -289,7 +289,7 @@
         await cluster.advance(300);
         assert.notEqual(cluster.node(owner).leadership.leadershipOf(`part-${owner}`), undefined);
       }
-      for (const node of [0, 1, 2]) void cluster.node(node).hello(copy);
+      for (const node of [0, 1, 2]) void cluster.node(node).answerHeartbeat(copy);
       const relay = { node: `n${(owner + 1) % 3}`, id: 1, status: JSON.stringify(copy) };
       cluster.node(owner).receive({ relay });
       await cluster.advance(5000);
@@ -326,7 +326,7 @@
     void cluster.restart(owner);
     await until(() => cluster.node(owner).leadership.leadershipOf(`part-${owner}`) !== undefined);
     await cluster.advance(500);
-    void cluster.node(owner).hello(copy);
+    void cluster.node(owner).answerHeartbeat(copy);
     await cluster.advance(8500);
     assert.equal(cluster.runs(name).length, 2);
   });
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -12,6 +12,7 @@
 import type { TransactionBatcher } from '../src/state/committer.js';
 import { noLog } from '../src/testing/fixtures.js';
 import { FakeClock } from '../src/testing/fake-clock.js';
+import { decodeTuning } from '../src/config/settings-file-codec.js';
 
 describe('a node short of processor time', () => {
   it('rests after a plan by the share that plans may take, and after a long one for longer than it took', () => {
@@ -33,7 +34,7 @@
     };
     const inventory = { all, isOpen: () => true };
     const rescheduler = new Rescheduler(
-      { ...DEFAULT_TUNING, standby: DEFAULT_STANDBY_SETTINGS },
+      decodeTuning({ ...DEFAULT_TUNING, standby: DEFAULT_STANDBY_SETTINGS }),
       { isInTouchWithStore: true, ledPartitions: () => [0], partitionOf: () => 0 } as unknown as RoleLeadership,
       { jobs, tasksOn: () => [] } as unknown as ClusterState,
       inventory as unknown as MachineInventory,
--- a/test/pipeline-edits.test.ts
+++ b/test/pipeline-edits.test.ts
@@ -66,7 +66,7 @@
       job: waiting,
       placement: { kind: 'queued', attempt: 0, failures: 0 },
       others: [],
-      team: { name: 'red', cpus: 0, cpus_max: 0, gpus: 0, gpus_max: 0 },
+      team: { name: 'red', guaranteed: { cpus: 0, gpus: 0 }, limit: { cpus: 0, gpus: 0 } },
       teamUsage: { cpus: 0, gpus: 0 },
       machine: { machineId: 'i-1', machineType: 'c8', zone: 'a', isSpot: false, agentEpoch: 1 },
       attempt: 1,
--- a/test/reports.test.ts
+++ b/test/reports.test.ts
@@ -101,7 +101,7 @@
     cluster.cut.add(machineId);
     for (let second = 0; second < 12; second++) {
       // Wherever it comes: at its owner, and at nodes that would take it for a worker cut off from its owner.
-      for (const node of [0, 1, 2]) void cluster.node(node).hello(JSON.parse(JSON.stringify(copy)));
+      for (const node of [0, 1, 2]) void cluster.node(node).answerHeartbeat(JSON.parse(JSON.stringify(copy)));
       await cluster.advance(1000);
     }
     assert.ok(cluster.cloud.returned.includes(machineId));
@@ -116,7 +116,7 @@
     await cluster.advance(12_000);
     assert.ok(cluster.cloud.returned.includes('i-000001'));
     for (const node of [0, 1, 2]) {
-      void cluster.node(node).hello(JSON.parse(JSON.stringify(copy)));
+      void cluster.node(node).answerHeartbeat(JSON.parse(JSON.stringify(copy)));
       assert.equal(isOpen(node, 'i-000001'), false);
       assert.equal(cluster.node(node).workerManager.workers.has('i-000001'), false);
     }
@@ -129,7 +129,7 @@
     cluster.crash(0);
     cluster.start(0);
     await cluster.advance(1500);
-    assert.equal((await cluster.node(0).hello(JSON.parse(JSON.stringify(copy)))).status, 200);
+    assert.equal((await cluster.node(0).answerHeartbeat(JSON.parse(JSON.stringify(copy)))).status, 200);
     assert.equal(isOpen(0, 'i-000000'), false);
     await cluster.advance(1000);
     assert.ok(isOpen(0, 'i-000001'), 'a machine that has shown the new token is open');
@@ -162,7 +162,7 @@
     // In the first moments the store's own refusal is passed on, later it is known on arrival.
     for (const sinceMs of [0, 5000]) {
       await cluster.advance(sinceMs);
-      const asked = [jobs.submit(spec), jobs.poll('j-svc'), jobs.withdraw('j-svc')];
+      const asked = [jobs.submit(spec), jobs.poll('j-svc'), jobs.cancel('j-svc')];
       await cluster.advance(sinceMs === 0 ? 400 : 1);
       const statuses = await Promise.race([
         Promise.all(asked).then((answers) => answers.map((answer) => [answer.status, (answer.retryAfter ?? 0) >= 1])),
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -47,7 +47,7 @@
 
   it('gossip tells each peer of the machines of its sender alone, unless the peer hears no other word of them', async () => {
     await ready(5, 60);
-    const told = (from: number, to: number) => cluster!.node(from).gossip(`n${to}`).machines.length;
+    const told = (from: number, to: number) => cluster!.node(from).composeGossip(`n${to}`).machines.length;
     for (const to of [1, 2, 3, 4]) assert.ok(told(0, to) < 30, `${told(0, to)} machines`);
     cluster!.parted.add('n0>n1').add('n1>n0');
     await cluster!.advance(4000);
--- a/test/standins.test.ts
+++ b/test/standins.test.ts
@@ -118,8 +118,8 @@
     const heard: { Tenure: number; Tick: number }[] = [];
     cluster.lateReports = { share: 0.5, lateMs: [2000, 25_000] };
     const controller = cluster.node(0);
-    const hello = controller.hello.bind(controller);
-    controller.hello = (body) => {
+    const hello = controller.answerHeartbeat.bind(controller);
+    controller.answerHeartbeat = (body) => {
       heard.push(body as { Tenure: number; Tick: number });
       return hello(body);
     };
--- a/test/team-accounting.test.ts
+++ b/test/team-accounting.test.ts
@@ -8,7 +8,7 @@
 import { specOf } from '../src/testing/fixtures.js';
 import { encodeTeamUsage, decodeTeamUsage } from '../src/ledger/record-codecs.js';
 
-const team: Team = { name: 'red', cpus: 0, cpus_max: 20, gpus: 0, gpus_max: 0 };
+const team: Team = { name: 'red', guaranteed: { cpus: 0, gpus: 0 }, limit: { cpus: 20, gpus: 0 } };
 const spec = specOf({ Cpus: 2 });
 const KEY = teamKey('red');
 /** The revision of the team's last change, and the one up to which the copy is complete. */
--- a/test/worker-registry.test.ts
+++ b/test/worker-registry.test.ts
@@ -1,18 +1,25 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
+import type { WorkerTimings } from '../src/config/settings.js';
 import type { LeadershipTerm, RoleLeadership } from '../src/controller/claims.js';
 import { WorkerRegistry } from '../src/controller/worker-registry.js';
 import { Worker, leaseOverAt } from '../src/workers/worker.js';
 
-const LEASE_S = 10;
-const SETTINGS = { report_s: 1, lease_s: LEASE_S, gang_wait_s: 30, gang_peer_s: 4, cancel_s: 36 };
+const LEASE_MS = 10_000;
+const TIMINGS: WorkerTimings = {
+  heartbeatIntervalMs: 1000,
+  workerLeaseMs: LEASE_MS,
+  gangStartTimeoutMs: 30_000,
+  gangPeerTimeoutMs: 4000,
+  cancelDeadlineMs: 36_000,
+};
 const HOST = 'i-000001';
 
 /** A registry over one partition, whose acquisition tests replace. */
 function registryOver(term: LeadershipTerm) {
   const owned: { term: LeadershipTerm | undefined } = { term };
   const leadership = { partitionCount: 1, partitionOf: () => 0, termOf: () => owned.term } as unknown as RoleLeadership;
-  return { owned, registry: new WorkerRegistry(leadership, SETTINGS) };
+  return { owned, registry: new WorkerRegistry(leadership, TIMINGS) };
 }
 
 function workerHeardAt(ms: number): Worker {
@@ -28,7 +35,7 @@
     owned.term = { startRevision: 9, at: 600_000 };
     assert.equal(registry.has(HOST), false);
     assert.equal(registry.size, 0);
-    assert.ok(registry.leaseOverAt(HOST, { fencingToken: 9, term: owned.term }) > 600_000 + LEASE_S * 1000);
+    assert.ok(registry.leaseOverAt(HOST, { fencingToken: 9, term: owned.term }) > 600_000 + LEASE_MS);
   });
 
   it('outlives a raised token, which begins no new acquisition', () => {
@@ -36,7 +43,7 @@
     const { registry } = registryOver(term);
     registry.add(workerHeardAt(500_000));
     const raised = { fencingToken: 12, term };
-    assert.equal(registry.leaseOverAt(HOST, raised), leaseOverAt(500_000, LEASE_S));
+    assert.equal(registry.leaseOverAt(HOST, raised), leaseOverAt(500_000, LEASE_MS));
   });
 
   it('proves no lease over by having been forgotten', () => {
@@ -45,7 +52,7 @@
     registry.add(workerHeardAt(500_000));
     registry.forget(HOST);
     assert.equal(registry.has(HOST), false);
-    assert.equal(registry.leaseOverAt(HOST, { fencingToken: 5, term }), leaseOverAt(500_000, LEASE_S));
+    assert.equal(registry.leaseOverAt(HOST, { fencingToken: 5, term }), leaseOverAt(500_000, LEASE_MS));
   });
 
   it('takes nothing in for a partition that is not owned', () => {
