--- a/eslint.config.js
+++ b/eslint.config.js
@@ -14,7 +14,7 @@
   },
   {
     // One step a line, in functions and files that a reader takes in at a time.
-    files: ['src/**', 'test/**', 'packages/**'],
+    files: ['src/**', 'testing/**', 'test/**', 'packages/**'],
     rules: {
       'no-cond-assign': ['error', 'always'],
       'no-multi-assign': 'error',
@@ -27,7 +27,7 @@
     },
   },
   {
-    files: ['src/**', 'packages/*/src/**'],
+    files: ['src/**', 'testing/**', 'packages/*/src/**'],
     rules: { 'max-lines-per-function': ['error', { max: 80, skipComments: true }] },
   },
   // One list of constants, each with its unit and reason; and one place where all duties of a controller are joined.
--- a/src/api/submission.ts
+++ b/src/api/admission.ts
@@ -1,8 +1,8 @@
 /** Which well-formed submissions are refused, because the job could never run. */
-import type { Team } from '../config/settings.js';
-import type { MachineType } from '../controller/fleet.js';
-import type { JobSpec } from '../ledger/records.js';
-import { fits, quotaAllows } from '../ledger/rules.js';
+import type { Team } from '../domain/settings.js';
+import type { MachineType } from '../inventory/machine-inventory.js';
+import type { JobSpec } from '../records/records.js';
+import { fits, quotaAllows } from '../records/placement-rules.js';
 
 /** Why the job can never run, or undefined. */
 export function whyNever(spec: JobSpec, team: Team | undefined, catalog: Iterable<MachineType>): string | undefined {
--- a/src/api/server.ts
+++ b/src/api/api-server.ts
@@ -2,8 +2,8 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { Duplex } from 'node:stream';
 import { KEEP_ALIVE_MS, MAX_OPEN_REQUESTS, REQUEST_TIMEOUT_MS, RETRY_AFTER_S } from '../constants.js';
-import type { Log } from '../controller/log.js';
-import type { Answer } from './jobs.js';
+import type { Log } from '../logging/log.js';
+import type { Answer } from './job-service.js';
 import { readBody } from './request-body.js';
 import { Routes, type Handlers, type Route } from './routes.js';
 
--- a/src/api/job-lookup.ts
+++ b/src/api/job-lookup.ts
@@ -1,14 +1,14 @@
 /** What is known of jobs: final states from memory, the others as new as the store's own. */
 import { FRESH_MS, POLL_COMPARISONS, POLL_DEADLINE_MS, POLL_GATHER_MS, QUEUED_FRESH_SHARE } from '../constants.js';
-import type { PredecessorStates } from '../controller/predecessor-states.js';
-import type { ClusterState, JobView } from '../ledger/book.js';
-import { decodeFinalJobRecord } from '../ledger/record-codecs.js';
-import { FINAL_JOB_PREFIX, finalJobKey, jobKey } from '../ledger/record-keys.js';
-import type { Condition } from '../state/wire-codec.js';
-import type { StoreClient } from '../state/client.js';
-import type { TransactionBatcher } from '../state/committer.js';
-import type { TransactionLimits } from '../state/draft.js';
-import type { Replica } from '../state/replica.js';
+import type { PredecessorStates } from '../jobs/dependency-states.js';
+import type { ClusterState, JobView } from '../records/cluster-state.js';
+import { decodeFinalJobRecord } from '../records/record-codecs.js';
+import { FINAL_JOB_PREFIX, finalJobKey, jobKey } from '../records/record-keys.js';
+import type { Condition } from '../store/store-wire-codec.js';
+import type { StoreClient } from '../store/store-client.js';
+import type { TransactionBatcher } from '../store/transaction-batcher.js';
+import type { TransactionLimits } from '../store/transaction-draft.js';
+import type { Replica } from '../store/replica.js';
 import type { Clock } from '../net/clock.js';
 import { Priority } from '../net/token-bucket.js';
 import { JOB_ID, type JobStatus } from './job-wire-codec.js';
--- a/src/api/jobs.ts
+++ b/src/api/job-service.ts
@@ -6,25 +6,25 @@
   RECORD_ENVELOPE_BYTES,
   SUBMIT_DEADLINE_MS,
 } from '../constants.js';
-import type { Settings, Team } from '../config/settings.js';
-import type { MachineInventory } from '../controller/fleet.js';
-import type { Log } from '../controller/log.js';
-import type { PredecessorStates } from '../controller/predecessor-states.js';
-import type { ClusterState } from '../ledger/book.js';
-import { decodeJobRecord } from '../ledger/record-codecs.js';
-import { finalJobKey, jobKey } from '../ledger/record-keys.js';
-import type { JobRecord, JobSpec } from '../ledger/records.js';
+import type { Settings, Team } from '../domain/settings.js';
+import type { MachineInventory } from '../inventory/machine-inventory.js';
+import type { Log } from '../logging/log.js';
+import type { PredecessorStates } from '../jobs/dependency-states.js';
+import type { ClusterState } from '../records/cluster-state.js';
+import { decodeJobRecord } from '../records/record-codecs.js';
+import { finalJobKey, jobKey } from '../records/record-keys.js';
+import type { JobRecord, JobSpec } from '../records/records.js';
 import type { Clock } from '../net/clock.js';
 import { Priority } from '../net/token-bucket.js';
-import { encodeJobSpec } from '../ledger/job-spec-codec.js';
-import { cancelStoredJob, encodeFinalJobRecord, encodeJobRecord } from '../ledger/record-codecs.js';
-import type { TransactionBatcher } from '../state/committer.js';
-import type { TransactionDraft, TransactionLimits } from '../state/draft.js';
-import type { Replica } from '../state/replica.js';
-import { jsonLength } from '../state/sizes.js';
+import { encodeJobSpec } from '../records/job-spec-codec.js';
+import { cancelStoredJob, encodeFinalJobRecord, encodeJobRecord } from '../records/record-codecs.js';
+import type { TransactionBatcher } from '../store/transaction-batcher.js';
+import type { TransactionDraft, TransactionLimits } from '../store/transaction-draft.js';
+import type { Replica } from '../store/replica.js';
+import { jsonLength } from '../store/json-size.js';
 import type { JobLookup } from './job-lookup.js';
 import { encodeJobState, encodeJobStatus, parseSubmission } from './job-wire-codec.js';
-import { whyNever } from './submission.js';
+import { whyNever } from './admission.js';
 
 export interface Answer {
   status: number;
--- a/src/api/routes.ts
+++ b/src/api/routes.ts
@@ -1,5 +1,5 @@
 /** Which handler serves a request, by its path and method. */
-import type { Answer } from './jobs.js';
+import type { Answer } from './job-service.js';
 
 /** What the service does for users, workers and health checks. */
 export interface Handlers {
--- a/src/controller/renter.ts
+++ b/src/autoscaling/autoscaler.ts
@@ -6,14 +6,14 @@
   NO_CAPACITY_MS,
   RESERVE_SHARE,
 } from '../constants.js';
-import type { CloudClient } from '../cloud/client.js';
-import type { ListedMachine } from '../cloud/wire-codec.js';
-import type { ClusterState } from '../ledger/book.js';
-import { rentalKey } from '../ledger/record-keys.js';
-import type { JobSpec, RentalRecord } from '../ledger/records.js';
-import { allowedOn, zoneAllows } from '../ledger/rules.js';
-import type { TransactionBatcher } from '../state/committer.js';
-import type { Settings } from '../config/settings.js';
+import type { CloudClient } from '../cloud/cloud-client.js';
+import type { ListedMachine } from '../cloud/cloud-wire-codec.js';
+import type { ClusterState } from '../records/cluster-state.js';
+import { rentalKey } from '../records/record-keys.js';
+import type { JobSpec, RentalRecord } from '../records/records.js';
+import { allowedOn, zoneAllows } from '../records/placement-rules.js';
+import type { TransactionBatcher } from '../store/transaction-batcher.js';
+import type { Settings } from '../domain/settings.js';
 import type { Clock } from '../net/clock.js';
 import { Priority } from '../net/token-bucket.js';
 import {
@@ -23,13 +23,13 @@
   type CapacityNeed,
   type Offer,
   type WantedMachines,
-} from '../placement/renting.js';
-import { CLUSTER_LEADER_ROLE, type RoleLeadership } from './claims.js';
-import type { MachineInventory } from './fleet.js';
-import type { Log } from './log.js';
-import type { PendingTask } from './placer.js';
-import type { PlacementPlanner } from './planner.js';
-import { encodeRentalRecord } from '../ledger/record-codecs.js';
+} from './scale-out-decision.js';
+import { CLUSTER_LEADER_ROLE, type RoleLeadership } from '../leadership/role-leadership.js';
+import type { MachineInventory } from '../inventory/machine-inventory.js';
+import type { Log } from '../logging/log.js';
+import type { PendingTask } from '../scheduling/task-placer.js';
+import type { PlacementPlanner } from '../scheduling/placement-planner.js';
+import { encodeRentalRecord } from '../records/record-codecs.js';
 
 /** Rents machines for what has no place, and for the reserve, under names that are never used twice. */
 export class Autoscaler {
--- a/src/controller/leader.ts
+++ b/src/autoscaling/cluster-leader.ts
@@ -11,29 +11,29 @@
   ZONE_HEAL_MS,
   RENT_ROUNDS,
 } from '../constants.js';
-import type { Settings } from '../config/settings.js';
-import { decodeMachineType, type ListedMachine } from '../cloud/wire-codec.js';
-import type { CloudClient } from '../cloud/client.js';
-import type { ClusterState } from '../ledger/book.js';
-import { releasePlacement } from '../ledger/edits.js';
-import { machineTypeKey } from '../ledger/record-keys.js';
-import type { TeamAccounting } from '../ledger/team-accounting.js';
-import type { TransactionBatcher } from '../state/committer.js';
-import type { TransactionDraft } from '../state/draft.js';
+import type { Settings } from '../domain/settings.js';
+import { decodeMachineType, type ListedMachine } from '../cloud/cloud-wire-codec.js';
+import type { CloudClient } from '../cloud/cloud-client.js';
+import type { ClusterState } from '../records/cluster-state.js';
+import { releasePlacement } from '../records/placement-mutations.js';
+import { machineTypeKey } from '../records/record-keys.js';
+import type { TeamAccounting } from '../records/team-accounting.js';
+import type { TransactionBatcher } from '../store/transaction-batcher.js';
+import type { TransactionDraft } from '../store/transaction-draft.js';
 import { reportLateMs, silenceLimitMs } from '../workers/worker.js';
 import type { Clock } from '../net/clock.js';
 import { Priority } from '../net/token-bucket.js';
-import { exitPriority } from '../placement/queue.js';
-import { cutZones, machinesToGiveUp, type WatchedMachine } from '../placement/silence.js';
-import { belowReserve, bootLimitMs } from '../placement/renting.js';
-import type { PeerDirectory } from '../mesh/peers.js';
-import { CLUSTER_LEADER_ROLE, partitionRole, type RoleLeadership } from './claims.js';
-import type { MachineInventory, MachineInfo, MachineType } from './fleet.js';
-import type { Log } from './log.js';
-import type { PlacementPlanner } from './planner.js';
-import { Preemptor } from './preempter.js';
-import { Autoscaler } from './renter.js';
-import { EvictionMarker } from './stopper.js';
+import { exitPriority } from '../scheduling/decisions/queue-order.js';
+import { cutZones, machinesToGiveUp, type WatchedMachine } from './silent-machines.js';
+import { belowReserve, bootLimitMs } from './scale-out-decision.js';
+import type { PeerDirectory } from '../gossip/peer-directory.js';
+import { CLUSTER_LEADER_ROLE, partitionRole, type RoleLeadership } from '../leadership/role-leadership.js';
+import type { MachineInventory, MachineInfo, MachineType } from '../inventory/machine-inventory.js';
+import type { Log } from '../logging/log.js';
+import type { PlacementPlanner } from '../scheduling/placement-planner.js';
+import { Preemptor } from '../scheduling/preemptor.js';
+import { Autoscaler } from './autoscaler.js';
+import { EvictionMarker } from '../scheduling/eviction-marker.js';
 
 export interface ClusterLeaderDependencies {
   settings: Settings;
--- a/src/placement/renting.ts
+++ b/src/autoscaling/scale-out-decision.ts
@@ -1,7 +1,7 @@
 import { BOOT_PATIENCE, RESERVE_SHARE } from '../constants.js';
-import type { MachineType } from '../controller/fleet.js';
-import type { JobSpec, Resources } from '../ledger/records.js';
-import { allowedOn, fits, subtractResources } from '../ledger/rules.js';
+import type { MachineType } from '../inventory/machine-inventory.js';
+import type { JobSpec, Resources } from '../records/records.js';
+import { allowedOn, fits, subtractResources } from '../records/placement-rules.js';
 
 /** Tasks of one kind that have no place. */
 export interface CapacityNeed {
--- a/src/cloud/client.ts
+++ b/src/cloud/cloud-client.ts
@@ -13,7 +13,7 @@
   machineTypesOf,
   type ListedMachine,
   type ScaleOutRequest,
-} from './wire-codec.js';
+} from './cloud-wire-codec.js';
 
 export type ScaleOutResult =
   | { kind: 'rented'; machineIds: string[] }
--- a/src/config/load-settings.ts
+++ b/src/config/load-settings.ts
@@ -13,7 +13,7 @@
   type SettingsFile,
   type TuningFile,
 } from './settings-file-codec.js';
-import type { Settings, Tuning } from './settings.js';
+import type { Settings, Tuning } from '../domain/settings.js';
 
 /** A settings file that can't be used; the message names the file and the field. */
 export class SettingsError extends Error {
--- a/src/config/settings-file-codec.ts
+++ b/src/config/settings-file-codec.ts
@@ -10,7 +10,7 @@
   Team,
   Tuning,
   WorkerTimings,
-} from './settings.js';
+} from '../domain/settings.js';
 
 const MS_PER_S = 1000;
 const BYTES_PER_KB = 1024;
--- a/src/controller/job-duties.ts
+++ b/src/controller/job-duties.ts
@@ -1,10 +1,10 @@
 /** Joins the duties that follow a job through its life: what users are told, what ends it, and the jobs that wait for it. */
 import { JobLookup, type JobLookupDependencies } from '../api/job-lookup.js';
-import { Jobs, type JobsDependencies } from '../api/jobs.js';
-import { JobCompletion, type JobCompletionDependencies } from './job-completion.js';
-import { JobReactions, type JobReactionsDependencies } from './job-reactions.js';
-import { PipelineProgress } from './pipeline-progress.js';
-import { PredecessorStates, type PredecessorStatesDependencies } from './predecessor-states.js';
+import { Jobs, type JobsDependencies } from '../api/job-service.js';
+import { JobCompletion, type JobCompletionDependencies } from '../jobs/job-completion.js';
+import { JobReactions, type JobReactionsDependencies } from '../jobs/job-reactions.js';
+import { PipelineProgress } from '../jobs/dependency-progress.js';
+import { PredecessorStates, type PredecessorStatesDependencies } from '../jobs/dependency-states.js';
 
 type Joined = 'states' | 'completion' | 'pipelineProgress' | 'lookup' | 'cancelDeadlineMs';
 
--- a/src/controller/node-health.ts
+++ b/src/controller/node-health.ts
@@ -1,8 +1,8 @@
 /** Whether this node serves requests, and whether it is the one that the store refuses. */
-import type { PeerDirectory } from '../mesh/peers.js';
-import type { StoreClient } from '../state/client.js';
-import type { Replica } from '../state/replica.js';
-import type { RoleLeadership } from './claims.js';
+import type { PeerDirectory } from '../gossip/peer-directory.js';
+import type { StoreClient } from '../store/store-client.js';
+import type { Replica } from '../store/replica.js';
+import type { RoleLeadership } from '../leadership/role-leadership.js';
 
 export class NodeHealth {
   constructor(
--- a/src/controller/peer-message-router.ts
+++ b/src/controller/peer-message-router.ts
@@ -1,11 +1,11 @@
 /** Hands each message of another controller to the part that it is for. */
-import type { ReplicaFreshness } from '../mesh/coverage.js';
-import type { ForwardedHeartbeat, Message } from '../mesh/messages.js';
-import type { HeartbeatForwarder } from '../mesh/relays.js';
-import type { GossipExchange } from './gossip-exchange.js';
-import type { RecordBroadcast } from './record-broadcast.js';
-import type { HeartbeatService } from './report-service.js';
-import type { Standby } from './standby.js';
+import type { ReplicaFreshness } from '../gossip/replica-freshness.js';
+import type { ForwardedHeartbeat, Message } from '../gossip/messages.js';
+import type { HeartbeatForwarder } from '../gossip/heartbeat-forwarder.js';
+import type { GossipExchange } from '../gossip/gossip-exchange.js';
+import type { RecordBroadcast } from '../gossip/record-broadcast.js';
+import type { HeartbeatService } from '../workers/heartbeat-service.js';
+import type { Standby } from '../leadership/standby.js';
 
 export interface PeerMessageRouterDependencies {
   exchange: GossipExchange;
--- a/src/controller/worker-manager-events.ts
+++ b/src/controller/worker-manager-events.ts
@@ -1,10 +1,10 @@
 /** Joins the manager of the workers to the parts that it asks, and that want to know of heartbeats and exits. */
-import type { ClusterState } from '../ledger/book.js';
-import type { MachineInventory } from './fleet.js';
-import type { HealthChecks } from './health-checks.js';
-import type { PlacementPlanner } from './planner.js';
-import type { Standby } from './standby.js';
-import type { WorkerManagerEvents } from './worker-manager-dependencies.js';
+import type { ClusterState } from '../records/cluster-state.js';
+import type { MachineInventory } from '../inventory/machine-inventory.js';
+import type { HealthChecks } from '../scheduling/health-checks.js';
+import type { PlacementPlanner } from '../scheduling/placement-planner.js';
+import type { Standby } from '../leadership/standby.js';
+import type { WorkerManagerEvents } from '../workers/worker-manager-dependencies.js';
 
 /** The parts that are built after the manager are asked for when they are needed. */
 export interface WorkerManagerEventsDependencies {
--- a/src/controller/gossip-exchange.ts
+++ b/src/gossip/gossip-exchange.ts
@@ -1,21 +1,21 @@
 /** Composes what this node tells its peers every second, and takes in what they tell. */
 import { GOSSIP_VIEW_MS } from '../constants.js';
-import type { Settings } from '../config/settings.js';
-import type { ReplicaFreshness } from '../mesh/coverage.js';
-import type { Gossip, MachineUpdate } from '../mesh/messages.js';
-import type { PeerDirectory } from '../mesh/peers.js';
+import type { Settings } from '../domain/settings.js';
+import type { ReplicaFreshness } from './replica-freshness.js';
+import type { Gossip, MachineUpdate } from './messages.js';
+import type { PeerDirectory } from './peer-directory.js';
 import {
   ReceivedMachineUpdates,
   describeOwnMachines,
   type OwnMachines,
   type SentMachineUpdates,
-} from '../mesh/machine-updates.js';
+} from './machine-updates.js';
 import type { Clock } from '../net/clock.js';
-import type { Replica } from '../state/replica.js';
-import { partitionRole, type RoleLeadership } from './claims.js';
-import type { MachineInventory, MachineInfo } from './fleet.js';
-import type { Log } from './log.js';
-import type { WorkerManager } from './owner.js';
+import type { Replica } from '../store/replica.js';
+import { partitionRole, type RoleLeadership } from '../leadership/role-leadership.js';
+import type { MachineInventory, MachineInfo } from '../inventory/machine-inventory.js';
+import type { Log } from '../logging/log.js';
+import type { WorkerManager } from '../workers/worker-manager.js';
 
 export interface GossipExchangeDependencies {
   settings: Settings;
--- a/src/controller/gossip-sender.ts
+++ b/src/gossip/gossip-sender.ts
@@ -1,6 +1,6 @@
 /** Sends this node's gossip to all peers out of turn. */
 import { GOSSIP_SOON_MS } from '../constants.js';
-import type { Gossip, Message } from '../mesh/messages.js';
+import type { Gossip, Message } from './messages.js';
 import type { Clock } from '../net/clock.js';
 
 export interface GossipSenderDependencies {
--- a/src/mesh/messages.ts
+++ b/src/gossip/messages.ts
@@ -1,7 +1,7 @@
 import avro from 'avsc';
 import type { StreamMessage } from '@dewlatch/standby';
-import type { SerializedChange } from '../state/replica.js';
-import type { MachineState } from '../workers/machine-state.js';
+import type { SerializedChange } from '../store/replica.js';
+import type { MachineState } from '../domain/machine-state.js';
 import { record } from './avro-record.js';
 import { decodeStreamMessage, encodeStreamMessage, isStreamMessage } from './stream-codec.js';
 
--- a/src/mesh/mesh.ts
+++ b/src/gossip/peer-links.ts
@@ -1,7 +1,7 @@
 import { connect, createServer, type Socket } from 'node:net';
 import { CONNECT_TIMEOUT_MS, GOSSIP_MS, MAX_GOSSIP_BYTES, MESH_IDLE_MS } from '../constants.js';
-import type { Settings } from '../config/settings.js';
-import type { Log } from '../controller/log.js';
+import type { Settings } from '../domain/settings.js';
+import type { Log } from '../logging/log.js';
 import type { Clock } from '../net/clock.js';
 import { Frames, frame } from './frames.js';
 import { decodeMessage, encodeMessage, type Gossip, type Message } from './messages.js';
--- a/src/controller/record-broadcast.ts
+++ b/src/gossip/record-broadcast.ts
@@ -1,13 +1,13 @@
 /** Tells the peers which records this node's transactions have changed, and takes in what theirs have changed. */
 import { NEWS_GATHER_MS } from '../constants.js';
-import { isStoredCancellation } from '../ledger/record-codecs.js';
-import { LIVE } from '../ledger/record-keys.js';
-import type { Change } from '../state/wire-codec.js';
-import type { TransactionBatcher } from '../state/committer.js';
-import { deserializeChanges, type Replica, serializeChange } from '../state/replica.js';
-import type { Message, RecordDelta } from '../mesh/messages.js';
+import { isStoredCancellation } from '../records/record-codecs.js';
+import { LIVE } from '../records/record-keys.js';
+import type { Change } from '../store/store-wire-codec.js';
+import type { TransactionBatcher } from '../store/transaction-batcher.js';
+import { deserializeChanges, type Replica, serializeChange } from '../store/replica.js';
+import type { Message, RecordDelta } from './messages.js';
 import type { Clock } from '../net/clock.js';
-import type { Log } from './log.js';
+import type { Log } from '../logging/log.js';
 
 export interface RecordBroadcastDependencies {
   peers: readonly string[];
--- a/src/mesh/coverage.ts
+++ b/src/gossip/replica-freshness.ts
@@ -1,6 +1,6 @@
 import { CLOCK_DRIFT, DELTA_BYTES, FRESH_MS } from '../constants.js';
 import type { Clock } from '../net/clock.js';
-import { deserializeChanges, type Replica } from '../state/replica.js';
+import { deserializeChanges, type Replica } from '../store/replica.js';
 import type { DeltaRequest, ReplicaDelta, Gossip, Message } from './messages.js';
 
 /** A state of a peer's copy: its process, and how many changes that had taken in. */
--- a/src/controller/catalog-records.ts
+++ b/src/inventory/catalog-follower.ts
@@ -1,8 +1,8 @@
 /** Keeps the catalogue of machine types as the records have it: every node places by it, and only the leader asks the cloud. */
-import { decodeMachineType, type MachineType } from '../cloud/wire-codec.js';
-import { MACHINE_TYPE_PREFIX } from '../ledger/record-keys.js';
-import type { Replica } from '../state/replica.js';
-import type { Log } from './log.js';
+import { decodeMachineType, type MachineType } from '../cloud/cloud-wire-codec.js';
+import { MACHINE_TYPE_PREFIX } from '../records/record-keys.js';
+import type { Replica } from '../store/replica.js';
+import type { Log } from '../logging/log.js';
 
 export function followCatalog(replica: Replica, catalog: () => Map<string, MachineType>, log: Log): void {
   replica.onChange((key, { value }) => {
--- a/src/controller/fleet.ts
+++ b/src/inventory/machine-inventory.ts
@@ -9,12 +9,12 @@
   SILENT_REPORTS,
   MISDIRECTED_WORKERS_KEPT,
 } from '../constants.js';
-import type { Settings } from '../config/settings.js';
+import type { Settings } from '../domain/settings.js';
 import type { Clock } from '../net/clock.js';
-import type { RoleLeadership, HeldLeadership } from './claims.js';
-import { partitionRole } from './claims.js';
-import type { WorkerManager } from './owner.js';
-import type { MachineState } from '../workers/machine-state.js';
+import type { RoleLeadership, HeldLeadership } from '../leadership/role-leadership.js';
+import { partitionRole } from '../leadership/role-leadership.js';
+import type { WorkerManager } from '../workers/worker-manager.js';
+import type { MachineState } from '../domain/machine-state.js';
 import { isNewerThan, type WorkerStatus } from '../workers/worker-wire-codec.js';
 import type { Worker } from '../workers/worker.js';
 
--- a/src/controller/pipeline-progress.ts
+++ b/src/jobs/dependency-progress.ts
@@ -3,16 +3,16 @@
  * before them. Driven by changes of the records, and by a sweep that finds what an event has missed. Any node may take a
  * step, since each is one conditional write; the node responsible for a job's records does.
  */
-import type { ClusterState } from '../ledger/book.js';
-import { cancelWaitingJob, releaseJob } from '../ledger/pipeline-edits.js';
+import type { ClusterState } from '../records/cluster-state.js';
+import { cancelWaitingJob, releaseJob } from '../records/dependency-mutations.js';
 import type { Clock } from '../net/clock.js';
 import { Priority } from '../net/token-bucket.js';
-import type { TransactionBatcher } from '../state/committer.js';
-import type { TransactionDraft } from '../state/draft.js';
-import type { RoleLeadership } from './claims.js';
-import type { Log } from './log.js';
-import type { PredecessorStates } from './predecessor-states.js';
-import { isResponsibleFor } from './responsibility.js';
+import type { TransactionBatcher } from '../store/transaction-batcher.js';
+import type { TransactionDraft } from '../store/transaction-draft.js';
+import type { RoleLeadership } from '../leadership/role-leadership.js';
+import type { Log } from '../logging/log.js';
+import type { PredecessorStates } from './dependency-states.js';
+import { isResponsibleFor } from '../leadership/responsibility.js';
 
 export interface PipelineProgressDependencies {
   leadership: RoleLeadership;
--- a/src/controller/predecessor-states.ts
+++ b/src/jobs/dependency-states.ts
@@ -2,13 +2,13 @@
  * What is known of the jobs before a waiting one. That a job was cancelled or is done is final, however it was learnt; how a
  * job ended that is gone from the copy of the live records has to be read, unless a peer has told.
  */
-import type { ClusterState } from '../ledger/book.js';
-import { decodeFinalJobRecord } from '../ledger/record-codecs.js';
-import { finalJobKey, jobKey } from '../ledger/record-keys.js';
+import type { ClusterState } from '../records/cluster-state.js';
+import { decodeFinalJobRecord } from '../records/record-codecs.js';
+import { finalJobKey, jobKey } from '../records/record-keys.js';
 import { Priority } from '../net/token-bucket.js';
-import type { StoreClient } from '../state/client.js';
-import type { TransactionBatcher } from '../state/committer.js';
-import type { Replica } from '../state/replica.js';
+import type { StoreClient } from '../store/store-client.js';
+import type { TransactionBatcher } from '../store/transaction-batcher.js';
+import type { Replica } from '../store/replica.js';
 
 /** `unknown`: not among the live jobs, and nothing says whether or how it has ended. */
 export type JobStanding = 'open' | 'done' | 'cancelled' | 'unknown';
--- a/src/controller/job-completion.ts
+++ b/src/jobs/job-completion.ts
@@ -1,18 +1,18 @@
 /** Ends jobs whose tasks are all over, and removes what is left of the records of ended jobs. */
 import { END_WRITES } from '../constants.js';
-import type { ClusterState } from '../ledger/book.js';
-import { endJob } from '../ledger/edits.js';
-import { releaseJob } from '../ledger/pipeline-edits.js';
-import { jobKey, placementChunkKey } from '../ledger/record-keys.js';
+import type { ClusterState } from '../records/cluster-state.js';
+import { endJob } from '../records/placement-mutations.js';
+import { releaseJob } from '../records/dependency-mutations.js';
+import { jobKey, placementChunkKey } from '../records/record-keys.js';
 import type { Clock } from '../net/clock.js';
 import { Priority } from '../net/token-bucket.js';
-import type { TransactionBatcher } from '../state/committer.js';
-import type { TransactionDraft } from '../state/draft.js';
-import type { Replica } from '../state/replica.js';
-import { CLUSTER_LEADER_ROLE, type RoleLeadership } from './claims.js';
-import type { Log } from './log.js';
-import type { PredecessorStates } from './predecessor-states.js';
-import { isResponsibleFor } from './responsibility.js';
+import type { TransactionBatcher } from '../store/transaction-batcher.js';
+import type { TransactionDraft } from '../store/transaction-draft.js';
+import type { Replica } from '../store/replica.js';
+import { CLUSTER_LEADER_ROLE, type RoleLeadership } from '../leadership/role-leadership.js';
+import type { Log } from '../logging/log.js';
+import type { PredecessorStates } from './dependency-states.js';
+import { isResponsibleFor } from '../leadership/responsibility.js';
 
 export interface JobCompletionDependencies {
   leadership: RoleLeadership;
--- a/src/controller/job-reactions.ts
+++ b/src/jobs/job-reactions.ts
@@ -1,14 +1,14 @@
 /** What follows from a change of a job's records: launches and stops, plans, its end, and the steps of jobs after it. */
 import { BATCH_PUSH_GATHER_SHARE } from '../constants.js';
-import type { ClusterState, JobView } from '../ledger/book.js';
-import { taskIdOf } from '../ledger/records.js';
-import { CLUSTER_LEADER_ROLE, partitionRole, type RoleLeadership } from './claims.js';
+import type { ClusterState, JobView } from '../records/cluster-state.js';
+import { taskIdOf } from '../records/records.js';
+import { CLUSTER_LEADER_ROLE, partitionRole, type RoleLeadership } from '../leadership/role-leadership.js';
 import type { JobCompletion } from './job-completion.js';
-import type { WorkerManager } from './owner.js';
-import type { PipelineProgress } from './pipeline-progress.js';
-import { isLarge } from './placer.js';
-import type { PlacementPlanner } from './planner.js';
-import { isResponsibleFor } from './responsibility.js';
+import type { WorkerManager } from '../workers/worker-manager.js';
+import type { PipelineProgress } from './dependency-progress.js';
+import { isLarge } from '../scheduling/task-placer.js';
+import type { PlacementPlanner } from '../scheduling/placement-planner.js';
+import { isResponsibleFor } from '../leadership/responsibility.js';
 
 export interface JobReactionsDependencies {
   leadership: RoleLeadership;
--- a/src/controller/handover.ts
+++ b/src/leadership/handover.ts
@@ -1,10 +1,10 @@
 /** A planned handover: a controller that is told to stop gives its roles to its successors instead of letting them expire. */
 import { DRAIN_SHARE, NEWS_GATHER_MS } from '../constants.js';
 import type { Clock } from '../net/clock.js';
-import type { RoleLeadership } from './claims.js';
-import type { GossipSender } from './gossip-sender.js';
-import type { Log } from './log.js';
-import type { WorkerManager } from './owner.js';
+import type { RoleLeadership } from './role-leadership.js';
+import type { GossipSender } from '../gossip/gossip-sender.js';
+import type { Log } from '../logging/log.js';
+import type { WorkerManager } from '../workers/worker-manager.js';
 
 export interface HandoverDependencies {
   /** ms that it may take; what is left then ends with the hold. */
--- a/src/controller/load-tracer.ts
+++ b/src/leadership/load-tracer.ts
@@ -3,7 +3,7 @@
 import { resolve } from 'node:path';
 import { NO_TRACER, type TakeoverTracer, type TracingModule } from '@dewlatch/standby';
 import type { Clock } from '../net/clock.js';
-import type { Log } from './log.js';
+import type { Log } from '../logging/log.js';
 
 /** Made by the build beside the program; the program is started from the folder above. */
 const TRACING_BUNDLE = 'target/tracing.cjs';
--- a/src/controller/claims.ts
+++ b/src/leadership/role-leadership.ts
@@ -8,18 +8,18 @@
   START_GRACE_MS,
   SUCCESSOR_HEAD_START_MS,
 } from '../constants.js';
-import type { Settings, WorkerTimings } from '../config/settings.js';
-import type { ClusterState } from '../ledger/book.js';
-import { leadershipKey } from '../ledger/record-keys.js';
-import type { StoreClient } from '../state/client.js';
-import type { TransactionBatcher } from '../state/committer.js';
-import type { TransactionDraft } from '../state/draft.js';
-import type { Replica } from '../state/replica.js';
+import type { Settings, WorkerTimings } from '../domain/settings.js';
+import type { ClusterState } from '../records/cluster-state.js';
+import { leadershipKey } from '../records/record-keys.js';
+import type { StoreClient } from '../store/store-client.js';
+import type { TransactionBatcher } from '../store/transaction-batcher.js';
+import type { TransactionDraft } from '../store/transaction-draft.js';
+import type { Replica } from '../store/replica.js';
 import type { Clock } from '../net/clock.js';
 import type { Random } from '../net/random.js';
 import { Priority } from '../net/token-bucket.js';
-import type { Log } from './log.js';
-import { decodeLeadershipRecord, encodeLeadershipRecord } from '../ledger/record-codecs.js';
+import type { Log } from '../logging/log.js';
+import { decodeLeadershipRecord, encodeLeadershipRecord } from '../records/record-codecs.js';
 
 export const CLUSTER_LEADER_ROLE = 'leader';
 const PARTITION_PREFIX = 'part-';
--- a/src/controller/rebalancer.ts
+++ b/src/leadership/role-rebalancer.ts
@@ -1,11 +1,11 @@
 /** Gives partitions back to the nodes that prefer them, and partitions whose workers can't reach this node to others. */
 import { AVOID_MS, HANDBACK_MS, HOLD_TTL_MS, LEAST_SILENT_WORKERS, SELF_SUSPECT_SHARE } from '../constants.js';
-import type { Settings } from '../config/settings.js';
-import type { PeerDirectory } from '../mesh/peers.js';
+import type { Settings } from '../domain/settings.js';
+import type { PeerDirectory } from '../gossip/peer-directory.js';
 import type { Clock } from '../net/clock.js';
 import { silenceLimitMs } from '../workers/worker.js';
-import { partitionRole, type RoleLeadership } from './claims.js';
-import type { WorkerManager } from './owner.js';
+import { partitionRole, type RoleLeadership } from './role-leadership.js';
+import type { WorkerManager } from '../workers/worker-manager.js';
 
 export interface RoleRebalancerDependencies {
   settings: Settings;
--- a/src/controller/standby.ts
+++ b/src/leadership/standby.ts
@@ -27,16 +27,16 @@
   STANDBY_LOOK_MS,
   STATUS_PERIOD_MS,
 } from '../constants.js';
-import type { Settings } from '../config/settings.js';
-import type { ClusterState } from '../ledger/book.js';
-import { parseTaskId } from '../ledger/records.js';
-import { standbyKey } from '../ledger/record-keys.js';
-import type { PeerDirectory } from '../mesh/peers.js';
+import type { Settings } from '../domain/settings.js';
+import type { ClusterState } from '../records/cluster-state.js';
+import { parseTaskId } from '../records/records.js';
+import { standbyKey } from '../records/record-keys.js';
+import type { PeerDirectory } from '../gossip/peer-directory.js';
 import type { Clock } from '../net/clock.js';
 import { Priority } from '../net/token-bucket.js';
-import type { Happiness } from '../placement/happiness.js';
-import type { TransactionBatcher } from '../state/committer.js';
-import type { Replica } from '../state/replica.js';
+import type { Happiness } from '../scheduling/decisions/happiness.js';
+import type { TransactionBatcher } from '../store/transaction-batcher.js';
+import type { Replica } from '../store/replica.js';
 import {
   CLUSTER_LEADER_ROLE,
   partitionOfRole,
@@ -44,10 +44,10 @@
   type RoleLeadership,
   type HeldLeadership,
   type SuccessionPolicy,
-} from './claims.js';
-import type { ClusterLeader } from './leader.js';
-import type { Log } from './log.js';
-import { decodeStandbyRecord, encodeStandbyRecord } from '../ledger/record-codecs.js';
+} from './role-leadership.js';
+import type { ClusterLeader } from '../autoscaling/cluster-leader.js';
+import type { Log } from '../logging/log.js';
+import { decodeStandbyRecord, encodeStandbyRecord } from '../records/record-codecs.js';
 
 export interface StandbyDependencies {
   settings: Settings;
--- a/src/main.ts
+++ b/src/main.ts
@@ -6,7 +6,7 @@
 import { SettingsError, loadSettings, loadTuning } from './config/load-settings.js';
 import { HTTP_CLIENT_SOCKET_SHARE, VERSION } from './constants.js';
 import { Controller } from './controller/controller.js';
-import { createLog, type Log } from './controller/log.js';
+import { createLog, type Log } from './logging/log.js';
 import { systemClock } from './net/clock.js';
 import { NodeHttpClient } from './net/http-client.js';
 
--- a/src/controller/periodic.ts
+++ b/src/net/periodic.ts
@@ -1,6 +1,6 @@
 /** Work that is done again and again until it is cancelled. */
-import type { Clock } from '../net/clock.js';
-import type { Log } from './log.js';
+import type { Clock } from './clock.js';
+import type { Log } from '../logging/log.js';
 
 export interface PeriodicDependencies {
   clock: Clock;
--- a/src/ledger/book.ts
+++ b/src/records/cluster-state.ts
@@ -1,7 +1,7 @@
-import type { Team } from '../config/settings.js';
-import type { BatchingHint } from '../state/committer.js';
-import type { Replica, StoredValue } from '../state/replica.js';
-import { JobDependencies, type Urgency } from './pipelines.js';
+import type { Team } from '../domain/settings.js';
+import type { BatchingHint } from '../store/transaction-batcher.js';
+import type { Replica, StoredValue } from '../store/replica.js';
+import { JobDependencies, type Urgency } from './job-dependencies.js';
 import { JOB_PREFIX, LEADERSHIP_PREFIX, PLACEMENT_PREFIX, placementChunkKey, RENTAL_PREFIX } from './record-keys.js';
 import {
   type ActivePlacement,
@@ -16,7 +16,7 @@
 } from './records.js';
 import { decodeChunk, hasNoActivePlacements } from './placement-codec.js';
 import { decodeJobRecord, decodeLeadershipRecord, decodeRentalRecord } from './record-codecs.js';
-import { isLimited, roundAmount, subtractResources, zonesOf } from './rules.js';
+import { isLimited, roundAmount, subtractResources, zonesOf } from './placement-rules.js';
 
 export interface PlacedTask {
   jobId: string;
--- a/src/ledger/pipeline-edits.ts
+++ b/src/records/dependency-mutations.ts
@@ -1,6 +1,6 @@
 /** The edits that move jobs on which wait for others. Each is one write under the condition that the job still waits. */
-import type { TransactionDraft } from '../state/draft.js';
-import { readJob } from './edits.js';
+import type { TransactionDraft } from '../store/transaction-draft.js';
+import { readJob } from './placement-mutations.js';
 import { decodeFinalJobRecord, encodeJobRecord, encodeFinalJobRecord } from './record-codecs.js';
 import { finalJobKey, jobKey } from './record-keys.js';
 
--- a/src/controller/format-upgrade.ts
+++ b/src/records/format-upgrade.ts
@@ -3,14 +3,14 @@
  * what a process has said is gone with it; and once all controllers are seen to say so in one transaction, a lasting record
  * notes it. Until then nothing is written that an earlier version would misread, and after it no earlier version comes back.
  */
-import { decodeFormatRecord, encodeFormatRecord, encodeFormatCompleteRecord } from '../ledger/record-codecs.js';
-import { FORMAT_COMPLETE_KEY, formatKey } from '../ledger/record-keys.js';
-import { type FormatRecord, RECORD_FORMAT } from '../ledger/records.js';
+import { decodeFormatRecord, encodeFormatRecord, encodeFormatCompleteRecord } from './record-codecs.js';
+import { FORMAT_COMPLETE_KEY, formatKey } from './record-keys.js';
+import { type FormatRecord, RECORD_FORMAT } from './records.js';
 import { Priority } from '../net/token-bucket.js';
-import type { TransactionBatcher } from '../state/committer.js';
-import type { TransactionDraft } from '../state/draft.js';
-import type { Replica } from '../state/replica.js';
-import type { Log } from './log.js';
+import type { TransactionBatcher } from '../store/transaction-batcher.js';
+import type { TransactionDraft } from '../store/transaction-draft.js';
+import type { Replica } from '../store/replica.js';
+import type { Log } from '../logging/log.js';
 
 export interface FormatUpgradeDependencies {
   node: string;
--- a/src/ledger/placement-codec.ts
+++ b/src/records/placement-codec.ts
@@ -3,7 +3,7 @@
  * for one that is done, `[attempt, failures]` for one that waits for another attempt, and for one that is on a machine
  * `[attempt, failures, machine, agent epoch, grace period in s or -1, zone]`.
  */
-import { jsonLength, noteLength } from '../state/sizes.js';
+import { jsonLength, noteLength } from '../store/json-size.js';
 import { CorruptRecord, isCount, type ActivePlacement, type TaskPlacement } from './records.js';
 
 const NEVER_PLACED: TaskPlacement = { kind: 'queued', attempt: 0, failures: 0 };
--- a/src/ledger/edits.ts
+++ b/src/records/placement-mutations.ts
@@ -1,10 +1,10 @@
-import type { Team } from '../config/settings.js';
-import type { TransactionDraft } from '../state/draft.js';
+import type { Team } from '../domain/settings.js';
+import type { TransactionDraft } from '../store/transaction-draft.js';
 import { chunkCount, chunkSize, type JobRecord, type TaskPlacement } from './records.js';
 import { finalJobKey, jobKey, placementChunkKey } from './record-keys.js';
 import { decodeChunk, withPlacement } from './placement-codec.js';
 import { decodeJobRecord, encodeFinalJobRecord } from './record-codecs.js';
-import { type Machine, type Proof, provesFree, whyNotStart } from './rules.js';
+import { type Machine, type Proof, provesFree, whyNotStart } from './placement-rules.js';
 import type { TeamAccounting } from './team-accounting.js';
 
 /** Reads a job and makes it a condition. */
--- a/src/ledger/rules.ts
+++ b/src/records/placement-rules.ts
@@ -1,4 +1,4 @@
-import type { Team } from '../config/settings.js';
+import type { Team } from '../domain/settings.js';
 import type { JobRecord, JobSpec, ActivePlacement, TaskPlacement, TeamUsage, Resources } from './records.js';
 
 /** What the rules need to know of a machine. */
--- a/src/ledger/record-sizes.ts
+++ b/src/records/record-sizer.ts
@@ -3,7 +3,7 @@
  * from the start; those that a version wrote which did not know of the later limit are made smaller when they are next
  * written, so nothing has to be converted, and it does not matter whether the limit has changed by then.
  */
-import { jsonLength } from '../state/sizes.js';
+import { jsonLength } from '../store/json-size.js';
 import { compactChunk } from './placement-codec.js';
 import { withoutMachineTypes } from './record-codecs.js';
 import { JOB_PREFIX, PLACEMENT_PREFIX } from './record-keys.js';
--- a/src/ledger/team-accounting.ts
+++ b/src/records/team-accounting.ts
@@ -5,13 +5,13 @@
  * the next start sets it to what the ledger shows, if the copy is known to hold every start that the record counts.
  */
 import { TEAM_DEFER_SHARE } from '../constants.js';
-import type { Team } from '../config/settings.js';
-import type { TransactionDraft } from '../state/draft.js';
-import type { StoredValue } from '../state/replica.js';
+import type { Team } from '../domain/settings.js';
+import type { TransactionDraft } from '../store/transaction-draft.js';
+import type { StoredValue } from '../store/replica.js';
 import { decodeTeamUsage, encodeTeamUsage } from './record-codecs.js';
 import { teamKey } from './record-keys.js';
 import type { JobSpec, TeamUsage } from './records.js';
-import { isLimited, roundAmount } from './rules.js';
+import { isLimited, roundAmount } from './placement-rules.js';
 
 export interface TeamAccountingDependencies {
   teams: readonly Team[];
--- a/src/controller/pools.ts
+++ b/src/scheduling/candidate-machines.ts
@@ -1,6 +1,6 @@
-import type { JobSpec, Resources } from '../ledger/records.js';
-import { allowedOn, resourcesOf } from '../ledger/rules.js';
-import type { MachineInfo } from './fleet.js';
+import type { JobSpec, Resources } from '../records/records.js';
+import { allowedOn, resourcesOf } from '../records/placement-rules.js';
+import type { MachineInfo } from '../inventory/machine-inventory.js';
 
 /** Machines that a kind of job may use, and what is known to fit on none of them. */
 export class CandidateMachines {
--- a/src/placement/victims.ts
+++ b/src/scheduling/decisions/eviction-options.ts
@@ -1,6 +1,6 @@
-import type { PlacedTask } from '../ledger/book.js';
-import { JOB_PRIORITIES, type JobSpec, type Resources } from '../ledger/records.js';
-import { allowedOn, fits, type Machine, subtractResources } from '../ledger/rules.js';
+import type { PlacedTask } from '../../records/cluster-state.js';
+import { JOB_PRIORITIES, type JobSpec, type Resources } from '../../records/records.js';
+import { allowedOn, fits, type Machine, subtractResources } from '../../records/placement-rules.js';
 
 export interface EvictionCandidate {
   placedTask: PlacedTask;
--- a/src/placement/matching.ts
+++ b/src/scheduling/decisions/matching.ts
@@ -1,4 +1,4 @@
-import type { Resources } from '../ledger/records.js';
+import type { Resources } from '../../records/records.js';
 
 /** A task looking for a machine. Tasks of one `group` (job) are alike and share one preference list. */
 export interface Seeker {
--- a/src/placement/queue.ts
+++ b/src/scheduling/decisions/queue-order.ts
@@ -1,6 +1,12 @@
-import { Priority } from '../net/token-bucket.js';
-import type { ServiceLevelObjective, Team } from '../config/settings.js';
-import { JOB_PRIORITIES, runnableSinceMs, type JobRecord, type JobSpec, type TeamUsage } from '../ledger/records.js';
+import { Priority } from '../../net/token-bucket.js';
+import type { ServiceLevelObjective, Team } from '../../domain/settings.js';
+import {
+  JOB_PRIORITIES,
+  runnableSinceMs,
+  type JobRecord,
+  type JobSpec,
+  type TeamUsage,
+} from '../../records/records.js';
 
 /** A job that waits for places, with all that decides about its turn. */
 export interface QueuedJob {
--- a/src/controller/stopper.ts
+++ b/src/scheduling/eviction-marker.ts
@@ -1,13 +1,13 @@
 import { STOPPING_MS } from '../constants.js';
-import type { ClusterState, PlacedTask } from '../ledger/book.js';
-import { markForStop } from '../ledger/edits.js';
-import type { JobSpec } from '../ledger/records.js';
+import type { ClusterState, PlacedTask } from '../records/cluster-state.js';
+import { markForStop } from '../records/placement-mutations.js';
+import type { JobSpec } from '../records/records.js';
 import type { Clock } from '../net/clock.js';
 import { Priority } from '../net/token-bucket.js';
-import type { TransactionBatcher } from '../state/committer.js';
-import { attemptKeyOf } from '../workers/reconcile.js';
-import { CLUSTER_LEADER_ROLE, type RoleLeadership } from './claims.js';
-import type { Log } from './log.js';
+import type { TransactionBatcher } from '../store/transaction-batcher.js';
+import { attemptKeyOf } from '../workers/reconciliation.js';
+import { CLUSTER_LEADER_ROLE, type RoleLeadership } from '../leadership/role-leadership.js';
+import type { Log } from '../logging/log.js';
 
 /** Marks places for stopping on the leader's behalf, and remembers which until the ledger shows it. */
 export class EvictionMarker {
--- a/src/controller/gang-attempts.ts
+++ b/src/scheduling/gang-attempts.ts
@@ -1,8 +1,8 @@
 /** Under which attempt the tasks of a gang start that have no place: all anew, or as replacements in one that has not begun. */
-import type { WorkerTimings } from '../config/settings.js';
-import type { JobView } from '../ledger/book.js';
+import type { WorkerTimings } from '../domain/settings.js';
+import type { JobView } from '../records/cluster-state.js';
 import type { Clock } from '../net/clock.js';
-import type { MachineInventory } from './fleet.js';
+import type { MachineInventory } from '../inventory/machine-inventory.js';
 
 export interface GangAttemptsDependencies {
   workers: WorkerTimings;
--- a/src/controller/health-checks.ts
+++ b/src/scheduling/health-checks.ts
@@ -1,8 +1,8 @@
 /** Turns worker reports and deaths of tasks into checks of the happiness of service tasks. */
-import type { ClusterState, PlacedTask } from '../ledger/book.js';
-import { parseTaskId, taskIdOf } from '../ledger/records.js';
+import type { ClusterState, PlacedTask } from '../records/cluster-state.js';
+import { parseTaskId, taskIdOf } from '../records/records.js';
 import type { Clock } from '../net/clock.js';
-import type { Happiness } from '../placement/happiness.js';
+import type { Happiness } from './decisions/happiness.js';
 import type { WorkerStatus } from '../workers/worker-wire-codec.js';
 
 export interface HealthChecksDependencies {
--- a/src/controller/planner.ts
+++ b/src/scheduling/placement-planner.ts
@@ -13,15 +13,15 @@
   URGENT_WORK_SHARE,
   WORK_SHARE,
 } from '../constants.js';
-import type { Settings, Team, Tuning } from '../config/settings.js';
-import type { ClusterState, JobView } from '../ledger/book.js';
-import { startTask } from '../ledger/edits.js';
-import { jobPlacementPrefix } from '../ledger/record-keys.js';
-import { type JobSpec, type Resources, runnableSinceMs, taskIdOf, type TeamUsage } from '../ledger/records.js';
-import type { TeamAccounting } from '../ledger/team-accounting.js';
-import { isNonNegative, quotaAllows, subtractResources } from '../ledger/rules.js';
-import type { TransactionBatcher } from '../state/committer.js';
-import type { TransactionDraft } from '../state/draft.js';
+import type { Settings, Team, Tuning } from '../domain/settings.js';
+import type { ClusterState, JobView } from '../records/cluster-state.js';
+import { startTask } from '../records/placement-mutations.js';
+import { jobPlacementPrefix } from '../records/record-keys.js';
+import { type JobSpec, type Resources, runnableSinceMs, taskIdOf, type TeamUsage } from '../records/records.js';
+import type { TeamAccounting } from '../records/team-accounting.js';
+import { isNonNegative, quotaAllows, subtractResources } from '../records/placement-rules.js';
+import type { TransactionBatcher } from '../store/transaction-batcher.js';
+import type { TransactionDraft } from '../store/transaction-draft.js';
 import type { Clock } from '../net/clock.js';
 import type { Random } from '../net/random.js';
 import { Priority } from '../net/token-bucket.js';
@@ -33,14 +33,14 @@
   targetsOf,
   withinGuarantee,
   type QueuedJob,
-} from '../placement/queue.js';
-import { resourcesOfMachineType } from '../placement/renting.js';
-import { CLUSTER_LEADER_ROLE, partitionRole, type RoleLeadership } from './claims.js';
-import type { MachineInventory, MachineInfo } from './fleet.js';
+} from './decisions/queue-order.js';
+import { resourcesOfMachineType } from '../autoscaling/scale-out-decision.js';
+import { CLUSTER_LEADER_ROLE, partitionRole, type RoleLeadership } from '../leadership/role-leadership.js';
+import type { MachineInventory, MachineInfo } from '../inventory/machine-inventory.js';
 import { GangAttempts } from './gang-attempts.js';
-import type { Log } from './log.js';
-import { isLarge, TaskPlacer, type PendingTask } from './placer.js';
-import { CandidateMachineIndex, type CandidateMachines } from './pools.js';
+import type { Log } from '../logging/log.js';
+import { isLarge, TaskPlacer, type PendingTask } from './task-placer.js';
+import { CandidateMachineIndex, type CandidateMachines } from './candidate-machines.js';
 
 interface InFlightStart {
   machineId: string;
--- a/src/controller/preempter.ts
+++ b/src/scheduling/preemptor.ts
@@ -1,10 +1,10 @@
 import { COLD_COST, PREEMPT_PERIOD_MS, WORK_SHARE } from '../constants.js';
-import type { Settings, Team } from '../config/settings.js';
-import type { ClusterState } from '../ledger/book.js';
-import type { JobSpec, TeamUsage } from '../ledger/records.js';
-import { subtractResources, zoneAllows } from '../ledger/rules.js';
+import type { Settings, Team } from '../domain/settings.js';
+import type { ClusterState } from '../records/cluster-state.js';
+import type { JobSpec, TeamUsage } from '../records/records.js';
+import { subtractResources, zoneAllows } from '../records/placement-rules.js';
 import type { Clock } from '../net/clock.js';
-import { guaranteeOf, isBorrowed, isOwed } from '../placement/queue.js';
+import { guaranteeOf, isBorrowed, isOwed } from './decisions/queue-order.js';
 import {
   cheapestFirst,
   optionOn,
@@ -13,11 +13,11 @@
   type MachineLoad,
   type EvictionOption,
   type EvictionCandidate,
-} from '../placement/victims.js';
-import type { MachineInventory, MachineInfo } from './fleet.js';
-import type { PendingTask } from './placer.js';
-import type { PlacementPlanner } from './planner.js';
-import type { EvictionMarker } from './stopper.js';
+} from './decisions/eviction-options.js';
+import type { MachineInventory, MachineInfo } from '../inventory/machine-inventory.js';
+import type { PendingTask } from './task-placer.js';
+import type { PlacementPlanner } from './placement-planner.js';
+import type { EvictionMarker } from './eviction-marker.js';
 
 type LoadedMachine = MachineLoad<MachineInfo>;
 
--- a/src/controller/rescheduler.ts
+++ b/src/scheduling/rescheduler.ts
@@ -1,18 +1,18 @@
-import type { Tuning } from '../config/settings.js';
-import type { ClusterState, PlacedTask } from '../ledger/book.js';
-import { markForStop } from '../ledger/edits.js';
-import { taskIdOf, type JobSpec } from '../ledger/records.js';
-import { allowedOn, resourcesOf, subtractResources, zoneAllows, zonesOf } from '../ledger/rules.js';
+import type { Tuning } from '../domain/settings.js';
+import type { ClusterState, PlacedTask } from '../records/cluster-state.js';
+import { markForStop } from '../records/placement-mutations.js';
+import { taskIdOf, type JobSpec } from '../records/records.js';
+import { allowedOn, resourcesOf, subtractResources, zoneAllows, zonesOf } from '../records/placement-rules.js';
 import type { Clock } from '../net/clock.js';
 import type { Random } from '../net/random.js';
 import { Priority } from '../net/token-bucket.js';
-import type { Happiness } from '../placement/happiness.js';
-import { match, type Host, type Seeker } from '../placement/matching.js';
-import type { TransactionBatcher } from '../state/committer.js';
-import { partitionRole, type RoleLeadership } from './claims.js';
-import type { MachineInventory } from './fleet.js';
-import type { Log } from './log.js';
-import type { PlacementPlanner } from './planner.js';
+import type { Happiness } from './decisions/happiness.js';
+import { match, type Host, type Seeker } from './decisions/matching.js';
+import type { TransactionBatcher } from '../store/transaction-batcher.js';
+import { partitionRole, type RoleLeadership } from '../leadership/role-leadership.js';
+import type { MachineInventory } from '../inventory/machine-inventory.js';
+import type { Log } from '../logging/log.js';
+import type { PlacementPlanner } from './placement-planner.js';
 
 interface Running {
   name: string;
--- a/src/controller/placer.ts
+++ b/src/scheduling/task-placer.ts
@@ -1,14 +1,14 @@
 import { GPU_TIER, FETCH_TIER_S, MAX_PLAN_TASKS, SAMPLE_MACHINES, WARM_WAIT_MS } from '../constants.js';
-import type { Tuning } from '../config/settings.js';
-import type { ClusterState, JobView } from '../ledger/book.js';
-import { JOB_PRIORITIES, type JobSpec, type Resources, taskIdOf, type TaskPlacement } from '../ledger/records.js';
-import { fits, resourcesOf, subtractResources, zoneAllows } from '../ledger/rules.js';
+import type { Tuning } from '../domain/settings.js';
+import type { ClusterState, JobView } from '../records/cluster-state.js';
+import { JOB_PRIORITIES, type JobSpec, type Resources, taskIdOf, type TaskPlacement } from '../records/records.js';
+import { fits, resourcesOf, subtractResources, zoneAllows } from '../records/placement-rules.js';
 import type { Clock } from '../net/clock.js';
 import type { Random } from '../net/random.js';
-import { match, type Host, type Seeker } from '../placement/matching.js';
-import { tasksIn } from '../placement/renting.js';
-import type { MachineInventory, MachineInfo } from './fleet.js';
-import type { CandidateMachines } from './pools.js';
+import { match, type Host, type Seeker } from './decisions/matching.js';
+import { tasksIn } from '../autoscaling/scale-out-decision.js';
+import type { MachineInventory, MachineInfo } from '../inventory/machine-inventory.js';
+import type { CandidateMachines } from './candidate-machines.js';
 
 /** A shard that waits for a place. */
 export interface PendingTask {
--- a/src/controller/team-settlement.ts
+++ b/src/scheduling/team-settlement.ts
@@ -2,12 +2,12 @@
  * Sets the records of teams to what the ledger shows, where exits have left them as they were and no start has followed. Done by the
  * leader, for teams of which nothing has started for a while, so that it takes no changes from those that are busy.
  */
-import { teamKey } from '../ledger/record-keys.js';
-import type { TeamAccounting } from '../ledger/team-accounting.js';
+import { teamKey } from '../records/record-keys.js';
+import type { TeamAccounting } from '../records/team-accounting.js';
 import { Priority } from '../net/token-bucket.js';
-import type { TransactionBatcher } from '../state/committer.js';
-import type { Replica } from '../state/replica.js';
-import type { RoleLeadership } from './claims.js';
+import type { TransactionBatcher } from '../store/transaction-batcher.js';
+import type { Replica } from '../store/replica.js';
+import type { RoleLeadership } from '../leadership/role-leadership.js';
 
 export interface TeamSettlementDependencies {
   teams: readonly { name: string }[];
--- a/src/state/replica.ts
+++ b/src/store/replica.ts
@@ -1,8 +1,8 @@
 import { PAGE_ROWS, TOMBSTONES_KEPT, WATCH_PAUSE_MS, WATCH_WAIT_MS } from '../constants.js';
 import type { Clock } from '../net/clock.js';
 import { Priority } from '../net/token-bucket.js';
-import type { Change } from './wire-codec.js';
-import type { StoreClient } from './client.js';
+import type { Change } from './store-wire-codec.js';
+import type { StoreClient } from './store-client.js';
 
 export interface StoredValue {
   /** undefined: the key does not exist (a tombstone while older news may still come). */
--- a/src/state/client.ts
+++ b/src/store/store-client.ts
@@ -1,6 +1,6 @@
 /** Calls to the store. Its limits of requests and of changes a second are kept here, by priority. */
 import { RATE_SHARE, STATE_TIMEOUT_MS } from '../constants.js';
-import type { StoreSettings } from '../config/settings.js';
+import type { StoreSettings } from '../domain/settings.js';
 import type { Clock } from '../net/clock.js';
 import { NoAnswer, type HttpClient, type Reply } from '../net/http-client.js';
 import type { Random } from '../net/random.js';
@@ -24,7 +24,7 @@
   type TransactionResult,
   type WatchedChanges,
   type Write,
-} from './wire-codec.js';
+} from './store-wire-codec.js';
 
 /** ms of pause after a 429, before its jitter; and how much shorter it is for requests that change nothing. */
 const BUSY_PAUSE_MS = 120;
--- a/src/state/committer.ts
+++ b/src/store/transaction-batcher.ts
@@ -11,9 +11,9 @@
 import type { Clock } from '../net/clock.js';
 import type { Random } from '../net/random.js';
 import { isBatch, Priority } from '../net/token-bucket.js';
-import type { Change, Condition, Write } from './wire-codec.js';
-import type { StoreClient } from './client.js';
-import { type Resize, TransactionDraft, type TransactionLimits } from './draft.js';
+import type { Change, Condition, Write } from './store-wire-codec.js';
+import type { StoreClient } from './store-client.js';
+import { type Resize, TransactionDraft, type TransactionLimits } from './transaction-draft.js';
 import type { Replica, StoredValue } from './replica.js';
 
 /**
--- a/src/state/draft.ts
+++ b/src/store/transaction-draft.ts
@@ -1,8 +1,8 @@
 /** Transactions under construction, and the room that the store has for one. */
 import { BATCH_TXN_LEAST, BATCH_TXN_SHARE, CONDITIONS_PER_WRITE, MAX_TXN_BYTES } from '../constants.js';
-import type { StoreSettings } from '../config/settings.js';
+import type { StoreSettings } from '../domain/settings.js';
 import type { StoredValue } from './replica.js';
-import { jsonLength } from './sizes.js';
+import { jsonLength } from './json-size.js';
 
 /** Room in one transaction. */
 export interface TransactionLimits {
--- a/src/controller/withdrawal-enforcer.ts
+++ b/src/workers/cancellation-enforcer.ts
@@ -1,13 +1,13 @@
 import { TOKEN_ANNOUNCE_AGAIN_MS, MAX_TOKEN_ANNOUNCEMENTS } from '../constants.js';
-import type { ClusterState } from '../ledger/book.js';
-import { taskIdOf } from '../ledger/records.js';
+import type { ClusterState } from '../records/cluster-state.js';
+import { taskIdOf } from '../records/records.js';
 import type { Clock } from '../net/clock.js';
 import type { HttpClient } from '../net/http-client.js';
-import { sendCommands } from '../workers/commands.js';
-import type { WorkerCommand } from '../workers/worker-wire-codec.js';
-import { partitionRole, type RoleLeadership } from './claims.js';
-import type { MachineInventory } from './fleet.js';
-import type { Log } from './log.js';
+import { sendCommands } from './command-client.js';
+import type { WorkerCommand } from './worker-wire-codec.js';
+import { partitionRole, type RoleLeadership } from '../leadership/role-leadership.js';
+import type { MachineInventory } from '../inventory/machine-inventory.js';
+import type { Log } from '../logging/log.js';
 
 /**
  * Stops what is left of withdrawn jobs on machines whose owner is without the store, and so may not know of the withdrawal,
--- a/src/controller/exit-recorder.ts
+++ b/src/workers/exit-recorder.ts
@@ -1,16 +1,16 @@
 /** Records in the ledger that places are free, and draws from each exit what it tells of its machine. */
-import type { Settings } from '../config/settings.js';
-import type { ClusterState, PlacedTask } from '../ledger/book.js';
-import { releasePlacement } from '../ledger/edits.js';
-import type { Proof } from '../ledger/rules.js';
-import type { TeamAccounting } from '../ledger/team-accounting.js';
+import type { Settings } from '../domain/settings.js';
+import type { ClusterState, PlacedTask } from '../records/cluster-state.js';
+import { releasePlacement } from '../records/placement-mutations.js';
+import type { Proof } from '../records/placement-rules.js';
+import type { TeamAccounting } from '../records/team-accounting.js';
 import type { Clock } from '../net/clock.js';
-import { exitPriority } from '../placement/queue.js';
-import type { TransactionBatcher } from '../state/committer.js';
-import { attemptKeyOf, taskIdOfPlaced, type Free } from '../workers/reconcile.js';
-import type { Worker } from '../workers/worker.js';
-import type { RoleLeadership } from './claims.js';
-import type { Log } from './log.js';
+import { exitPriority } from '../scheduling/decisions/queue-order.js';
+import type { TransactionBatcher } from '../store/transaction-batcher.js';
+import { attemptKeyOf, taskIdOfPlaced, type Free } from './reconciliation.js';
+import type { Worker } from './worker.js';
+import type { RoleLeadership } from '../leadership/role-leadership.js';
+import type { Log } from '../logging/log.js';
 import type { Stragglers } from './stragglers.js';
 import type { WorkerRegistry } from './worker-registry.js';
 
--- a/src/controller/report-service.ts
+++ b/src/workers/heartbeat-service.ts
@@ -1,10 +1,10 @@
 /** Answers workers' reports, also those that one node passes on to another. */
-import type { Answer } from '../api/jobs.js';
-import type { ForwardedHeartbeat, ForwardedHeartbeatAnswer } from '../mesh/messages.js';
-import type { HeartbeatForwarder } from '../mesh/relays.js';
-import { decodeWorkerStatus, encodeRedirect, encodeHeartbeatAnswer } from '../workers/worker-wire-codec.js';
-import type { Log } from './log.js';
-import type { WorkerManager } from './owner.js';
+import type { Answer } from '../api/job-service.js';
+import type { ForwardedHeartbeat, ForwardedHeartbeatAnswer } from '../gossip/messages.js';
+import type { HeartbeatForwarder } from '../gossip/heartbeat-forwarder.js';
+import { decodeWorkerStatus, encodeRedirect, encodeHeartbeatAnswer } from './worker-wire-codec.js';
+import type { Log } from '../logging/log.js';
+import type { WorkerManager } from './worker-manager.js';
 import { HeartbeatOutcome } from './worker-manager-dependencies.js';
 
 export interface HeartbeatServiceDependencies {
--- a/src/controller/misdirected-workers.ts
+++ b/src/workers/misrouted-workers.ts
@@ -3,7 +3,7 @@
  * can't reach their owner.
  */
 import { KNOCK_MS, SEND_HOME_MS } from '../constants.js';
-import type { WorkerStatus } from '../workers/worker-wire-codec.js';
+import type { WorkerStatus } from './worker-wire-codec.js';
 
 export class MisroutedWorkers {
   /** Steady ms of the last report of each. */
--- a/src/workers/reconcile.ts
+++ b/src/workers/reconciliation.ts
@@ -1,7 +1,7 @@
-import type { PlacedTask } from '../ledger/book.js';
-import { taskIdOf } from '../ledger/records.js';
-import type { Ending } from '../ledger/edits.js';
-import type { Proof } from '../ledger/rules.js';
+import type { PlacedTask } from '../records/cluster-state.js';
+import { taskIdOf } from '../records/records.js';
+import type { Ending } from '../records/placement-mutations.js';
+import type { Proof } from '../records/placement-rules.js';
 import type { WorkerCommand, ReportedTask } from './worker-wire-codec.js';
 import type { Worker } from './worker.js';
 
--- a/src/controller/stragglers.ts
+++ b/src/workers/stragglers.ts
@@ -1,13 +1,13 @@
 import { RELIEVE_FACTOR, SIBLINGS_KNOWN, STRAGGLER_FACTOR } from '../constants.js';
-import type { ClusterState, PlacedTask } from '../ledger/book.js';
-import { markForStop } from '../ledger/edits.js';
+import type { ClusterState, PlacedTask } from '../records/cluster-state.js';
+import { markForStop } from '../records/placement-mutations.js';
 import type { Clock } from '../net/clock.js';
 import { Priority } from '../net/token-bucket.js';
-import type { TransactionBatcher } from '../state/committer.js';
-import { attemptKeyOf, taskIdOfPlaced } from '../workers/reconcile.js';
-import type { Worker } from '../workers/worker.js';
-import type { RoleLeadership } from './claims.js';
-import type { Log } from './log.js';
+import type { TransactionBatcher } from '../store/transaction-batcher.js';
+import { attemptKeyOf, taskIdOfPlaced } from './reconciliation.js';
+import type { Worker } from './worker.js';
+import type { RoleLeadership } from '../leadership/role-leadership.js';
+import type { Log } from '../logging/log.js';
 
 /** Tells slow machines by tasks that run far longer than their siblings, and takes batch work off them. */
 export class Stragglers {
--- a/src/controller/token-announcer.ts
+++ b/src/workers/token-announcer.ts
@@ -1,9 +1,9 @@
 /** Tells this node's fencing token to workers that have not been heard since it took their partition over. */
-import type { ClusterState } from '../ledger/book.js';
-import type { RoleLeadership } from './claims.js';
-import type { MachineInventory } from './fleet.js';
-import type { ClusterLeader } from './leader.js';
-import type { WorkerManager } from './owner.js';
+import type { ClusterState } from '../records/cluster-state.js';
+import type { RoleLeadership } from '../leadership/role-leadership.js';
+import type { MachineInventory } from '../inventory/machine-inventory.js';
+import type { ClusterLeader } from '../autoscaling/cluster-leader.js';
+import type { WorkerManager } from './worker-manager.js';
 
 export interface WorkerGreeterDependencies {
   leadership: RoleLeadership;
--- a/src/controller/worker-manager-dependencies.ts
+++ b/src/workers/worker-manager-dependencies.ts
@@ -1,14 +1,14 @@
-import type { Settings } from '../config/settings.js';
-import type { ClusterState } from '../ledger/book.js';
-import type { TeamAccounting } from '../ledger/team-accounting.js';
+import type { Settings } from '../domain/settings.js';
+import type { ClusterState } from '../records/cluster-state.js';
+import type { TeamAccounting } from '../records/team-accounting.js';
 import type { Clock } from '../net/clock.js';
 import type { HttpClient } from '../net/http-client.js';
-import type { TransactionBatcher } from '../state/committer.js';
-import type { Replica } from '../state/replica.js';
-import type { WireCommand, WorkerStatus } from '../workers/worker-wire-codec.js';
-import type { RoleLeadership } from './claims.js';
+import type { TransactionBatcher } from '../store/transaction-batcher.js';
+import type { Replica } from '../store/replica.js';
+import type { WireCommand, WorkerStatus } from './worker-wire-codec.js';
+import type { RoleLeadership } from '../leadership/role-leadership.js';
 import type { ExitListener } from './exit-recorder.js';
-import type { Log } from './log.js';
+import type { Log } from '../logging/log.js';
 
 /** What the manager of a controller's workers needs, asks of its surroundings, and answers. */
 export type HeartbeatOutcome =
--- a/src/controller/owner.ts
+++ b/src/workers/worker-manager.ts
@@ -11,14 +11,14 @@
   SILENT_REPORTS,
   SWEEP_MS,
 } from '../constants.js';
-import type { Settings } from '../config/settings.js';
-import type { ClusterState, PlacedTask } from '../ledger/book.js';
-import { parseTaskId } from '../ledger/records.js';
-import type { Proof } from '../ledger/rules.js';
+import type { Settings } from '../domain/settings.js';
+import type { ClusterState, PlacedTask } from '../records/cluster-state.js';
+import { parseTaskId } from '../records/records.js';
+import type { Proof } from '../records/placement-rules.js';
 import type { Clock } from '../net/clock.js';
 import type { HttpClient } from '../net/http-client.js';
-import type { Replica } from '../state/replica.js';
-import { sendCommands, type CommandResult } from '../workers/commands.js';
+import type { Replica } from '../store/replica.js';
+import { sendCommands, type CommandResult } from './command-client.js';
 import {
   attemptKeyOf,
   findProof,
@@ -29,13 +29,18 @@
   type Free,
   type Plan,
   type Rights,
-} from '../workers/reconcile.js';
-import { encodeCommand, WireCommand, type WorkerCommand, type WorkerStatus } from '../workers/worker-wire-codec.js';
-import { leaseOverAt, reportLateMs, Worker } from '../workers/worker.js';
-import { degradedServingMs, partitionRole, type RoleLeadership, type HeldLeadership } from './claims.js';
+} from './reconciliation.js';
+import { encodeCommand, WireCommand, type WorkerCommand, type WorkerStatus } from './worker-wire-codec.js';
+import { leaseOverAt, reportLateMs, Worker } from './worker.js';
+import {
+  degradedServingMs,
+  partitionRole,
+  type RoleLeadership,
+  type HeldLeadership,
+} from '../leadership/role-leadership.js';
 import { ExitRecorder } from './exit-recorder.js';
-import type { Log } from './log.js';
-import { MisroutedWorkers } from './misdirected-workers.js';
+import type { Log } from '../logging/log.js';
+import { MisroutedWorkers } from './misrouted-workers.js';
 import { Stragglers } from './stragglers.js';
 import { WorkerRegistry } from './worker-registry.js';
 import { WorkerManagerEvents, WorkerManagerDependencies, HeartbeatOutcome } from './worker-manager-dependencies.js';
--- a/src/controller/worker-registry.ts
+++ b/src/workers/worker-registry.ts
@@ -4,15 +4,15 @@
  * also known since when every answer to it would have been noted here.
  */
 import { FRESH_MS } from '../constants.js';
-import type { WorkerTimings } from '../config/settings.js';
-import { leaseOverAt, Worker } from '../workers/worker.js';
+import type { WorkerTimings } from '../domain/settings.js';
+import { leaseOverAt, Worker } from './worker.js';
 import {
   degradedServingMs,
   partitionRole,
   type LeadershipTerm,
   type RoleLeadership,
   type HeldLeadership,
-} from './claims.js';
+} from '../leadership/role-leadership.js';
 
 /** The workers of one partition, for as long as one acquisition of its claim lasts. */
 interface PartitionKnowledge {
--- a/src/workers/worker-wire-codec.ts
+++ b/src/workers/worker-wire-codec.ts
@@ -1,6 +1,6 @@
 /** What workers and controllers send each other, in the wire form, and its translation. */
 import * as v from 'valibot';
-import type { MachineIdentity } from './machine-state.js';
+import type { MachineIdentity } from '../domain/machine-state.js';
 
 const MAX_TEXT_CHARACTERS = 200;
 const count = v.pipe(v.number(), v.integer(), v.minValue(0));
--- a/src/workers/worker.ts
+++ b/src/workers/worker.ts
@@ -11,7 +11,7 @@
   SLOW_MS,
   SLOW_TASKS,
 } from '../constants.js';
-import type { WorkerTimings } from '../config/settings.js';
+import type { WorkerTimings } from '../domain/settings.js';
 import { isNewerThan, type WorkerStatus, type ReportedTask } from './worker-wire-codec.js';
 
 /** What an owner knows of one worker of its part. Lost with the process; reports bring it back. */
--- a/test/api-server.test.ts
+++ b/test/api/api-server.test.ts
@@ -2,11 +2,11 @@
 import { describe, it } from 'node:test';
 import { once } from 'node:events';
 import { duplexPair, type Duplex } from 'node:stream';
-import type { Answer } from '../src/api/jobs.js';
-import type { Handlers } from '../src/api/routes.js';
-import { ApiServer } from '../src/api/server.js';
-import { MAX_BODY_BYTES, MAX_OPEN_REQUESTS } from '../src/constants.js';
-import { noLog } from '../src/testing/fixtures.js';
+import type { Answer } from '../../src/api/job-service.js';
+import type { Handlers } from '../../src/api/routes.js';
+import { ApiServer } from '../../src/api/api-server.js';
+import { MAX_BODY_BYTES, MAX_OPEN_REQUESTS } from '../../src/constants.js';
+import { noLog } from '../../testing/fixtures.js';
 
 function connect(handlers: Partial<Handlers>): { open: () => Duplex; openBoth: () => [Duplex, Duplex] } {
   const unexpected = () => assert.fail('not asked for');
--- a/test/client.test.ts
+++ b/test/clients-and-settings.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { CloudClient } from '../src/cloud/client.js';
+import { CloudClient } from '../src/cloud/cloud-client.js';
 import { parseSettings, parseTuning, SettingsError } from '../src/config/load-settings.js';
 import {
   LEAST_CPU_SHARE,
@@ -11,13 +11,13 @@
   LEAST_TRANSACTION_WRITES,
   LEAST_VALUE_KB,
 } from '../src/constants.js';
-import { settingsFileOf } from '../src/testing/fixtures.js';
+import { settingsFileOf } from '../testing/fixtures.js';
 import { NoAnswer, type HttpClient, type Reply } from '../src/net/http-client.js';
 import { Random } from '../src/net/random.js';
 import { Priority } from '../src/net/token-bucket.js';
-import { StoreClient, StoreError } from '../src/state/client.js';
-import { FakeClock } from '../src/testing/fake-clock.js';
-import { sendCommands } from '../src/workers/commands.js';
+import { StoreClient, StoreError } from '../src/store/store-client.js';
+import { FakeClock } from '../testing/fake-clock.js';
+import { sendCommands } from '../src/workers/command-client.js';
 import { decodeStoreSettings } from '../src/config/settings-file-codec.js';
 
 const answering = (reply: Reply | NoAnswer): HttpClient => ({
--- a/test/gossip-format.test.ts
+++ b/test/gossip/gossip-format.test.ts
@@ -4,7 +4,13 @@
  */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { decodeMessage, encodeMessage, type Gossip, type MachineUpdate, type Message } from '../src/mesh/messages.js';
+import {
+  decodeMessage,
+  encodeMessage,
+  type Gossip,
+  type MachineUpdate,
+  type Message,
+} from '../../src/gossip/messages.js';
 
 const FLAGGED: MachineUpdate = {
   machineId: 'i-000001',
--- a/test/encoding.test.ts
+++ b/test/gossip/message-encoding.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { decodeMessage, encodeMessage, type Gossip, type Message } from '../src/mesh/messages.js';
+import { decodeMessage, encodeMessage, type Gossip, type Message } from '../../src/gossip/messages.js';
 
 const gossip: Gossip = {
   node: 'n0',
--- a/test/coverage.test.ts
+++ b/test/gossip/replica-freshness.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { DELTA_BYTES, TOMBSTONES_KEPT } from '../src/constants.js';
-import { ReplicaFreshness } from '../src/mesh/coverage.js';
-import type { Gossip, Message } from '../src/mesh/messages.js';
-import type { StoreClient } from '../src/state/client.js';
-import { Replica } from '../src/state/replica.js';
-import { FakeClock } from '../src/testing/fake-clock.js';
+import { DELTA_BYTES, TOMBSTONES_KEPT } from '../../src/constants.js';
+import { ReplicaFreshness } from '../../src/gossip/replica-freshness.js';
+import type { Gossip, Message } from '../../src/gossip/messages.js';
+import type { StoreClient } from '../../src/store/store-client.js';
+import { Replica } from '../../src/store/replica.js';
+import { FakeClock } from '../../testing/fake-clock.js';
 
 const clock = new FakeClock();
 
--- a/test/standby-schedules.test.ts
+++ b/test/leadership/standby-schedules.test.ts
@@ -1,15 +1,15 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import fc from 'fast-check';
-import { Cluster } from '../src/testing/cluster.js';
-import { jobOf } from '../src/testing/fixtures.js';
+import { Cluster } from '../../testing/cluster.js';
+import { jobOf } from '../../testing/fixtures.js';
 
 const NODES = 3;
 const SPELL_MS = 20_000;
 const CALM_MS = 40_000;
 /** CI plays the same ones each time; `STANDBY_SEED` chooses others. */
 const SEED = Number(process.env['STANDBY_SEED'] ?? '27');
-/** More of them: `STANDBY_SCHEDULES=200 node --test target/test/test/standby-schedules.test.js`. */
+/** More of them: `STANDBY_SCHEDULES=200 node --test target/test/test/leadership/standby-schedules.test.js`. */
 const SCHEDULES = Number(process.env['STANDBY_SCHEDULES'] ?? '12');
 
 type Fault = { kind: 'kill' | 'freeze' | 'stop' | 'no store' | 'no peers' | 'late'; atMs: number; forMs: number };
--- a/test/standby-stream.test.ts
+++ b/test/leadership/standby-stream.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { afterEach, describe, it } from 'node:test';
-import { Cluster } from '../src/testing/cluster.js';
-import type { ClusterOptions } from '../src/testing/fixtures.js';
-import { decodeMessage, encodeMessage, type Message } from '../src/mesh/messages.js';
+import { Cluster } from '../../testing/cluster.js';
+import type { ClusterOptions } from '../../testing/fixtures.js';
+import { decodeMessage, encodeMessage, type Message } from '../../src/gossip/messages.js';
 
 let cluster: Cluster;
 afterEach(() => cluster.stop());
--- a/test/startup-snapshot.test.ts
+++ b/test/program/startup-snapshot.test.ts
@@ -6,8 +6,8 @@
 import { join } from 'node:path';
 import { after, before, describe, it } from 'node:test';
 import { parse } from 'smol-toml';
-import { Frames } from '../src/mesh/frames.js';
-import { decodeMessage } from '../src/mesh/messages.js';
+import { Frames } from '../../src/gossip/frames.js';
+import { decodeMessage } from '../../src/gossip/messages.js';
 
 const MAX_MESSAGE_BYTES = 1 << 20;
 /** Nothing listens there: the controller has neither store nor cloud. */
--- a/test/pipeline-edits.test.ts
+++ b/test/records/dependency-mutations.test.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { endJob } from '../src/ledger/edits.js';
-import { cancelWaitingJob, releaseJob } from '../src/ledger/pipeline-edits.js';
-import { finalJobKey, jobKey } from '../src/ledger/record-keys.js';
-import type { JobRecord } from '../src/ledger/records.js';
-import { whyNotStart } from '../src/ledger/rules.js';
-import { TransactionDraft } from '../src/state/draft.js';
-import { specOf } from '../src/testing/fixtures.js';
-import { encodeJobSpec } from '../src/ledger/job-spec-codec.js';
-import { encodeJobRecord } from '../src/ledger/record-codecs.js';
+import { endJob } from '../../src/records/placement-mutations.js';
+import { cancelWaitingJob, releaseJob } from '../../src/records/dependency-mutations.js';
+import { finalJobKey, jobKey } from '../../src/records/record-keys.js';
+import type { JobRecord } from '../../src/records/records.js';
+import { whyNotStart } from '../../src/records/placement-rules.js';
+import { TransactionDraft } from '../../src/store/transaction-draft.js';
+import { specOf } from '../../testing/fixtures.js';
+import { encodeJobSpec } from '../../src/records/job-spec-codec.js';
+import { encodeJobRecord } from '../../src/records/record-codecs.js';
 
 const JOB_ID = 'j-000002';
 const BEFORE = ['j-000000', 'j-000001'];
--- a/test/pipeline-index.test.ts
+++ b/test/records/job-dependencies.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { PipelineProgress, type PipelineProgressDependencies } from '../src/controller/pipeline-progress.js';
-import { JobDependencies } from '../src/ledger/pipelines.js';
-import { JOB_PRIORITIES, type JobRecord } from '../src/ledger/records.js';
-import { noLog, specOf } from '../src/testing/fixtures.js';
+import { PipelineProgress, type PipelineProgressDependencies } from '../../src/jobs/dependency-progress.js';
+import { JobDependencies } from '../../src/records/job-dependencies.js';
+import { JOB_PRIORITIES, type JobRecord } from '../../src/records/records.js';
+import { noLog, specOf } from '../../testing/fixtures.js';
 
 let changes = 0;
 const pipelines = () => {
--- a/test/record-formats.test.ts
+++ b/test/records/record-formats.test.ts
@@ -2,8 +2,8 @@
 import { readFileSync } from 'node:fs';
 import { describe, it } from 'node:test';
 import { fileURLToPath } from 'node:url';
-import { decodeCatalog } from '../src/cloud/wire-codec.js';
-import { recordSizer } from '../src/ledger/record-sizes.js';
+import { decodeCatalog } from '../../src/cloud/cloud-wire-codec.js';
+import { recordSizer } from '../../src/records/record-sizer.js';
 import {
   FINAL_JOB_PREFIX,
   FORMAT_COMPLETE_KEY,
@@ -11,19 +11,19 @@
   jobKey,
   PLACEMENT_PREFIX,
   placementChunkKey,
-} from '../src/ledger/record-keys.js';
-import { compactChunk, decodeChunk, withPlacement } from '../src/ledger/placement-codec.js';
-import { CorruptRecord, type JobRecord, type TaskPlacement } from '../src/ledger/records.js';
+} from '../../src/records/record-keys.js';
+import { compactChunk, decodeChunk, withPlacement } from '../../src/records/placement-codec.js';
+import { CorruptRecord, type JobRecord, type TaskPlacement } from '../../src/records/records.js';
 import {
   decodeFinalJobRecord,
   decodeJobRecord,
   decodeRentalRecord,
   decodeTeamUsage,
-} from '../src/ledger/record-codecs.js';
-import { jsonLength } from '../src/state/sizes.js';
-import { decodeMessage, encodeMessage } from '../src/mesh/messages.js';
-import { Cluster } from '../src/testing/cluster.js';
-import { jobOf } from '../src/testing/fixtures.js';
+} from '../../src/records/record-codecs.js';
+import { jsonLength } from '../../src/store/json-size.js';
+import { decodeMessage, encodeMessage } from '../../src/gossip/messages.js';
+import { Cluster } from '../../testing/cluster.js';
+import { jobOf } from '../../testing/fixtures.js';
 
 interface Samples {
   records: Record<string, { key: string; value: unknown }[]>;
@@ -31,7 +31,7 @@
 }
 
 /** What the version in production writes; `record.mjs` beside the file has recorded it. */
-const FILE = fileURLToPath(new URL('../../../test/fixtures/production/samples.json', import.meta.url));
+const FILE = fileURLToPath(new URL('../../../../test/fixtures/production/samples.json', import.meta.url));
 const samples = JSON.parse(readFileSync(FILE, 'utf8')) as Samples;
 
 /** Throws where a record can't be read. */
--- a/test/team-accounting.test.ts
+++ b/test/records/team-accounting.test.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import type { Team } from '../src/config/settings.js';
-import { teamKey } from '../src/ledger/record-keys.js';
-import type { TeamUsage } from '../src/ledger/records.js';
-import { TeamAccounting } from '../src/ledger/team-accounting.js';
-import { TransactionDraft } from '../src/state/draft.js';
-import { specOf } from '../src/testing/fixtures.js';
-import { encodeTeamUsage, decodeTeamUsage } from '../src/ledger/record-codecs.js';
+import type { Team } from '../../src/domain/settings.js';
+import { teamKey } from '../../src/records/record-keys.js';
+import type { TeamUsage } from '../../src/records/records.js';
+import { TeamAccounting } from '../../src/records/team-accounting.js';
+import { TransactionDraft } from '../../src/store/transaction-draft.js';
+import { specOf } from '../../testing/fixtures.js';
+import { encodeTeamUsage, decodeTeamUsage } from '../../src/records/record-codecs.js';
 
 const team: Team = { name: 'red', guaranteed: { cpus: 0, gpus: 0 }, limit: { cpus: 20, gpus: 0 } };
 const spec = specOf({ Cpus: 2 });
--- a/test/combined-faults-jobs.test.ts
+++ b/test/scenarios/combined-faults-jobs.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { afterEach, describe, it } from 'node:test';
-import type { Answer } from '../src/api/jobs.js';
-import { Cluster } from '../src/testing/cluster.js';
-import { jobOf, type ClusterOptions } from '../src/testing/fixtures.js';
+import type { Answer } from '../../src/api/job-service.js';
+import { Cluster } from '../../testing/cluster.js';
+import { jobOf, type ClusterOptions } from '../../testing/fixtures.js';
 
 /** Two faults combined on the way of users' jobs; each scenario ends with the verdict of the invariant checker. */
 let cluster: Cluster;
--- a/test/combined-faults-workers.test.ts
+++ b/test/scenarios/combined-faults-workers.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { afterEach, describe, it } from 'node:test';
-import { Cluster } from '../src/testing/cluster.js';
-import { jobOf, type ClusterOptions } from '../src/testing/fixtures.js';
+import { Cluster } from '../../testing/cluster.js';
+import { jobOf, type ClusterOptions } from '../../testing/fixtures.js';
 
 let cluster: Cluster;
 /** Every scenario ends with the verdict of the invariant checker. */
--- a/test/disagreement.test.ts
+++ b/test/scenarios/disagreement.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import type { Schedule } from '../src/testing/random-schedule.js';
-import { play } from '../src/testing/randomized-scenario.js';
+import type { Schedule } from '../../testing/random-schedule.js';
+import { play } from '../../testing/randomized-scenario.js';
 
 describe('two jobs of a team that has room for one of them', () => {
   // Drawn as seed 4074. Each node leaves the team's room to the job of the other, since their orders differ.
--- a/test/fleet.test.ts
+++ b/test/scenarios/large-clusters.test.ts
@@ -1,21 +1,21 @@
 import assert from 'node:assert/strict';
 import { afterEach, describe, it } from 'node:test';
-import { MAX_GOSSIP_BYTES } from '../src/constants.js';
-import { decodeChunk, withPlacement } from '../src/ledger/placement-codec.js';
-import type { TaskPlacement } from '../src/ledger/records.js';
-import type { StoreClient } from '../src/state/client.js';
-import type { TransactionResult } from '../src/state/wire-codec.js';
-import { TransactionBatcher } from '../src/state/committer.js';
-import type { TransactionDraft } from '../src/state/draft.js';
-import { Replica } from '../src/state/replica.js';
-import { jsonLength } from '../src/state/sizes.js';
-import { encodeMessage, type Gossip, type MachineUpdate } from '../src/mesh/messages.js';
-import { ReceivedMachineUpdates, describeOwnMachines, SentMachineUpdates } from '../src/mesh/machine-updates.js';
-import { Priority } from '../src/net/token-bucket.js';
-import { Random } from '../src/net/random.js';
-import { Cluster } from '../src/testing/cluster.js';
-import { anyTransactionLimits, jobOf } from '../src/testing/fixtures.js';
-import { FakeClock } from '../src/testing/fake-clock.js';
+import { MAX_GOSSIP_BYTES } from '../../src/constants.js';
+import { decodeChunk, withPlacement } from '../../src/records/placement-codec.js';
+import type { TaskPlacement } from '../../src/records/records.js';
+import type { StoreClient } from '../../src/store/store-client.js';
+import type { TransactionResult } from '../../src/store/store-wire-codec.js';
+import { TransactionBatcher } from '../../src/store/transaction-batcher.js';
+import type { TransactionDraft } from '../../src/store/transaction-draft.js';
+import { Replica } from '../../src/store/replica.js';
+import { jsonLength } from '../../src/store/json-size.js';
+import { encodeMessage, type Gossip, type MachineUpdate } from '../../src/gossip/messages.js';
+import { ReceivedMachineUpdates, describeOwnMachines, SentMachineUpdates } from '../../src/gossip/machine-updates.js';
+import { Priority } from '../../src/net/token-bucket.js';
+import { Random } from '../../src/net/random.js';
+import { Cluster } from '../../testing/cluster.js';
+import { anyTransactionLimits, jobOf } from '../../testing/fixtures.js';
+import { FakeClock } from '../../testing/fake-clock.js';
 
 let cluster: Cluster | undefined;
 afterEach(() => {
--- a/test/size.test.ts
+++ b/test/scenarios/limits.test.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict';
 import { afterEach, describe, it } from 'node:test';
-import { Random } from '../src/net/random.js';
-import { Priority, TokenBucket } from '../src/net/token-bucket.js';
-import type { StoreClient } from '../src/state/client.js';
-import type { TransactionResult } from '../src/state/wire-codec.js';
-import { TransactionBatcher } from '../src/state/committer.js';
-import { Replica } from '../src/state/replica.js';
-import { Cluster } from '../src/testing/cluster.js';
-import { FakeClock } from '../src/testing/fake-clock.js';
-import { anyTransactionLimits } from '../src/testing/fixtures.js';
+import { Random } from '../../src/net/random.js';
+import { Priority, TokenBucket } from '../../src/net/token-bucket.js';
+import type { StoreClient } from '../../src/store/store-client.js';
+import type { TransactionResult } from '../../src/store/store-wire-codec.js';
+import { TransactionBatcher } from '../../src/store/transaction-batcher.js';
+import { Replica } from '../../src/store/replica.js';
+import { Cluster } from '../../testing/cluster.js';
+import { FakeClock } from '../../testing/fake-clock.js';
+import { anyTransactionLimits } from '../../testing/fixtures.js';
 
 let cluster: Cluster | undefined;
 afterEach(() => {
--- a/test/randomized.test.ts
+++ b/test/scenarios/randomized.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { largeScheduleOf, scheduleOf, type Schedule } from '../src/testing/random-schedule.js';
-import { play } from '../src/testing/randomized-scenario.js';
+import { largeScheduleOf, scheduleOf, type Schedule } from '../../testing/random-schedule.js';
+import { play } from '../../testing/randomized-scenario.js';
 
 /**
  * A few of the randomized scenarios that `npm run randomized` runs by the hundred. In 5039, and in 197 of the large ones, tasks started
--- a/test/store-outage.test.ts
+++ b/test/scenarios/store-outage.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { afterEach, describe, it } from 'node:test';
-import type { Answer } from '../src/api/jobs.js';
-import { Cluster } from '../src/testing/cluster.js';
-import { type ClusterOptions } from '../src/testing/fixtures.js';
+import type { Answer } from '../../src/api/job-service.js';
+import { Cluster } from '../../testing/cluster.js';
+import { type ClusterOptions } from '../../testing/fixtures.js';
 
 let cluster: Cluster;
 afterEach(() => assert.deepEqual(cluster.verdict(), []));
--- a/test/matching.test.ts
+++ b/test/scheduling/decisions/matching.test.ts
@@ -1,7 +1,14 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import fc from 'fast-check';
-import { match, preferences, ranksBefore, type Host, type MatchRules, type Seeker } from '../src/placement/matching.js';
+import {
+  match,
+  preferences,
+  ranksBefore,
+  type Host,
+  type MatchRules,
+  type Seeker,
+} from '../../../src/scheduling/decisions/matching.js';
 
 const open: MatchRules = { allowed: () => true, zoneAllows: () => true, hostAllows: () => true, tier: () => 0 };
 
--- a/test/overload.test.ts
+++ b/test/scheduling/overload.test.ts
@@ -1,18 +1,18 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { DEFAULT_STANDBY_SETTINGS } from '@dewlatch/standby';
-import { DEFAULT_TUNING, MAX_PLAN_REST_MS, PLAN_REST_LEAST, WORK_SHARE } from '../src/constants.js';
-import type { RoleLeadership } from '../src/controller/claims.js';
-import type { MachineInventory } from '../src/controller/fleet.js';
-import { Rescheduler } from '../src/controller/rescheduler.js';
-import { planRestMs, type PlacementPlanner } from '../src/controller/planner.js';
-import type { ClusterState } from '../src/ledger/book.js';
-import { Random } from '../src/net/random.js';
-import { Happiness } from '../src/placement/happiness.js';
-import type { TransactionBatcher } from '../src/state/committer.js';
-import { noLog } from '../src/testing/fixtures.js';
-import { FakeClock } from '../src/testing/fake-clock.js';
-import { decodeTuning } from '../src/config/settings-file-codec.js';
+import { DEFAULT_TUNING, MAX_PLAN_REST_MS, PLAN_REST_LEAST, WORK_SHARE } from '../../src/constants.js';
+import type { RoleLeadership } from '../../src/leadership/role-leadership.js';
+import type { MachineInventory } from '../../src/inventory/machine-inventory.js';
+import { Rescheduler } from '../../src/scheduling/rescheduler.js';
+import { planRestMs, type PlacementPlanner } from '../../src/scheduling/placement-planner.js';
+import type { ClusterState } from '../../src/records/cluster-state.js';
+import { Random } from '../../src/net/random.js';
+import { Happiness } from '../../src/scheduling/decisions/happiness.js';
+import type { TransactionBatcher } from '../../src/store/transaction-batcher.js';
+import { noLog } from '../../testing/fixtures.js';
+import { FakeClock } from '../../testing/fake-clock.js';
+import { decodeTuning } from '../../src/config/settings-file-codec.js';
 
 describe('a node short of processor time', () => {
   it('rests after a plan by the share that plans may take, and after a long one for longer than it took', () => {
--- a/test/invariant-checker.test.ts
+++ b/test/testing/invariant-checker.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { beforeEach, describe, it } from 'node:test';
-import { Cluster } from '../src/testing/cluster.js';
-import { C8, jobOf } from '../src/testing/fixtures.js';
-import { InvariantChecker, type UserAnswer } from '../src/testing/invariant-checker.js';
+import { Cluster } from '../../testing/cluster.js';
+import { C8, jobOf } from '../../testing/fixtures.js';
+import { InvariantChecker, type UserAnswer } from '../../testing/invariant-checker.js';
 
 let checker: InvariantChecker;
 let now: number;
--- a/test/standins.test.ts
+++ b/test/testing/stand-ins.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { afterEach, describe, it } from 'node:test';
-import { NoAnswer, type Reply } from '../src/net/http-client.js';
-import { Cluster } from '../src/testing/cluster.js';
-import { jobOf, type ClusterOptions } from '../src/testing/fixtures.js';
-import { FakeClock } from '../src/testing/fake-clock.js';
-import { FakeNetwork } from '../src/testing/fake-network.js';
-import { FakeStore } from '../src/testing/fake-store.js';
+import { NoAnswer, type Reply } from '../../src/net/http-client.js';
+import { Cluster } from '../../testing/cluster.js';
+import { jobOf, type ClusterOptions } from '../../testing/fixtures.js';
+import { FakeClock } from '../../testing/fake-clock.js';
+import { FakeNetwork } from '../../testing/fake-network.js';
+import { FakeStore } from '../../testing/fake-store.js';
 
 let cluster: Cluster;
 afterEach(() => cluster?.stop());
--- a/test/wire-format.test.ts
+++ b/test/wire-format.test.ts
@@ -4,8 +4,8 @@
  */
 import assert from 'node:assert/strict';
 import { afterEach, describe, it } from 'node:test';
-import { Cluster } from '../src/testing/cluster.js';
-import type { ClusterOptions } from '../src/testing/fixtures.js';
+import { Cluster } from '../testing/cluster.js';
+import type { ClusterOptions } from '../testing/fixtures.js';
 
 let cluster: Cluster;
 afterEach(() => cluster.stop());
--- a/test/exit-recorder.test.ts
+++ b/test/workers/exit-recorder.test.ts
@@ -1,16 +1,16 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { ExitRecorder, type ExitRecorderDependencies } from '../src/controller/exit-recorder.js';
-import type { PlacedTask } from '../src/ledger/book.js';
-import { jobKey, placementChunkKey } from '../src/ledger/record-keys.js';
-import type { Mutation } from '../src/state/committer.js';
-import { TransactionDraft } from '../src/state/draft.js';
-import { noLog, specOf } from '../src/testing/fixtures.js';
-import { FakeClock } from '../src/testing/fake-clock.js';
-import { findProof, type Desired } from '../src/workers/reconcile.js';
-import { decodeWorkerStatus, type WorkerStatus } from '../src/workers/worker-wire-codec.js';
-import { Worker } from '../src/workers/worker.js';
-import { encodeJobRecord } from '../src/ledger/record-codecs.js';
+import { ExitRecorder, type ExitRecorderDependencies } from '../../src/workers/exit-recorder.js';
+import type { PlacedTask } from '../../src/records/cluster-state.js';
+import { jobKey, placementChunkKey } from '../../src/records/record-keys.js';
+import type { Mutation } from '../../src/store/transaction-batcher.js';
+import { TransactionDraft } from '../../src/store/transaction-draft.js';
+import { noLog, specOf } from '../../testing/fixtures.js';
+import { FakeClock } from '../../testing/fake-clock.js';
+import { findProof, type Desired } from '../../src/workers/reconciliation.js';
+import { decodeWorkerStatus, type WorkerStatus } from '../../src/workers/worker-wire-codec.js';
+import { Worker } from '../../src/workers/worker.js';
+import { encodeJobRecord } from '../../src/records/record-codecs.js';
 
 const FENCE = 7;
 const HOST = 'i-000001';
--- a/test/worker-registry.test.ts
+++ b/test/workers/worker-registry.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import type { WorkerTimings } from '../src/config/settings.js';
-import type { LeadershipTerm, RoleLeadership } from '../src/controller/claims.js';
-import { WorkerRegistry } from '../src/controller/worker-registry.js';
-import { Worker, leaseOverAt } from '../src/workers/worker.js';
+import type { WorkerTimings } from '../../src/domain/settings.js';
+import type { LeadershipTerm, RoleLeadership } from '../../src/leadership/role-leadership.js';
+import { WorkerRegistry } from '../../src/workers/worker-registry.js';
+import { Worker, leaseOverAt } from '../../src/workers/worker.js';
 
 const LEASE_MS = 10_000;
 const TIMINGS: WorkerTimings = {
--- a/src/testing/cluster.ts
+++ b/testing/cluster.ts
@@ -1,8 +1,8 @@
 import { setMaxListeners } from 'node:events';
-import type { Answer } from '../api/jobs.js';
+import type { Answer } from '../src/api/job-service.js';
 import { DEFAULT_STANDBY_SETTINGS } from '@dewlatch/standby';
-import { DEFAULT_TUNING } from '../constants.js';
-import type { Controller } from '../controller/controller.js';
+import { DEFAULT_TUNING } from '../src/constants.js';
+import type { Controller } from '../src/controller/controller.js';
 import {
   PRESENT_VERSION,
   presentController,
@@ -10,8 +10,8 @@
   type ProgramVersion,
   type TestedController,
 } from './program-version.js';
-import { NoAnswer, type Reply } from '../net/http-client.js';
-import { Random } from '../net/random.js';
+import { NoAnswer, type Reply } from '../src/net/http-client.js';
+import { Random } from '../src/net/random.js';
 import { FakeClock } from './fake-clock.js';
 import { FakeCloud } from './fake-cloud.js';
 import { FakeGangs } from './fake-gangs.js';
--- a/src/testing/fake-clock.ts
+++ b/testing/fake-clock.ts
@@ -1,4 +1,4 @@
-import type { Clock } from '../net/clock.js';
+import type { Clock } from '../src/net/clock.js';
 
 interface Timer {
   at: number;
--- a/src/testing/fake-cloud.ts
+++ b/testing/fake-cloud.ts
@@ -1,4 +1,4 @@
-import type { Reply } from '../net/http-client.js';
+import type { Reply } from '../src/net/http-client.js';
 
 /** A stand-in of the cloud: a catalogue, rentals by name, returns. */
 export class FakeCloud {
--- a/src/testing/fake-network.ts
+++ b/testing/fake-network.ts
@@ -1,5 +1,5 @@
-import { NoAnswer, type CallOptions, type HttpClient, type Reply } from '../net/http-client.js';
-import { Random } from '../net/random.js';
+import { NoAnswer, type CallOptions, type HttpClient, type Reply } from '../src/net/http-client.js';
+import { Random } from '../src/net/random.js';
 import type { FakeClock } from './fake-clock.js';
 
 export interface Sender {
--- a/src/testing/fake-store.ts
+++ b/testing/fake-store.ts
@@ -1,5 +1,5 @@
-import type { Reply } from '../net/http-client.js';
-import type { Clock } from '../net/clock.js';
+import type { Reply } from '../src/net/http-client.js';
+import type { Clock } from '../src/net/clock.js';
 
 /** ms between two looks of an open watch at whether the outage is over. */
 const OUTAGE_STEP_MS = 50;
--- a/src/testing/fake-users.ts
+++ b/testing/fake-users.ts
@@ -1,5 +1,5 @@
-import type { Answer } from '../api/jobs.js';
-import type { Random } from '../net/random.js';
+import type { Answer } from '../src/api/job-service.js';
+import type { Random } from '../src/net/random.js';
 import type { FakeClock } from './fake-clock.js';
 
 /** ms for which a user repeats a request, and between two questions about a job. */
--- a/src/testing/fake-worker.ts
+++ b/testing/fake-worker.ts
@@ -1,5 +1,5 @@
-import type { Reply } from '../net/http-client.js';
-import type { Clock } from '../net/clock.js';
+import type { Reply } from '../src/net/http-client.js';
+import type { Clock } from '../src/net/clock.js';
 import type { FakeGangs } from './fake-gangs.js';
 
 /** ms for which a worker waits for an answer to its report, and ms until it then tries the next node. */
--- a/src/testing/fixtures.ts
+++ b/testing/fixtures.ts
@@ -1,11 +1,11 @@
 /** Settings, jobs and machine types that scenarios start from. */
 import type { StandbySettings } from '@dewlatch/standby';
-import { parseSettingsFile } from '../config/load-settings.js';
-import type { SettingsFile, TuningFile } from '../config/settings-file-codec.js';
-import { decodeJobSpec, type WireJobSpec } from '../ledger/job-spec-codec.js';
-import type { JobSpec } from '../ledger/records.js';
-import type { Log } from '../controller/log.js';
-import type { TransactionLimits } from '../state/draft.js';
+import { parseSettingsFile } from '../src/config/load-settings.js';
+import type { SettingsFile, TuningFile } from '../src/config/settings-file-codec.js';
+import { decodeJobSpec, type WireJobSpec } from '../src/records/job-spec-codec.js';
+import type { JobSpec } from '../src/records/records.js';
+import type { Log } from '../src/logging/log.js';
+import type { TransactionLimits } from '../src/store/transaction-draft.js';
 import type { ProgramVersion } from './program-version.js';
 
 export const noLog: Log = {
--- a/src/testing/freezer.ts
+++ b/testing/freezer.ts
@@ -1,6 +1,6 @@
 /** Lets a controller stand still in the middle of anything, as a process does that gets no share of its core. */
-import type { Clock } from '../net/clock.js';
-import type { HttpClient, Reply } from '../net/http-client.js';
+import type { Clock } from '../src/net/clock.js';
+import type { HttpClient, Reply } from '../src/net/http-client.js';
 import type { FakeClock } from './fake-clock.js';
 
 /** When and for how long a node stands still. */
--- a/src/testing/loopback-takeover.ts
+++ b/testing/loopback-takeover.ts
@@ -1,5 +1,5 @@
 /** One loss of the leadership among real processes, timed. */
-import { systemClock } from '../net/clock.js';
+import { systemClock } from '../src/net/clock.js';
 import type { LoopbackCluster } from './loopback-cluster.js';
 
 export type LoopbackLoss = 'kill' | 'freeze' | 'terminate';
--- a/src/testing/production-version.ts
+++ b/testing/production-version.ts
@@ -1,9 +1,9 @@
 /** The version in production, as built from the history: its controllers under the names that it has for things. */
 import { resolve } from 'node:path';
 import { pathToFileURL } from 'node:url';
-import type { Answer } from '../api/jobs.js';
-import type { Clock } from '../net/clock.js';
-import type { HttpClient } from '../net/http-client.js';
+import type { Answer } from '../src/api/job-service.js';
+import type { Clock } from '../src/net/clock.js';
+import type { HttpClient } from '../src/net/http-client.js';
 import { noLog } from './fixtures.js';
 import type { OpaqueMessage, ProgramVersion, TestedController } from './program-version.js';
 
--- a/src/testing/program-version.ts
+++ b/testing/program-version.ts
@@ -1,10 +1,10 @@
 /** A version of the program, as far as the stand-ins need to know one from another. */
-import type { Answer } from '../api/jobs.js';
-import { decodeSettings, decodeTuning, type SettingsFile, type TuningFile } from '../config/settings-file-codec.js';
-import { Controller } from '../controller/controller.js';
-import { decodeMessage, encodeMessage, type Message } from '../mesh/messages.js';
-import type { Clock } from '../net/clock.js';
-import type { HttpClient } from '../net/http-client.js';
+import type { Answer } from '../src/api/job-service.js';
+import { decodeSettings, decodeTuning, type SettingsFile, type TuningFile } from '../src/config/settings-file-codec.js';
+import { Controller } from '../src/controller/controller.js';
+import { decodeMessage, encodeMessage, type Message } from '../src/gossip/messages.js';
+import type { Clock } from '../src/net/clock.js';
+import type { HttpClient } from '../src/net/http-client.js';
 import { noLog } from './fixtures.js';
 
 /** A message between controllers, in the form of the version that sends or receives it. */
--- a/src/testing/randomized-scenario.ts
+++ b/testing/randomized-scenario.ts
@@ -1,5 +1,5 @@
 /** Scenarios with random faults: a cluster under load, users who cancel, and the verdict of the invariant checker. */
-import { Random } from '../net/random.js';
+import { Random } from '../src/net/random.js';
 import { Cluster } from './cluster.js';
 import { FaultInjector, lastsMs } from './fault-injector.js';
 import { jobOf } from './fixtures.js';
--- a/src/testing/upgrade-scenario.ts
+++ b/testing/upgrade-scenario.ts
@@ -3,7 +3,7 @@
  * submit and cancel and troubles come; then pipelines are submitted, the store's limits shrink, and more troubles come.
  */
 import fc from 'fast-check';
-import { Random } from '../net/random.js';
+import { Random } from '../src/net/random.js';
 import { Cluster } from './cluster.js';
 import type { ProgramVersion } from './program-version.js';
 import { FaultInjector, lastsMs } from './fault-injector.js';
