--- a/eslint.config.js
+++ b/eslint.config.js
@@ -30,8 +30,7 @@
     files: ['src/**', 'testing/**', 'packages/*/src/**'],
     rules: { 'max-lines-per-function': ['error', { max: 80, skipComments: true }] },
   },
-  // One list of constants, each with its unit and reason; and one place where all duties of a controller are joined.
-  { files: ['src/constants.ts'], rules: { 'max-lines': 'off' } },
+  // One place where all duties of a controller are joined.
   { files: ['src/controller/controller.ts'], rules: { 'max-lines-per-function': 'off' } },
   // Scenarios are told one after the other, a file for each kind of fault.
   { files: ['test/**', 'packages/*/test/**'], rules: { 'max-lines': ['error', 500] } },
--- a/packages/standby/test/takeover-barrier.test.ts
+++ b/packages/standby/test/takeover-barrier.test.ts
@@ -3,7 +3,7 @@
 import { FollowingPace, PauseGuard, TakeoverBarrier, guardOf, maySend, type BarrierOutcome } from '../src/index.js';
 
 const HOLD_MS = 3000;
-const FRESH_MS = 2000;
+const REPLICA_FRESH_MS = 2000;
 const TICK_MS = 500;
 const FREEZE_MS = 3500;
 
@@ -62,13 +62,13 @@
     return this.barrierOfA.assess({
       term: this.tenureOfA,
       isConfirmed: !this.hasGuard || this.guard.isConfirmed,
-      isInTouch: this.time - this.freshOfA < FRESH_MS,
+      isInTouch: this.time - this.freshOfA < REPLICA_FRESH_MS,
       completeUpTo: 5,
     });
   }
 
   private assessB(): BarrierOutcome {
-    const isInTouch = this.time - this.freshOfB < FRESH_MS;
+    const isInTouch = this.time - this.freshOfB < REPLICA_FRESH_MS;
     return this.barrierOfB.assess({
       term: this.tenureOfB,
       isConfirmed: true,
--- a/src/api/job-lookup.ts
+++ b/src/api/job-lookup.ts
@@ -1,5 +1,7 @@
 /** What is known of jobs: final states from memory, the others as new as the store's own. */
-import { FRESH_MS, POLL_COMPARISONS, POLL_DEADLINE_MS, POLL_GATHER_MS, QUEUED_FRESH_SHARE } from '../constants.js';
+import { REPLICA_FRESH_MS } from '../constants/leadership.js';
+import { POLL_COMPARISONS, POLL_DEADLINE_MS, POLL_GATHER_MS } from '../constants/api.js';
+import { QUEUED_FRESH_SHARE } from '../constants/records.js';
 import type { PredecessorStates } from '../jobs/dependency-states.js';
 import type { ClusterState, JobView } from '../records/cluster-state.js';
 import { decodeFinalJobRecord } from '../records/record-codecs.js';
@@ -43,7 +45,7 @@
   /** Known on arrival: the store has refused this node, or not answered it, for a while, and has not answered since. */
   get isOut(): boolean {
     const { client, replica, clock } = this.dependencies;
-    return client.lastRefusedAt > client.lastAnsweredAt && clock.now() - replica.freshAt > FRESH_MS;
+    return client.lastRefusedAt > client.lastAnsweredAt && clock.now() - replica.freshAt > REPLICA_FRESH_MS;
   }
 
   /** Does the copy hold each cancellation that may be due to have reached the jobs after it? */
--- a/src/api/job-service.ts
+++ b/src/api/job-service.ts
@@ -1,11 +1,6 @@
 /** What users may do with jobs: submit, ask, withdraw. */
-import {
-  LEDGER_ENTRY_BYTES,
-  MAX_CHUNK_SHARDS,
-  MAX_RETRY_AFTER_S,
-  RECORD_ENVELOPE_BYTES,
-  SUBMIT_DEADLINE_MS,
-} from '../constants.js';
+import { PLACEMENT_BYTES, MAX_CHUNK_TASKS, RECORD_ENVELOPE_BYTES } from '../constants/records.js';
+import { MAX_RETRY_AFTER_S, SUBMIT_DEADLINE_MS } from '../constants/api.js';
 import type { Settings, Team } from '../domain/settings.js';
 import type { MachineInventory } from '../inventory/machine-inventory.js';
 import type { Log } from '../logging/log.js';
@@ -61,7 +56,7 @@
     const { teams, store } = dependencies.settings.cluster;
     this.teams = new Map(teams.map((team) => [team.name, team]));
     this.valueBytes = store.lasting.valueBytes;
-    this.chunk = Math.max(1, Math.min(MAX_CHUNK_SHARDS, Math.floor(this.valueBytes / LEDGER_ENTRY_BYTES)));
+    this.chunk = Math.max(1, Math.min(MAX_CHUNK_TASKS, Math.floor(this.valueBytes / PLACEMENT_BYTES)));
   }
 
   async submit(body: unknown): Promise<Answer> {
--- a/src/api/request-body.ts
+++ b/src/api/request-body.ts
@@ -1,6 +1,6 @@
 /** Reads the JSON bodies of requests, up to the protocol's limit. */
 import type { IncomingMessage } from 'node:http';
-import { MAX_BODY_BYTES } from '../constants.js';
+import { MAX_BODY_BYTES } from '../constants/api.js';
 
 export type RequestBody = { kind: 'json'; value: unknown } | { kind: 'malformed' } | { kind: 'too large' };
 
--- a/src/autoscaling/autoscaler.ts
+++ b/src/autoscaling/autoscaler.ts
@@ -1,11 +1,11 @@
 import {
-  FAILS_WORTH_RENTING,
-  FORGET_REFUSED_MS,
-  MAX_RENT_AT_ONCE,
+  FAILURES_WORTH_SCALING_OUT,
+  REFUSED_RENTAL_KEPT_MS,
+  MAX_SCALE_OUT_AT_ONCE,
   MAX_RESERVE_AT_ONCE,
   NO_CAPACITY_MS,
   RESERVE_SHARE,
-} from '../constants.js';
+} from '../constants/autoscaling.js';
 import type { CloudClient } from '../cloud/cloud-client.js';
 import type { ListedMachine } from '../cloud/cloud-wire-codec.js';
 import type { ClusterState } from '../records/cluster-state.js';
@@ -108,7 +108,7 @@
    * whole, and what is rented for it serves its next tries as well.
    */
   private tasksToRentFor(spec: JobSpec, waiting: readonly PendingTask[]): number {
-    const failing = waiting.some((each) => each.placement.failures > FAILS_WORTH_RENTING);
+    const failing = waiting.some((each) => each.placement.failures > FAILURES_WORTH_SCALING_OUT);
     if (!failing || spec.kind === 'gang') return waiting.length;
     return this.inventory.open().some((machine) => allowedOn(spec, machine)) ? 0 : 1;
   }
@@ -143,7 +143,7 @@
       return true;
     }
     const now = this.clock.now();
-    for (const [name, at] of this.refused) if (now - at > FORGET_REFUSED_MS) this.refused.delete(name);
+    for (const [name, at] of this.refused) if (now - at > REFUSED_RENTAL_KEPT_MS) this.refused.delete(name);
     const over = (rental: RentalRecord) =>
       rental.machineIds!.every((machineId) => heard.has(machineId) || this.inventory.terminated.has(machineId)) ||
       wall - rental.requestedAtMs > 2 * bootLimitMs(this.inventory.catalog.get(rental.machineType));
@@ -174,7 +174,7 @@
       if (machine.state === 'failed') continue;
       expect(machine.machineId, machine.machineType, machine.zone, machine.isSpot, machine.ageS * 1000);
     }
-    const wanted = decideScaleOut(this.needs(), this.offers(), coming, MAX_RENT_AT_ONCE);
+    const wanted = decideScaleOut(this.needs(), this.offers(), coming, MAX_SCALE_OUT_AT_ONCE);
     const reserve = wanted.length === 0 ? this.reserve(coming) : undefined;
     if (reserve !== undefined) wanted.push(reserve);
     const held = this.leadership.leadershipOf(CLUSTER_LEADER_ROLE);
--- a/src/autoscaling/cluster-leader.ts
+++ b/src/autoscaling/cluster-leader.ts
@@ -1,16 +1,16 @@
 import {
-  IDLE_LOOK_MS,
-  IDLE_RETURN_MS,
-  LIST_PERIOD_MS,
-  PREEMPT_PERIOD_MS,
-  RENT_PERIOD_MS,
   CATALOG_PERIOD_MS,
-  SICK_PATIENCE_MS,
+  IDLE_CHECK_PERIOD_MS,
+  IDLE_SCALE_IN_MS,
+  LIST_PERIOD_MS,
+  SCALE_OUT_PERIOD_MS,
+  SCALE_OUT_ROUNDS,
+  QUARANTINE_PATIENCE_MS,
   STATUS_PERIOD_MS,
-  UNHEARD_LIMITS,
+  UNHEARD_SILENCE_LIMITS,
   ZONE_HEAL_MS,
-  RENT_ROUNDS,
-} from '../constants.js';
+} from '../constants/autoscaling.js';
+import { PREEMPT_PERIOD_MS } from '../constants/scheduling.js';
 import type { Settings } from '../domain/settings.js';
 import { decodeMachineType, type ListedMachine } from '../cloud/cloud-wire-codec.js';
 import type { CloudClient } from '../cloud/cloud-client.js';
@@ -128,13 +128,13 @@
 
   async run(signal: AbortSignal): Promise<void> {
     await Promise.all([
-      this.every(RENT_PERIOD_MS / 4, signal, () => this.readCatalog()),
+      this.every(SCALE_OUT_PERIOD_MS / 4, signal, () => this.readCatalog()),
       this.every(LIST_PERIOD_MS, signal, () => this.readList()),
-      this.every(RENT_PERIOD_MS, signal, async () => {
+      this.every(SCALE_OUT_PERIOD_MS, signal, async () => {
         // What is refused in one place is asked for in the next at once: a machine takes long enough to boot.
-        for (let round = 0; round < RENT_ROUNDS && (await this.autoscaler.round()); round++);
+        for (let round = 0; round < SCALE_OUT_ROUNDS && (await this.autoscaler.round()); round++);
       }),
-      this.every(RENT_PERIOD_MS / 4, signal, () => this.tend()),
+      this.every(SCALE_OUT_PERIOD_MS / 4, signal, () => this.tend()),
       this.every(PREEMPT_PERIOD_MS / 2, signal, () => this.preemptor.round()),
       this.every(STATUS_PERIOD_MS, signal, () => this.status()),
     ]);
@@ -235,7 +235,7 @@
     const back = new Set<string>([...this.silent(all), ...this.useless(all)]);
     // Idle machines are kept for minutes, so they are looked for now and then.
     if (now >= this.idleLookAt) {
-      this.idleLookAt = now + IDLE_LOOK_MS;
+      this.idleLookAt = now + IDLE_CHECK_PERIOD_MS;
       for (const machineId of this.idle()) back.add(machineId);
     }
     this.stopOnWarned(all);
@@ -338,7 +338,7 @@
       if (!told || placedTask === undefined) continue;
       const age = now - this.ownerSince.get(partitionRole(partition))!.at;
       const silent =
-        age > UNHEARD_LIMITS * silenceLimitMs(workers) &&
+        age > UNHEARD_SILENCE_LIMITS * silenceLimitMs(workers) &&
         !this.peerDirectory.hasReportedElsewhere(machineId, -Infinity);
       list.push({
         machineId,
@@ -371,7 +371,7 @@
       if (!isQuarantined || this.inventory.terminated.has(machineId)) continue;
       const since = this.sickSince.get(machineId) ?? now;
       this.sickSince.set(machineId, since);
-      if (now - since >= SICK_PATIENCE_MS && this.clusterState.taskCountOn(machineId) === 0) list.push(machineId);
+      if (now - since >= QUARANTINE_PATIENCE_MS && this.clusterState.taskCountOn(machineId) === 0) list.push(machineId);
     }
     return list;
   }
@@ -396,7 +396,7 @@
       this.idleSince.set(machine.machineId, since);
       const cpus = this.inventory.catalog.get(machine.machineType)!.cpus;
       // Hysteresis: rented below one reserve, given back only above twice as much.
-      if (now - since < IDLE_RETURN_MS || belowReserve((free - cpus) / 2, total - cpus)) continue;
+      if (now - since < IDLE_SCALE_IN_MS || belowReserve((free - cpus) / 2, total - cpus)) continue;
       free -= cpus;
       total -= cpus;
       list.push(machine.machineId);
--- a/src/autoscaling/scale-out-decision.ts
+++ b/src/autoscaling/scale-out-decision.ts
@@ -1,4 +1,4 @@
-import { BOOT_PATIENCE, RESERVE_SHARE } from '../constants.js';
+import { BOOT_PATIENCE, RESERVE_SHARE } from '../constants/autoscaling.js';
 import type { MachineType } from '../inventory/machine-inventory.js';
 import type { JobSpec, Resources } from '../records/records.js';
 import { allowedOn, fits, subtractResources } from '../records/placement-rules.js';
--- a/src/autoscaling/silent-machines.ts
+++ b/src/autoscaling/silent-machines.ts
@@ -1,4 +1,5 @@
-import { SELF_SUSPECT_SHARE, ZONE_CUT_SHARE, ZONE_PATIENCE_MS } from '../constants.js';
+import { SELF_SUSPECT_SHARE } from '../constants/leadership.js';
+import { ZONE_CUT_SHARE, ZONE_PATIENCE_MS } from '../constants/autoscaling.js';
 
 /** What an owner says of one of its machines, as far as giving it up goes. */
 export interface WatchedMachine {
--- a/src/cloud/cloud-client.ts
+++ b/src/cloud/cloud-client.ts
@@ -1,5 +1,5 @@
 /** Calls to the cloud: its catalogue, its list of machines, scale out and scale in. */
-import { CLOUD_BUSY_PAUSE_MS, CLOUD_TIMEOUT_MS } from '../constants.js';
+import { CLOUD_BUSY_PAUSE_MS, CLOUD_TIMEOUT_MS } from '../constants/autoscaling.js';
 import type { Clock } from '../net/clock.js';
 import type { HttpClient, Reply } from '../net/http-client.js';
 import { Priority, TokenBucket } from '../net/token-bucket.js';
--- a/src/config/load-settings.ts
+++ b/src/config/load-settings.ts
@@ -3,7 +3,8 @@
 import { findContradiction } from '@dewlatch/standby';
 import { parse as parseToml } from 'smol-toml';
 import * as v from 'valibot';
-import { HOLD_TTL_MS, MAX_GOSSIP_BYTES } from '../constants.js';
+import { STORE_LEASE_TTL_MS } from '../constants/leadership.js';
+import { MAX_GOSSIP_BYTES } from '../constants/gossip.js';
 import { findLimitTooSmall } from './least-limits.js';
 import {
   decodeSettings,
@@ -63,7 +64,7 @@
 
 export function parseTuning(toml: string, where: string): Tuning {
   const tuning = decodeTuning(parseTuningFile(toml, where));
-  const fault = findContradiction(tuning.standby, { holdMs: HOLD_TTL_MS, linkMessageBytes: MAX_GOSSIP_BYTES });
+  const fault = findContradiction(tuning.standby, { holdMs: STORE_LEASE_TTL_MS, linkMessageBytes: MAX_GOSSIP_BYTES });
   if (fault !== undefined) throw new SettingsError(`${where}: standby.${fault}`);
   return tuning;
 }
--- a/src/config/settings-file-codec.ts
+++ b/src/config/settings-file-codec.ts
@@ -1,7 +1,7 @@
 /** The platform's settings (JSON) and the operators' (TOML) as they stand in the files, and their translation. */
 import { DEFAULT_STANDBY_SETTINGS, StandbySettingsSchema } from '@dewlatch/standby';
 import * as v from 'valibot';
-import { DEFAULT_TUNING } from '../constants.js';
+import { DEFAULT_TUNING } from '../constants/scheduling.js';
 import type {
   ServiceLevelObjective,
   Settings,
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -1,14 +1,13 @@
 import { randomInt } from 'node:crypto';
+import { BATCH_GATHER_SHARE } from '../constants/store.js';
+import { SWEEP_MS, TOKEN_ANNOUNCE_PERIOD_MS } from '../constants/workers.js';
+import { HTTP_SERVER_SOCKET_SHARE } from '../constants/api.js';
 import {
-  BATCH_GATHER_SHARE,
-  TOKEN_ANNOUNCE_PERIOD_MS,
-  HTTP_SERVER_SOCKET_SHARE,
-  SWEEP_MS,
-  FORMAT_LOOK_MS,
-  PIPELINE_SWEEP_MS,
-  TEAM_SETTLE_MS,
   FINISH_PERIOD_MS,
-} from '../constants.js';
+  FORMAT_CHECK_PERIOD_MS,
+  DEPENDENCY_SWEEP_MS,
+  TEAM_SETTLEMENT_PERIOD_MS,
+} from '../constants/records.js';
 import { maySend } from '@dewlatch/standby';
 import type { Answer, Jobs } from '../api/job-service.js';
 import { ApiServer } from '../api/api-server.js';
@@ -401,9 +400,9 @@
       every(SWEEP_MS, periodic, () => this.roleRebalancer.rebalance()),
       every(SWEEP_MS, periodic, () => this.cancellationEnforcer.sweep()),
       every(TOKEN_ANNOUNCE_PERIOD_MS, periodic, () => announcer.announce()),
-      every(PIPELINE_SWEEP_MS, periodic, () => this.jobDuties.pipelineProgress.sweep()),
-      every(TEAM_SETTLE_MS, periodic, () => this.teamSettlement.look()),
-      every(FORMAT_LOOK_MS, periodic, () => this.formatUpgrade.look()),
+      every(DEPENDENCY_SWEEP_MS, periodic, () => this.jobDuties.pipelineProgress.sweep()),
+      every(TEAM_SETTLEMENT_PERIOD_MS, periodic, () => this.teamSettlement.look()),
+      every(FORMAT_CHECK_PERIOD_MS, periodic, () => this.formatUpgrade.look()),
     ]);
   }
 
--- a/src/gossip/gossip-exchange.ts
+++ b/src/gossip/gossip-exchange.ts
@@ -1,5 +1,5 @@
 /** Composes what this node tells its peers every second, and takes in what they tell. */
-import { GOSSIP_VIEW_MS } from '../constants.js';
+import { GOSSIP_VIEW_MS } from '../constants/gossip.js';
 import type { Settings } from '../domain/settings.js';
 import type { ReplicaFreshness } from './replica-freshness.js';
 import type { Gossip, MachineUpdate } from './messages.js';
--- a/src/gossip/gossip-sender.ts
+++ b/src/gossip/gossip-sender.ts
@@ -1,5 +1,5 @@
 /** Sends this node's gossip to all peers out of turn. */
-import { GOSSIP_SOON_MS } from '../constants.js';
+import { GOSSIP_SOON_MS } from '../constants/gossip.js';
 import type { Gossip, Message } from './messages.js';
 import type { Clock } from '../net/clock.js';
 
--- a/src/gossip/heartbeat-forwarder.ts
+++ b/src/gossip/heartbeat-forwarder.ts
@@ -1,4 +1,4 @@
-import { RELAY_TIMEOUT_MS } from '../constants.js';
+import { FORWARD_TIMEOUT_MS } from '../constants/gossip.js';
 import type { Clock } from '../net/clock.js';
 import type { Message, ForwardedHeartbeat, ForwardedHeartbeatAnswer } from './messages.js';
 
@@ -30,7 +30,7 @@
       this.open.delete(id);
       return undefined;
     }
-    const late = this.clock.sleep(RELAY_TIMEOUT_MS, done.signal).then(() => undefined);
+    const late = this.clock.sleep(FORWARD_TIMEOUT_MS, done.signal).then(() => undefined);
     const answer = await Promise.race([answered, late]);
     this.open.delete(id);
     done.abort();
--- a/src/gossip/machine-updates.ts
+++ b/src/gossip/machine-updates.ts
@@ -1,4 +1,4 @@
-import { MACHINE_NEWS_BYTES, MACHINES_A_TURN, MACHINES_IN_GOSSIP_BYTES } from '../constants.js';
+import { MACHINE_UPDATE_BYTES, FORWARDED_MACHINES_STEP, MACHINES_IN_GOSSIP_BYTES } from '../constants/gossip.js';
 import type { Gossip, MachineUpdate } from './messages.js';
 
 type Told = Pick<Gossip, 'incarnation' | 'messageNumber' | 'isSnapshot' | 'machines' | 'unchanged'>;
@@ -34,7 +34,7 @@
 
 /** Bytes that a machine takes in a message, a safe upper bound. */
 const bytesOf = (news: MachineUpdate, text: string): number =>
-  MACHINE_NEWS_BYTES + Buffer.byteLength(text) + news.machineId.length + news.images.length + news.failedJobs.length;
+  MACHINE_UPDATE_BYTES + Buffer.byteLength(text) + news.machineId.length + news.images.length + news.failedJobs.length;
 
 /** The sender's own machines as they were at one moment, for all peers that are told within the next. */
 export interface OwnMachines {
@@ -115,7 +115,7 @@
  */
 function somePassedOn(passedOn: readonly MachineUpdate[], room: number, turn: number): MachineUpdate[] {
   const chosen: MachineUpdate[] = [];
-  const begin = passedOn.length === 0 ? 0 : (turn * MACHINES_A_TURN) % passedOn.length;
+  const begin = passedOn.length === 0 ? 0 : (turn * FORWARDED_MACHINES_STEP) % passedOn.length;
   let left = room;
   for (const news of [...passedOn.slice(begin), ...passedOn.slice(0, begin)]) {
     left -= bytesOf(news, lasting(news));
--- a/src/gossip/peer-directory.ts
+++ b/src/gossip/peer-directory.ts
@@ -1,4 +1,5 @@
-import { FRESH_MS, GOSSIP_SOON_MS, KNOCK_MS, PEER_LAG_MS, PEER_WORD_MS } from '../constants.js';
+import { REPLICA_FRESH_MS } from '../constants/leadership.js';
+import { GOSSIP_SOON_MS, MISROUTED_HEARTBEAT_VALID_MS, PEER_LAG_MS, PEER_STATE_VALID_MS } from '../constants/gossip.js';
 import type { Clock } from '../net/clock.js';
 import type { Gossip } from './messages.js';
 
@@ -34,7 +35,7 @@
 
   private freshState(node: string): PeerState | undefined {
     const word = this.states.get(node);
-    return word !== undefined && this.clock.now() - word.heardAt < PEER_WORD_MS ? word : undefined;
+    return word !== undefined && this.clock.now() - word.heardAt < PEER_STATE_VALID_MS ? word : undefined;
   }
 
   /** The nodes heard just now. */
@@ -54,7 +55,7 @@
 
   hasStore(node: string): boolean {
     const word = this.freshState(node);
-    return word !== undefined && this.clock.now() - word.freshAt < FRESH_MS * 2;
+    return word !== undefined && this.clock.now() - word.freshAt < REPLICA_FRESH_MS * 2;
   }
 
   /** The peer's process, told from its former ones; undefined: it is not heard. */
@@ -78,14 +79,14 @@
    */
   hasReportedElsewhere(machineId: string, heardAt: number): boolean {
     const at = this.misroutedHeartbeats.get(machineId) ?? -Infinity;
-    return this.clock.now() - at < KNOCK_MS && at > heardAt + GOSSIP_SOON_MS;
+    return this.clock.now() - at < MISROUTED_HEARTBEAT_VALID_MS && at > heardAt + GOSSIP_SOON_MS;
   }
 
   /** Knocks heard of, to be passed on. */
   *misroutedHeartbeatsHeard(): Iterable<{ machineId: string; ageMs: number }> {
     const now = this.clock.now();
     for (const [machineId, at] of this.misroutedHeartbeats) {
-      if (now - at < KNOCK_MS) yield { machineId, ageMs: now - at };
+      if (now - at < MISROUTED_HEARTBEAT_VALID_MS) yield { machineId, ageMs: now - at };
       else this.misroutedHeartbeats.delete(machineId);
     }
   }
--- a/src/gossip/peer-links.ts
+++ b/src/gossip/peer-links.ts
@@ -1,5 +1,6 @@
 import { connect, createServer, type Socket } from 'node:net';
-import { CONNECT_TIMEOUT_MS, GOSSIP_MS, MAX_GOSSIP_BYTES, MESH_IDLE_MS } from '../constants.js';
+import { CONNECT_TIMEOUT_MS } from '../constants/workers.js';
+import { GOSSIP_PERIOD_MS, MAX_GOSSIP_BYTES, PEER_LINK_IDLE_MS } from '../constants/gossip.js';
 import type { Settings } from '../domain/settings.js';
 import type { Log } from '../logging/log.js';
 import type { Clock } from '../net/clock.js';
@@ -31,7 +32,7 @@
     const server = createServer((socket) => {
       sockets.add(socket);
       const frames = new Frames(MAX_GOSSIP_BYTES);
-      socket.setTimeout(MESH_IDLE_MS, () => socket.destroy());
+      socket.setTimeout(PEER_LINK_IDLE_MS, () => socket.destroy());
       socket.on('error', () => socket.destroy());
       socket.on('close', () => sockets.delete(socket));
       socket.on('data', (part) => {
@@ -96,12 +97,12 @@
           break;
         }
         if (!socket.connecting) socket.write(frame(encodeMessage({ gossip: this.compose(node) })));
-        await this.clock.sleep(socket.connecting ? GOSSIP_MS / 10 : GOSSIP_MS, either);
+        await this.clock.sleep(socket.connecting ? GOSSIP_PERIOD_MS / 10 : GOSSIP_PERIOD_MS, either);
       }
       clearTimeout(connecting);
       this.links.delete(node);
       socket.destroy();
-      await this.clock.sleep(GOSSIP_MS / 2, signal);
+      await this.clock.sleep(GOSSIP_PERIOD_MS / 2, signal);
     }
   }
 }
--- a/src/gossip/record-broadcast.ts
+++ b/src/gossip/record-broadcast.ts
@@ -1,5 +1,5 @@
 /** Tells the peers which records this node's transactions have changed, and takes in what theirs have changed. */
-import { NEWS_GATHER_MS } from '../constants.js';
+import { DELTA_GATHER_MS } from '../constants/gossip.js';
 import { isStoredCancellation } from '../records/record-codecs.js';
 import { LIVE } from '../records/record-keys.js';
 import type { Change } from '../store/store-wire-codec.js';
@@ -34,7 +34,7 @@
     const isScheduled = this.pending.length > 0;
     this.pending.push(...changes);
     if (changes.some(({ key, value }) => isStoredCancellation(key, value))) this.flush();
-    else if (!isScheduled) void clock.sleep(NEWS_GATHER_MS).then(() => this.flush());
+    else if (!isScheduled) void clock.sleep(DELTA_GATHER_MS).then(() => this.flush());
   }
 
   private flush(): void {
--- a/src/gossip/replica-freshness.ts
+++ b/src/gossip/replica-freshness.ts
@@ -1,4 +1,6 @@
-import { CLOCK_DRIFT, DELTA_BYTES, FRESH_MS } from '../constants.js';
+import { CLOCK_DRIFT } from '../constants/clocks.js';
+import { DELTA_BYTES } from '../constants/gossip.js';
+import { REPLICA_FRESH_MS } from '../constants/leadership.js';
 import type { Clock } from '../net/clock.js';
 import { deserializeChanges, type Replica } from '../store/replica.js';
 import type { DeltaRequest, ReplicaDelta, Gossip, Message } from './messages.js';
@@ -60,7 +62,7 @@
       if (echo?.incarnation !== this.incarnation) return;
       this.coveredAt.set(node, Math.max(this.coveredAt.get(node)!, echo.clock));
       this.copiedAt = Math.max(this.copiedAt, echo.clock - freshAgeMs * (1 + CLOCK_DRIFT));
-    } else if (this.replica.isLoaded && this.clock.now() - this.replica.freshAt >= FRESH_MS) {
+    } else if (this.replica.isLoaded && this.clock.now() - this.replica.freshAt >= REPLICA_FRESH_MS) {
       this.requestDelta(node);
     }
   }
--- a/src/inventory/machine-inventory.ts
+++ b/src/inventory/machine-inventory.ts
@@ -1,14 +1,13 @@
 import {
   FAULTY_JOB_LEAST,
   FAULTY_JOB_SHARE,
-  FLEET_VIEW_MS,
+  INVENTORY_VIEW_MS,
   FORGET_MACHINE_MS,
-  RETURNED_MACHINES_KEPT,
-  GOSSIP_STALE_MS,
-  SICK_ERRORS,
-  SILENT_REPORTS,
-  MISDIRECTED_WORKERS_KEPT,
-} from '../constants.js';
+  MISROUTED_WORKERS_KEPT,
+  TERMINATED_MACHINES_KEPT,
+} from '../constants/inventory.js';
+import { GOSSIP_STALE_MS } from '../constants/gossip.js';
+import { QUARANTINE_ERRORS, SILENT_HEARTBEATS } from '../constants/workers.js';
 import type { Settings } from '../domain/settings.js';
 import type { Clock } from '../net/clock.js';
 import type { RoleLeadership, HeldLeadership } from '../leadership/role-leadership.js';
@@ -177,7 +176,7 @@
     const workers = this.workerManager.workers.size;
     const told = this.reportedByPeers.size;
     const last = this.cachedView;
-    if (now - last.at < FLEET_VIEW_MS && last.workers === workers && last.told === told) return last;
+    if (now - last.at < INVENTORY_VIEW_MS && last.workers === workers && last.told === told) return last;
     const all = new Map(this.reportedByPeers);
     for (const machine of this.ownMachines()) all.set(machine.machineId, machine);
     this.clearQuarantineOfFaultyJobs(all);
@@ -196,7 +195,7 @@
     for (const [machineId, machine] of machines) {
       if (!machine.isQuarantined) continue;
       const against = machine.failedJobs.filter((job) => counts.get(job)! < many);
-      if (against.length < SICK_ERRORS) machines.set(machineId, { ...machine, isQuarantined: false });
+      if (against.length < QUARANTINE_ERRORS) machines.set(machineId, { ...machine, isQuarantined: false });
     }
   }
 
@@ -218,7 +217,7 @@
       agentEpoch: workerStatus.agentEpoch,
       sequence: workerStatus.sequence,
     });
-    if (this.lastSeenHere.size > MISDIRECTED_WORKERS_KEPT)
+    if (this.lastSeenHere.size > MISROUTED_WORKERS_KEPT)
       this.lastSeenHere.delete(this.lastSeenHere.keys().next().value!);
     return false;
   }
@@ -239,7 +238,7 @@
   markTerminated(machineId: string): void {
     if (this.terminated.has(machineId)) return;
     this.terminated.set(machineId, this.clock.now());
-    if (this.terminated.size > RETURNED_MACHINES_KEPT) this.terminated.delete(this.terminated.keys().next().value!);
+    if (this.terminated.size > TERMINATED_MACHINES_KEPT) this.terminated.delete(this.terminated.keys().next().value!);
     this.reportedByPeers.delete(machineId);
     this.knownAt.delete(machineId);
     this.workerManager.workers.remove(machineId);
@@ -252,7 +251,7 @@
   }
 
   isSilent(machine: MachineInfo): boolean {
-    const allowed = SILENT_REPORTS * this.settings.cluster.workers.heartbeatIntervalMs;
+    const allowed = SILENT_HEARTBEATS * this.settings.cluster.workers.heartbeatIntervalMs;
     const now = this.clock.now();
     if (this.leadershipFor(machine.machineId) !== undefined) return now - machine.heardAt > allowed;
     const knownAt = this.knownAt.get(machine.machineId) ?? -Infinity;
--- a/src/jobs/job-completion.ts
+++ b/src/jobs/job-completion.ts
@@ -1,5 +1,5 @@
 /** Ends jobs whose tasks are all over, and removes what is left of the records of ended jobs. */
-import { END_WRITES } from '../constants.js';
+import { END_WRITES } from '../constants/records.js';
 import type { ClusterState } from '../records/cluster-state.js';
 import { endJob } from '../records/placement-mutations.js';
 import { releaseJob } from '../records/dependency-mutations.js';
--- a/src/jobs/job-reactions.ts
+++ b/src/jobs/job-reactions.ts
@@ -1,5 +1,5 @@
 /** What follows from a change of a job's records: launches and stops, plans, its end, and the steps of jobs after it. */
-import { BATCH_PUSH_GATHER_SHARE } from '../constants.js';
+import { BATCH_PUSH_GATHER_SHARE } from '../constants/workers.js';
 import type { ClusterState, JobView } from '../records/cluster-state.js';
 import { taskIdOf } from '../records/records.js';
 import { CLUSTER_LEADER_ROLE, partitionRole, type RoleLeadership } from '../leadership/role-leadership.js';
--- a/src/leadership/handover.ts
+++ b/src/leadership/handover.ts
@@ -1,5 +1,6 @@
 /** A planned handover: a controller that is told to stop gives its roles to its successors instead of letting them expire. */
-import { DRAIN_SHARE, NEWS_GATHER_MS } from '../constants.js';
+import { DRAIN_SHARE } from '../constants/leadership.js';
+import { DELTA_GATHER_MS } from '../constants/gossip.js';
 import type { Clock } from '../net/clock.js';
 import type { RoleLeadership } from './role-leadership.js';
 import type { GossipSender } from '../gossip/gossip-sender.js';
@@ -41,6 +42,6 @@
     await workerManager.drain(limitMs * DRAIN_SHARE);
     await leadership.releaseAll('told to stop');
     // Peers are told of changed records a moment later; without that they learn of the vacant roles by their next watch.
-    await clock.sleep(2 * NEWS_GATHER_MS);
+    await clock.sleep(2 * DELTA_GATHER_MS);
   }
 }
--- a/src/leadership/role-leadership.ts
+++ b/src/leadership/role-leadership.ts
@@ -1,13 +1,13 @@
 import {
-  FRESH_MS,
-  HEARTBEAT_MS,
-  HOLD_TTL_MS,
-  HOLDOVER_MARGIN_MS,
-  CLOCK_DRIFT,
-  ORPHAN_WAIT_MS,
+  REPLICA_FRESH_MS,
+  LEASE_RENEWAL_PERIOD_MS,
+  STORE_LEASE_TTL_MS,
+  DEGRADED_SERVING_MARGIN_MS,
+  VACANT_ROLE_WAIT_MS,
   START_GRACE_MS,
   SUCCESSOR_HEAD_START_MS,
-} from '../constants.js';
+} from '../constants/leadership.js';
+import { CLOCK_DRIFT } from '../constants/clocks.js';
 import type { Settings, WorkerTimings } from '../domain/settings.js';
 import type { ClusterState } from '../records/cluster-state.js';
 import { leadershipKey } from '../records/record-keys.js';
@@ -47,7 +47,7 @@
 
 /** ms for which an owner may go on answering after the moment as of which its copy holds all that anybody has confirmed. */
 export const degradedServingMs = ({ cancelDeadlineMs, workerLeaseMs }: WorkerTimings): number =>
-  Math.max(0, (cancelDeadlineMs - workerLeaseMs) * (1 - CLOCK_DRIFT) - HOLDOVER_MARGIN_MS);
+  Math.max(0, (cancelDeadlineMs - workerLeaseMs) * (1 - CLOCK_DRIFT) - DEGRADED_SERVING_MARGIN_MS);
 
 /**
  * One stay of a role with this process, from the claim by which it came to its loss; raising the token does not end it. What
@@ -213,7 +213,7 @@
 
   /** In touch with the store: decisions and new starts are allowed. */
   get isInTouchWithStore(): boolean {
-    return this.clock.now() - this.replica.freshAt < FRESH_MS;
+    return this.clock.now() - this.replica.freshAt < REPLICA_FRESH_MS;
   }
 
   /** May this node answer for the part's workers, and so keep their leases alive? */
@@ -292,7 +292,7 @@
         draft.delete(leadershipKey(role));
         return true;
       },
-      HOLD_TTL_MS,
+      STORE_LEASE_TTL_MS,
     );
     this.releasing.delete(role);
     // As long as the claim stands nobody else can answer: in an outage the tasks would die of waiting for the handover.
@@ -319,7 +319,7 @@
         );
         return true;
       },
-      HOLD_TTL_MS,
+      STORE_LEASE_TTL_MS,
     );
     this.acquiring.delete(role);
     if (outcome.kind === 'done') {
@@ -340,11 +340,11 @@
       this.heldRoles.clear();
       this.leaseId = undefined;
       sentAt = this.clock.now();
-      this.leaseId = await this.client.createLease(HOLD_TTL_MS);
+      this.leaseId = await this.client.createLease(STORE_LEASE_TTL_MS);
     }
     this.succession.confirm(sentAt);
     // The watch of a busy time has told enough.
-    const told = this.clock.now() - this.replica.freshAt < HEARTBEAT_MS / 2;
+    const told = this.clock.now() - this.replica.freshAt < LEASE_RENEWAL_PERIOD_MS / 2;
     if (!told && !(await this.replica.refresh())) return;
     await this.acquireVacantRoles();
   }
@@ -353,7 +353,7 @@
   private preferredNodeHeadStartMs(role: string): number {
     if (role === CLUSTER_LEADER_ROLE) return 0;
     const home = this.preferredNodeOf(partitionOfRole(role)!);
-    if (this.peerDirectory.hasStore(home)) return HOLD_TTL_MS / 2;
+    if (this.peerDirectory.hasStore(home)) return STORE_LEASE_TTL_MS / 2;
     return this.everLed.has(role) ? 0 : START_GRACE_MS;
   }
 
@@ -384,8 +384,8 @@
       const since = this.vacantSince.get(role) ?? now;
       this.vacantSince.set(role, since);
       const headStart = successor === undefined ? 0 : SUCCESSOR_HEAD_START_MS;
-      const load = this.ledPartitions().length * ORPHAN_WAIT_MS;
-      const wait = headStart + load + this.preferredNodeHeadStartMs(role) + this.random.float() * ORPHAN_WAIT_MS;
+      const load = this.ledPartitions().length * VACANT_ROLE_WAIT_MS;
+      const wait = headStart + load + this.preferredNodeHeadStartMs(role) + this.random.float() * VACANT_ROLE_WAIT_MS;
       return now - since >= wait;
     });
     await Promise.all(
@@ -401,7 +401,7 @@
       const started = this.clock.now();
       await this.renewLease().catch((error: unknown) => this.log.debug({ error: String(error) }, 'heartbeat failed'));
       const vacant = this.replica.isLoaded && this.clusterState.leadershipRecords.size < this.partitionCount + 1;
-      const pause = (vacant ? HEARTBEAT_MS / 5 : HEARTBEAT_MS) - (this.clock.now() - started);
+      const pause = (vacant ? LEASE_RENEWAL_PERIOD_MS / 5 : LEASE_RENEWAL_PERIOD_MS) - (this.clock.now() - started);
       await this.clock.sleep(Math.max(pause, 50), signal);
     }
   }
--- a/src/leadership/role-rebalancer.ts
+++ b/src/leadership/role-rebalancer.ts
@@ -1,5 +1,11 @@
 /** Gives partitions back to the nodes that prefer them, and partitions whose workers can't reach this node to others. */
-import { AVOID_MS, HANDBACK_MS, HOLD_TTL_MS, LEAST_SILENT_WORKERS, SELF_SUSPECT_SHARE } from '../constants.js';
+import {
+  AVOID_ROLE_MS,
+  PREFERRED_NODE_UP_MS,
+  STORE_LEASE_TTL_MS,
+  LEAST_SILENT_WORKERS,
+  SELF_SUSPECT_SHARE,
+} from '../constants/leadership.js';
 import type { Settings } from '../domain/settings.js';
 import type { PeerDirectory } from '../gossip/peer-directory.js';
 import type { Clock } from '../net/clock.js';
@@ -24,9 +30,9 @@
     if (!leadership.isInTouchWithStore) return;
     for (const partition of leadership.ledPartitions()) {
       const role = partitionRole(partition);
-      if (this.isWantedAtHome(partition)) void leadership.release(role, 'its own node is back', HOLD_TTL_MS);
+      if (this.isWantedAtHome(partition)) void leadership.release(role, 'its own node is back', STORE_LEASE_TTL_MS);
       else if (this.isOutOfReach(partition))
-        void leadership.release(role, 'its workers reach other nodes only', AVOID_MS);
+        void leadership.release(role, 'its workers reach other nodes only', AVOID_ROLE_MS);
     }
   }
 
@@ -34,7 +40,7 @@
   private isWantedAtHome(partition: number): boolean {
     const { settings, leadership, peerDirectory } = this.dependencies;
     const home = leadership.preferredNodeOf(partition);
-    const isReady = peerDirectory.upMs(home) > HANDBACK_MS && peerDirectory.hasStore(home);
+    const isReady = peerDirectory.upMs(home) > PREFERRED_NODE_UP_MS && peerDirectory.hasStore(home);
     return home !== settings.node && isReady && !peerDirectory.avoidsRole(home, partitionRole(partition));
   }
 
--- a/src/leadership/standby.ts
+++ b/src/leadership/standby.ts
@@ -19,14 +19,9 @@
   type StreamMessage,
   type TakeoverTracer,
 } from '@dewlatch/standby';
-import {
-  ADVICE_PERIOD_MS,
-  FOLLOW_PERIOD_MS,
-  FOLLOWER_TIMEOUT_MS,
-  HOLD_TTL_MS,
-  STANDBY_LOOK_MS,
-  STATUS_PERIOD_MS,
-} from '../constants.js';
+import { ADVICE_PERIOD_MS, FOLLOW_PERIOD_MS, FOLLOWER_TIMEOUT_MS, STANDBY_PERIOD_MS } from '../constants/standby.js';
+import { STORE_LEASE_TTL_MS } from '../constants/leadership.js';
+import { STATUS_PERIOD_MS } from '../constants/autoscaling.js';
 import type { Settings } from '../domain/settings.js';
 import type { ClusterState } from '../records/cluster-state.js';
 import { parseTaskId } from '../records/records.js';
@@ -73,9 +68,9 @@
 }
 
 /** Looks of a standby between two of its periodic works. */
-const LOOKS_PER_REQUEST = Math.round(FOLLOW_PERIOD_MS / STANDBY_LOOK_MS);
-const LOOKS_PER_STATUS = Math.round(STATUS_PERIOD_MS / STANDBY_LOOK_MS);
-const LOOKS_PER_COLLECTION = Math.round(ADVICE_PERIOD_MS / STANDBY_LOOK_MS);
+const LOOKS_PER_REQUEST = Math.round(FOLLOW_PERIOD_MS / STANDBY_PERIOD_MS);
+const LOOKS_PER_STATUS = Math.round(STATUS_PERIOD_MS / STANDBY_PERIOD_MS);
+const LOOKS_PER_COLLECTION = Math.round(ADVICE_PERIOD_MS / STANDBY_PERIOD_MS);
 
 export class Standby implements SuccessionPolicy {
   private readonly guard: PauseGuard;
@@ -97,7 +92,7 @@
   constructor(private readonly dependencies: StandbyDependencies) {
     const { settings, standby, incarnation, clock, log, tracer } = dependencies;
     const now = () => clock.now();
-    this.guard = new PauseGuard(now, HOLD_TTL_MS);
+    this.guard = new PauseGuard(now, STORE_LEASE_TTL_MS);
     this.advice = new AdvisoryLog(now);
     const bounds = {
       bytesPerSecond: standby.stream_bytes_per_s,
@@ -409,8 +404,8 @@
   async run(signal: AbortSignal): Promise<void> {
     const { clock } = this.dependencies;
     while (!signal.aborted) {
-      const due = clock.now() + STANDBY_LOOK_MS;
-      await clock.sleep(STANDBY_LOOK_MS, signal);
+      const due = clock.now() + STANDBY_PERIOD_MS;
+      await clock.sleep(STANDBY_PERIOD_MS, signal);
       if (signal.aborted) return;
       this.guard.look();
       const stage = this.pace.look(clock.now() - due);
--- a/src/net/token-bucket.ts
+++ b/src/net/token-bucket.ts
@@ -1,11 +1,11 @@
 import {
-  BUCKET_LOOK_MS,
+  RATE_CHECK_PERIOD_MS,
   RATE_DECREASE,
   RATE_INCREASE,
   URGENT_RETRY_SHARE,
-  URGENT_SHARE,
-  URGENT_YIELD_MS,
-} from '../constants.js';
+  URGENT_RESERVE_SHARE,
+  BATCH_PATIENCE_MS,
+} from '../constants/store.js';
 import type { Clock } from './clock.js';
 
 /**
@@ -99,8 +99,8 @@
    * steady load the bucket never fills up, and it would wait for ever.
    */
   private missing(cost: number, priority: Priority, since: number): number {
-    const patience = Math.max(0, 1 - (this.last - since) / URGENT_YIELD_MS);
-    const left = isBatch(priority) ? this.burst * URGENT_SHARE * patience : 0;
+    const patience = Math.max(0, 1 - (this.last - since) / BATCH_PATIENCE_MS);
+    const left = isBatch(priority) ? this.burst * URGENT_RESERVE_SHARE * patience : 0;
     return Math.min(cost + left, this.burst) - this.tokens;
   }
 
@@ -119,7 +119,7 @@
       const wait = Math.max(this.blockedFor(next.priority), (missing * 1000) / this.rate);
       if (wait > 0) {
         // Somebody more urgent may come in the meantime, and need less.
-        await this.clock.sleep(Math.min(BUCKET_LOOK_MS, Math.max(1, Math.ceil(wait))));
+        await this.clock.sleep(Math.min(RATE_CHECK_PERIOD_MS, Math.max(1, Math.ceil(wait))));
         continue;
       }
       this.waiters.shift();
--- a/src/records/team-accounting.ts
+++ b/src/records/team-accounting.ts
@@ -4,7 +4,7 @@
  * a change of a record that all controllers write for every task of a team is what the store's rate of changes allows least;
  * the next start sets it to what the ledger shows, if the copy is known to hold every start that the record counts.
  */
-import { TEAM_DEFER_SHARE } from '../constants.js';
+import { DEFERRED_EXIT_SHARE } from '../constants/records.js';
 import type { Team } from '../domain/settings.js';
 import type { TransactionDraft } from '../store/transaction-draft.js';
 import type { StoredValue } from '../store/replica.js';
@@ -29,8 +29,8 @@
 
 /** Is there so much room under the limit that the next start need not know of every exit? */
 const isFarBelow = (use: TeamUsage, { limit }: Team): boolean =>
-  (limit.cpus === 0 || use.cpus <= limit.cpus * TEAM_DEFER_SHARE) &&
-  (limit.gpus === 0 || use.gpus <= limit.gpus * TEAM_DEFER_SHARE);
+  (limit.cpus === 0 || use.cpus <= limit.cpus * DEFERRED_EXIT_SHARE) &&
+  (limit.gpus === 0 || use.gpus <= limit.gpus * DEFERRED_EXIT_SHARE);
 
 export class TeamAccounting {
   private readonly teams: ReadonlyMap<string, Team>;
--- a/src/scheduling/eviction-marker.ts
+++ b/src/scheduling/eviction-marker.ts
@@ -1,4 +1,4 @@
-import { STOPPING_MS } from '../constants.js';
+import { STOPPING_MS } from '../constants/scheduling.js';
 import type { ClusterState, PlacedTask } from '../records/cluster-state.js';
 import { markForStop } from '../records/placement-mutations.js';
 import type { JobSpec } from '../records/records.js';
--- a/src/scheduling/placement-planner.ts
+++ b/src/scheduling/placement-planner.ts
@@ -1,18 +1,18 @@
 import {
-  BEGIN_WITHIN_MS,
+  OVERDUE_START_MS,
   MAX_PLAN_REST_MS,
   MAX_PLAN_TASKS,
   MAX_UNPLACED,
-  PLAN_REST_LEAST,
   PLAN_GATHER_MS,
-  PLAN_GLANCE,
+  SAMPLE_TASKS_OF_JOB,
+  LEAST_PLAN_REST_FACTOR,
   PLAN_TICK_MS,
-  RATIO_WEIGHT,
+  RUN_TIME_RATIO_WEIGHT,
   RETRY_BASE_MS,
   RETRY_MAX_MS,
-  URGENT_WORK_SHARE,
-  WORK_SHARE,
-} from '../constants.js';
+  URGENT_PLANNING_TIME_SHARE,
+  PLANNING_TIME_SHARE,
+} from '../constants/scheduling.js';
 import type { Settings, Team, Tuning } from '../domain/settings.js';
 import type { ClusterState, JobView } from '../records/cluster-state.js';
 import { startTask } from '../records/placement-mutations.js';
@@ -129,7 +129,7 @@
   learnRunTime(spec: JobSpec, ranS: number): void {
     if (spec.estimatedRunS <= 0) return;
     const old = this.ratios.get(spec.jobClass) ?? 1;
-    this.ratios.set(spec.jobClass, old + RATIO_WEIGHT * (Math.min(ranS / spec.estimatedRunS, 4) - old));
+    this.ratios.set(spec.jobClass, old + RUN_TIME_RATIO_WEIGHT * (Math.min(ranS / spec.estimatedRunS, 4) - old));
   }
 
   /** A job has another rank: its starts that wait for their turn follow. */
@@ -239,7 +239,7 @@
         feasible: isFeasible(targetsOf(view.record, this.settings.cluster.serviceLevelObjectives), needS, now),
         work: open * spec.cpus * needS,
         overdue:
-          spec.kind === 'array' && open === spec.taskCount && now - runnableSinceMs(view.record) > BEGIN_WITHIN_MS,
+          spec.kind === 'array' && open === spec.taskCount && now - runnableSinceMs(view.record) > OVERDUE_START_MS,
         startBy: startByOf(view.record, view.finishBy, needS),
       });
     }
@@ -273,7 +273,7 @@
       if (full && !leader) continue;
       // Behind so many that wait already, a look at a few tells whether the job's tasks still fit somewhere.
       const whole = !overdue && (unplaced.length < MAX_UNPLACED || large);
-      const most = whole ? MAX_PLAN_TASKS : PLAN_GLANCE;
+      const most = whole ? MAX_PLAN_TASKS : SAMPLE_TASKS_OF_JOB;
       const waiting = this.pendingTasksOf(this.clusterState.jobs.get(spec.id)!, most);
       if (waiting.length === 0) continue;
       // Every node makes the whole plan and commits only what is its own: so it keeps the room that others will take, and
@@ -438,11 +438,11 @@
     this.plan();
     const now = this.clock.now();
     // Changes come by the dozen a second: a plan that takes long is made more rarely, and takes them together.
-    this.restUntil = now + planRestMs(now - began, WORK_SHARE);
-    this.urgentRestUntil = now + planRestMs(now - began, URGENT_WORK_SHARE);
+    this.restUntil = now + planRestMs(now - began, PLANNING_TIME_SHARE);
+    this.urgentRestUntil = now + planRestMs(now - began, URGENT_PLANNING_TIME_SHARE);
   }
 }
 
 /** ms from the end of a plan that took so long to the next, which may take a share of the time. */
 export const planRestMs = (tookMs: number, share: number): number =>
-  Math.max(Math.min(MAX_PLAN_REST_MS, tookMs * (1 / share - 1)), tookMs * PLAN_REST_LEAST);
+  Math.max(Math.min(MAX_PLAN_REST_MS, tookMs * (1 / share - 1)), tookMs * LEAST_PLAN_REST_FACTOR);
--- a/src/scheduling/preemptor.ts
+++ b/src/scheduling/preemptor.ts
@@ -1,4 +1,4 @@
-import { COLD_COST, PREEMPT_PERIOD_MS, WORK_SHARE } from '../constants.js';
+import { IMAGE_FETCH_COST, PREEMPT_PERIOD_MS, PLANNING_TIME_SHARE } from '../constants/scheduling.js';
 import type { Settings, Team } from '../domain/settings.js';
 import type { ClusterState } from '../records/cluster-state.js';
 import type { JobSpec, TeamUsage } from '../records/records.js';
@@ -43,7 +43,7 @@
     const stopped = this.makeRoom();
     const now = this.clock.now();
     // The exits of the last round must have been seen; and a full cluster must not take the processor for looking alone.
-    this.pausedUntil = now + Math.max(stopped ? PREEMPT_PERIOD_MS : 0, (now - began) * (1 / WORK_SHARE - 1));
+    this.pausedUntil = now + Math.max(stopped ? PREEMPT_PERIOD_MS : 0, (now - began) * (1 / PLANNING_TIME_SHARE - 1));
   }
 
   private makeRoom(): boolean {
@@ -86,7 +86,7 @@
     const { tasksPerZone } = view;
     const options = new Map<LoadedMachine, EvictionOption<LoadedMachine>>();
     const look = (field: LoadedMachine) => {
-      const option = optionOn(spec, field, mayStop, COLD_COST);
+      const option = optionOn(spec, field, mayStop, IMAGE_FETCH_COST);
       if (option === undefined) options.delete(field);
       else options.set(field, option);
     };
--- a/src/scheduling/task-placer.ts
+++ b/src/scheduling/task-placer.ts
@@ -1,4 +1,10 @@
-import { GPU_TIER, FETCH_TIER_S, MAX_PLAN_TASKS, SAMPLE_MACHINES, WARM_WAIT_MS } from '../constants.js';
+import {
+  FETCH_TIER_S,
+  GPU_TIER,
+  MAX_PLAN_TASKS,
+  SAMPLE_MACHINES,
+  CACHED_IMAGE_WAIT_MS,
+} from '../constants/scheduling.js';
 import type { Tuning } from '../domain/settings.js';
 import type { ClusterState, JobView } from '../records/cluster-state.js';
 import { JOB_PRIORITIES, type JobSpec, type Resources, taskIdOf, type TaskPlacement } from '../records/records.js';
@@ -214,7 +220,7 @@
     const now = this.clock.now();
     const since = this.warmSince.get(view.jobId) ?? now;
     this.warmSince.set(view.jobId, since);
-    if (now - since > WARM_WAIT_MS) return machines;
+    if (now - since > CACHED_IMAGE_WAIT_MS) return machines;
     const warm = machines.filter((machine) => {
       if (!machine.images.includes(spec.image)) return false;
       const room = { ...rooms.get(machine.machineId)! };
--- a/src/store/replica.ts
+++ b/src/store/replica.ts
@@ -1,4 +1,4 @@
-import { PAGE_ROWS, TOMBSTONES_KEPT, WATCH_PAUSE_MS, WATCH_WAIT_MS } from '../constants.js';
+import { PAGE_ROWS, TOMBSTONES_KEPT, WATCH_PAUSE_MS, WATCH_WAIT_MS } from '../constants/store.js';
 import type { Clock } from '../net/clock.js';
 import { Priority } from '../net/token-bucket.js';
 import type { Change } from './store-wire-codec.js';
--- a/src/store/store-client.ts
+++ b/src/store/store-client.ts
@@ -1,5 +1,5 @@
 /** Calls to the store. Its limits of requests and of changes a second are kept here, by priority. */
-import { RATE_SHARE, STATE_TIMEOUT_MS } from '../constants.js';
+import { RATE_SHARE, STORE_TIMEOUT_MS } from '../constants/store.js';
 import type { StoreSettings } from '../domain/settings.js';
 import type { Clock } from '../net/clock.js';
 import { NoAnswer, type HttpClient, type Reply } from '../net/http-client.js';
@@ -94,7 +94,7 @@
     await this.requestBucket.take(1, priority);
     let reply: Reply;
     try {
-      reply = await this.http.call(this.address, method, path, body, { timeoutMs, connectMs: STATE_TIMEOUT_MS });
+      reply = await this.http.call(this.address, method, path, body, { timeoutMs, connectMs: STORE_TIMEOUT_MS });
     } catch (error) {
       if (error instanceof NoAnswer) this.lastRefusedAt = this.clock.now();
       throw error;
@@ -119,7 +119,7 @@
     }
   }
 
-  private read(path: string, priority: Priority, timeoutMs = STATE_TIMEOUT_MS): Promise<Reply> {
+  private read(path: string, priority: Priority, timeoutMs = STORE_TIMEOUT_MS): Promise<Reply> {
     return this.callOrFail({ method: 'GET', path, priority, timeoutMs });
   }
 
@@ -132,7 +132,7 @@
 
   /** `after`: the key behind which the page begins; undefined: the first page. */
   async list(prefix: string, after: string | undefined, limit: number, priority: Priority): Promise<Page> {
-    const reply = await this.read(listPath(prefix, after, limit), priority, STATE_TIMEOUT_MS * LIST_TIMEOUTS);
+    const reply = await this.read(listPath(prefix, after, limit), priority, STORE_TIMEOUT_MS * LIST_TIMEOUTS);
     if (reply.status !== 200) throw new StoreError(`list ${prefix}: ${reply.status}`, reply.status);
     return decodePage(reply.body);
   }
@@ -144,7 +144,7 @@
     waitMs: number,
     priority: Priority,
   ): Promise<WatchedChanges | undefined> {
-    const reply = await this.read(watchPath(prefix, fromRevision, waitMs), priority, waitMs + STATE_TIMEOUT_MS);
+    const reply = await this.read(watchPath(prefix, fromRevision, waitMs), priority, waitMs + STORE_TIMEOUT_MS);
     if (reply.status === 410) return undefined;
     if (reply.status !== 200) throw new StoreError(`watch ${prefix}: ${reply.status}`, reply.status);
     return decodeWatch(reply.body);
@@ -157,7 +157,7 @@
     priority: Priority,
   ): Promise<TransactionResult> {
     const body = encodeTransaction(conditions, writes);
-    const call: Call = { method: 'POST', path: '/txn', body, priority, timeoutMs: STATE_TIMEOUT_MS };
+    const call: Call = { method: 'POST', path: '/txn', body, priority, timeoutMs: STORE_TIMEOUT_MS };
     let reply: Reply;
     try {
       reply = await this.call({ ...call, writes: writes.length });
@@ -183,6 +183,6 @@
   }
 
   private leaseCall(path: string, body: unknown): Promise<Reply> {
-    return this.callOrFail({ method: 'POST', path, body, priority: Priority.lease, timeoutMs: STATE_TIMEOUT_MS });
+    return this.callOrFail({ method: 'POST', path, body, priority: Priority.lease, timeoutMs: STORE_TIMEOUT_MS });
   }
 }
--- a/src/store/transaction-batcher.ts
+++ b/src/store/transaction-batcher.ts
@@ -1,13 +1,13 @@
 import {
   BUSY_PAUSE_MS,
-  FINAL_CACHE,
-  MAX_FLIGHTS,
-  MAX_INTENTS,
+  MAX_CACHED_FINAL_RECORDS,
+  MAX_IN_FLIGHT_TRANSACTIONS,
+  MAX_PENDING_MUTATIONS,
   OUTAGE_PAUSE_MS,
-  PACK_MISSES,
-  PACK_TRIES,
+  PACK_MAX_MISSES,
+  PACK_MAX_TRIES,
   URGENT_RETRY_SHARE,
-} from '../constants.js';
+} from '../constants/store.js';
 import type { Clock } from '../net/clock.js';
 import type { Random } from '../net/random.js';
 import { isBatch, Priority } from '../net/token-bucket.js';
@@ -94,7 +94,8 @@
     if (row.value === undefined) return;
     this.finalRecords.delete(key);
     this.finalRecords.set(key, row);
-    if (this.finalRecords.size > FINAL_CACHE) this.finalRecords.delete(this.finalRecords.keys().next().value!);
+    if (this.finalRecords.size > MAX_CACHED_FINAL_RECORDS)
+      this.finalRecords.delete(this.finalRecords.keys().next().value!);
   }
 
   readonly read = (key: string): StoredValue =>
@@ -110,7 +111,7 @@
     batchingHint?: BatchingHint,
   ): Promise<CommitOutcome> {
     const queue = this.queues.get(priority)!;
-    if (queue.length >= MAX_INTENTS) return Promise.resolve({ kind: 'expired' });
+    if (queue.length >= MAX_PENDING_MUTATIONS) return Promise.resolve({ kind: 'expired' });
     return new Promise((resolve) => {
       queue.push({
         name,
@@ -160,7 +161,7 @@
     for (const [priority, queue] of this.queues) {
       if (this.clock.now() < (this.pausedUntil.get(priority) ?? 0)) continue;
       // What may wait shares transactions: each costs a change for the team's record, and the rate of changes is small.
-      const most = priority <= Priority.accept ? MAX_FLIGHTS : 1;
+      const most = priority <= Priority.accept ? MAX_IN_FLIGHT_TRANSACTIONS : 1;
       while (queue.length > 0 && (this.inFlight.get(priority) ?? 0) < most) {
         const packed = this.pack(queue);
         if (packed === undefined) break;
@@ -194,7 +195,7 @@
         later.push(intent);
         continue;
       }
-      if ((full >= PACK_MISSES && !along) || tried >= PACK_TRIES) {
+      if ((full >= PACK_MAX_MISSES && !along) || tried >= PACK_MAX_TRIES) {
         later.push(intent);
         continue;
       }
--- a/src/store/transaction-draft.ts
+++ b/src/store/transaction-draft.ts
@@ -1,5 +1,10 @@
 /** Transactions under construction, and the room that the store has for one. */
-import { BATCH_TXN_LEAST, BATCH_TXN_SHARE, CONDITIONS_PER_WRITE, MAX_TXN_BYTES } from '../constants.js';
+import {
+  LEAST_BATCH_TRANSACTION_WRITES,
+  BATCH_TRANSACTION_SHARE,
+  CONDITIONS_PER_WRITE,
+  MAX_TRANSACTION_BYTES,
+} from '../constants/store.js';
 import type { StoreSettings } from '../domain/settings.js';
 import type { StoredValue } from './replica.js';
 import { jsonLength } from './json-size.js';
@@ -19,12 +24,12 @@
 /** Room that is left after an announced change of the store's limits too; but what is stored already may be larger. */
 export function transactionLimits({ present, lasting }: StoreSettings): TransactionLimits {
   const { transactionWrites, writesPerSecond } = lasting;
-  const batchOps = Math.max(BATCH_TXN_LEAST, Math.floor(writesPerSecond * BATCH_TXN_SHARE));
+  const batchOps = Math.max(LEAST_BATCH_TRANSACTION_WRITES, Math.floor(writesPerSecond * BATCH_TRANSACTION_SHARE));
   return {
     ops: transactionWrites,
     batchOps: Math.min(transactionWrites, batchOps),
     conditions: transactionWrites * CONDITIONS_PER_WRITE,
-    bytes: MAX_TXN_BYTES,
+    bytes: MAX_TRANSACTION_BYTES,
     valueBytes: present.valueBytes,
     lastingValueBytes: lasting.valueBytes,
   };
--- a/src/workers/cancellation-enforcer.ts
+++ b/src/workers/cancellation-enforcer.ts
@@ -1,4 +1,4 @@
-import { TOKEN_ANNOUNCE_AGAIN_MS, MAX_TOKEN_ANNOUNCEMENTS } from '../constants.js';
+import { MAX_TOKEN_ANNOUNCEMENTS, TOKEN_ANNOUNCE_AGAIN_MS } from '../constants/workers.js';
 import type { ClusterState } from '../records/cluster-state.js';
 import { taskIdOf } from '../records/records.js';
 import type { Clock } from '../net/clock.js';
--- a/src/workers/command-client.ts
+++ b/src/workers/command-client.ts
@@ -1,4 +1,4 @@
-import { COMMAND_TIMEOUT_MS, CONNECT_TIMEOUT_MS } from '../constants.js';
+import { COMMAND_TIMEOUT_MS, CONNECT_TIMEOUT_MS } from '../constants/workers.js';
 import { NoAnswer, type HttpClient } from '../net/http-client.js';
 import { decodeWorkerStatus, encodeCommand, type WorkerCommand, type WorkerStatus } from './worker-wire-codec.js';
 
--- a/src/workers/misrouted-workers.ts
+++ b/src/workers/misrouted-workers.ts
@@ -2,7 +2,8 @@
  * Workers that report to this node although another one owns them: evidence for the others that they live, and a sign that they
  * can't reach their owner.
  */
-import { KNOCK_MS, SEND_HOME_MS } from '../constants.js';
+import { MISROUTED_HEARTBEAT_VALID_MS } from '../constants/gossip.js';
+import { REDIRECT_AGAIN_MS } from '../constants/workers.js';
 import type { WorkerStatus } from './worker-wire-codec.js';
 
 export class MisroutedWorkers {
@@ -30,7 +31,7 @@
   /** Forgets those that have not been here for a while. */
   prune(now: number): void {
     for (const [machineId, at] of this.reportedAt) {
-      if (now - at <= KNOCK_MS) continue;
+      if (now - at <= MISROUTED_HEARTBEAT_VALID_MS) continue;
       this.reportedAt.delete(machineId);
       this.strandedSince.delete(machineId);
     }
@@ -45,7 +46,7 @@
     if (!wasServed && !this.has(machineId)) return false;
     const since = this.strandedSince.get(machineId) ?? now;
     this.strandedSince.set(machineId, since);
-    if (now - since < SEND_HOME_MS) return true;
+    if (now - since < REDIRECT_AGAIN_MS) return true;
     this.strandedSince.delete(machineId);
     return false;
   }
--- a/src/workers/stragglers.ts
+++ b/src/workers/stragglers.ts
@@ -1,4 +1,4 @@
-import { RELIEVE_FACTOR, SIBLINGS_KNOWN, STRAGGLER_FACTOR } from '../constants.js';
+import { EVICT_STRAGGLER_FACTOR, SIBLINGS_KNOWN, STRAGGLER_FACTOR } from '../constants/workers.js';
 import type { ClusterState, PlacedTask } from '../records/cluster-state.js';
 import { markForStop } from '../records/placement-mutations.js';
 import type { Clock } from '../net/clock.js';
@@ -66,7 +66,7 @@
       const since = worker.runningSince.get(key);
       const mean = this.siblings.get(placedTask.jobId)?.meanMs ?? (spec?.estimatedRunS ?? 0) * 1000;
       if (spec?.kind !== 'array' || placedTask.placement.gracePeriodS !== null || since === undefined) continue;
-      if (now - since > RELIEVE_FACTOR * mean || worker.evicted.has(key)) continue;
+      if (now - since > EVICT_STRAGGLER_FACTOR * mean || worker.evicted.has(key)) continue;
       worker.evicted.add(key);
       this.log.info({ taskId: taskIdOfPlaced(placedTask), machine: worker.machineId }, 'taken off a slow machine');
       const gracePeriodS = spec.checkpointIntervalS > 0 ? spec.checkpointS : 0;
--- a/src/workers/worker-manager.ts
+++ b/src/workers/worker-manager.ts
@@ -1,16 +1,14 @@
+import { DRAIN_CHECK_PERIOD_MS, REPLICA_FRESH_MS, TOKEN_ADVANCE_PAUSE_MS } from '../constants/leadership.js';
 import {
-  DRAIN_LOOK_MS,
   FORGET_WORKER_LEASES,
-  FRESH_MS,
-  TOKEN_ANNOUNCE_AGAIN_MS,
-  TOKEN_ANNOUNCEMENTS_SHARE,
+  MAX_COMMANDS_BYTES,
   MAX_TOKEN_ANNOUNCEMENTS,
-  MAX_ORDERS_BYTES,
   PUSH_GATHER_MS,
-  RAISE_PAUSE_MS,
-  SILENT_REPORTS,
+  SILENT_HEARTBEATS,
   SWEEP_MS,
-} from '../constants.js';
+  TOKEN_ANNOUNCE_AGAIN_MS,
+  TOKEN_ANNOUNCEMENTS_SHARE,
+} from '../constants/workers.js';
 import type { Settings } from '../domain/settings.js';
 import type { ClusterState, PlacedTask } from '../records/cluster-state.js';
 import { parseTaskId } from '../records/records.js';
@@ -89,7 +87,7 @@
   }
 
   isSilent(worker: Worker, now: number): boolean {
-    return now - worker.reportedAt > SILENT_REPORTS * this.settings.cluster.workers.heartbeatIntervalMs;
+    return now - worker.reportedAt > SILENT_HEARTBEATS * this.settings.cluster.workers.heartbeatIntervalMs;
   }
 
   /** Answers a report; `door` is the node that passed it on, if one did. */
@@ -153,7 +151,7 @@
     for (const command of commands) {
       const wire = encodeCommand(command);
       bytes += JSON.stringify(wire).length + 1;
-      if (bytes > MAX_ORDERS_BYTES) break;
+      if (bytes > MAX_COMMANDS_BYTES) break;
       encoded.push(wire);
       if (command.kind !== 'launch') continue;
       worker.answeredLaunches.set(attemptKeyOfCommand(command), sequence);
@@ -200,7 +198,7 @@
     const { workers } = this.settings.cluster;
     return (
       now - worker.cancelledLaunchOpenSince >=
-      degradedServingMs(workers) - leaseOverAt(0, workers.workerLeaseMs) - 2 * FRESH_MS
+      degradedServingMs(workers) - leaseOverAt(0, workers.workerLeaseMs) - 2 * REPLICA_FRESH_MS
     );
   }
 
@@ -264,7 +262,8 @@
   /** Raising costs a change and a report of every worker, so it is done rarely. */
   private advanceFencingToken(role: string): void {
     const now = this.clock.now();
-    if (now - (this.raisedAt.get(role) ?? -Infinity) < RAISE_PAUSE_MS || !this.leadership.isInTouchWithStore) return;
+    if (now - (this.raisedAt.get(role) ?? -Infinity) < TOKEN_ADVANCE_PAUSE_MS || !this.leadership.isInTouchWithStore)
+      return;
     this.raisedAt.set(role, now);
     void this.leadership.advanceFencingToken(role);
   }
@@ -319,7 +318,7 @@
     this.isDraining = true;
     const until = this.clock.now() + withinMs;
     const isBusy = () => [...this.workers.values()].some((worker) => worker.isPushing);
-    while (isBusy() && this.clock.now() < until) await this.clock.sleep(DRAIN_LOOK_MS);
+    while (isBusy() && this.clock.now() < until) await this.clock.sleep(DRAIN_CHECK_PERIOD_MS);
   }
 
   private isForCommand(worker: Worker, command: WorkerCommand, desired: ReadonlyMap<string, Desired>): boolean {
--- a/src/workers/worker-registry.ts
+++ b/src/workers/worker-registry.ts
@@ -3,7 +3,7 @@
  * the acquisition of a partition's claim, and end together: that nothing is known of a worker proves nothing, unless it is
  * also known since when every answer to it would have been noted here.
  */
-import { FRESH_MS } from '../constants.js';
+import { REPLICA_FRESH_MS } from '../constants/leadership.js';
 import type { WorkerTimings } from '../domain/settings.js';
 import { leaseOverAt, Worker } from './worker.js';
 import {
@@ -90,7 +90,7 @@
   private othersAnsweredUntil(term: LeadershipTerm): number {
     // A former owner's copy can have been complete until its hold ended, even if only its renewals were lost; and what it was
     // told by this node since then would have shown it the new claim.
-    return term.at + Math.max(FRESH_MS, degradedServingMs(this.timings));
+    return term.at + Math.max(REPLICA_FRESH_MS, degradedServingMs(this.timings));
   }
 
   private knowledgeFor(machineId: string): PartitionKnowledge | undefined {
--- a/src/workers/worker.ts
+++ b/src/workers/worker.ts
@@ -1,16 +1,15 @@
 import {
   ANSWER_MISSED_MS,
-  CLOCK_DRIFT,
-  LEASE_MARGIN_MS,
   ROUND_TRIP_MS,
-  SHUN_BASE_MS,
-  SHUN_MAX_MS,
-  SICK_ERRORS,
-  SICK_MS,
-  SLOW_FACTOR,
-  SLOW_MS,
-  SLOW_TASKS,
-} from '../constants.js';
+  FAILED_JOB_BACKOFF_BASE_MS,
+  FAILED_JOB_BACKOFF_MAX_MS,
+  QUARANTINE_ERRORS,
+  QUARANTINE_MS,
+  SLOW_MACHINE_FACTOR,
+  SLOW_MACHINE_MS,
+  SLOW_MACHINE_TASKS,
+} from '../constants/workers.js';
+import { CLOCK_DRIFT, LEASE_MARGIN_MS } from '../constants/clocks.js';
 import type { WorkerTimings } from '../domain/settings.js';
 import { isNewerThan, type WorkerStatus, type ReportedTask } from './worker-wire-codec.js';
 
@@ -205,14 +204,14 @@
       this.quarantinedUntil = -Infinity;
       return;
     }
-    for (const [job, { at }] of this.failures) if (now - at > SICK_MS) this.failures.delete(job);
+    for (const [job, { at }] of this.failures) if (now - at > QUARANTINE_MS) this.failures.delete(job);
     const known = this.failures.get(jobId);
     // Tasks of one job that fail together count once.
     if (known !== undefined && now < known.until) return;
     const count = (known?.count ?? 0) + 1;
-    const until = now + Math.min(SHUN_MAX_MS, SHUN_BASE_MS * 2 ** (count - 1));
+    const until = now + Math.min(FAILED_JOB_BACKOFF_MAX_MS, FAILED_JOB_BACKOFF_BASE_MS * 2 ** (count - 1));
     this.failures.set(jobId, { count, at: now, until });
-    if (this.failures.size >= SICK_ERRORS) this.quarantinedUntil = now + SICK_MS;
+    if (this.failures.size >= QUARANTINE_ERRORS) this.quarantinedUntil = now + QUARANTINE_MS;
   }
 
   /** Jobs that are to look elsewhere first; of a sick machine, all that make it so. */
@@ -226,10 +225,12 @@
     if (this.stragglers.has(key)) return;
     this.stragglers.add(key);
     this.runTimeRatios.push(ratio);
-    if (this.runTimeRatios.length > SLOW_TASKS) this.runTimeRatios.shift();
+    if (this.runTimeRatios.length > SLOW_MACHINE_TASKS) this.runTimeRatios.shift();
     // One task that ran as long as others do speaks for the machine: jobs vary, a slow machine slows all.
-    const all = this.runTimeRatios.length === SLOW_TASKS && this.runTimeRatios.every((each) => each > SLOW_FACTOR);
-    if (all) this.slowUntil = now + SLOW_MS;
+    const all =
+      this.runTimeRatios.length === SLOW_MACHINE_TASKS &&
+      this.runTimeRatios.every((each) => each > SLOW_MACHINE_FACTOR);
+    if (all) this.slowUntil = now + SLOW_MACHINE_MS;
   }
 
   /** Slow for a while: then it gets another chance, since nothing else would show that it has recovered. */
--- a/test/api/api-server.test.ts
+++ b/test/api/api-server.test.ts
@@ -5,7 +5,7 @@
 import type { Answer } from '../../src/api/job-service.js';
 import type { Handlers } from '../../src/api/routes.js';
 import { ApiServer } from '../../src/api/api-server.js';
-import { MAX_BODY_BYTES, MAX_OPEN_REQUESTS } from '../../src/constants.js';
+import { MAX_BODY_BYTES, MAX_OPEN_REQUESTS } from '../../src/constants/api.js';
 import { noLog } from '../../testing/fixtures.js';
 
 function connect(handlers: Partial<Handlers>): { open: () => Duplex; openBoth: () => [Duplex, Duplex] } {
--- a/test/clients-and-settings.test.ts
+++ b/test/clients-and-settings.test.ts
@@ -4,13 +4,13 @@
 import { parseSettings, parseTuning, SettingsError } from '../src/config/load-settings.js';
 import {
   LEAST_CPU_SHARE,
-  LEAST_RAM_MB,
+  LEAST_MEMORY_MB,
   LEAST_SOCKETS,
-  LEAST_STATE_REQUESTS_PER_NODE,
-  LEAST_STATE_WRITES,
+  LEAST_STORE_REQUESTS_PER_NODE,
+  LEAST_STORE_WRITES,
   LEAST_TRANSACTION_WRITES,
   LEAST_VALUE_KB,
-} from '../src/constants.js';
+} from '../src/constants/platform-minimums.js';
 import { settingsFileOf } from '../testing/fixtures.js';
 import { NoAnswer, type HttpClient, type Reply } from '../src/net/http-client.js';
 import { Random } from '../src/net/random.js';
@@ -121,10 +121,10 @@
     const parse = (cluster: object) => parseSettings(JSON.stringify({ ...good, cluster }), 'f.json');
     const tooSmall: [group: 'limits' | 'state', field: string, value: number][] = [
       ['limits', 'cpu', LEAST_CPU_SHARE / 2],
-      ['limits', 'ram_mb', LEAST_RAM_MB - 1],
+      ['limits', 'ram_mb', LEAST_MEMORY_MB - 1],
       ['limits', 'sockets', LEAST_SOCKETS - 1],
-      ['state', 'rps', LEAST_STATE_REQUESTS_PER_NODE * 3 - 1],
-      ['state', 'write_rps', LEAST_STATE_WRITES / 2],
+      ['state', 'rps', LEAST_STORE_REQUESTS_PER_NODE * 3 - 1],
+      ['state', 'write_rps', LEAST_STORE_WRITES / 2],
       ['state', 'value_kb', LEAST_VALUE_KB / 2],
       ['state', 'txn_ops', LEAST_TRANSACTION_WRITES - 1],
     ];
--- a/test/gossip/replica-freshness.test.ts
+++ b/test/gossip/replica-freshness.test.ts
@@ -1,6 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { DELTA_BYTES, TOMBSTONES_KEPT } from '../../src/constants.js';
+import { DELTA_BYTES } from '../../src/constants/gossip.js';
+import { TOMBSTONES_KEPT } from '../../src/constants/store.js';
 import { ReplicaFreshness } from '../../src/gossip/replica-freshness.js';
 import type { Gossip, Message } from '../../src/gossip/messages.js';
 import type { StoreClient } from '../../src/store/store-client.js';
--- a/test/scenarios/large-clusters.test.ts
+++ b/test/scenarios/large-clusters.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { afterEach, describe, it } from 'node:test';
-import { MAX_GOSSIP_BYTES } from '../../src/constants.js';
+import { MAX_GOSSIP_BYTES } from '../../src/constants/gossip.js';
 import { decodeChunk, withPlacement } from '../../src/records/placement-codec.js';
 import type { TaskPlacement } from '../../src/records/records.js';
 import type { StoreClient } from '../../src/store/store-client.js';
--- a/testing/cluster.ts
+++ b/testing/cluster.ts
@@ -1,7 +1,7 @@
 import { setMaxListeners } from 'node:events';
 import type { Answer } from '../src/api/job-service.js';
 import { DEFAULT_STANDBY_SETTINGS } from '@dewlatch/standby';
-import { DEFAULT_TUNING } from '../src/constants.js';
+import { DEFAULT_TUNING } from '../src/constants/scheduling.js';
 import type { Controller } from '../src/controller/controller.js';
 import {
   PRESENT_VERSION,
