--- a/src/api/admission.ts
+++ b/src/api/admission.ts
@@ -1,11 +1,16 @@
 /** Which well-formed submissions are refused, because the job could never run. */
-import type { Team } from '../domain/settings.js';
-import type { MachineType } from '../inventory/machine-inventory.js';
-import type { JobSpec } from '../records/records.js';
-import { fits, quotaAllows } from '../records/placement-rules.js';
+import type { Team } from '../domain/team.js';
+import type { JobSpec } from '../domain/job.js';
+import { fits } from '../domain/resources.js';
+import { isWithinQuota } from '../records/placement-rules.js';
+import type { MachineType } from '../domain/machine-type.js';
 
 /** Why the job can never run, or undefined. */
-export function whyNever(spec: JobSpec, team: Team | undefined, catalog: Iterable<MachineType>): string | undefined {
+export function whyNeverRunnable(
+  spec: JobSpec,
+  team: Team | undefined,
+  catalog: Iterable<MachineType>,
+): string | undefined {
   if (team === undefined) return 'unknown team';
   const suits = [...catalog].some(
     (machineType) =>
@@ -15,7 +20,7 @@
   );
   if (!suits) return 'a task fits no allowed machine type';
   const tasks = spec.kind === 'array' ? 1 : spec.taskCount;
-  if (!quotaAllows(team, { cpus: 0, gpus: 0 }, spec.cpus * tasks, spec.gpus * tasks)) {
+  if (!isWithinQuota(team, { cpus: 0, gpus: 0 }, spec.cpus * tasks, spec.gpus * tasks)) {
     return "more than the team's limit";
   }
   return undefined;
--- a/src/api/api-server.ts
+++ b/src/api/api-server.ts
@@ -3,16 +3,16 @@
 import type { Duplex } from 'node:stream';
 import { KEEP_ALIVE_MS, MAX_OPEN_REQUESTS, REQUEST_TIMEOUT_MS, RETRY_AFTER_S } from '../constants/api.js';
 import type { Log } from '../logging/log.js';
-import type { Answer } from './job-service.js';
+import type { HttpAnswer } from '../net/http-answer.js';
 import { readBody } from './request-body.js';
-import { Routes, type Handlers, type Route } from './routes.js';
+import { type Handlers, type Route, Routes } from './routes.js';
 
-const NO_SUCH_PATH: Answer = { status: 404, body: { error: 'no such path' } };
-const WRONG_METHOD: Answer = { status: 405, body: { error: 'wrong method' } };
-const BUSY: Answer = { status: 429, body: { error: 'busy' }, retryAfter: RETRY_AFTER_S };
-const NOT_JSON: Answer = { status: 400, body: { error: 'not JSON' } };
-const TOO_LARGE: Answer = { status: 400, body: { error: 'body over 64 KiB' } };
-const FAILED: Answer = { status: 503, body: { error: 'internal' }, retryAfter: RETRY_AFTER_S };
+const NO_SUCH_PATH: HttpAnswer = { status: 404, body: { error: 'no such path' } };
+const WRONG_METHOD: HttpAnswer = { status: 405, body: { error: 'wrong method' } };
+const BUSY: HttpAnswer = { status: 429, body: { error: 'busy' }, retryAfter: RETRY_AFTER_S };
+const NOT_JSON: HttpAnswer = { status: 400, body: { error: 'not JSON' } };
+const TOO_LARGE: HttpAnswer = { status: 400, body: { error: 'body over 64 KiB' } };
+const FAILED: HttpAnswer = { status: 503, body: { error: 'internal' }, retryAfter: RETRY_AFTER_S };
 
 export class ApiServer {
   private readonly server: Server;
@@ -84,7 +84,7 @@
     });
   }
 
-  private whyRefused(route: Route, method: string | undefined): Answer | undefined {
+  private whyRefused(route: Route, method: string | undefined): HttpAnswer | undefined {
     if (route.method !== method) return WRONG_METHOD;
     return route.isBounded && this.open >= MAX_OPEN_REQUESTS ? BUSY : undefined;
   }
@@ -104,7 +104,7 @@
   }
 
   private handle(route: Route, body: unknown, response: ServerResponse, release: (() => void) | undefined): void {
-    let answer: Answer | Promise<Answer>;
+    let answer: HttpAnswer | Promise<HttpAnswer>;
     try {
       answer = route.handle(body);
     } catch (error) {
@@ -123,20 +123,20 @@
       });
   }
 
-  private failed(error: unknown): Answer {
+  private failed(error: unknown): HttpAnswer {
     this.log.error({ error: (error as Error).stack ?? String(error) }, 'request failed');
     return FAILED;
   }
 }
 
 /** Answers without looking at the body. */
-function refuse(request: IncomingMessage, response: ServerResponse, refusal: Answer): void {
+function refuse(request: IncomingMessage, response: ServerResponse, refusal: HttpAnswer): void {
   request.resume();
   send(response, refusal);
 }
 
 /** `closing` says that the connection ends with this answer, and is called when the answer is on its way. */
-function send(response: ServerResponse, answer: Answer, closing?: () => void): void {
+function send(response: ServerResponse, answer: HttpAnswer, closing?: () => void): void {
   const body = JSON.stringify(answer.body);
   const { status } = answer;
   const headers = ['Content-Type', 'application/json', 'Content-Length', String(Buffer.byteLength(body))];
--- a/src/api/job-lookup.ts
+++ b/src/api/job-lookup.ts
@@ -2,7 +2,7 @@
 import { REPLICA_FRESH_MS } from '../constants/leadership.js';
 import { POLL_COMPARISONS, POLL_DEADLINE_MS, POLL_GATHER_MS } from '../constants/api.js';
 import { QUEUED_FRESH_SHARE } from '../constants/records.js';
-import type { PredecessorStates } from '../jobs/dependency-states.js';
+import type { DependencyStates } from '../jobs/dependency-states.js';
 import type { ClusterState, JobView } from '../records/cluster-state.js';
 import { decodeFinalJobRecord } from '../records/record-codecs.js';
 import { FINAL_JOB_PREFIX, finalJobKey, jobKey } from '../records/record-keys.js';
@@ -16,12 +16,12 @@
 import { JOB_ID, type JobStatus } from './job-wire-codec.js';
 
 /** `unknown`: the store has just said that there never was such a job. */
-export type Found = JobStatus | 'unknown' | 'no answer';
+export type LookupResult = JobStatus | 'unknown' | 'no answer';
 
 interface Question {
   jobId: string;
   deadline: number;
-  resolve: (found: Found) => void;
+  resolve: (found: LookupResult) => void;
 }
 
 export interface JobLookupDependencies {
@@ -29,7 +29,7 @@
   replica: Replica;
   clusterState: ClusterState;
   transactions: TransactionBatcher;
-  states: PredecessorStates;
+  states: DependencyStates;
   limits: TransactionLimits;
   clock: Clock;
   /** Time within which a cancellation must have taken effect. */
@@ -63,7 +63,7 @@
   }
 
   /** The state as new as the store's own; questions of a moment are answered by one comparison. */
-  find(jobId: string): Promise<Found> {
+  find(jobId: string): Promise<LookupResult> {
     return this.ask(jobId, (question) => {
       this.questions.push(question);
       void this.gather();
@@ -71,11 +71,11 @@
   }
 
   /** The same for somebody who can't wait for others' questions. */
-  findNow(jobId: string): Promise<Found> {
+  findNow(jobId: string): Promise<LookupResult> {
     return this.ask(jobId, (question) => void this.answer([question]));
   }
 
-  private ask(jobId: string, put: (question: Question) => void): Promise<Found> {
+  private ask(jobId: string, put: (question: Question) => void): Promise<LookupResult> {
     const final = this.final(jobId);
     if (final !== undefined) return Promise.resolve(final);
     if (!JOB_ID.test(jobId)) return Promise.resolve('unknown');
@@ -124,10 +124,10 @@
   /** Jobs before a waiting one of which it is not known how they have ended. */
   private unknownBefore(jobId: string): string[] {
     const { clusterState, states } = this.dependencies;
-    return states.ancestryOf(clusterState.pipelines.predecessorsOf(jobId)).unknown;
+    return states.ancestryOf(clusterState.dependencies.dependenciesOf(jobId)).unknown;
   }
 
-  private live(jobId: string): Found {
+  private live(jobId: string): LookupResult {
     const { clusterState, replica } = this.dependencies;
     const view = clusterState.jobs.get(jobId);
     // A record that can't be read is no reason to call an accepted job unknown.
@@ -138,9 +138,9 @@
   }
 
   /** A waiting job is cancelled with any job before it, from the moment on at which that one's cancellation is known. */
-  private whileWaiting({ jobId }: JobView): Found {
+  private whileWaiting({ jobId }: JobView): LookupResult {
     const { clusterState, states } = this.dependencies;
-    const { isCancelled, unknown } = states.ancestryOf(clusterState.pipelines.predecessorsOf(jobId));
+    const { isCancelled, unknown } = states.ancestryOf(clusterState.dependencies.dependenciesOf(jobId));
     if (isCancelled) return { jobId: jobId, state: 'cancelled', done: 0, running: 0 };
     if (unknown.length > 0 || !this.knowsCancellations) return 'no answer';
     return { jobId: jobId, state: 'queued', done: 0, running: 0 };
--- a/src/api/job-service.ts
+++ b/src/api/job-service.ts
@@ -1,68 +1,68 @@
 /** What users may do with jobs: submit, ask, withdraw. */
 import { PLACEMENT_BYTES, MAX_CHUNK_TASKS, RECORD_ENVELOPE_BYTES } from '../constants/records.js';
 import { MAX_RETRY_AFTER_S, SUBMIT_DEADLINE_MS } from '../constants/api.js';
-import type { Settings, Team } from '../domain/settings.js';
-import type { MachineInventory } from '../inventory/machine-inventory.js';
-import type { Log } from '../logging/log.js';
-import type { PredecessorStates } from '../jobs/dependency-states.js';
+import type { Settings } from '../domain/settings.js';
+import type { Team } from '../domain/team.js';
 import type { ClusterState } from '../records/cluster-state.js';
-import { decodeJobRecord } from '../records/record-codecs.js';
+import { cancelStoredJob, decodeJobRecord, encodeFinalJobRecord, encodeJobRecord } from '../records/record-codecs.js';
 import { finalJobKey, jobKey } from '../records/record-keys.js';
-import type { JobRecord, JobSpec } from '../records/records.js';
+import type { JobRecord } from '../records/records.js';
+import type { JobSpec } from '../domain/job.js';
 import type { Clock } from '../net/clock.js';
 import { Priority } from '../net/token-bucket.js';
 import { encodeJobSpec } from '../records/job-spec-codec.js';
-import { cancelStoredJob, encodeFinalJobRecord, encodeJobRecord } from '../records/record-codecs.js';
+import type { JobLookup } from './job-lookup.js';
+import { encodeJobState, encodeJobStatus, parseSubmission } from './job-wire-codec.js';
+import { whyNeverRunnable } from './admission.js';
+import type { MachineType } from '../domain/machine-type.js';
+import type { Log } from '../logging/log.js';
+import type { DependencyStates } from '../jobs/dependency-states.js';
 import type { TransactionBatcher } from '../store/transaction-batcher.js';
 import type { TransactionDraft, TransactionLimits } from '../store/transaction-draft.js';
 import type { Replica } from '../store/replica.js';
 import { jsonLength } from '../store/json-size.js';
-import type { JobLookup } from './job-lookup.js';
-import { encodeJobState, encodeJobStatus, parseSubmission } from './job-wire-codec.js';
-import { whyNever } from './admission.js';
-
-export interface Answer {
-  status: number;
-  body: unknown;
-  /** s; told with 429 and 503. */
-  retryAfter?: number;
-}
+import { HttpAnswer } from '../net/http-answer.js';
 
 const OUT = 'the state service does not answer';
 
-const later = (error: string, retryAfter = 1): Answer => ({ status: 503, body: { error }, retryAfter });
-const never = (error: string): Answer => ({ status: 422, body: { error } });
+const later = (error: string, retryAfter = 1): HttpAnswer => ({ status: 503, body: { error }, retryAfter });
+const never = (error: string): HttpAnswer => ({ status: 422, body: { error } });
+
+/** What is known of the kinds of machines that there are. */
+export interface MachineTypeCatalog {
+  readonly catalog: ReadonlyMap<string, MachineType>;
+}
 
-export interface JobsDependencies {
+export interface JobServiceDependencies {
   settings: Settings;
   replica: Replica;
   clusterState: ClusterState;
   transactions: TransactionBatcher;
   lookup: JobLookup;
-  states: PredecessorStates;
+  states: DependencyStates;
   limits: TransactionLimits;
-  inventory: MachineInventory;
+  inventory: MachineTypeCatalog;
   clock: Clock;
   log: Log;
 }
 
-export class Jobs {
+export class JobService {
   private readonly teams: Map<string, Team>;
   /** Bytes of a record at most, also after an announced change of the store's limits. */
   private readonly valueBytes: number;
   private readonly chunk: number;
 
-  constructor(private readonly dependencies: JobsDependencies) {
+  constructor(private readonly dependencies: JobServiceDependencies) {
     const { teams, store } = dependencies.settings.cluster;
     this.teams = new Map(teams.map((team) => [team.name, team]));
     this.valueBytes = store.lasting.valueBytes;
     this.chunk = Math.max(1, Math.min(MAX_CHUNK_TASKS, Math.floor(this.valueBytes / PLACEMENT_BYTES)));
   }
 
-  async submit(body: unknown): Promise<Answer> {
+  async submit(body: unknown): Promise<HttpAnswer> {
     const parsed = parseSubmission(body);
     if (!parsed.ok) {
-      const malformed: Answer = { status: 400, body: { error: parsed.error } };
+      const malformed: HttpAnswer = { status: 400, body: { error: parsed.error } };
       return parsed.jobId === undefined ? malformed : this.ifKnown(parsed.jobId, malformed);
     }
     const { spec, dependencies } = parsed;
@@ -74,13 +74,17 @@
   }
 
   /** Why a submission is not taken; `isForAll`: whatever is known of the job. */
-  private refusal(spec: JobSpec, dependencies: readonly string[]): { answer: Answer; isForAll: boolean } | undefined {
+  private refusal(
+    spec: JobSpec,
+    dependencies: readonly string[],
+  ): { answer: HttpAnswer; isForAll: boolean } | undefined {
     const { settings, replica, transactions, lookup, inventory } = this.dependencies;
     if (!replica.isLoaded) return { answer: later('the records are not read yet'), isForAll: true };
     if (lookup.isOut) return { answer: later(OUT), isForAll: true };
     if (inventory.catalog.size === 0) return { answer: later('machine types are not known yet'), isForAll: false };
     const why =
-      whyNever(spec, this.teams.get(spec.team), inventory.catalog.values()) ?? this.whyTooLarge(spec, dependencies);
+      whyNeverRunnable(spec, this.teams.get(spec.team), inventory.catalog.values()) ??
+      this.whyTooLarge(spec, dependencies);
     if (why !== undefined) return { answer: never(why), isForAll: false };
     // Over budget: told at once, with the time until the writers before this one are through.
     const behindS = transactions.backlog(Priority.accept) / settings.cluster.store.present.writesPerSecond;
@@ -108,7 +112,7 @@
     const { lookup, states, clusterState } = this.dependencies;
     if (dependencies.length === 0) return undefined;
     if (dependencies.includes(spec.id)) return { answer: never('a job can not wait for itself'), isForAll: false };
-    const unknown = dependencies.filter((each) => states.standingOf(each) === 'unknown');
+    const unknown = dependencies.filter((each) => states.stateOf(each) === 'unknown');
     const found = await Promise.all(unknown.map((each) => lookup.findNow(each)));
     const missing = unknown.find((_, index) => found[index] === 'unknown');
     if (missing !== undefined) return { answer: never(`${missing} was never accepted`), isForAll: false };
@@ -118,7 +122,7 @@
     return undefined;
   }
 
-  private async accept(spec: JobSpec, dependencies: readonly string[]): Promise<Answer> {
+  private async accept(spec: JobSpec, dependencies: readonly string[]): Promise<HttpAnswer> {
     const { transactions, log } = this.dependencies;
     let state = 'active' as JobRecord['state'];
     const outcome = await transactions.commit(
@@ -165,23 +169,23 @@
       draft.set(finalJobKey(spec.id), encodeFinalJobRecord({ state: 'cancelled', taskCount: spec.taskCount }));
       return 'cancelled';
     }
-    const isOpen = dependencies.length > 0 && states.standingOfAll(dependencies) !== 'done';
+    const isOpen = dependencies.length > 0 && states.stateOfAll(dependencies) !== 'done';
     draft.set(jobKey(spec.id), encodeJobRecord(isOpen ? { ...job, state: 'waiting', dependencies } : job));
     return isOpen ? 'waiting' : 'active';
   }
 
   /** A job that is known gets its state, whatever else would have been said: accepted once, accepted for ever. */
-  private async ifKnown(jobId: string, otherwise: Answer): Promise<Answer> {
+  private async ifKnown(jobId: string, otherwise: HttpAnswer): Promise<HttpAnswer> {
     const found = await this.dependencies.lookup.find(jobId);
     if (found === 'no answer') return later(OUT);
     return found === 'unknown' ? otherwise : { status: 200, body: encodeJobStatus(found) };
   }
 
-  async poll(jobId: string): Promise<Answer> {
+  async poll(jobId: string): Promise<HttpAnswer> {
     return this.ifKnown(jobId, { status: 404, body: { error: 'no such job' } });
   }
 
-  async cancel(jobId: string): Promise<Answer> {
+  async cancel(jobId: string): Promise<HttpAnswer> {
     const { lookup, clock, transactions, log } = this.dependencies;
     const over = lookup.final(jobId);
     if (over !== undefined) return { status: 200, body: encodeJobState(over) };
--- a/src/api/job-wire-codec.ts
+++ b/src/api/job-wire-codec.ts
@@ -1,7 +1,7 @@
 /** What users send and are told about jobs, in the wire form, and its translation. */
 import * as v from 'valibot';
 import { decodeJobSpec } from '../records/job-spec-codec.js';
-import { JOB_PRIORITIES, type JobSpec } from '../records/records.js';
+import { JOB_PRIORITIES, type JobSpec } from '../domain/job.js';
 
 const amount = v.pipe(v.number(), v.finite(), v.minValue(0));
 const positive = v.pipe(v.number(), v.finite(), v.gtValue(0));
--- a/src/api/routes.ts
+++ b/src/api/routes.ts
@@ -1,13 +1,13 @@
 /** Which handler serves a request, by its path and method. */
-import type { Answer } from './job-service.js';
+import type { HttpAnswer } from '../net/http-answer.js';
 
 /** What the service does for users, workers and health checks. */
 export interface Handlers {
-  submit(body: unknown): Promise<Answer>;
-  poll(jobId: string): Promise<Answer>;
-  cancel(jobId: string): Promise<Answer>;
-  answerHeartbeat(body: unknown): Answer | Promise<Answer>;
-  up(): Answer;
+  submit(body: unknown): Promise<HttpAnswer>;
+  poll(jobId: string): Promise<HttpAnswer>;
+  cancel(jobId: string): Promise<HttpAnswer>;
+  answerHeartbeat(body: unknown): HttpAnswer | Promise<HttpAnswer>;
+  up(): HttpAnswer;
 }
 
 export interface Route {
@@ -16,7 +16,7 @@
   isBounded: boolean;
   /** The handler takes the request's JSON body; otherwise the body is not looked at. */
   takesBody: boolean;
-  handle(body: unknown): Answer | Promise<Answer>;
+  handle(body: unknown): HttpAnswer | Promise<HttpAnswer>;
 }
 
 const JOBS_PATH = '/v1/jobs';
--- a/src/autoscaling/autoscaler.ts
+++ b/src/autoscaling/autoscaler.ts
@@ -10,26 +10,28 @@
 import type { ListedMachine } from '../cloud/cloud-wire-codec.js';
 import type { ClusterState } from '../records/cluster-state.js';
 import { rentalKey } from '../records/record-keys.js';
-import type { JobSpec, RentalRecord } from '../records/records.js';
-import { allowedOn, zoneAllows } from '../records/placement-rules.js';
-import type { TransactionBatcher } from '../store/transaction-batcher.js';
+import type { JobSpec } from '../domain/job.js';
+import type { RentalRecord } from '../records/records.js';
+import { isAllowedOn, isZoneAllowed } from '../records/placement-rules.js';
 import type { Settings } from '../domain/settings.js';
-import type { Clock } from '../net/clock.js';
-import { Priority } from '../net/token-bucket.js';
+import { encodeRentalRecord } from '../records/record-codecs.js';
 import {
-  belowReserve,
+  isBelowReserve,
   bootLimitMs,
-  decideScaleOut,
   type CapacityNeed,
-  type Offer,
+  decideScaleOut,
+  type MachineOffer,
   type WantedMachines,
 } from './scale-out-decision.js';
-import { CLUSTER_LEADER_ROLE, type RoleLeadership } from '../leadership/role-leadership.js';
+import { CLUSTER_LEADER_ROLE } from '../domain/role.js';
+import type { RoleLeadership } from '../leadership/role-leadership.js';
 import type { MachineInventory } from '../inventory/machine-inventory.js';
+import type { Clock } from '../net/clock.js';
+import { Priority } from '../net/token-bucket.js';
+import type { TransactionBatcher } from '../store/transaction-batcher.js';
 import type { Log } from '../logging/log.js';
 import type { PendingTask } from '../scheduling/task-placer.js';
 import type { PlacementPlanner } from '../scheduling/placement-planner.js';
-import { encodeRentalRecord } from '../records/record-codecs.js';
 
 /** Rents machines for what has no place, and for the reserve, under names that are never used twice. */
 export class Autoscaler {
@@ -87,7 +89,8 @@
   /** Waiting tasks by job, with the zones that their job leaves open. */
   private needs(): CapacityNeed[] {
     const byJob = new Map<string, PendingTask[]>();
-    for (const each of this.planner.unplaced) byJob.set(each.view.jobId, [...(byJob.get(each.view.jobId) ?? []), each]);
+    for (const each of this.planner.unplacedTasks)
+      byJob.set(each.view.jobId, [...(byJob.get(each.view.jobId) ?? []), each]);
     const needs: CapacityNeed[] = [];
     for (const [jobId, waiting] of byJob) {
       const view = this.clusterState.jobs.get(jobId);
@@ -97,7 +100,7 @@
       if (tasks === 0) continue;
       const { tasksPerZone } = view;
       const all = [...new Set([...this.inventory.catalog.values()].flatMap((machineType) => machineType.zones))];
-      const zones = all.filter((zone) => zoneAllows(spec, tasksPerZone, zone));
+      const zones = all.filter((zone) => isZoneAllowed(spec, tasksPerZone, zone));
       needs.push({ spec, tasks, zones: zones.length === all.length ? [] : zones });
     }
     return needs;
@@ -110,12 +113,12 @@
   private tasksToRentFor(spec: JobSpec, waiting: readonly PendingTask[]): number {
     const failing = waiting.some((each) => each.placement.failures > FAILURES_WORTH_SCALING_OUT);
     if (!failing || spec.kind === 'gang') return waiting.length;
-    return this.inventory.open().some((machine) => allowedOn(spec, machine)) ? 0 : 1;
+    return this.inventory.openMachines().some((machine) => isAllowedOn(spec, machine)) ? 0 : 1;
   }
 
-  private offers(): Offer[] {
+  private offers(): MachineOffer[] {
     const now = this.clock.now();
-    const offers: Offer[] = [];
+    const offers: MachineOffer[] = [];
     for (const machineType of this.inventory.catalog.values()) {
       for (const zone of machineType.zones) {
         for (const isSpot of [false, true]) {
@@ -133,7 +136,7 @@
   async round(): Promise<boolean> {
     const rentals = [...this.clusterState.rentals.values()];
     const wall = this.clock.wall();
-    const heard = this.inventory.all();
+    const heard = this.inventory.machines();
     // First the requests of a former leader, or of a lost answer: the same name gets the same machines.
     const open = rentals.filter((rental) => rental.machineIds === null);
     if (open.length > 0) {
@@ -150,7 +153,7 @@
     const most = this.mostRecords;
     const past = rentals.filter(over).slice(0, most);
     if (past.length > 0) await this.note(past, true);
-    const coming: Offer[] = [];
+    const coming: MachineOffer[] = [];
     const counted = new Set<string>();
     const expect = (machineId: string, machineTypeName: string, zone: string, isSpot: boolean, ageMs: number) => {
       const machineType = this.inventory.catalog.get(machineTypeName);
@@ -197,8 +200,8 @@
   }
 
   /** More machines where free room has become scarce, before tasks have to wait for them. */
-  private reserve(coming: readonly Offer[]): WantedMachines | undefined {
-    const open = this.inventory.open();
+  private reserve(coming: readonly MachineOffer[]): WantedMachines | undefined {
+    const open = this.inventory.openMachines();
     const rooms = this.planner.freeResources(open);
     const offers = this.offers();
     const kinds = new Map<string, { free: number; total: number }>();
@@ -215,7 +218,7 @@
       if (kind !== undefined) kind.free += machineType.cpus;
     }
     for (const [name, kind] of kinds) {
-      if (!belowReserve(kind.free, kind.total)) continue;
+      if (!isBelowReserve(kind.free, kind.total)) continue;
       const fit = offers.filter((offer) => kindOf(offer.machineType.name) === name && !offer.isSpot);
       const spot = offers.filter((offer) => kindOf(offer.machineType.name) === name && offer.isSpot);
       const count = (zone: string) => open.filter((machine) => machine.zone === zone).length;
--- a/src/autoscaling/cluster-leader.ts
+++ b/src/autoscaling/cluster-leader.ts
@@ -12,28 +12,32 @@
 } from '../constants/autoscaling.js';
 import { PREEMPT_PERIOD_MS } from '../constants/scheduling.js';
 import type { Settings } from '../domain/settings.js';
-import { decodeMachineType, type ListedMachine } from '../cloud/cloud-wire-codec.js';
-import type { CloudClient } from '../cloud/cloud-client.js';
 import type { ClusterState } from '../records/cluster-state.js';
 import { releasePlacement } from '../records/placement-mutations.js';
 import { machineTypeKey } from '../records/record-keys.js';
 import type { TeamAccounting } from '../records/team-accounting.js';
+import { heartbeatLateMs, silenceLimitMs } from '../domain/worker-deadlines.js';
+import { CLUSTER_LEADER_ROLE, partitionRole } from '../domain/role.js';
+import type { MachineInfo } from '../domain/machine-state.js';
+import type { MachineType } from '../domain/machine-type.js';
+import { exitPriority } from '../records/transaction-priority.js';
+import type { PlacementPlanner } from '../scheduling/placement-planner.js';
+import { Preemptor } from '../scheduling/preemptor.js';
+import { EvictionMarker } from '../scheduling/eviction-marker.js';
+import { findCutZones, findMachinesToReplace, type WatchedMachine } from './silent-machines.js';
+import { isBelowReserve, bootLimitMs } from './scale-out-decision.js';
+import type { RoleLeadership } from '../leadership/role-leadership.js';
+import type { MachineInventory } from '../inventory/machine-inventory.js';
+import { Autoscaler } from './autoscaler.js';
+import { decodeMachineType, type ListedMachine } from '../cloud/cloud-wire-codec.js';
+import type { CloudClient } from '../cloud/cloud-client.js';
 import type { TransactionBatcher } from '../store/transaction-batcher.js';
 import type { TransactionDraft } from '../store/transaction-draft.js';
-import { reportLateMs, silenceLimitMs } from '../workers/worker.js';
 import type { Clock } from '../net/clock.js';
 import { Priority } from '../net/token-bucket.js';
-import { exitPriority } from '../scheduling/decisions/queue-order.js';
-import { cutZones, machinesToGiveUp, type WatchedMachine } from './silent-machines.js';
-import { belowReserve, bootLimitMs } from './scale-out-decision.js';
 import type { PeerDirectory } from '../gossip/peer-directory.js';
-import { CLUSTER_LEADER_ROLE, partitionRole, type RoleLeadership } from '../leadership/role-leadership.js';
-import type { MachineInventory, MachineInfo, MachineType } from '../inventory/machine-inventory.js';
 import type { Log } from '../logging/log.js';
-import type { PlacementPlanner } from '../scheduling/placement-planner.js';
-import { Preemptor } from '../scheduling/preemptor.js';
-import { Autoscaler } from './autoscaler.js';
-import { EvictionMarker } from '../scheduling/eviction-marker.js';
+import { LeaderMemory } from '../leadership/advisory-memory.js';
 
 export interface ClusterLeaderDependencies {
   settings: Settings;
@@ -49,16 +53,6 @@
   log: Log;
 }
 
-/** What a leader remembers beside the records, and what it takes over of a former one's memory. */
-export interface LeaderMemory {
-  stopping(): Iterable<{ attempt: string; at: number }>;
-  refused(): Iterable<{ offer: string; at: number }>;
-  idle(): Iterable<{ machineId: string; at: number }>;
-  restoreStopping(attempt: string, at: number): void;
-  restoreRefusal(offer: string, at: number): void;
-  restoreIdle(machineId: string, at: number): void;
-}
-
 /** What the leader does for the whole cluster: catalogue, renting and returning, drains, preemption. */
 export class ClusterLeader {
   private readonly settings: Settings;
@@ -153,8 +147,8 @@
 
   /** A line now and then by which an operator sees how full the cluster is and who waits. */
   private status(): void {
-    const machines = [...this.inventory.all().values()];
-    const open = this.inventory.open();
+    const machines = [...this.inventory.machines().values()];
+    const open = this.inventory.openMachines();
     let total = 0;
     let free = 0;
     for (const [machineId, room] of this.planner.freeResources(open)) {
@@ -167,7 +161,7 @@
       if (why !== undefined) closed[why] = (closed[why] ?? 0) + 1;
     }
     const waiting: Record<string, number> = {};
-    for (const { view } of this.planner.unplaced) {
+    for (const { view } of this.planner.unplacedTasks) {
       const { priority } = view.record.spec;
       waiting[priority] = (waiting[priority] ?? 0) + 1;
     }
@@ -212,10 +206,10 @@
   /** What the leader remembers beside the records: for whoever succeeds it. */
   get memory(): LeaderMemory {
     return {
-      stopping: () => this.evictionMarker.lately(),
+      stopping: () => this.evictionMarker.recentEvictions(),
       refused: () => this.autoscaler.refusedLately(),
       idle: () => [...this.idleSince].map(([machineId, at]) => ({ machineId, at })),
-      restoreStopping: (attempt, at) => this.evictionMarker.restore(attempt, at),
+      restoreStopping: (attempt, at) => this.evictionMarker.restoreEviction(attempt, at),
       restoreRefusal: (offer, at) => this.autoscaler.restoreRefusal(offer, at),
       // An entry stands only as long as the machine is seen idle: the next look drops it otherwise.
       restoreIdle: (machineId, at) =>
@@ -223,15 +217,15 @@
     };
   }
 
-  /** Machines that the cloud lists but nobody has heard: for the owners to greet. */
-  get listing(): ReadonlyMap<string, ListedMachine> {
-    return this.listed;
+  /** Where a machine listens that has not reported to this node; undefined: neither a peer nor the cloud tells. */
+  endpointOf(machineId: string): string | undefined {
+    return this.inventory.peerReportOf(machineId)?.endpoint ?? this.listed.get(machineId)?.endpoint;
   }
 
   /** Looks after machines: dead, failed, never up, sick, idle, warned. */
   private async tend(): Promise<void> {
     const now = this.clock.now();
-    const all = this.inventory.all();
+    const all = this.inventory.machines();
     const back = new Set<string>([...this.silent(all), ...this.useless(all)]);
     // Idle machines are kept for minutes, so they are looked for now and then.
     if (now >= this.idleLookAt) {
@@ -301,19 +295,19 @@
       const age = now - machine.heardAt;
       // A mute machine's lease has run out, so nothing runs there any more; only its being gone proves that at once.
       const silent = machine.isMute || (age > limit && !this.knocked(machine));
-      const quiet = silent || age > reportLateMs(this.settings.cluster.workers);
+      const isLate = silent || age > heartbeatLateMs(this.settings.cluster.workers);
       watched.push({
         machineId: machine.machineId,
         partition,
         zone: machine.zone,
         silentMs: silent ? Math.max(age, 1) : 0,
-        quiet,
+        isLate,
       });
     }
     watched.push(...this.unheard(all, now));
-    for (const zone of cutZones(watched)) this.cutAt.set(zone, now);
+    for (const zone of findCutZones(watched)) this.cutAt.set(zone, now);
     for (const [zone, at] of this.cutAt) if (now - at > ZONE_HEAL_MS) this.cutAt.delete(zone);
-    return machinesToGiveUp(watched, new Set(this.cutAt.keys()));
+    return findMachinesToReplace(watched, new Set(this.cutAt.keys()));
   }
 
   /**
@@ -345,7 +339,7 @@
         partition,
         zone: placedTask.placement.zone,
         silentMs: silent ? age : 0,
-        quiet: age > reportLateMs(workers),
+        isLate: age > heartbeatLateMs(workers),
       });
     }
     return list;
@@ -379,7 +373,7 @@
   private idle(): string[] {
     const now = this.clock.now();
     const list: string[] = [];
-    const open = this.inventory.open();
+    const open = this.inventory.openMachines();
     let total = 0;
     let free = 0;
     const rooms = this.planner.freeResources(open);
@@ -396,7 +390,7 @@
       this.idleSince.set(machine.machineId, since);
       const cpus = this.inventory.catalog.get(machine.machineType)!.cpus;
       // Hysteresis: rented below one reserve, given back only above twice as much.
-      if (now - since < IDLE_SCALE_IN_MS || belowReserve((free - cpus) / 2, total - cpus)) continue;
+      if (now - since < IDLE_SCALE_IN_MS || isBelowReserve((free - cpus) / 2, total - cpus)) continue;
       free -= cpus;
       total -= cpus;
       list.push(machine.machineId);
@@ -418,7 +412,7 @@
         )
           continue;
         const left = (machine.spotNoticeUntil - now) / 1000;
-        this.evictionMarker.stop(placedTask, spec, left > spec.checkpointS ? spec.checkpointS : 0, 'notice');
+        this.evictionMarker.evict(placedTask, spec, left > spec.checkpointS ? spec.checkpointS : 0, 'notice');
       }
     }
   }
--- a/src/autoscaling/scale-out-decision.ts
+++ b/src/autoscaling/scale-out-decision.ts
@@ -1,7 +1,8 @@
 import { BOOT_PATIENCE, RESERVE_SHARE } from '../constants/autoscaling.js';
-import type { MachineType } from '../inventory/machine-inventory.js';
-import type { JobSpec, Resources } from '../records/records.js';
-import { allowedOn, fits, subtractResources } from '../records/placement-rules.js';
+import { resourcesOfMachineType, tasksPerMachine, MachineType } from '../domain/machine-type.js';
+import type { JobSpec } from '../domain/job.js';
+import { fits, subtractResources } from '../domain/resources.js';
+import { isAllowedOn } from '../records/placement-rules.js';
 
 /** Tasks of one kind that have no place. */
 export interface CapacityNeed {
@@ -11,42 +12,24 @@
   zones: string[];
 }
 
-export interface Offer {
+export interface MachineOffer {
   machineType: MachineType;
   zone: string;
   isSpot: boolean;
 }
 
-export interface WantedMachines extends Offer {
+export interface WantedMachines extends MachineOffer {
   count: number;
 }
 
-export const resourcesOfMachineType = (machineType: MachineType): Resources => ({
-  cpus: machineType.cpus,
-  gpus: machineType.gpus,
-  memoryGb: machineType.memoryGb,
-});
-
-/** How many tasks of a job have room together. */
-export const tasksIn = (room: Resources, spec: JobSpec): number => {
-  if (!fits(spec, room)) return 0;
-  let count = room.cpus / spec.cpus;
-  if (spec.memoryGb > 0) count = Math.min(count, room.memoryGb / spec.memoryGb);
-  if (spec.gpus > 0) count = Math.min(count, room.gpus / spec.gpus);
-  return Math.floor(count + 1e-6);
-};
-
-export const perMachine = (machineType: MachineType, spec: JobSpec): number =>
-  tasksIn(resourcesOfMachineType(machineType), spec);
-
 /** ms after which a machine that was rented and never heard counts as one that will not come up. */
 export const bootLimitMs = (machineType: MachineType | undefined): number =>
   (machineType?.bootS ?? 60) * 1000 * BOOT_PATIENCE;
 
 /** Price of one task's room on such a machine. */
-const priceOf = (offer: Offer, spec: JobSpec): number =>
+const priceOf = (offer: MachineOffer, spec: JobSpec): number =>
   (offer.isSpot ? offer.machineType.spotHourlyPrice : offer.machineType.hourlyPrice) /
-  perMachine(offer.machineType, spec);
+  tasksPerMachine(offer.machineType, spec);
 
 /**
  * What to rent for needs that have no place, after what `coming` machines will hold. Offers refused of late are left
@@ -54,18 +37,18 @@
  */
 export function decideScaleOut(
   needs: readonly CapacityNeed[],
-  offers: readonly Offer[],
-  coming: readonly Offer[],
+  offers: readonly MachineOffer[],
+  coming: readonly MachineOffer[],
   most: number,
 ) {
   const wanted: WantedMachines[] = [];
   const rooms = coming.map((offer) => ({ offer, room: resourcesOfMachineType(offer.machineType) }));
   let left = most;
   for (const { spec, tasks, zones } of needs) {
-    const suits = (offer: Offer) =>
-      allowedOn(spec, { machineType: offer.machineType.name, zone: offer.zone, isSpot: offer.isSpot }) &&
+    const suits = (offer: MachineOffer) =>
+      isAllowedOn(spec, { machineType: offer.machineType.name, zone: offer.zone, isSpot: offer.isSpot }) &&
       (zones.length === 0 || zones.includes(offer.zone)) &&
-      perMachine(offer.machineType, spec) > 0;
+      tasksPerMachine(offer.machineType, spec) > 0;
     let open = tasks;
     for (const { offer, room } of rooms) {
       while (open > 0 && suits(offer) && fits(spec, room)) {
@@ -79,7 +62,7 @@
       const cheapest = priceOf(ranked[0]!, spec);
       const equals = ranked.filter((offer) => priceOf(offer, spec) <= cheapest * 1.001);
       const offer = equals.reduce((a, b) => (countOf(wanted, b) < countOf(wanted, a) ? b : a));
-      const known = wanted.find((each) => same(each, offer));
+      const known = wanted.find((each) => isSameOffer(each, offer));
       if (known !== undefined) known.count++;
       else wanted.push({ ...offer, count: 1 });
       left--;
@@ -94,12 +77,12 @@
   return wanted;
 }
 
-export const same = (a: Offer, b: Offer): boolean =>
+export const isSameOffer = (a: MachineOffer, b: MachineOffer): boolean =>
   a.machineType.name === b.machineType.name && a.zone === b.zone && a.isSpot === b.isSpot;
 
-const countOf = (wanted: readonly WantedMachines[], offer: Offer): number =>
-  wanted.find((each) => same(each, offer))?.count ?? 0;
+const countOf = (wanted: readonly WantedMachines[], offer: MachineOffer): number =>
+  wanted.find((each) => isSameOffer(each, offer))?.count ?? 0;
 
 /** Is the free room of a type below the reserve that bursts want? */
-export const belowReserve = (freeCpus: number, totalCpus: number): boolean =>
+export const isBelowReserve = (freeCpus: number, totalCpus: number): boolean =>
   totalCpus > 0 && freeCpus < totalCpus * RESERVE_SHARE;
--- a/src/autoscaling/silent-machines.ts
+++ b/src/autoscaling/silent-machines.ts
@@ -9,7 +9,7 @@
   /** ms for which nothing has shown that it lives and can be reached; 0: it does and can. */
   silentMs: number;
   /** It is late with a report, or worse. */
-  quiet: boolean;
+  isLate: boolean;
 }
 
 interface Group {
@@ -23,7 +23,7 @@
     const key = keyOf(machine);
     const group = groups.get(key) ?? { quiet: 0, total: 0 };
     group.total++;
-    if (machine.quiet) group.quiet++;
+    if (machine.isLate) group.quiet++;
     groups.set(key, group);
   }
   return groups;
@@ -32,7 +32,7 @@
 const few = ({ quiet, total }: Group, share: number): boolean => quiet <= Math.max(2, total * share);
 
 /** Zones that are cut off by all their machines say. */
-export function cutZones(machines: readonly WatchedMachine[]): string[] {
+export function findCutZones(machines: readonly WatchedMachine[]): string[] {
   const zones = grouped(machines, (machine) => machine.zone);
   return [...zones].filter(([, zone]) => !few(zone, ZONE_CUT_SHARE)).map(([zone]) => zone);
 }
@@ -44,7 +44,7 @@
  * first machine to count as silent is judged by how many others are late already; and since they come back at different
  * times, a zone is spared for a while after.
  */
-export function machinesToGiveUp(machines: readonly WatchedMachine[], spared: ReadonlySet<string>): string[] {
+export function findMachinesToReplace(machines: readonly WatchedMachine[], spared: ReadonlySet<string>): string[] {
   const partitions = grouped(machines, (machine) => machine.partition);
   return machines
     .filter(({ partition, zone, silentMs }) => {
--- a/src/cloud/cloud-wire-codec.ts
+++ b/src/cloud/cloud-wire-codec.ts
@@ -1,20 +1,6 @@
 /** The cloud's wire form: machine types, rentals and the list of machines, and their translation. */
 import * as v from 'valibot';
-
-/** A machine type of the cloud's catalogue. */
-export interface MachineType {
-  name: string;
-  cpus: number;
-  gpus: number;
-  memoryGb: number;
-  /** What the machine's image cache holds. */
-  imageCacheGb: number;
-  fetchGbPerS: number;
-  hourlyPrice: number;
-  spotHourlyPrice: number;
-  bootS: number;
-  zones: string[];
-}
+import { MachineType } from '../domain/machine-type.js';
 
 /** A machine as the cloud's list shows it, which lags. */
 export interface ListedMachine {
--- a/src/config/load-settings.ts
+++ b/src/config/load-settings.ts
@@ -9,12 +9,13 @@
 import {
   decodeSettings,
   decodeTuning,
-  SettingsFileSchema,
-  TuningFileSchema,
   type SettingsFile,
+  SettingsFileSchema,
   type TuningFile,
+  TuningFileSchema,
 } from './settings-file-codec.js';
-import type { Settings, Tuning } from '../domain/settings.js';
+import type { Settings } from '../domain/settings.js';
+import type { Tuning } from './tuning.js';
 
 /** A settings file that can't be used; the message names the file and the field. */
 export class SettingsError extends Error {
--- a/src/config/settings-file-codec.ts
+++ b/src/config/settings-file-codec.ts
@@ -2,15 +2,9 @@
 import { DEFAULT_STANDBY_SETTINGS, StandbySettingsSchema } from '@dewlatch/standby';
 import * as v from 'valibot';
 import { DEFAULT_TUNING } from '../constants/scheduling.js';
-import type {
-  ServiceLevelObjective,
-  Settings,
-  StoreLimits,
-  StoreSettings,
-  Team,
-  Tuning,
-  WorkerTimings,
-} from '../domain/settings.js';
+import type { ServiceLevelObjective, Settings, StoreLimits, StoreSettings, WorkerTimings } from '../domain/settings.js';
+import type { Team } from '../domain/team.js';
+import type { Tuning } from './tuning.js';
 
 const MS_PER_S = 1000;
 const BYTES_PER_KB = 1024;
--- /dev/null
+++ b/src/config/tuning.ts
@@ -0,0 +1,7 @@
+/** The operators' own settings. */
+import type { StandbySettings } from '@dewlatch/standby';
+import type { ReschedulingSettings } from '../domain/settings.js';
+
+export interface Tuning extends ReschedulingSettings {
+  standby: StandbySettings;
+}
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -9,23 +9,27 @@
   TEAM_SETTLEMENT_PERIOD_MS,
 } from '../constants/records.js';
 import { maySend } from '@dewlatch/standby';
-import type { Answer, Jobs } from '../api/job-service.js';
+import type { HttpAnswer } from '../net/http-answer.js';
+import type { JobService } from '../api/job-service.js';
 import { ApiServer } from '../api/api-server.js';
 import { CloudClient } from '../cloud/cloud-client.js';
-import type { Settings, Tuning } from '../domain/settings.js';
+import type { Settings } from '../domain/settings.js';
+import type { Tuning } from '../config/tuning.js';
 import { ClusterState } from '../records/cluster-state.js';
 import { recordSizer } from '../records/record-sizer.js';
 import { TeamAccounting } from '../records/team-accounting.js';
 import { LIVE } from '../records/record-keys.js';
+import type { Clock } from '../net/clock.js';
+import type { HttpClient } from '../net/http-client.js';
+import { Random } from '../net/random.js';
+import { FormatUpgrade } from '../records/format-upgrade.js';
+import { runPeriodically } from '../net/periodic.js';
 import { PeerLinks, splitAddress } from '../gossip/peer-links.js';
 import type { Gossip, Message } from '../gossip/messages.js';
 import { ReplicaFreshness } from '../gossip/replica-freshness.js';
 import { HeartbeatForwarder } from '../gossip/heartbeat-forwarder.js';
 import { PeerDirectory } from '../gossip/peer-directory.js';
 import { SentMachineUpdates } from '../gossip/machine-updates.js';
-import type { Clock } from '../net/clock.js';
-import type { HttpClient } from '../net/http-client.js';
-import { Random } from '../net/random.js';
 import { Happiness } from '../scheduling/decisions/happiness.js';
 import { StoreClient } from '../store/store-client.js';
 import { TransactionBatcher } from '../store/transaction-batcher.js';
@@ -34,7 +38,6 @@
 import { followCatalog } from '../inventory/catalog-follower.js';
 import { RoleLeadership } from '../leadership/role-leadership.js';
 import { MachineInventory } from '../inventory/machine-inventory.js';
-import { FormatUpgrade } from '../records/format-upgrade.js';
 import { GossipExchange } from '../gossip/gossip-exchange.js';
 import { GossipSender } from '../gossip/gossip-sender.js';
 import { Handover } from '../leadership/handover.js';
@@ -45,7 +48,6 @@
 import type { Log } from '../logging/log.js';
 import { Rescheduler } from '../scheduling/rescheduler.js';
 import { WorkerManager } from '../workers/worker-manager.js';
-import { every } from '../net/periodic.js';
 import { PlacementPlanner } from '../scheduling/placement-planner.js';
 import { RoleRebalancer } from '../leadership/role-rebalancer.js';
 import { RecordBroadcast } from '../gossip/record-broadcast.js';
@@ -68,7 +70,7 @@
   readonly inventory: MachineInventory;
   readonly planner: PlacementPlanner;
   readonly leader: ClusterLeader;
-  readonly jobs: Jobs;
+  readonly jobs: JobService;
   private readonly cancellationEnforcer: CancellationEnforcer;
   private readonly client: StoreClient;
   private readonly transactions: TransactionBatcher;
@@ -174,9 +176,9 @@
     const healthChecks = new HealthChecks({ clusterState: this.clusterState, happiness: this.happiness, clock });
     const accounting = new TeamAccounting({
       teams: settings.cluster.teams,
-      placedUse: (team, upTo) => this.clusterState.placedUsageOf(team, upTo),
+      placedUsageOf: (team, upTo) => this.clusterState.placedUsageOf(team, upTo),
       recordOf: (key) => this.replica.get(key),
-      mayDefer: () => this.formatUpgrade.isComplete,
+      canDeferExits: () => this.formatUpgrade.isComplete,
     });
     this.workerManager = new WorkerManager({
       settings,
@@ -271,7 +273,7 @@
       workerManager: this.workerManager,
       heartbeatForwarder: this.heartbeatForwarder,
       log,
-      onMisrouted: () => this.gossipSender.soon(),
+      onMisrouted: () => this.gossipSender.sendSoon(),
     });
     this.jobDuties = createJobDuties({
       settings,
@@ -309,7 +311,7 @@
     this.roleRebalancer = new RoleRebalancer({
       settings,
       leadership: this.leadership,
-      workerManager: this.workerManager,
+      workers: this.workerManager.workers,
       peerDirectory: this.peerDirectory,
       clock,
     });
@@ -321,11 +323,11 @@
       peerDirectory: this.peerDirectory,
       replicaFreshness: this.replicaFreshness,
       leadership: this.leadership,
-      workerManager: this.workerManager,
+      misroutedWorkers: this.workerManager.misroutedWorkers,
       inventory: this.inventory,
       sentUpdates: this.sentUpdates,
       isWithoutStore: () => this.health.isWithoutStore,
-      sendSoon: () => this.gossipSender.soon(),
+      sendSoon: () => this.gossipSender.sendSoon(),
     });
     this.messages = new PeerMessageRouter({
       exchange: this.exchange,
@@ -385,9 +387,9 @@
 
   /** The long-lived duties, without the sockets. */
   async runDuties(signal: AbortSignal): Promise<void> {
-    const { clock, log, leadership, clusterState, workerManager, inventory, leader } = this;
+    const { clock, log, leadership, clusterState, workerManager, leader } = this;
     const periodic = { clock, log, signal };
-    const announcer = new TokenAnnouncer({ leadership, clusterState, workerManager, inventory, leader });
+    const announcer = new TokenAnnouncer({ leadership, clusterState, workerManager, endpoints: leader });
     await Promise.all([
       this.replica.run(signal),
       this.leadership.run(signal),
@@ -396,13 +398,13 @@
       this.leader.run(signal),
       this.standby?.run(signal),
       this.rescheduler.run(signal),
-      every(FINISH_PERIOD_MS, periodic, () => this.cleanUp()),
-      every(SWEEP_MS, periodic, () => this.roleRebalancer.rebalance()),
-      every(SWEEP_MS, periodic, () => this.cancellationEnforcer.sweep()),
-      every(TOKEN_ANNOUNCE_PERIOD_MS, periodic, () => announcer.announce()),
-      every(DEPENDENCY_SWEEP_MS, periodic, () => this.jobDuties.pipelineProgress.sweep()),
-      every(TEAM_SETTLEMENT_PERIOD_MS, periodic, () => this.teamSettlement.look()),
-      every(FORMAT_CHECK_PERIOD_MS, periodic, () => this.formatUpgrade.look()),
+      runPeriodically(FINISH_PERIOD_MS, periodic, () => this.cleanUp()),
+      runPeriodically(SWEEP_MS, periodic, () => this.roleRebalancer.rebalance()),
+      runPeriodically(SWEEP_MS, periodic, () => this.cancellationEnforcer.sweep()),
+      runPeriodically(TOKEN_ANNOUNCE_PERIOD_MS, periodic, () => announcer.announce()),
+      runPeriodically(DEPENDENCY_SWEEP_MS, periodic, () => this.jobDuties.dependencyProgress.sweep()),
+      runPeriodically(TEAM_SETTLEMENT_PERIOD_MS, periodic, () => this.teamSettlement.settleQuietTeams()),
+      runPeriodically(FORMAT_CHECK_PERIOD_MS, periodic, () => this.formatUpgrade.check()),
     ]);
   }
 
@@ -412,13 +414,13 @@
   }
 
   /** The answer to a health check of the load balancer. */
-  up(): Answer {
+  up(): HttpAnswer {
     const isServing = !this.handover.isUnderway && this.health.isServing;
     return { status: isServing ? 200 : 503, body: { up: isServing } };
   }
 
   /** Answers a worker's report. */
-  answerHeartbeat(body: unknown): Answer | Promise<Answer> {
+  answerHeartbeat(body: unknown): HttpAnswer | Promise<HttpAnswer> {
     return this.reports.answer(body);
   }
 
@@ -433,7 +435,7 @@
   }
 
   private claimChanged(): void {
-    this.standby?.claimsChanged();
+    this.standby?.leadershipChanged();
     this.planner.planSoon();
     void this.leadership.acquireVacantRoles();
   }
--- a/src/controller/worker-manager-events.ts
+++ b/src/controller/worker-manager-events.ts
@@ -27,12 +27,12 @@
     isLate: (workerStatus) => inventory().isLate(workerStatus),
     knownImages: (machineId) => inventory().peerReportOf(machineId)?.images ?? [],
     cacheGb: (machineType) => inventory().catalog.get(machineType)?.imageCacheGb ?? Infinity,
-    answered: (role) => standby()?.answered(role),
-    heartbeatReceived: (workerStatus) => healthChecks.reported(workerStatus),
+    workerAnswered: (role) => standby()?.workerAnswered(role),
+    heartbeatReceived: (workerStatus) => healthChecks.heartbeatReceived(workerStatus),
     completed: (placedTask, ranS) => {
       const spec = clusterState.jobs.get(placedTask.jobId)?.record.spec;
       if (spec !== undefined) planner().learnRunTime(spec, ranS);
     },
-    died: (placedTask) => healthChecks.died(placedTask),
+    died: (placedTask) => healthChecks.taskDied(placedTask),
   };
 }
--- a/src/domain/machine-state.ts
+++ b/src/domain/machine-state.ts
@@ -27,3 +27,11 @@
   /** The node that says so, as the owner of the machine's partition. */
   partitionLeader: string;
 }
+
+/** A machine as every node may know it: from its own workers' reports or from the owner's gossip. */
+export interface MachineInfo extends MachineState {
+  /** Steady ms, this node's clock. */
+  heardAt: number;
+  /** Steady ms when the cloud takes it away, or null. */
+  spotNoticeUntil: number | null;
+}
--- a/src/domain/settings.ts
+++ b/src/domain/settings.ts
@@ -1,20 +1,6 @@
 /** The settings of a controller as the program works with them: one unit for each kind of amount, named in the field. */
-import type { StandbySettings } from '@dewlatch/standby';
 
-/** Amounts that quotas are set in; 0 means that there is none of the kind. */
-export interface QuotaAmounts {
-  cpus: number;
-  gpus: number;
-}
-
-/** A team, and how much of the cluster it may use. */
-export interface Team {
-  name: string;
-  /** While all unfinished jobs of the team fit in here together, they need not wait for other teams. */
-  guaranteed: QuotaAmounts;
-  /** What the team's tasks use together never exceeds it; 0: no limit. */
-  limit: QuotaAmounts;
-}
+import type { Team } from './team.js';
 
 /** What is expected for the jobs of a class. */
 export interface ServiceLevelObjective {
@@ -94,8 +80,8 @@
   cluster: ClusterSettings;
 }
 
-/** The operators' own settings. */
-export interface Tuning {
+/** How services are re-matched, and machines with a cached image preferred. */
+export interface ReschedulingSettings {
   /** Happiness below which a task is unhappy, a share. */
   happinessThreshold: number;
   /** Heartbeats older than that no longer count. */
@@ -106,5 +92,4 @@
   movesPerRound: number;
   /** Share of distance taken off for machines that have the image cached; 1: the image decides alone. */
   imageBonus: number;
-  standby: StandbySettings;
 }
--- a/src/gossip/frames.ts
+++ b/src/gossip/frames.ts
@@ -1,5 +1,5 @@
 /** Cuts a byte stream into messages with a length of four bytes before each. */
-export class Frames {
+export class FrameDecoder {
   private parts: Buffer[] = [];
   private size = 0;
 
@@ -24,7 +24,7 @@
   }
 }
 
-export function frame(message: Buffer): Buffer {
+export function encodeFrame(message: Buffer): Buffer {
   const head = Buffer.alloc(4);
   head.writeUInt32BE(message.length, 0);
   return Buffer.concat([head, message]);
--- a/src/gossip/gossip-exchange.ts
+++ b/src/gossip/gossip-exchange.ts
@@ -12,10 +12,36 @@
 } from './machine-updates.js';
 import type { Clock } from '../net/clock.js';
 import type { Replica } from '../store/replica.js';
-import { partitionRole, type RoleLeadership } from '../leadership/role-leadership.js';
-import type { MachineInventory, MachineInfo } from '../inventory/machine-inventory.js';
 import type { Log } from '../logging/log.js';
-import type { WorkerManager } from '../workers/worker-manager.js';
+import { MachineInfo } from '../domain/machine-state.js';
+import { partitionRole } from '../domain/role.js';
+
+/** What this node says of its roles. */
+export interface GossipedRoles {
+  avoidedRoles(): string[];
+  ledPartitions(): number[];
+  partitionOf(machineId: string): number;
+  /** undefined: this node must not answer the workers of the role's partition. */
+  servingLeadershipOf(role: string): object | undefined;
+}
+
+/** Workers that came to this node although another one leads their partition, with the steady ms. */
+export interface MisroutedWorkerTimes {
+  entries(): Iterable<[string, number]>;
+}
+
+/** The machines that this node knows, and what peers say of theirs. */
+export interface GossipedMachines {
+  ownMachines(): MachineInfo[];
+  recentPeerReports(
+    isWanted: (partitionLeader: string) => boolean,
+  ): Iterable<{ machine: MachineInfo; knownAt: number }>;
+  recentlyTerminated(): string[];
+  markTerminated(machineId: string): void;
+  applyPeerReport(machine: MachineInfo, knownAt: number): void;
+  /** False: what the leader said of the machine before is not known here. */
+  refreshPeerReport(machineId: string, leader: string, heardAt: number, sequence: number, now: number): boolean;
+}
 
 export interface GossipExchangeDependencies {
   settings: Settings;
@@ -24,9 +50,9 @@
   replica: Replica;
   peerDirectory: PeerDirectory;
   replicaFreshness: ReplicaFreshness;
-  leadership: RoleLeadership;
-  workerManager: WorkerManager;
-  inventory: MachineInventory;
+  leadership: GossipedRoles;
+  misroutedWorkers: MisroutedWorkerTimes;
+  inventory: GossipedMachines;
   /** What each peer has been told of this node's machines. */
   sentUpdates: SentMachineUpdates;
   /** The store refuses, or doesn't answer, this node. */
@@ -55,7 +81,7 @@
       replicaFreshness,
       leadership,
       inventory,
-      workerManager,
+      misroutedWorkers,
       sentUpdates,
     } = this.dependencies;
     const now = clock.now();
@@ -70,12 +96,12 @@
       ...sentUpdates.compose(to, this.ownMachines(now), this.othersMachines(now, to), now),
       wantsSnapshot: this.missed.has(to),
       misroutedHeartbeats: [
-        ...[...workerManager.misroutedWorkers.entries()].map(([machineId, at]) => ({ machineId, ageMs: now - at })),
+        ...[...misroutedWorkers.entries()].map(([machineId, at]) => ({ machineId, ageMs: now - at })),
         // After a restart hundreds knock: what the peer hears itself is not passed on to it.
         ...(this.unheardBy(to).size > 0 ? peerDirectory.misroutedHeartbeatsHeard() : []),
       ],
       avoidedRoles: leadership.avoidedRoles(),
-      terminated: inventory.lately(),
+      terminated: inventory.recentlyTerminated(),
     };
   }
 
--- a/src/gossip/gossip-sender.ts
+++ b/src/gossip/gossip-sender.ts
@@ -16,16 +16,16 @@
   constructor(private readonly dependencies: GossipSenderDependencies) {}
 
   /** Within a moment, so that several reasons share one message. */
-  soon(): void {
+  sendSoon(): void {
     if (this.isScheduled) return;
     this.isScheduled = true;
     void this.dependencies.clock.sleep(GOSSIP_SOON_MS).then(() => {
       this.isScheduled = false;
-      this.now();
+      this.sendNow();
     });
   }
 
-  now(): void {
+  sendNow(): void {
     const { peers, compose, send } = this.dependencies;
     for (const node of peers) send(node, { gossip: compose(node) });
   }
--- a/src/gossip/peer-directory.ts
+++ b/src/gossip/peer-directory.ts
@@ -53,7 +53,7 @@
     return this.freshState(peer)?.gossip.reachablePeers.includes(other) === true;
   }
 
-  hasStore(node: string): boolean {
+  reachesStore(node: string): boolean {
     const word = this.freshState(node);
     return word !== undefined && this.clock.now() - word.freshAt < REPLICA_FRESH_MS * 2;
   }
@@ -69,7 +69,7 @@
   }
 
   /** ms since the peer came up, 0 if it is not heard. */
-  upMs(node: string): number {
+  uptimeMs(node: string): number {
     return this.freshState(node)?.gossip.upMs ?? 0;
   }
 
@@ -94,7 +94,7 @@
   /** A peer is in touch with the store while this node is not. In an outage all lose touch within a heartbeat. */
   isAnyWithStore(): boolean {
     const mine = this.ownFreshAt();
-    return this.nodes.some((node) => this.hasStore(node) && this.freshState(node)!.freshAt > mine + PEER_LAG_MS);
+    return this.nodes.some((node) => this.reachesStore(node) && this.freshState(node)!.freshAt > mine + PEER_LAG_MS);
   }
 
   avoidsRole(node: string, role: string): boolean {
--- a/src/gossip/peer-links.ts
+++ b/src/gossip/peer-links.ts
@@ -4,7 +4,7 @@
 import type { Settings } from '../domain/settings.js';
 import type { Log } from '../logging/log.js';
 import type { Clock } from '../net/clock.js';
-import { Frames, frame } from './frames.js';
+import { FrameDecoder, encodeFrame } from './frames.js';
 import { decodeMessage, encodeMessage, type Gossip, type Message } from './messages.js';
 import { isStreamMessage } from './stream-codec.js';
 
@@ -31,7 +31,7 @@
     const sockets = new Set<Socket>();
     const server = createServer((socket) => {
       sockets.add(socket);
-      const frames = new Frames(MAX_GOSSIP_BYTES);
+      const frames = new FrameDecoder(MAX_GOSSIP_BYTES);
       socket.setTimeout(PEER_LINK_IDLE_MS, () => socket.destroy());
       socket.on('error', () => socket.destroy());
       socket.on('close', () => sockets.delete(socket));
@@ -71,7 +71,7 @@
   send(node: string, message: Message): boolean {
     const socket = this.links.get(node);
     if (socket === undefined || socket.destroyed || socket.writableLength > MAX_GOSSIP_BYTES) return false;
-    socket.write(frame(encodeMessage(message)));
+    socket.write(encodeFrame(encodeMessage(message)));
     return true;
   }
 
@@ -96,7 +96,7 @@
           socket.destroy();
           break;
         }
-        if (!socket.connecting) socket.write(frame(encodeMessage({ gossip: this.compose(node) })));
+        if (!socket.connecting) socket.write(encodeFrame(encodeMessage({ gossip: this.compose(node) })));
         await this.clock.sleep(socket.connecting ? GOSSIP_PERIOD_MS / 10 : GOSSIP_PERIOD_MS, either);
       }
       clearTimeout(connecting);
--- a/src/inventory/catalog-follower.ts
+++ b/src/inventory/catalog-follower.ts
@@ -1,5 +1,6 @@
 /** Keeps the catalogue of machine types as the records have it: every node places by it, and only the leader asks the cloud. */
-import { decodeMachineType, type MachineType } from '../cloud/cloud-wire-codec.js';
+import { decodeMachineType } from '../cloud/cloud-wire-codec.js';
+import type { MachineType } from '../domain/machine-type.js';
 import { MACHINE_TYPE_PREFIX } from '../records/record-keys.js';
 import type { Replica } from '../store/replica.js';
 import type { Log } from '../logging/log.js';
--- a/src/inventory/machine-inventory.ts
+++ b/src/inventory/machine-inventory.ts
@@ -9,34 +9,14 @@
 import { GOSSIP_STALE_MS } from '../constants/gossip.js';
 import { QUARANTINE_ERRORS, SILENT_HEARTBEATS } from '../constants/workers.js';
 import type { Settings } from '../domain/settings.js';
-import type { Clock } from '../net/clock.js';
-import type { RoleLeadership, HeldLeadership } from '../leadership/role-leadership.js';
-import { partitionRole } from '../leadership/role-leadership.js';
+import type { HeldLeadership, RoleLeadership } from '../leadership/role-leadership.js';
+import { partitionRole } from '../domain/role.js';
 import type { WorkerManager } from '../workers/worker-manager.js';
-import type { MachineState } from '../domain/machine-state.js';
+import type { MachineInfo } from '../domain/machine-state.js';
 import { isNewerThan, type WorkerStatus } from '../workers/worker-wire-codec.js';
 import type { Worker } from '../workers/worker.js';
-
-export interface MachineType {
-  name: string;
-  cpus: number;
-  gpus: number;
-  memoryGb: number;
-  imageCacheGb: number;
-  fetchGbPerS: number;
-  hourlyPrice: number;
-  spotHourlyPrice: number;
-  bootS: number;
-  zones: string[];
-}
-
-/** A machine as every node may know it: from its own workers' reports or from the owner's gossip. */
-export interface MachineInfo extends MachineState {
-  /** Steady ms, this node's clock. */
-  heardAt: number;
-  /** Steady ms when the cloud takes it away, or null. */
-  spotNoticeUntil: number | null;
-}
+import type { Clock } from '../net/clock.js';
+import { MachineType } from '../domain/machine-type.js';
 
 /** All machines that are known to be up, and the catalogue of their types. */
 export class MachineInventory {
@@ -146,12 +126,12 @@
   }
 
   /** Every machine, this node's own view first; the same for all who ask within a moment. */
-  all(): ReadonlyMap<string, MachineInfo> {
+  machines(): ReadonlyMap<string, MachineInfo> {
     return this.view().all;
   }
 
   /** The machines that new work may go to. */
-  open(): MachineInfo[] {
+  openMachines(): MachineInfo[] {
     const { open } = this.view();
     return this.scalingIn.size === 0 ? [...open] : open.filter(({ machineId }) => !this.scalingIn.has(machineId));
   }
@@ -245,7 +225,7 @@
   }
 
   /** What other nodes should forget as well. */
-  lately(): string[] {
+  recentlyTerminated(): string[] {
     const now = this.clock.now();
     return [...this.terminated].filter(([, at]) => now - at < FORGET_MACHINE_MS).map(([machineId]) => machineId);
   }
--- a/src/jobs/dependency-progress.ts
+++ b/src/jobs/dependency-progress.ts
@@ -11,44 +11,44 @@
 import type { TransactionDraft } from '../store/transaction-draft.js';
 import type { RoleLeadership } from '../leadership/role-leadership.js';
 import type { Log } from '../logging/log.js';
-import type { PredecessorStates } from './dependency-states.js';
+import type { DependencyStates } from './dependency-states.js';
 import { isResponsibleFor } from '../leadership/responsibility.js';
 
-export interface PipelineProgressDependencies {
+export interface DependencyProgressDependencies {
   leadership: RoleLeadership;
   clusterState: ClusterState;
   transactions: TransactionBatcher;
-  states: PredecessorStates;
+  states: DependencyStates;
   clock: Clock;
   log: Log;
 }
 
-export class PipelineProgress {
+export class DependencyProgress {
   /** Jobs of which a step is being recorded. */
   private readonly moving = new Set<string>();
 
-  constructor(private readonly dependencies: PipelineProgressDependencies) {}
+  constructor(private readonly dependencies: DependencyProgressDependencies) {}
 
   /** The record of a job has changed, or is gone. */
   jobChanged(jobId: string): void {
     const { clusterState } = this.dependencies;
-    const { pipelines } = clusterState;
-    if (pipelines.waitingCount === 0) return;
-    if (pipelines.isWaiting(jobId)) this.consider(jobId);
+    const { dependencies } = clusterState;
+    if (dependencies.waitingCount === 0) return;
+    if (dependencies.isWaiting(jobId)) this.consider(jobId);
     const record = clusterState.jobs.get(jobId)?.record;
-    if (record === undefined) for (const each of [...pipelines.successorsOf(jobId)]) this.consider(each);
+    if (record === undefined) for (const each of [...dependencies.dependentsOf(jobId)]) this.consider(each);
     else if (record.state === 'cancelled') this.considerAllAfter(jobId);
   }
 
   /** Level-triggered: whatever was missed. */
   sweep(): void {
-    for (const jobId of [...this.dependencies.clusterState.pipelines.waitingJobs]) this.consider(jobId);
+    for (const jobId of [...this.dependencies.clusterState.dependencies.waitingJobs]) this.consider(jobId);
   }
 
   private considerAllAfter(jobId: string): void {
-    const { pipelines } = this.dependencies.clusterState;
-    const found = new Set(pipelines.successorsOf(jobId));
-    for (const each of found) for (const next of pipelines.successorsOf(each)) found.add(next);
+    const { dependencies } = this.dependencies.clusterState;
+    const found = new Set(dependencies.dependentsOf(jobId));
+    for (const each of found) for (const next of dependencies.dependentsOf(each)) found.add(next);
     for (const each of found) if (this.isOurs(each)) this.cancel(each);
   }
 
@@ -65,7 +65,7 @@
   private consider(jobId: string): void {
     const { clusterState, states } = this.dependencies;
     if (!this.isOurs(jobId)) return;
-    switch (states.standingOfAll(clusterState.pipelines.predecessorsOf(jobId))) {
+    switch (states.stateOfAll(clusterState.dependencies.dependenciesOf(jobId))) {
       case 'done':
         return this.move(jobId, 'release', (draft) => this.release(draft, jobId));
       case 'cancelled':
@@ -80,11 +80,11 @@
   /** Reads how the jobs that a waiting one names have ended, and takes the step that follows. */
   private learn(jobId: string): void {
     const { clusterState, states, log } = this.dependencies;
-    const predecessors = clusterState.pipelines.predecessorsOf(jobId);
+    const predecessors = clusterState.dependencies.dependenciesOf(jobId);
     this.moving.add(jobId);
-    void states.learn(predecessors.filter((each) => states.standingOf(each) === 'unknown')).then(() => {
+    void states.learn(predecessors.filter((each) => states.stateOf(each) === 'unknown')).then(() => {
       this.moving.delete(jobId);
-      const known = states.standingOfAll(clusterState.pipelines.predecessorsOf(jobId));
+      const known = states.stateOfAll(clusterState.dependencies.dependenciesOf(jobId));
       if (known !== 'unknown') this.consider(jobId);
       else log.debug({ job: jobId }, 'how a job before it has ended is not known yet');
     });
--- a/src/jobs/dependency-states.ts
+++ b/src/jobs/dependency-states.ts
@@ -11,7 +11,7 @@
 import type { Replica } from '../store/replica.js';
 
 /** `unknown`: not among the live jobs, and nothing says whether or how it has ended. */
-export type JobStanding = 'open' | 'done' | 'cancelled' | 'unknown';
+export type DependencyState = 'open' | 'done' | 'cancelled' | 'unknown';
 
 /** What is known of all jobs before one, directly or through others. */
 export interface Ancestry {
@@ -20,20 +20,20 @@
   unknown: string[];
 }
 
-export interface PredecessorStatesDependencies {
+export interface DependencyStatesDependencies {
   clusterState: ClusterState;
   replica: Replica;
   transactions: TransactionBatcher;
   client: StoreClient;
 }
 
-export class PredecessorStates {
+export class DependencyStates {
   /** Final records that are being read. */
   private readonly reading = new Map<string, Promise<void>>();
 
-  constructor(private readonly dependencies: PredecessorStatesDependencies) {}
+  constructor(private readonly dependencies: DependencyStatesDependencies) {}
 
-  standingOf(jobId: string): JobStanding {
+  stateOf(jobId: string): DependencyState {
     const { clusterState, replica, transactions } = this.dependencies;
     const record = clusterState.jobs.get(jobId)?.record;
     if (record !== undefined) return record.state === 'cancelled' ? 'cancelled' : 'open';
@@ -44,8 +44,8 @@
   }
 
   /** May a job with these predecessors start, or never? */
-  standingOfAll(predecessors: readonly string[]): JobStanding {
-    const standings = predecessors.map((each) => this.standingOf(each));
+  stateOfAll(predecessors: readonly string[]): DependencyState {
+    const standings = predecessors.map((each) => this.stateOf(each));
     if (standings.includes('cancelled')) return 'cancelled';
     if (standings.includes('unknown')) return 'unknown';
     return standings.includes('open') ? 'open' : 'done';
@@ -53,15 +53,15 @@
 
   /** Looks through all jobs before one that names these. */
   ancestryOf(predecessors: readonly string[]): Ancestry {
-    const { pipelines } = this.dependencies.clusterState;
+    const { dependencies } = this.dependencies.clusterState;
     const seen = new Set(predecessors);
     const unknown: string[] = [];
     for (const jobId of seen) {
-      const standing = this.standingOf(jobId);
+      const standing = this.stateOf(jobId);
       if (standing === 'cancelled') return { isCancelled: true, unknown };
       if (standing === 'unknown') unknown.push(jobId);
       // A set hands out what is added to it while it is looked through.
-      for (const each of pipelines.predecessorsOf(jobId)) seen.add(each);
+      for (const each of dependencies.dependenciesOf(jobId)) seen.add(each);
     }
     return { isCancelled: false, unknown };
   }
--- a/src/jobs/job-completion.ts
+++ b/src/jobs/job-completion.ts
@@ -4,22 +4,23 @@
 import { endJob } from '../records/placement-mutations.js';
 import { releaseJob } from '../records/dependency-mutations.js';
 import { jobKey, placementChunkKey } from '../records/record-keys.js';
+import { CLUSTER_LEADER_ROLE } from '../domain/role.js';
+import type { RoleLeadership } from '../leadership/role-leadership.js';
+import { isResponsibleFor } from '../leadership/responsibility.js';
 import type { Clock } from '../net/clock.js';
 import { Priority } from '../net/token-bucket.js';
 import type { TransactionBatcher } from '../store/transaction-batcher.js';
 import type { TransactionDraft } from '../store/transaction-draft.js';
 import type { Replica } from '../store/replica.js';
-import { CLUSTER_LEADER_ROLE, type RoleLeadership } from '../leadership/role-leadership.js';
 import type { Log } from '../logging/log.js';
-import type { PredecessorStates } from './dependency-states.js';
-import { isResponsibleFor } from '../leadership/responsibility.js';
+import type { DependencyStates } from './dependency-states.js';
 
 export interface JobCompletionDependencies {
   leadership: RoleLeadership;
   clusterState: ClusterState;
   replica: Replica;
   transactions: TransactionBatcher;
-  states: PredecessorStates;
+  states: DependencyStates;
   clock: Clock;
   log: Log;
   /** Changes that one transaction may hold. */
@@ -38,7 +39,7 @@
     this.ending.add(jobId);
     const { clusterState, transactions, log } = this.dependencies;
     // Others wait for the end of a job in a pipeline, and its user for the end of the pipeline.
-    const priority = clusterState.pipelines.hasSuccessors(jobId) ? Priority.start : Priority.record;
+    const priority = clusterState.dependencies.hasDependents(jobId) ? Priority.start : Priority.record;
     const outcome = await transactions.commit('end', priority, (draft) => this.recordEnd(draft, jobId));
     this.ending.delete(jobId);
     if (outcome.kind === 'done') log.info({ job: jobId }, 'job over');
@@ -59,13 +60,13 @@
   /** Jobs that wait for this one alone, as many as fit into its transaction; others are let start by themselves. */
   private successorsToRelease(jobId: string): string[] {
     const { clusterState, states, maxTransactionWrites } = this.dependencies;
-    const { pipelines } = clusterState;
+    const { dependencies } = clusterState;
     const waitsForNoOther = (successor: string): boolean => {
-      const others = pipelines.predecessorsOf(successor).filter((each) => each !== jobId);
-      return states.standingOfAll(others) === 'done';
+      const others = dependencies.dependenciesOf(successor).filter((each) => each !== jobId);
+      return states.stateOfAll(others) === 'done';
     };
     const next: string[] = [];
-    for (const successor of pipelines.successorsOf(jobId)) {
+    for (const successor of dependencies.dependentsOf(jobId)) {
       if (next.length === maxTransactionWrites - END_WRITES) break;
       if (waitsForNoOther(successor)) next.push(successor);
     }
--- a/src/jobs/job-reactions.ts
+++ b/src/jobs/job-reactions.ts
@@ -1,22 +1,33 @@
 /** What follows from a change of a job's records: launches and stops, plans, its end, and the steps of jobs after it. */
 import { BATCH_PUSH_GATHER_SHARE } from '../constants/workers.js';
 import type { ClusterState, JobView } from '../records/cluster-state.js';
-import { taskIdOf } from '../records/records.js';
-import { CLUSTER_LEADER_ROLE, partitionRole, type RoleLeadership } from '../leadership/role-leadership.js';
-import type { JobCompletion } from './job-completion.js';
-import type { WorkerManager } from '../workers/worker-manager.js';
-import type { PipelineProgress } from './dependency-progress.js';
-import { isLarge } from '../scheduling/task-placer.js';
-import type { PlacementPlanner } from '../scheduling/placement-planner.js';
+import { taskIdOf } from '../domain/task.js';
+import { CLUSTER_LEADER_ROLE, partitionRole } from '../domain/role.js';
+import type { RoleLeadership } from '../leadership/role-leadership.js';
+import { isPlacedByLeader } from '../domain/job.js';
 import { isResponsibleFor } from '../leadership/responsibility.js';
+import type { JobCompletion } from './job-completion.js';
+import type { DependencyProgress } from './dependency-progress.js';
+
+/** The workers that this node commands. */
+export interface CommandedWorkers {
+  readonly workers: { get(machineId: string): { tasks: ReadonlyMap<string, { attempt: number }> } | undefined };
+  /** Tells the machine's worker what has changed, after `gatherMs` at most. */
+  pushCommands(machineId: string, gatherMs?: number): void;
+}
+
+export interface PlanTrigger {
+  /** Something has changed that the next plan should know. */
+  planSoon(isUrgent?: boolean): void;
+}
 
 export interface JobReactionsDependencies {
   leadership: RoleLeadership;
   clusterState: ClusterState;
-  workerManager: WorkerManager;
-  planner: PlacementPlanner;
+  workerManager: CommandedWorkers;
+  planner: PlanTrigger;
   completion: JobCompletion;
-  pipelineProgress: PipelineProgress;
+  dependencyProgress: DependencyProgress;
   /** ms between two reports of a worker. */
   reportPeriodMs: number;
 }
@@ -26,9 +37,9 @@
 
   /** `shards`: of the job's ledger only these have changed; undefined: its record has. */
   jobChanged(jobId: string, taskIndexes?: readonly number[]): void {
-    const { leadership, clusterState, planner, completion, pipelineProgress } = this.dependencies;
+    const { leadership, clusterState, planner, completion, dependencyProgress } = this.dependencies;
     const view = clusterState.jobs.get(jobId);
-    if (taskIndexes === undefined) pipelineProgress.jobChanged(jobId);
+    if (taskIndexes === undefined) dependencyProgress.jobChanged(jobId);
     planner.planSoon(view !== undefined && this.isUrgent(view));
     if (view === undefined) return;
     for (const taskIndex of taskIndexes ?? [...view.knownPlacements()].map(([each]) => each))
@@ -49,16 +60,16 @@
     const task = worker.tasks.get(taskIdOf(view.jobId, taskIndex));
     const isLaunched = task !== undefined && task.attempt === placement.attempt;
     const isBatch = view.record.spec.kind === 'array';
-    if (isStopped) workerManager.push(placement.machineId);
+    if (isStopped) workerManager.pushCommands(placement.machineId);
     else if (!isLaunched)
-      workerManager.push(placement.machineId, isBatch ? reportPeriodMs * BATCH_PUSH_GATHER_SHARE : undefined);
+      workerManager.pushCommands(placement.machineId, isBatch ? reportPeriodMs * BATCH_PUSH_GATHER_SHARE : undefined);
   }
 
   /** Does work wait here for seconds at most, that this very node places? */
   private isUrgent({ jobId, record, queued }: JobView): boolean {
     const { leadership } = this.dependencies;
     if (record.spec.kind === 'array' || record.state === 'waiting' || queued.length === 0) return false;
-    const role = isLarge(record.spec) ? CLUSTER_LEADER_ROLE : partitionRole(leadership.partitionOf(jobId));
+    const role = isPlacedByLeader(record.spec) ? CLUSTER_LEADER_ROLE : partitionRole(leadership.partitionOf(jobId));
     return leadership.leadershipOf(role) !== undefined;
   }
 }
--- a/src/leadership/handover.ts
+++ b/src/leadership/handover.ts
@@ -5,13 +5,13 @@
 import type { RoleLeadership } from './role-leadership.js';
 import type { GossipSender } from '../gossip/gossip-sender.js';
 import type { Log } from '../logging/log.js';
-import type { WorkerManager } from '../workers/worker-manager.js';
 
 export interface HandoverDependencies {
   /** ms that it may take; what is left then ends with the hold. */
   limitMs: number;
   leadership: RoleLeadership;
-  workerManager: WorkerManager;
+  /** Sends no more commands, and waits for the answers to those that are out, for so long at most. */
+  workerManager: { drain(withinMs: number): Promise<void> };
   gossip: GossipSender;
   clock: Clock;
   log: Log;
@@ -32,7 +32,7 @@
     const { limitMs, leadership, gossip, clock, log } = this.dependencies;
     this.hasBegun = true;
     leadership.stopAcquiring();
-    gossip.now();
+    gossip.sendNow();
     await Promise.race([clock.sleep(limitMs), this.giveUp()]);
     log.info({ left: leadership.ledPartitions().length }, 'handover is over');
   }
--- a/src/leadership/role-leadership.ts
+++ b/src/leadership/role-leadership.ts
@@ -20,27 +20,12 @@
 import { Priority } from '../net/token-bucket.js';
 import type { Log } from '../logging/log.js';
 import { decodeLeadershipRecord, encodeLeadershipRecord } from '../records/record-codecs.js';
-
-export const CLUSTER_LEADER_ROLE = 'leader';
-const PARTITION_PREFIX = 'part-';
-export const partitionRole = (partition: number): string => `${PARTITION_PREFIX}${partition}`;
-/** The partition of a role; undefined for the leadership. */
-export const partitionOfRole = (role: string): number | undefined =>
-  role === CLUSTER_LEADER_ROLE ? undefined : Number(role.slice(PARTITION_PREFIX.length));
-
-/** FNV-1a: spreads machines and jobs over partitions, the same in every node. */
-export function hashText(text: string): number {
-  let hash = 0x811c9dc5;
-  for (let i = 0; i < text.length; i++) hash = Math.imul(hash ^ text.charCodeAt(i), 0x01000193);
-  // FNV's low bits alone are uneven over short names that differ in the last digit only.
-  hash ^= hash >>> 15;
-  return hash >>> 0;
-}
+import { hashName, partitionRole, CLUSTER_LEADER_ROLE, partitionOfRole } from '../domain/role.js';
 
 /** What the peers say, as far as claims need it. */
 export interface PeerStoreAccess {
   /** The peer is up and reaches the store, as of just now. */
-  hasStore(node: string): boolean;
+  reachesStore(node: string): boolean;
   /** A peer has the store, this node has not. */
   isAnyWithStore(): boolean;
 }
@@ -173,7 +158,7 @@
   }
 
   partitionOf(name: string): number {
-    return hashText(name) % this.partitionCount;
+    return hashName(name) % this.partitionCount;
   }
 
   /** The hold that this process's claims live on, as far as it knows. */
@@ -353,7 +338,7 @@
   private preferredNodeHeadStartMs(role: string): number {
     if (role === CLUSTER_LEADER_ROLE) return 0;
     const home = this.preferredNodeOf(partitionOfRole(role)!);
-    if (this.peerDirectory.hasStore(home)) return STORE_LEASE_TTL_MS / 2;
+    if (this.peerDirectory.reachesStore(home)) return STORE_LEASE_TTL_MS / 2;
     return this.everLed.has(role) ? 0 : START_GRACE_MS;
   }
 
--- a/src/leadership/role-rebalancer.ts
+++ b/src/leadership/role-rebalancer.ts
@@ -7,16 +7,21 @@
   SELF_SUSPECT_SHARE,
 } from '../constants/leadership.js';
 import type { Settings } from '../domain/settings.js';
+import { silenceLimitMs } from '../domain/worker-deadlines.js';
+import { partitionRole } from '../domain/role.js';
+import type { RoleLeadership } from './role-leadership.js';
 import type { PeerDirectory } from '../gossip/peer-directory.js';
 import type { Clock } from '../net/clock.js';
-import { silenceLimitMs } from '../workers/worker.js';
-import { partitionRole, type RoleLeadership } from './role-leadership.js';
-import type { WorkerManager } from '../workers/worker-manager.js';
+
+/** The workers that have reported to this node, with the steady ms. */
+export interface PartitionWorkers {
+  ofPartition(partition: number): Iterable<{ machineId: string; reportedAt: number }>;
+}
 
 export interface RoleRebalancerDependencies {
   settings: Settings;
   leadership: RoleLeadership;
-  workerManager: WorkerManager;
+  workers: PartitionWorkers;
   peerDirectory: PeerDirectory;
   clock: Clock;
 }
@@ -40,18 +45,18 @@
   private isWantedAtHome(partition: number): boolean {
     const { settings, leadership, peerDirectory } = this.dependencies;
     const home = leadership.preferredNodeOf(partition);
-    const isReady = peerDirectory.upMs(home) > PREFERRED_NODE_UP_MS && peerDirectory.hasStore(home);
+    const isReady = peerDirectory.uptimeMs(home) > PREFERRED_NODE_UP_MS && peerDirectory.reachesStore(home);
     return home !== settings.node && isReady && !peerDirectory.avoidsRole(home, partitionRole(partition));
   }
 
   /** Many of the partition's workers are silent here, and most of these have been seen at other nodes since. */
   private isOutOfReach(partition: number): boolean {
-    const { settings, workerManager, peerDirectory, clock } = this.dependencies;
+    const { settings, workers, peerDirectory, clock } = this.dependencies;
     const now = clock.now();
     const limit = silenceLimitMs(settings.cluster.workers);
-    const workers = [...workerManager.workers.ofPartition(partition)];
-    const silent = workers.filter((worker) => now - worker.reportedAt > limit);
-    if (silent.length < LEAST_SILENT_WORKERS || silent.length <= workers.length * SELF_SUSPECT_SHARE) return false;
+    const known = [...workers.ofPartition(partition)];
+    const silent = known.filter((worker) => now - worker.reportedAt > limit);
+    if (silent.length < LEAST_SILENT_WORKERS || silent.length <= known.length * SELF_SUSPECT_SHARE) return false;
     const seenElsewhere = silent.filter((worker) =>
       peerDirectory.hasReportedElsewhere(worker.machineId, worker.reportedAt),
     );
--- a/src/leadership/standby.ts
+++ b/src/leadership/standby.ts
@@ -24,25 +24,18 @@
 import { STATUS_PERIOD_MS } from '../constants/autoscaling.js';
 import type { Settings } from '../domain/settings.js';
 import type { ClusterState } from '../records/cluster-state.js';
-import { parseTaskId } from '../records/records.js';
+import { parseTaskId } from '../domain/task.js';
 import { standbyKey } from '../records/record-keys.js';
-import type { PeerDirectory } from '../gossip/peer-directory.js';
+import { decodeStandbyRecord, encodeStandbyRecord } from '../records/record-codecs.js';
+import { CLUSTER_LEADER_ROLE, partitionOfRole, partitionRole } from '../domain/role.js';
+import type { HeldLeadership, RoleLeadership, SuccessionPolicy } from './role-leadership.js';
+import type { HappinessMemory, LeaderMemory } from './advisory-memory.js';
 import type { Clock } from '../net/clock.js';
 import { Priority } from '../net/token-bucket.js';
-import type { Happiness } from '../scheduling/decisions/happiness.js';
+import type { PeerDirectory } from '../gossip/peer-directory.js';
 import type { TransactionBatcher } from '../store/transaction-batcher.js';
 import type { Replica } from '../store/replica.js';
-import {
-  CLUSTER_LEADER_ROLE,
-  partitionOfRole,
-  partitionRole,
-  type RoleLeadership,
-  type HeldLeadership,
-  type SuccessionPolicy,
-} from './role-leadership.js';
-import type { ClusterLeader } from '../autoscaling/cluster-leader.js';
 import type { Log } from '../logging/log.js';
-import { decodeStandbyRecord, encodeStandbyRecord } from '../records/record-codecs.js';
 
 export interface StandbyDependencies {
   settings: Settings;
@@ -54,8 +47,8 @@
   clusterState: ClusterState;
   replica: Replica;
   transactions: TransactionBatcher;
-  happiness: Happiness;
-  leader: ClusterLeader;
+  happiness: HappinessMemory;
+  leader: { readonly memory: LeaderMemory };
   clock: Clock;
   log: Log;
   send: (node: string, message: { stream: StreamMessage }) => void;
@@ -137,7 +130,7 @@
     const others = settings.peers.map(({ node, zone }): Candidate => ({
       node,
       zone,
-      isServing: peerDirectory.hasStore(node),
+      isServing: peerDirectory.reachesStore(node),
       avoidsRole: peerDirectory.avoidsRole(node, role),
       roles: rolesOf(node),
     }));
@@ -207,14 +200,14 @@
   }
 
   /** A worker of the partition has been answered. */
-  answered(role: string): void {
+  workerAnswered(role: string): void {
     this.timeline.note(role, 'worker_answered');
   }
 
   // ---- claims as they change
 
   /** To be called whenever a claim has changed. */
-  claimsChanged(): void {
+  leadershipChanged(): void {
     const { settings, leadership, clusterState, peerDirectory } = this.dependencies;
     const roles = [
       CLUSTER_LEADER_ROLE,
@@ -387,7 +380,7 @@
     const health = follower.entries('health').filter(({ name }) => this.isPlacedIn(role, name));
     const moved = follower.entries('moved').filter(({ name }) => this.isPlacedIn(role, name));
     for (const { name, healthy, unhealthy, at } of health) happiness.restore(name, healthy, unhealthy, at);
-    for (const { name, at } of moved) happiness.moved(name, at);
+    for (const { name, at } of moved) happiness.noteMove(name, at);
     return health.length + moved.length;
   }
 
--- a/src/net/http-client.ts
+++ b/src/net/http-client.ts
@@ -6,10 +6,10 @@
 }
 
 /** No usable answer. `sent` tells whether the request may have reached the other side, and may yet be carried out. */
-export class NoAnswer extends Error {
+export class NoResponseError extends Error {
   constructor(
     message: string,
-    readonly sent: boolean,
+    readonly wasSent: boolean,
   ) {
     super(message);
   }
@@ -58,7 +58,7 @@
         clearTimeout(whole);
         clearTimeout(connecting);
         options.signal?.removeEventListener('abort', onAbort);
-        reject(new NoAnswer(`${method} ${address}${path}: ${why}`, sent));
+        reject(new NoResponseError(`${method} ${address}${path}: ${why}`, sent));
         req.destroy();
       };
       const onAbort = () => fail('aborted');
@@ -87,7 +87,7 @@
           try {
             resolve({ status: res.statusCode ?? 0, body: raw === '' ? undefined : JSON.parse(raw) });
           } catch {
-            reject(new NoAnswer(`${method} ${path}: answer is not JSON`, true));
+            reject(new NoResponseError(`${method} ${path}: answer is not JSON`, true));
           }
         });
       });
--- a/src/net/periodic.ts
+++ b/src/net/periodic.ts
@@ -9,7 +9,7 @@
 }
 
 /** Waits first, then works, each time; a fault in the work is logged, and the next turn comes all the same. */
-export async function every(
+export async function runPeriodically(
   ms: number,
   { clock, log, signal }: PeriodicDependencies,
   work: () => Promise<void> | void,
--- a/src/records/cluster-state.ts
+++ b/src/records/cluster-state.ts
@@ -1,22 +1,15 @@
-import type { Team } from '../domain/settings.js';
-import type { BatchingHint } from '../store/transaction-batcher.js';
-import type { Replica, StoredValue } from '../store/replica.js';
+import type { Team, TeamUsage } from '../domain/team.js';
 import { JobDependencies, type Urgency } from './job-dependencies.js';
 import { JOB_PREFIX, LEADERSHIP_PREFIX, PLACEMENT_PREFIX, placementChunkKey, RENTAL_PREFIX } from './record-keys.js';
-import {
-  type ActivePlacement,
-  chunkSize,
-  JOB_PRIORITIES,
-  type JobRecord,
-  type LeadershipRecord,
-  type RentalRecord,
-  type Resources,
-  type TaskPlacement,
-  type TeamUsage,
-} from './records.js';
+import type { ActivePlacement, TaskPlacement } from '../domain/task.js';
+import { chunkSize, type JobRecord, type LeadershipRecord, type RentalRecord } from './records.js';
+import { JOB_PRIORITIES } from '../domain/job.js';
+import { type Resources, roundAmount, subtractResources } from '../domain/resources.js';
 import { decodeChunk, hasNoActivePlacements } from './placement-codec.js';
 import { decodeJobRecord, decodeLeadershipRecord, decodeRentalRecord } from './record-codecs.js';
-import { isLimited, roundAmount, subtractResources, zonesOf } from './placement-rules.js';
+import { isLimited, countTasksPerZone } from './placement-rules.js';
+import type { BatchingHint } from '../store/transaction-batcher.js';
+import type { Replica, StoredValue } from '../store/replica.js';
 
 export interface PlacedTask {
   jobId: string;
@@ -104,7 +97,7 @@
   /** Tasks of the job in each zone, where a rule asks for them; else nobody looks through them. */
   get tasksPerZone(): Map<string, number> {
     const { spreadAcrossZones, singleZone } = this.record.spec;
-    return zonesOf(
+    return countTasksPerZone(
       spreadAcrossZones || singleZone ? [...this.knownPlacements()].map(([, placement]) => placement) : [],
     );
   }
@@ -129,7 +122,7 @@
 export class ClusterState {
   readonly jobs = new Map<string, JobView>();
   /** Which jobs wait for which others. */
-  readonly pipelines = new JobDependencies((jobId, urgency) => this.inherit(jobId, urgency));
+  readonly dependencies = new JobDependencies((jobId, urgency) => this.inherit(jobId, urgency));
   readonly leadershipRecords = new Map<string, { record: LeadershipRecord; modRevision: number }>();
   /** Rentals that are not over. */
   readonly rentals = new Map<string, RentalRecord>();
@@ -250,17 +243,17 @@
       }
       if (left.size > 0) this.chunksWithoutJob.set(jobId, left);
       this.jobs.delete(jobId);
-      this.pipelines.update(jobId, undefined);
+      this.dependencies.update(jobId, undefined);
     } else if (old !== undefined) {
       const record = decodeJobRecord(value);
       old.updateRecord(record);
-      this.pipelines.update(jobId, record);
+      this.dependencies.update(jobId, record);
     } else {
       const record = decodeJobRecord(value);
       const view = new JobView(jobId, record);
       this.jobs.set(jobId, view);
-      view.inherit(this.pipelines.urgencyOf(jobId));
-      this.pipelines.update(jobId, record);
+      view.inherit(this.dependencies.urgencyOf(jobId));
+      this.dependencies.update(jobId, record);
       // Pages and news may bring a ledger before its job.
       for (const [index, chunk] of this.chunksWithoutJob.get(jobId) ?? []) {
         this.setChunk(view, index, decodeChunk(chunk, chunkSize(view.record, index)));
--- a/src/records/format-upgrade.ts
+++ b/src/records/format-upgrade.ts
@@ -34,7 +34,7 @@
   }
 
   /** Says so of this process, and notes when all do. Called now and then, one look after the other. */
-  async look(): Promise<void> {
+  async check(): Promise<void> {
     const { leadership, transactions, log } = this.dependencies;
     if (this.isComplete || leadership.storeLeaseId === undefined || !leadership.isInTouchWithStore) return;
     if (!this.isAnnounced) await transactions.commit('format', Priority.lease, (draft) => this.announce(draft));
--- a/src/records/job-dependencies.ts
+++ b/src/records/job-dependencies.ts
@@ -2,7 +2,8 @@
  * Which jobs wait for which others, and what each job inherits from those that need it. Kept up with every change of a job
  * record: a change reaches only the jobs before it whose urgency it changes.
  */
-import { JOB_PRIORITIES, type JobRecord } from './records.js';
+import { JOB_PRIORITIES } from '../domain/job.js';
+import type { JobRecord } from './records.js';
 
 /** What the jobs that need a job ask of it. */
 export interface Urgency {
@@ -41,16 +42,16 @@
   }
 
   /** The jobs that a waiting job names. */
-  predecessorsOf(jobId: string): readonly string[] {
+  dependenciesOf(jobId: string): readonly string[] {
     return this.waiting.get(jobId)?.dependencies ?? [];
   }
 
   /** The waiting jobs that name a job. */
-  successorsOf(jobId: string): ReadonlySet<string> {
+  dependentsOf(jobId: string): ReadonlySet<string> {
     return this.successors.get(jobId) ?? NONE;
   }
 
-  hasSuccessors(jobId: string): boolean {
+  hasDependents(jobId: string): boolean {
     return this.successors.has(jobId);
   }
 
@@ -60,7 +61,7 @@
 
   /** Takes in a job's record; undefined: it is gone. */
   update(jobId: string, record: JobRecord | undefined): void {
-    const before = this.predecessorsOf(jobId);
+    const before = this.dependenciesOf(jobId);
     const isWaiting = record?.state === 'waiting';
     if (!isWaiting && before.length === 0) return;
     for (const predecessor of before) this.unlink(predecessor, jobId);
@@ -69,7 +70,7 @@
       this.waiting.set(jobId, record);
       for (const predecessor of record.dependencies ?? []) this.link(predecessor, jobId);
     }
-    this.propagate([...before, ...this.predecessorsOf(jobId)]);
+    this.propagate([...before, ...this.dependenciesOf(jobId)]);
   }
 
   private link(predecessor: string, jobId: string): void {
@@ -90,16 +91,16 @@
       const old = this.urgencyOf(jobId);
       const now = this.inheritedBy(jobId);
       if (now.priorityIndex === old.priorityIndex && now.finishBy === old.finishBy) continue;
-      if (this.hasSuccessors(jobId)) this.inherited.set(jobId, now);
+      if (this.hasDependents(jobId)) this.inherited.set(jobId, now);
       else this.inherited.delete(jobId);
       this.onChange(jobId, now);
-      open.push(...this.predecessorsOf(jobId));
+      open.push(...this.dependenciesOf(jobId));
     }
   }
 
   private inheritedBy(jobId: string): Urgency {
     let { priorityIndex, finishBy } = NO_URGENCY;
-    for (const successor of this.successorsOf(jobId)) {
+    for (const successor of this.dependentsOf(jobId)) {
       const record = this.waiting.get(successor)!;
       const theirs = this.urgencyOf(successor);
       priorityIndex = Math.min(priorityIndex, theirs.priorityIndex, JOB_PRIORITIES.indexOf(record.spec.priority));
--- a/src/records/job-spec-codec.ts
+++ b/src/records/job-spec-codec.ts
@@ -1,5 +1,5 @@
 /** A job as users submit it and as its record in the store holds it: the wire names, and their translation. */
-import type { JobKind, JobPriority, JobSpec } from './records.js';
+import type { JobKind, JobPriority, JobSpec } from '../domain/job.js';
 
 export type WireJobShape = 'array' | 'ensemble' | 'service';
 
--- a/src/records/placement-codec.ts
+++ b/src/records/placement-codec.ts
@@ -4,7 +4,8 @@
  * `[attempt, failures, machine, agent epoch, grace period in s or -1, zone]`.
  */
 import { jsonLength, noteLength } from '../store/json-size.js';
-import { CorruptRecord, isCount, type ActivePlacement, type TaskPlacement } from './records.js';
+import { CorruptRecord, isCount } from './records.js';
+import type { ActivePlacement, TaskPlacement } from '../domain/task.js';
 
 const NEVER_PLACED: TaskPlacement = { kind: 'queued', attempt: 0, failures: 0 };
 const DONE: TaskPlacement = { kind: 'done' };
--- a/src/records/placement-mutations.ts
+++ b/src/records/placement-mutations.ts
@@ -1,11 +1,13 @@
-import type { Team } from '../domain/settings.js';
-import type { TransactionDraft } from '../store/transaction-draft.js';
-import { chunkCount, chunkSize, type JobRecord, type TaskPlacement } from './records.js';
+import type { Team } from '../domain/team.js';
+import { chunkCount, chunkSize, type JobRecord } from './records.js';
+import type { TaskPlacement } from '../domain/task.js';
 import { finalJobKey, jobKey, placementChunkKey } from './record-keys.js';
 import { decodeChunk, withPlacement } from './placement-codec.js';
 import { decodeJobRecord, encodeFinalJobRecord } from './record-codecs.js';
-import { type Machine, type Proof, provesFree, whyNotStart } from './placement-rules.js';
+import type { Machine } from '../domain/machine.js';
+import { type Proof, provesFree, whyNotStartable } from './placement-rules.js';
 import type { TeamAccounting } from './team-accounting.js';
+import type { TransactionDraft } from '../store/transaction-draft.js';
 
 /** Reads a job and makes it a condition. */
 export function readJob(draft: TransactionDraft, jobId: string): JobRecord | undefined {
@@ -50,12 +52,12 @@
   if (job === undefined) return 'no such job';
   const index = Math.floor(taskIndex / job.tasksPerChunk);
   const placement = readChunk(draft, job, index)[taskIndex % job.tasksPerChunk]!;
-  const why = whyNotStart({
+  const why = whyNotStartable({
     job,
     placement,
     others: job.spec.spreadAcrossZones || job.spec.singleZone ? readPlacements(draft, job) : [],
     team,
-    teamUsage: accounting.useOf(draft, team, job.spec),
+    teamUsage: accounting.usageOf(draft, team, job.spec),
     machine,
     attempt,
   });
@@ -73,7 +75,7 @@
   return undefined;
 }
 
-export type Ending = 'done' | 'failed' | 'lost';
+export type TaskEnding = 'done' | 'failed' | 'lost';
 
 /** Frees a place on proof, and records how the task ended. */
 export function releasePlacement(
@@ -83,7 +85,7 @@
   taskIndex: number,
   machineId: string,
   proof: Proof,
-  ending: Ending,
+  ending: TaskEnding,
 ): boolean {
   const job = readJob(draft, jobId);
   if (job === undefined) return false;
--- a/src/records/placement-rules.ts
+++ b/src/records/placement-rules.ts
@@ -1,42 +1,11 @@
-import type { Team } from '../domain/settings.js';
-import type { JobRecord, JobSpec, ActivePlacement, TaskPlacement, TeamUsage, Resources } from './records.js';
-
-/** What the rules need to know of a machine. */
-export interface Machine {
-  machineId: string;
-  machineType: string;
-  zone: string;
-  isSpot: boolean;
-  agentEpoch: number;
-}
-
-const EPS = 1e-6;
-
-/** Amounts are decimal; sums are kept to a millionth so that they don't drift apart. */
-export const roundAmount = (x: number): number => Math.round(x * 1e6) / 1e6;
-
-export const fits = (task: JobSpec, room: Resources): boolean =>
-  task.cpus <= room.cpus + EPS && task.gpus <= room.gpus + EPS && task.memoryGb <= room.memoryGb + EPS;
-
-/** Is no more given away than there was? */
-export const isNonNegative = (left: Resources): boolean =>
-  left.cpus >= -EPS && left.gpus >= -EPS && left.memoryGb >= -EPS;
-
-export const resourcesOf = (spec: JobSpec): Resources => ({
-  cpus: spec.cpus,
-  gpus: spec.gpus,
-  memoryGb: spec.memoryGb,
-});
-
-/** Takes the room of so many tasks away; a negative number gives it back. */
-export function subtractResources(room: Resources, spec: JobSpec, tasks = 1): void {
-  room.cpus -= spec.cpus * tasks;
-  room.gpus -= spec.gpus * tasks;
-  room.memoryGb -= spec.memoryGb * tasks;
-}
+import type { Team, TeamUsage } from '../domain/team.js';
+import type { JobRecord } from './records.js';
+import type { JobSpec } from '../domain/job.js';
+import type { ActivePlacement, TaskPlacement } from '../domain/task.js';
+import { Machine } from '../domain/machine.js';
 
 /** May a task of this job ever run on such a machine? */
-export const allowedOn = (job: JobSpec, machine: Pick<Machine, 'machineType' | 'zone' | 'isSpot'>): boolean =>
+export const isAllowedOn = (job: JobSpec, machine: Pick<Machine, 'machineType' | 'zone' | 'isSpot'>): boolean =>
   (job.machineTypes === null || job.machineTypes.includes(machine.machineType)) &&
   (job.zone === null || job.zone === machine.zone) &&
   (job.allowsSpot || !machine.isSpot);
@@ -45,7 +14,7 @@
 export const spreadLimit = (job: JobSpec): number => Math.ceil(job.taskCount / 2);
 
 /** Tasks of the job in each zone, counted until their exit is known. */
-export function zonesOf(placements: Iterable<TaskPlacement>): Map<string, number> {
+export function countTasksPerZone(placements: Iterable<TaskPlacement>): Map<string, number> {
   const zones = new Map<string, number>();
   for (const placement of placements)
     if (placement.kind === 'placed') zones.set(placement.zone, (zones.get(placement.zone) ?? 0) + 1);
@@ -53,14 +22,17 @@
 }
 
 /** May one more task start in the zone, given where the job's other tasks are? */
-export function zoneAllows(job: JobSpec, zones: ReadonlyMap<string, number>, zone: string): boolean {
+export function isZoneAllowed(job: JobSpec, zones: ReadonlyMap<string, number>, zone: string): boolean {
   if (job.spreadAcrossZones && (zones.get(zone) ?? 0) >= spreadLimit(job)) return false;
   if (job.singleZone) for (const [other, count] of zones) if (count > 0 && other !== zone) return false;
   return true;
 }
 
+/** Amounts are decimal; what differs by less counts as equal. */
+const EPS = 1e-6;
+
 /** Does the team's committed use, with this added, stay within its limit? 0 means no limit. */
-export const quotaAllows = ({ limit }: Team, use: TeamUsage, cpus: number, gpus: number): boolean =>
+export const isWithinQuota = ({ limit }: Team, use: TeamUsage, cpus: number, gpus: number): boolean =>
   (limit.cpus === 0 || cpus === 0 || use.cpus + cpus <= limit.cpus + EPS) &&
   (limit.gpus === 0 || gpus === 0 || use.gpus + gpus <= limit.gpus + EPS);
 
@@ -81,7 +53,7 @@
 }
 
 /** The one check of every start: undefined if it may be committed, else the rule in its way. */
-export function whyNotStart(facts: StartFacts): string | undefined {
+export function whyNotStartable(facts: StartFacts): string | undefined {
   const { job, placement, team, teamUsage, machine } = facts;
   if (job === undefined) return 'no such job';
   if (job.state === 'waiting') return 'waits for other jobs';
@@ -91,9 +63,9 @@
   if (facts.attempt < placement.attempt || (facts.attempt === placement.attempt && job.spec.kind !== 'gang')) {
     return 'attempt used before';
   }
-  if (!allowedOn(job.spec, machine)) return 'machine not allowed';
-  if (!zoneAllows(job.spec, zonesOf(facts.others), machine.zone)) return 'zone not allowed';
-  if (!quotaAllows(team, teamUsage, job.spec.cpus, job.spec.gpus)) return 'over the limit of its team';
+  if (!isAllowedOn(job.spec, machine)) return 'machine not allowed';
+  if (!isZoneAllowed(job.spec, countTasksPerZone(facts.others), machine.zone)) return 'zone not allowed';
+  if (!isWithinQuota(team, teamUsage, job.spec.cpus, job.spec.gpus)) return 'over the limit of its team';
   return undefined;
 }
 
--- a/src/records/record-codecs.ts
+++ b/src/records/record-codecs.ts
@@ -3,16 +3,16 @@
 import { JOB_PREFIX } from './record-keys.js';
 import {
   CorruptRecord,
-  isCount,
-  JOB_PRIORITIES,
   type FinalJobRecord,
   type FormatRecord,
+  isCount,
   type JobRecord,
   type LeadershipRecord,
   type RentalRecord,
   type StandbyRecord,
-  type TeamUsage,
 } from './records.js';
+import { JOB_PRIORITIES } from '../domain/job.js';
+import type { TeamUsage } from '../domain/team.js';
 
 type StoredPhase = 'waiting' | 'active' | 'withdrawn';
 
--- a/src/records/team-accounting.ts
+++ b/src/records/team-accounting.ts
@@ -5,21 +5,22 @@
  * the next start sets it to what the ledger shows, if the copy is known to hold every start that the record counts.
  */
 import { DEFERRED_EXIT_SHARE } from '../constants/records.js';
-import type { Team } from '../domain/settings.js';
-import type { TransactionDraft } from '../store/transaction-draft.js';
-import type { StoredValue } from '../store/replica.js';
+import type { Team, TeamUsage } from '../domain/team.js';
 import { decodeTeamUsage, encodeTeamUsage } from './record-codecs.js';
 import { teamKey } from './record-keys.js';
-import type { JobSpec, TeamUsage } from './records.js';
-import { isLimited, roundAmount } from './placement-rules.js';
+import type { JobSpec } from '../domain/job.js';
+import { isLimited } from './placement-rules.js';
+import { roundAmount } from '../domain/resources.js';
+import type { TransactionDraft } from '../store/transaction-draft.js';
+import type { StoredValue } from '../store/replica.js';
 
 export interface TeamAccountingDependencies {
   teams: readonly Team[];
   /** What a team's places use by the ledger; undefined unless the copy holds all that happened up to the revision. */
-  placedUse: (team: string, upTo: number) => TeamUsage | undefined;
+  placedUsageOf: (team: string, upTo: number) => TeamUsage | undefined;
   recordOf: (key: string) => StoredValue;
   /** Do all controllers know that a record may be more than its team uses? */
-  mayDefer: () => boolean;
+  canDeferExits: () => boolean;
 }
 
 const withTask = (use: TeamUsage, spec: JobSpec, tasks: 1 | -1): TeamUsage => ({
@@ -40,7 +41,7 @@
   }
 
   /** What the job's team uses at most; a condition of the draft from then on. */
-  useOf(draft: TransactionDraft, team: Team, spec: JobSpec): TeamUsage {
+  usageOf(draft: TransactionDraft, team: Team, spec: JobSpec): TeamUsage {
     if (!isLimited(team, spec)) return { cpus: 0, gpus: 0 };
     const key = teamKey(team.name);
     const isCounted = draft.hasWritten(key);
@@ -51,19 +52,21 @@
 
   addStart(draft: TransactionDraft, team: Team, spec: JobSpec): void {
     if (!isLimited(team, spec)) return;
-    draft.set(teamKey(team.name), encodeTeamUsage(withTask(this.useOf(draft, team, spec), spec, 1)));
+    draft.set(teamKey(team.name), encodeTeamUsage(withTask(this.usageOf(draft, team, spec), spec, 1)));
   }
 
   /** Takes a task off its team's record, unless that can be left to the team's next start. */
   addExit(draft: TransactionDraft, spec: JobSpec): void {
     const team = this.teams.get(spec.team);
     if (team === undefined || !isLimited(team, spec) || this.isDeferred(draft, team)) return;
-    draft.set(teamKey(team.name), encodeTeamUsage(withTask(this.useOf(draft, team, spec), spec, -1)));
+    draft.set(teamKey(team.name), encodeTeamUsage(withTask(this.usageOf(draft, team, spec), spec, -1)));
   }
 
   private isDeferred(draft: TransactionDraft, team: Team): boolean {
     const key = teamKey(team.name);
-    return this.dependencies.mayDefer() && !draft.hasWritten(key) && isFarBelow(decodeTeamUsage(draft.peek(key)), team);
+    return (
+      this.dependencies.canDeferExits() && !draft.hasWritten(key) && isFarBelow(decodeTeamUsage(draft.peek(key)), team)
+    );
   }
 
   /** Does a team's record say more than the ledger shows? */
@@ -95,13 +98,13 @@
    * exits that the copy has not seen count as use.
    */
   private atMost(team: string, recorded: TeamUsage, modRevision: number): TeamUsage {
-    const placed = this.dependencies.placedUse(team, modRevision);
+    const placed = this.dependencies.placedUsageOf(team, modRevision);
     if (placed === undefined) return recorded;
     return { cpus: Math.min(recorded.cpus, placed.cpus), gpus: Math.min(recorded.gpus, placed.gpus) };
   }
 
   /** The team whose record an exit may change. */
   teamChangedByExit(spec: JobSpec | undefined): Team | undefined {
-    return spec === undefined || this.dependencies.mayDefer() ? undefined : this.teams.get(spec.team);
+    return spec === undefined || this.dependencies.canDeferExits() ? undefined : this.teams.get(spec.team);
   }
 }
--- a/src/scheduling/candidate-machines.ts
+++ b/src/scheduling/candidate-machines.ts
@@ -1,6 +1,7 @@
-import type { JobSpec, Resources } from '../records/records.js';
-import { allowedOn, resourcesOf } from '../records/placement-rules.js';
-import type { MachineInfo } from '../inventory/machine-inventory.js';
+import type { JobSpec } from '../domain/job.js';
+import { type Resources, resourcesOf } from '../domain/resources.js';
+import { isAllowedOn } from '../records/placement-rules.js';
+import type { MachineInfo } from '../domain/machine-state.js';
 
 /** Machines that a kind of job may use, and what is known to fit on none of them. */
 export class CandidateMachines {
@@ -42,7 +43,7 @@
     const key = `${spec.machineTypes?.join(',') ?? '*'} ${spec.zone ?? '*'} ${spec.allowsSpot}`;
     let kind = this.kinds.get(key);
     if (kind === undefined) {
-      const allowed = new CandidateMachines(this.machines.filter((machine) => allowedOn(spec, machine)));
+      const allowed = new CandidateMachines(this.machines.filter((machine) => isAllowedOn(spec, machine)));
       this.kinds.set(key, (kind = { allowed, partitions: new Map() }));
     }
     return kind;
--- a/src/scheduling/decisions/eviction-options.ts
+++ b/src/scheduling/decisions/eviction-options.ts
@@ -1,6 +1,8 @@
 import type { PlacedTask } from '../../records/cluster-state.js';
-import { JOB_PRIORITIES, type JobSpec, type Resources } from '../../records/records.js';
-import { allowedOn, fits, type Machine, subtractResources } from '../../records/placement-rules.js';
+import { JOB_PRIORITIES, type JobSpec } from '../../domain/job.js';
+import { fits, type Resources, subtractResources } from '../../domain/resources.js';
+import { isAllowedOn } from '../../records/placement-rules.js';
+import type { Machine } from '../../domain/machine.js';
 
 export interface EvictionCandidate {
   placedTask: PlacedTask;
@@ -15,8 +17,8 @@
 }
 
 export interface EvictionOption<F> {
-  field: F;
-  victims: EvictionCandidate[];
+  load: F;
+  evicted: EvictionCandidate[];
   cost: number;
 }
 
@@ -27,28 +29,28 @@
   priorityIndexOf(b.spec) - priorityIndexOf(a.spec) || a.spec.estimatedRunS - b.spec.estimatedRunS;
 
 /** What it costs to make room for one task on a machine, or undefined where that can't be done. */
-export function optionOn<F extends MachineLoad<Machine & { images: readonly string[] }>>(
+export function findEvictionOption<F extends MachineLoad<Machine & { images: readonly string[] }>>(
   spec: JobSpec,
-  field: F,
+  load: F,
   mayStop: (victim: JobSpec) => boolean,
   coldCost: number,
 ): EvictionOption<F> | undefined {
-  if (!allowedOn(spec, field.machine)) return undefined;
-  const room = { ...field.room };
-  const victims: EvictionCandidate[] = [];
-  let cost = field.machine.images.includes(spec.image) ? 0 : coldCost;
-  for (const victim of field.tasks) {
+  if (!isAllowedOn(spec, load.machine)) return undefined;
+  const room = { ...load.room };
+  const evicted: EvictionCandidate[] = [];
+  let cost = load.machine.images.includes(spec.image) ? 0 : coldCost;
+  for (const victim of load.tasks) {
     if (fits(spec, room)) break;
     if (!mayStop(victim.spec)) continue;
-    victims.push(victim);
+    evicted.push(victim);
     subtractResources(room, victim.spec, -1);
     cost += (JOB_PRIORITIES.length - priorityIndexOf(victim.spec)) * (victim.spec.checkpointIntervalS > 0 ? 1 : 2);
   }
-  return fits(spec, room) ? { field, victims, cost } : undefined;
+  return fits(spec, room) ? { load, evicted, cost } : undefined;
 }
 
 /** Specs with the same signature ask the same of a machine, its images apart. */
-export const signatureOf = (spec: JobSpec): string =>
+export const requirementKeyOf = (spec: JobSpec): string =>
   [
     spec.priority,
     spec.cpus,
--- a/src/scheduling/decisions/happiness.ts
+++ b/src/scheduling/decisions/happiness.ts
@@ -18,7 +18,7 @@
   }
 
   /** undefined: no checks, no judgement. */
-  of(task: string, now: number): number | undefined {
+  happinessOf(task: string, now: number): number | undefined {
     const list = (this.checks.get(task) ?? []).filter((check) => check.at >= now - this.windowMs);
     if (list.length === 0) return undefined;
     return list.filter((check) => check.healthy).length / list.length;
@@ -47,12 +47,12 @@
     for (const [task, at] of this.movedAt) yield { task, at };
   }
 
-  moved(task: string, now: number): void {
+  noteMove(task: string, now: number): void {
     this.movedAt.set(task, now);
   }
 
   /** Each task moves at most once per window. */
-  mayMove(task: string, now: number): boolean {
+  canMove(task: string, now: number): boolean {
     return now - (this.movedAt.get(task) ?? -Infinity) >= this.windowMs;
   }
 
--- a/src/scheduling/decisions/matching.ts
+++ b/src/scheduling/decisions/matching.ts
@@ -1,16 +1,16 @@
-import type { Resources } from '../../records/records.js';
+import type { Resources } from '../../domain/resources.js';
 
 /** A task looking for a machine. Tasks of one `group` (job) are alike and share one preference list. */
-export interface Seeker {
+export interface MatchingTask {
   id: string;
   group: string;
   /** What the task uses: its machine's used room split by request, or its request where nothing is known. */
-  use: Resources;
+  usage: Resources;
   /** The most it may use: its request. */
-  peak: Resources;
+  requested: Resources;
 }
 
-export interface Host {
+export interface MatchingMachine {
   id: string;
   zone: string;
   free: Resources;
@@ -18,27 +18,31 @@
 
 export interface MatchRules {
   /** Is the machine open to the group at all (type, zone, kind, health)? */
-  allowed(group: string, host: Host): boolean;
+  isAllowed(group: string, host: MatchingMachine): boolean;
   /** May the group have one more task in the zone, beside `taken` matched so far? */
   zoneAllows(group: string, zone: string, taken: ReadonlyMap<string, number>): boolean;
   /** Extension: may the machine have one more task of the group, beside `taken` matched so far? */
-  hostAllows(group: string, host: Host, taken: number): boolean;
+  machineAllows(group: string, host: MatchingMachine, taken: number): boolean;
   /** Extension: what is taken off a distance, e.g. for an image that is there already. Distances stay in order within. */
-  tier(group: string, host: Host): number;
+  tier(group: string, host: MatchingMachine): number;
 }
 
 const EPS = 1e-6;
 
 /** Euclidean distance from a task's use to a machine's free CPU and memory. */
-export const distance = (use: Resources, free: Resources): number =>
-  Math.hypot(free.cpus - use.cpus, free.memoryGb - use.memoryGb);
+export const distance = (usage: Resources, free: Resources): number =>
+  Math.hypot(free.cpus - usage.cpus, free.memoryGb - usage.memoryGb);
 
 /** The machines that a group may go to, nearest first. */
-export function preferences(seeker: Seeker, hosts: readonly Host[], rules: MatchRules): Host[] {
-  const ranked: { host: Host; tier: number; far: number }[] = [];
+export function preferences(
+  seeker: MatchingTask,
+  hosts: readonly MatchingMachine[],
+  rules: MatchRules,
+): MatchingMachine[] {
+  const ranked: { host: MatchingMachine; tier: number; far: number }[] = [];
   for (const host of hosts) {
-    if (!holds(host.free, seeker.peak) || !rules.allowed(seeker.group, host)) continue;
-    ranked.push({ host, tier: rules.tier(seeker.group, host), far: distance(seeker.use, host.free) });
+    if (!holds(host.free, seeker.requested) || !rules.isAllowed(seeker.group, host)) continue;
+    ranked.push({ host, tier: rules.tier(seeker.group, host), far: distance(seeker.usage, host.free) });
   }
   ranked.sort((a, b) => a.tier - b.tier || a.far - b.far || (a.host.id < b.host.id ? -1 : 1));
   return ranked.map((each) => each.host);
@@ -48,38 +52,38 @@
   task.cpus <= room.cpus + EPS && task.memoryGb <= room.memoryGb + EPS && task.gpus <= room.gpus + EPS;
 
 /** Does the machine rank task `a` before task `b`? Higher CPU use first; names decide ties, so that the order is strict. */
-export const ranksBefore = (a: Seeker, b: Seeker): boolean =>
-  a.use.cpus > b.use.cpus || (a.use.cpus === b.use.cpus && a.id < b.id);
+export const ranksBefore = (a: MatchingTask, b: MatchingTask): boolean =>
+  a.usage.cpus > b.usage.cpus || (a.usage.cpus === b.usage.cpus && a.id < b.id);
 
 class Matched {
-  readonly tasks: Seeker[] = [];
+  readonly tasks: MatchingTask[] = [];
   readonly left: Resources;
-  constructor(readonly host: Host) {
+  constructor(readonly host: MatchingMachine) {
     this.left = { ...host.free };
   }
 
-  add(task: Seeker): void {
+  add(task: MatchingTask): void {
     let at = this.tasks.length;
     while (at > 0 && ranksBefore(task, this.tasks[at - 1]!)) at--;
     this.tasks.splice(at, 0, task);
     this.shift(task, -1);
   }
 
-  removeLowest(): Seeker {
+  removeLowest(): MatchingTask {
     const task = this.tasks.pop()!;
     this.shift(task, 1);
     return task;
   }
 
-  remove(task: Seeker): void {
+  remove(task: MatchingTask): void {
     this.tasks.splice(this.tasks.indexOf(task), 1);
     this.shift(task, 1);
   }
 
-  private shift(task: Seeker, sign: 1 | -1): void {
-    this.left.cpus += sign * task.peak.cpus;
-    this.left.memoryGb += sign * task.peak.memoryGb;
-    this.left.gpus += sign * task.peak.gpus;
+  private shift(task: MatchingTask, sign: 1 | -1): void {
+    this.left.cpus += sign * task.requested.cpus;
+    this.left.memoryGb += sign * task.requested.memoryGb;
+    this.left.gpus += sign * task.requested.gpus;
   }
 
   countOf(group: string): number {
@@ -89,17 +93,17 @@
   }
 
   /** The room there would be without the tasks that rank below this one. */
-  roomFor(task: Seeker): boolean {
-    if (holds(this.left, task.peak)) return true;
+  roomFor(task: MatchingTask): boolean {
+    if (holds(this.left, task.requested)) return true;
     const room = { ...this.left };
-    for (let at = this.tasks.length - 1; at >= 0 && !holds(room, task.peak); at--) {
+    for (let at = this.tasks.length - 1; at >= 0 && !holds(room, task.requested); at--) {
       const other = this.tasks[at]!;
       if (!ranksBefore(task, other)) return false;
-      room.cpus += other.peak.cpus;
-      room.memoryGb += other.peak.memoryGb;
-      room.gpus += other.peak.gpus;
+      room.cpus += other.requested.cpus;
+      room.memoryGb += other.requested.memoryGb;
+      room.gpus += other.requested.gpus;
     }
-    return holds(room, task.peak);
+    return holds(room, task.requested);
   }
 }
 
@@ -110,13 +114,17 @@
  * over before would now have: it gets another look, without which pairs could remain that would rather have each other.
  * All machines rank tasks alike, so each look settles the highest-ranked task that it concerns, and the rounds end.
  */
-export function match(seekers: readonly Seeker[], hosts: readonly Host[], rules: MatchRules): Map<string, Host> {
-  const lists = new Map<string, Host[]>();
+export function match(
+  seekers: readonly MatchingTask[],
+  hosts: readonly MatchingMachine[],
+  rules: MatchRules,
+): Map<string, MatchingMachine> {
+  const lists = new Map<string, MatchingMachine[]>();
   // Made when a task looks at the machine: a few tasks among hundreds of machines see only the first ones.
-  const places = new Map<Host, Matched>();
-  const passed = new Map<Host, Set<Seeker>>();
+  const places = new Map<MatchingMachine, Matched>();
+  const passed = new Map<MatchingMachine, Set<MatchingTask>>();
   const zones = new Map<string, Map<string, number>>();
-  const result = new Map<string, Host>();
+  const result = new Map<string, MatchingMachine>();
   const queue = [...seekers];
   const queued = new Set(seekers);
   const zonesOf = (group: string) => {
@@ -124,21 +132,21 @@
     if (taken === undefined) zones.set(group, (taken = new Map<string, number>()));
     return taken;
   };
-  const countZone = (task: Seeker, host: Host, by: number) => {
+  const countZone = (task: MatchingTask, host: MatchingMachine, by: number) => {
     const taken = zonesOf(task.group);
     taken.set(host.zone, (taken.get(host.zone) ?? 0) + by);
   };
-  const enqueue = (task: Seeker) => {
+  const enqueue = (task: MatchingTask) => {
     if (queued.has(task)) return;
     queued.add(task);
     queue.push(task);
   };
-  const pass = (task: Seeker, host: Host) => {
+  const pass = (task: MatchingTask, host: MatchingMachine) => {
     const waiting = passed.get(host);
     if (waiting === undefined) passed.set(host, new Set([task]));
     else waiting.add(task);
   };
-  const lookAgain = (host: Host) => {
+  const lookAgain = (host: MatchingMachine) => {
     const waiting = passed.get(host) ?? [];
     passed.delete(host);
     for (const task of waiting) enqueue(task);
@@ -154,7 +162,7 @@
       let place = places.get(host);
       if (place === undefined) places.set(host, (place = new Matched(host)));
       const zoneOpen = rules.zoneAllows(task.group, host.zone, zonesOf(task.group));
-      const hostOpen = rules.hostAllows(task.group, host, place.countOf(task.group));
+      const hostOpen = rules.machineAllows(task.group, host, place.countOf(task.group));
       if (!zoneOpen || !hostOpen || !place.roomFor(task)) {
         pass(task, host);
         continue;
@@ -165,7 +173,7 @@
         lookAgain(current);
       }
       let displaced = false;
-      while (!holds(place.left, task.peak)) {
+      while (!holds(place.left, task.requested)) {
         const out = place.removeLowest();
         result.delete(out.id);
         countZone(out, host, -1);
--- a/src/scheduling/decisions/queue-order.ts
+++ b/src/scheduling/decisions/queue-order.ts
@@ -1,53 +1,38 @@
-import { Priority } from '../../net/token-bucket.js';
-import type { ServiceLevelObjective, Team } from '../../domain/settings.js';
-import {
-  JOB_PRIORITIES,
-  runnableSinceMs,
-  type JobRecord,
-  type JobSpec,
-  type TeamUsage,
-} from '../../records/records.js';
+import type { ServiceLevelObjective } from '../../domain/settings.js';
+import type { Team, TeamUsage } from '../../domain/team.js';
+import { JOB_PRIORITIES, type JobSpec } from '../../domain/job.js';
+import { type JobRecord, runnableSinceMs } from '../../records/records.js';
 
 /** A job that waits for places, with all that decides about its turn. */
 export interface QueuedJob {
   record: JobRecord;
   /** Does the job fit into its team's guarantee beside what the team uses? */
-  guaranteed: boolean;
+  isGuaranteed: boolean;
   /** Can it still be complete in time, if its tasks start now? */
-  feasible: boolean;
+  isFeasible: boolean;
   /** CPU seconds that its waiting tasks will take, by its owner's estimate. */
-  work: number;
+  remainingCpuS: number;
   /** None of its tasks has begun, and it has waited for longer than any job should. */
-  overdue: boolean;
+  isOverdue: boolean;
   /** Time of day, ms, by which it must start for the sake of the pipeline that it is part of; Infinity: of none, or no matter. */
   startBy: number;
 }
 
-/** Exits of arrays may wait; those of services and gangs are followed by a start that may not. */
-export const exitPriority = (spec: JobSpec | undefined): Priority =>
-  spec?.kind === 'array' ? Priority.record : Priority.start;
-
-/** Starts of arrays may wait, unless they are of a rank, or in a pipeline of a rank, that is urgent. */
-export const startPriority = (spec: JobSpec): Priority =>
-  spec.kind === 'array' && JOB_PRIORITIES.indexOf(spec.priority) >= JOB_PRIORITIES.indexOf('normal')
-    ? Priority.background
-    : Priority.start;
-
 /** The resource by which a job counts against its team's guarantee; 0 means that the team has none of that kind. */
-export function guaranteeOf(team: Team, spec: JobSpec): 'cpus' | 'gpus' | undefined {
+export function guaranteedResourceOf(team: Team, spec: JobSpec): 'cpus' | 'gpus' | undefined {
   if (spec.gpus > 0 && team.guaranteed.gpus > 0) return 'gpus';
   return spec.gpus === 0 && team.guaranteed.cpus > 0 ? 'cpus' : undefined;
 }
 
 /** Does one more task of the job fit into the team's guarantee? */
-export function withinGuarantee(team: Team, use: TeamUsage, spec: JobSpec): boolean {
-  const kind = guaranteeOf(team, spec);
+export function isWithinGuarantee(team: Team, use: TeamUsage, spec: JobSpec): boolean {
+  const kind = guaranteedResourceOf(team, spec);
   return kind !== undefined && use[kind] + spec[kind] <= team.guaranteed[kind];
 }
 
 /** A team whose unfinished jobs all fit into its guarantee together need not wait for others; `demand` counts them all. */
-export function isOwed(team: Team, demand: TeamUsage, spec: JobSpec): boolean {
-  const kind = guaranteeOf(team, spec);
+export function isOwedGuarantee(team: Team, demand: TeamUsage, spec: JobSpec): boolean {
+  const kind = guaranteedResourceOf(team, spec);
   return kind !== undefined && demand[kind] <= team.guaranteed[kind];
 }
 
@@ -89,9 +74,9 @@
 }
 
 /** An overdue array stands among those of rank normal, if its own is lower. */
-const effectivePriorityIndex = ({ overdue, record }: QueuedJob): number => {
+const effectivePriorityIndex = ({ isOverdue, record }: QueuedJob): number => {
   const rank = JOB_PRIORITIES.indexOf(record.spec.priority);
-  return overdue ? Math.min(rank, JOB_PRIORITIES.indexOf('normal')) : rank;
+  return isOverdue ? Math.min(rank, JOB_PRIORITIES.indexOf('normal')) : rank;
 };
 
 /**
@@ -101,16 +86,16 @@
  * But arrays that should have begun long ago come before other arrays, up to those
  * of rank normal, with a few tasks each: by the rest of the order the largest and the lowest might never begin under load.
  */
-export function before(a: QueuedJob, b: QueuedJob): number {
+export function compareQueuedJobs(a: QueuedJob, b: QueuedJob): number {
   const rank = effectivePriorityIndex(a) - effectivePriorityIndex(b);
   if (rank !== 0) return rank;
   const batch = Number(a.record.spec.kind === 'array') - Number(b.record.spec.kind === 'array');
   if (batch !== 0) return batch;
-  if (a.overdue !== b.overdue) return a.overdue ? -1 : 1;
-  if (a.guaranteed !== b.guaranteed) return a.guaranteed ? -1 : 1;
-  if (a.feasible !== b.feasible) return a.feasible ? -1 : 1;
+  if (a.isOverdue !== b.isOverdue) return a.isOverdue ? -1 : 1;
+  if (a.isGuaranteed !== b.isGuaranteed) return a.isGuaranteed ? -1 : 1;
+  if (a.isFeasible !== b.isFeasible) return a.isFeasible ? -1 : 1;
   if (a.startBy !== b.startBy) return a.startBy - b.startBy;
-  if (a.record.spec.kind === 'array' && a.work !== b.work) return a.work - b.work;
+  if (a.record.spec.kind === 'array' && a.remainingCpuS !== b.remainingCpuS) return a.remainingCpuS - b.remainingCpuS;
   const age = runnableSinceMs(a.record) - runnableSinceMs(b.record);
   if (age !== 0) return age;
   // Every node makes the whole plan: where orders differ, each leaves a team's room to a job that another node is to place.
--- a/src/scheduling/eviction-marker.ts
+++ b/src/scheduling/eviction-marker.ts
@@ -1,12 +1,13 @@
 import { STOPPING_MS } from '../constants/scheduling.js';
 import type { ClusterState, PlacedTask } from '../records/cluster-state.js';
 import { markForStop } from '../records/placement-mutations.js';
-import type { JobSpec } from '../records/records.js';
+import type { JobSpec } from '../domain/job.js';
+import { attemptKeyOf } from '../workers/reconciliation.js';
+import { CLUSTER_LEADER_ROLE } from '../domain/role.js';
+import type { RoleLeadership } from '../leadership/role-leadership.js';
 import type { Clock } from '../net/clock.js';
 import { Priority } from '../net/token-bucket.js';
 import type { TransactionBatcher } from '../store/transaction-batcher.js';
-import { attemptKeyOf } from '../workers/reconciliation.js';
-import { CLUSTER_LEADER_ROLE, type RoleLeadership } from '../leadership/role-leadership.js';
 import type { Log } from '../logging/log.js';
 
 /** Marks places for stopping on the leader's behalf, and remembers which until the ledger shows it. */
@@ -22,12 +23,12 @@
   ) {}
 
   /** Attempts that were lately asked to stop, with the steady ms. */
-  *lately(): Iterable<{ attempt: string; at: number }> {
+  *recentEvictions(): Iterable<{ attempt: string; at: number }> {
     for (const [attempt, at] of this.stoppedAt) if (this.clock.now() - at < STOPPING_MS) yield { attempt, at };
   }
 
   /** A former leader has asked the attempt to stop. */
-  restore(attempt: string, at: number): void {
+  restoreEviction(attempt: string, at: number): void {
     if (!this.stoppedAt.has(attempt)) this.stoppedAt.set(attempt, at);
   }
 
@@ -38,7 +39,7 @@
     return since !== undefined && this.clock.now() - since < STOPPING_MS;
   }
 
-  stop(placedTask: PlacedTask, spec: JobSpec, gracePeriodS: number, why: string): void {
+  evict(placedTask: PlacedTask, spec: JobSpec, gracePeriodS: number, why: string): void {
     const { jobId } = placedTask;
     // A gang stops whole: every member must be told within `gang_peer_s` of the first.
     const placedTasks: PlacedTask[] = [];
--- a/src/scheduling/health-checks.ts
+++ b/src/scheduling/health-checks.ts
@@ -1,6 +1,6 @@
 /** Turns worker reports and deaths of tasks into checks of the happiness of service tasks. */
 import type { ClusterState, PlacedTask } from '../records/cluster-state.js';
-import { parseTaskId, taskIdOf } from '../records/records.js';
+import { parseTaskId, taskIdOf } from '../domain/task.js';
 import type { Clock } from '../net/clock.js';
 import type { Happiness } from './decisions/happiness.js';
 import type { WorkerStatus } from '../workers/worker-wire-codec.js';
@@ -15,7 +15,7 @@
   constructor(private readonly dependencies: HealthChecksDependencies) {}
 
   /** A worker has reported: each task that it runs is healthy. */
-  reported(workerStatus: WorkerStatus): void {
+  heartbeatReceived(workerStatus: WorkerStatus): void {
     for (const [name, task] of workerStatus.tasks) {
       const shard = parseTaskId(name);
       if (shard !== undefined && task.state === 'running') this.note(shard.jobId, shard.taskIndex, true);
@@ -23,7 +23,7 @@
   }
 
   /** A task died unfinished. */
-  died({ jobId, taskIndex }: PlacedTask): void {
+  taskDied({ jobId, taskIndex }: PlacedTask): void {
     this.note(jobId, taskIndex, false);
   }
 
--- a/src/scheduling/placement-planner.ts
+++ b/src/scheduling/placement-planner.ts
@@ -1,11 +1,9 @@
 import {
   OVERDUE_START_MS,
-  MAX_PLAN_REST_MS,
   MAX_PLAN_TASKS,
   MAX_UNPLACED,
   PLAN_GATHER_MS,
   SAMPLE_TASKS_OF_JOB,
-  LEAST_PLAN_REST_FACTOR,
   PLAN_TICK_MS,
   RUN_TIME_RATIO_WEIGHT,
   RETRY_BASE_MS,
@@ -13,34 +11,41 @@
   URGENT_PLANNING_TIME_SHARE,
   PLANNING_TIME_SHARE,
 } from '../constants/scheduling.js';
-import type { Settings, Team, Tuning } from '../domain/settings.js';
+import type { ReschedulingSettings, Settings } from '../domain/settings.js';
+import type { Team, TeamUsage } from '../domain/team.js';
 import type { ClusterState, JobView } from '../records/cluster-state.js';
 import { startTask } from '../records/placement-mutations.js';
 import { jobPlacementPrefix } from '../records/record-keys.js';
-import { type JobSpec, type Resources, runnableSinceMs, taskIdOf, type TeamUsage } from '../records/records.js';
+import { isPlacedByLeader, JobSpec } from '../domain/job.js';
+import { isNonNegative, type Resources, subtractResources } from '../domain/resources.js';
+import { runnableSinceMs } from '../records/records.js';
+import { taskIdOf } from '../domain/task.js';
 import type { TeamAccounting } from '../records/team-accounting.js';
-import { isNonNegative, quotaAllows, subtractResources } from '../records/placement-rules.js';
-import type { TransactionBatcher } from '../store/transaction-batcher.js';
-import type { TransactionDraft } from '../store/transaction-draft.js';
-import type { Clock } from '../net/clock.js';
-import type { Random } from '../net/random.js';
-import { Priority } from '../net/token-bucket.js';
+import { isWithinQuota } from '../records/placement-rules.js';
+import { resourcesOfMachineType } from '../domain/machine-type.js';
+import { CLUSTER_LEADER_ROLE, partitionRole } from '../domain/role.js';
+import type { MachineInfo } from '../domain/machine-state.js';
 import {
-  before,
+  compareQueuedJobs,
   isFeasible,
+  type QueuedJob,
   startByOf,
-  startPriority,
   targetsOf,
-  withinGuarantee,
-  type QueuedJob,
+  isWithinGuarantee,
 } from './decisions/queue-order.js';
-import { resourcesOfMachineType } from '../autoscaling/scale-out-decision.js';
-import { CLUSTER_LEADER_ROLE, partitionRole, type RoleLeadership } from '../leadership/role-leadership.js';
-import type { MachineInventory, MachineInfo } from '../inventory/machine-inventory.js';
+import { startPriority } from '../records/transaction-priority.js';
 import { GangAttempts } from './gang-attempts.js';
-import type { Log } from '../logging/log.js';
-import { isLarge, TaskPlacer, type PendingTask } from './task-placer.js';
+import { type PendingTask, TaskPlacer } from './task-placer.js';
 import { CandidateMachineIndex, type CandidateMachines } from './candidate-machines.js';
+import type { RoleLeadership } from '../leadership/role-leadership.js';
+import type { MachineInventory } from '../inventory/machine-inventory.js';
+import type { Clock } from '../net/clock.js';
+import type { Random } from '../net/random.js';
+import { Priority } from '../net/token-bucket.js';
+import type { TransactionBatcher } from '../store/transaction-batcher.js';
+import type { TransactionDraft } from '../store/transaction-draft.js';
+import type { Log } from '../logging/log.js';
+import { planRestMs } from './decisions/plan-rest.js';
 
 interface InFlightStart {
   machineId: string;
@@ -56,7 +61,7 @@
 
 export interface PlacementPlannerDependencies {
   settings: Settings;
-  tuning: Tuning;
+  tuning: ReschedulingSettings;
   leadership: RoleLeadership;
   clusterState: ClusterState;
   inventory: MachineInventory;
@@ -93,7 +98,7 @@
   private urgentRestUntil = -Infinity;
   private restUntil = -Infinity;
   /** What found no place in the leader's last round: what machines are rented and tasks preempted for. */
-  unplaced: PendingTask[] = [];
+  unplacedTasks: PendingTask[] = [];
 
   constructor({
     settings,
@@ -235,15 +240,15 @@
       const needS = spec.estimatedRunS * (this.ratios.get(spec.jobClass) ?? 1);
       list.push({
         record: view.record,
-        guaranteed: withinGuarantee(team, use, spec),
-        feasible: isFeasible(targetsOf(view.record, this.settings.cluster.serviceLevelObjectives), needS, now),
-        work: open * spec.cpus * needS,
-        overdue:
+        isGuaranteed: isWithinGuarantee(team, use, spec),
+        isFeasible: isFeasible(targetsOf(view.record, this.settings.cluster.serviceLevelObjectives), needS, now),
+        remainingCpuS: open * spec.cpus * needS,
+        isOverdue:
           spec.kind === 'array' && open === spec.taskCount && now - runnableSinceMs(view.record) > OVERDUE_START_MS,
         startBy: startByOf(view.record, view.finishBy, needS),
       });
     }
-    return list.sort(before);
+    return list.sort(compareQueuedJobs);
   }
 
   private plan(): void {
@@ -253,26 +258,26 @@
       return;
     const queuedJobs = this.queuedJobs();
     if (queuedJobs.length === 0) {
-      this.unplaced = [];
+      this.unplacedTasks = [];
       return;
     }
-    const machines = this.inventory.open();
+    const machines = this.inventory.openMachines();
     const rooms = this.freeResources(machines);
     const uses = this.teamUsages();
     const candidateIndex = new CandidateMachineIndex(machines, (machineId) => this.leadership.partitionOf(machineId));
     const unplaced: PendingTask[] = [];
     this.taskPlacer.begin();
-    for (const { record, overdue } of queuedJobs) {
+    for (const { record, isOverdue } of queuedJobs) {
       const { spec } = record;
       const partition = this.leadership.partitionOf(spec.id);
-      const large = isLarge(spec);
+      const large = isPlacedByLeader(spec);
       const allowed = large ? candidateIndex.allowed(spec) : undefined;
       const split = large ? undefined : candidateIndex.split(spec, partition);
       // A full cluster is the usual case under load: only the leader needs to know who waits there.
       const full = allowed?.isFull(spec) ?? (split!.near.isFull(spec) && split!.far.isFull(spec));
       if (full && !leader) continue;
       // Behind so many that wait already, a look at a few tells whether the job's tasks still fit somewhere.
-      const whole = !overdue && (unplaced.length < MAX_UNPLACED || large);
+      const whole = !isOverdue && (unplaced.length < MAX_UNPLACED || large);
       const most = whole ? MAX_PLAN_TASKS : SAMPLE_TASKS_OF_JOB;
       const waiting = this.pendingTasksOf(this.clusterState.jobs.get(spec.id)!, most);
       if (waiting.length === 0) continue;
@@ -287,7 +292,7 @@
       this.place(waiting, near, rooms, uses, partitions.has(partition) ? partitionRole(partition) : undefined, left);
       this.place(left, far, rooms, uses, leader ? CLUSTER_LEADER_ROLE : undefined, unplaced);
     }
-    if (leader) this.unplaced = unplaced;
+    if (leader) this.unplacedTasks = unplaced;
   }
 
   /**
@@ -313,7 +318,7 @@
     if (gang && attempt === undefined) return;
     // What the team's limit leaves room for; waiting for that is not a lack of machines.
     let allowed = 0;
-    while (allowed < waiting.length && quotaAllows(team, use, spec.cpus * (allowed + 1), spec.gpus * (allowed + 1))) {
+    while (allowed < waiting.length && isWithinQuota(team, use, spec.cpus * (allowed + 1), spec.gpus * (allowed + 1))) {
       allowed++;
     }
     if (gang && allowed < waiting.length) return;
@@ -442,7 +447,3 @@
     this.urgentRestUntil = now + planRestMs(now - began, URGENT_PLANNING_TIME_SHARE);
   }
 }
-
-/** ms from the end of a plan that took so long to the next, which may take a share of the time. */
-export const planRestMs = (tookMs: number, share: number): number =>
-  Math.max(Math.min(MAX_PLAN_REST_MS, tookMs * (1 / share - 1)), tookMs * LEAST_PLAN_REST_FACTOR);
--- a/src/scheduling/preemptor.ts
+++ b/src/scheduling/preemptor.ts
@@ -1,20 +1,23 @@
 import { IMAGE_FETCH_COST, PREEMPT_PERIOD_MS, PLANNING_TIME_SHARE } from '../constants/scheduling.js';
-import type { Settings, Team } from '../domain/settings.js';
+import type { Settings } from '../domain/settings.js';
+import type { Team, TeamUsage } from '../domain/team.js';
 import type { ClusterState } from '../records/cluster-state.js';
-import type { JobSpec, TeamUsage } from '../records/records.js';
-import { subtractResources, zoneAllows } from '../records/placement-rules.js';
+import type { JobSpec } from '../domain/job.js';
+import { subtractResources } from '../domain/resources.js';
+import { isZoneAllowed } from '../records/placement-rules.js';
+import type { MachineInventory } from '../inventory/machine-inventory.js';
+import type { MachineInfo } from '../domain/machine-state.js';
 import type { Clock } from '../net/clock.js';
-import { guaranteeOf, isBorrowed, isOwed } from './decisions/queue-order.js';
+import { guaranteedResourceOf, isBorrowed, isOwedGuarantee } from './decisions/queue-order.js';
 import {
   cheapestFirst,
-  optionOn,
+  findEvictionOption,
   priorityIndexOf,
-  signatureOf,
+  requirementKeyOf,
   type MachineLoad,
   type EvictionOption,
   type EvictionCandidate,
 } from './decisions/eviction-options.js';
-import type { MachineInventory, MachineInfo } from '../inventory/machine-inventory.js';
 import type { PendingTask } from './task-placer.js';
 import type { PlacementPlanner } from './placement-planner.js';
 import type { EvictionMarker } from './eviction-marker.js';
@@ -39,7 +42,7 @@
 
   round(): void {
     const began = this.clock.now();
-    if (began < this.pausedUntil || this.planner.unplaced.length === 0) return;
+    if (began < this.pausedUntil || this.planner.unplacedTasks.length === 0) return;
     const stopped = this.makeRoom();
     const now = this.clock.now();
     // The exits of the last round must have been seen; and a full cluster must not take the processor for looking alone.
@@ -51,7 +54,7 @@
     const demands = this.demands();
     const groups = new Map<string, PendingTask[]>();
     const lowest = this.lowestPriorityIndex();
-    for (const each of this.planner.unplaced) {
+    for (const each of this.planner.unplacedTasks) {
       const { spec } = each.view.record;
       // Most of a full cluster waits behind its like: whom nobody could make room for is told apart before any machine
       // is looked at.
@@ -62,16 +65,16 @@
       else group.push(each);
     }
     if (groups.size === 0) return false;
-    const fields = this.fields();
+    const loads = this.loads();
     const hopeless = new Set<string>();
     let any = false;
-    for (const waiting of groups.values()) if (this.makeRoomFor(waiting, fields, uses, demands, hopeless)) any = true;
+    for (const waiting of groups.values()) if (this.makeRoomFor(waiting, loads, uses, demands, hopeless)) any = true;
     return any;
   }
 
   private makeRoomFor(
     waiting: readonly PendingTask[],
-    fields: readonly LoadedMachine[],
+    loads: readonly LoadedMachine[],
     uses: Map<string, TeamUsage>,
     demands: ReadonlyMap<string, TeamUsage>,
     hopeless: Set<string>,
@@ -81,34 +84,34 @@
     const owed = this.isOwed(spec, demands);
     const mayStop = (victim: JobSpec) =>
       priorityIndexOf(victim) > priorityIndexOf(spec) || (owed && this.mayReclaim(spec, victim, uses));
-    const signature = `${signatureOf(spec)} ${owed ? spec.team : ''}`;
+    const signature = `${requirementKeyOf(spec)} ${owed ? spec.team : ''}`;
     if (hopeless.has(signature)) return false;
     const { tasksPerZone } = view;
     const options = new Map<LoadedMachine, EvictionOption<LoadedMachine>>();
-    const look = (field: LoadedMachine) => {
-      const option = optionOn(spec, field, mayStop, IMAGE_FETCH_COST);
-      if (option === undefined) options.delete(field);
-      else options.set(field, option);
+    const look = (load: LoadedMachine) => {
+      const option = findEvictionOption(spec, load, mayStop, IMAGE_FETCH_COST);
+      if (option === undefined) options.delete(load);
+      else options.set(load, option);
     };
-    for (const field of fields) look(field);
+    for (const load of loads) look(load);
     if (options.size === 0) hopeless.add(signature);
     let any = false;
     for (let count = 0; count < waiting.length; count++) {
       let best: EvictionOption<LoadedMachine> | undefined;
       for (const option of options.values()) {
         if (best !== undefined && option.cost >= best.cost) continue;
-        if (zoneAllows(spec, tasksPerZone, option.field.machine.zone)) best = option;
+        if (isZoneAllowed(spec, tasksPerZone, option.load.machine.zone)) best = option;
       }
       if (best === undefined) break;
-      const { field, victims } = best;
-      for (const { placedTask, spec: victim } of victims) {
-        subtractResources(field.room, victim, -1);
+      const { load, evicted } = best;
+      for (const { placedTask, spec: victim } of evicted) {
+        subtractResources(load.room, victim, -1);
         const use = uses.get(victim.team);
         if (use !== undefined) {
           use.cpus -= victim.cpus;
           use.gpus -= victim.gpus;
         }
-        this.evictionMarker.stop(
+        this.evictionMarker.evict(
           placedTask,
           victim,
           spec.priority === 'prod' ? 0 : victim.checkpointS,
@@ -116,18 +119,18 @@
         );
         any = true;
       }
-      const gone = new Set(victims);
-      field.tasks = field.tasks.filter((task) => !gone.has(task));
-      subtractResources(field.room, spec);
-      tasksPerZone.set(field.machine.zone, (tasksPerZone.get(field.machine.zone) ?? 0) + 1);
-      look(field);
+      const gone = new Set(evicted);
+      load.tasks = load.tasks.filter((task) => !gone.has(task));
+      subtractResources(load.room, spec);
+      tasksPerZone.set(load.machine.zone, (tasksPerZone.get(load.machine.zone) ?? 0) + 1);
+      look(load);
     }
     return any;
   }
 
   /** Every open machine with its free room; room that stopping tasks will leave counts as free, since it is on its way. */
-  private fields(): LoadedMachine[] {
-    const machines = this.inventory.open();
+  private loads(): LoadedMachine[] {
+    const machines = this.inventory.openMachines();
     const rooms = this.planner.freeResources(machines);
     return machines.map((machine) => {
       const room = rooms.get(machine.machineId)!;
@@ -166,7 +169,7 @@
   private isOwed(spec: JobSpec, demands: ReadonlyMap<string, TeamUsage>): boolean {
     const team = this.teams.get(spec.team);
     const demand = demands.get(spec.team);
-    return team !== undefined && demand !== undefined && isOwed(team, demand, spec);
+    return team !== undefined && demand !== undefined && isOwedGuarantee(team, demand, spec);
   }
 
   /** Does any other team run so much beyond its guarantee that the job's could have something back? */
@@ -176,7 +179,7 @@
     uses: ReadonlyMap<string, TeamUsage>,
   ): boolean {
     const owner = this.teams.get(spec.team);
-    const kind = owner === undefined ? undefined : guaranteeOf(owner, spec);
+    const kind = owner === undefined ? undefined : guaranteedResourceOf(owner, spec);
     if (kind === undefined || !this.isOwed(spec, demands)) return false;
     for (const [name, use] of uses) {
       const team = this.teams.get(name);
@@ -190,7 +193,7 @@
     const owner = this.teams.get(spec.team);
     const team = this.teams.get(victim.team);
     const use = uses.get(victim.team);
-    const kind = owner === undefined ? undefined : guaranteeOf(owner, spec);
+    const kind = owner === undefined ? undefined : guaranteedResourceOf(owner, spec);
     if (kind === undefined || team === undefined || use === undefined || victim.team === spec.team) return false;
     return isBorrowed(team, use, victim, kind);
   }
--- a/src/scheduling/rescheduler.ts
+++ b/src/scheduling/rescheduler.ts
@@ -1,16 +1,19 @@
-import type { Tuning } from '../domain/settings.js';
+import type { ReschedulingSettings } from '../domain/settings.js';
 import type { ClusterState, PlacedTask } from '../records/cluster-state.js';
 import { markForStop } from '../records/placement-mutations.js';
-import { taskIdOf, type JobSpec } from '../records/records.js';
-import { allowedOn, resourcesOf, subtractResources, zoneAllows, zonesOf } from '../records/placement-rules.js';
+import { taskIdOf } from '../domain/task.js';
+import type { JobSpec } from '../domain/job.js';
+import { isAllowedOn, isZoneAllowed, countTasksPerZone } from '../records/placement-rules.js';
+import { resourcesOf, subtractResources } from '../domain/resources.js';
+import { partitionRole } from '../domain/role.js';
+import type { RoleLeadership } from '../leadership/role-leadership.js';
+import type { MachineInventory } from '../inventory/machine-inventory.js';
 import type { Clock } from '../net/clock.js';
 import type { Random } from '../net/random.js';
 import { Priority } from '../net/token-bucket.js';
 import type { Happiness } from './decisions/happiness.js';
-import { match, type Host, type Seeker } from './decisions/matching.js';
+import { match, type MatchingMachine, type MatchingTask } from './decisions/matching.js';
 import type { TransactionBatcher } from '../store/transaction-batcher.js';
-import { partitionRole, type RoleLeadership } from '../leadership/role-leadership.js';
-import type { MachineInventory } from '../inventory/machine-inventory.js';
 import type { Log } from '../logging/log.js';
 import type { PlacementPlanner } from './placement-planner.js';
 
@@ -23,7 +26,7 @@
 /** The design's heart: tests the happiness of each part's service tasks and re-matches when some are unhappy. */
 export class Rescheduler {
   constructor(
-    private readonly tuning: Tuning,
+    private readonly tuning: ReschedulingSettings,
     private readonly leadership: RoleLeadership,
     private readonly clusterState: ClusterState,
     private readonly inventory: MachineInventory,
@@ -58,7 +61,7 @@
 
   private round(partition: number): void {
     const now = this.clock.now();
-    const machines = [...this.inventory.all().values()].filter(
+    const machines = [...this.inventory.machines().values()].filter(
       (machine) => this.leadership.partitionOf(machine.machineId) === partition && this.inventory.isOpen(machine),
     );
     const running: Running[] = [];
@@ -70,7 +73,7 @@
       }
     }
     const unhappy = running.filter(({ name }) => {
-      const happiness = this.happiness.of(name, now);
+      const happiness = this.happiness.happinessOf(name, now);
       return happiness !== undefined && happiness < this.tuning.happinessThreshold;
     });
     if (unhappy.length === 0) return;
@@ -81,12 +84,12 @@
       const host = target.get(name);
       // Unmatched tasks stay put, and so do those matched to the machine they are on.
       if (host === undefined || host.id === placedTask.placement.machineId) continue;
-      if (moves >= this.tuning.movesPerRound || moving.has(placedTask.jobId) || !this.happiness.mayMove(name, now))
+      if (moves >= this.tuning.movesPerRound || moving.has(placedTask.jobId) || !this.happiness.canMove(name, now))
         continue;
       if (this.isMoving(placedTask.jobId)) continue;
       moves++;
       moving.add(placedTask.jobId);
-      this.happiness.moved(name, now);
+      this.happiness.noteMove(name, now);
       this.planner.prefer(name, host.id);
       this.log.info({ taskId: name, from: placedTask.placement.machineId, to: host.id }, 'unhappy task moves');
       void this.transactions.commit('move', Priority.start, (draft) => {
@@ -124,7 +127,7 @@
       subtractResources(room, spec, -1);
     }
     const byRef = new Map(running.map(({ placedTask, spec }) => [placedTask.jobId, spec]));
-    const info = this.inventory.all();
+    const info = this.inventory.machines();
     const outside = new Map<string, Map<string, number>>();
     for (const jobId of byRef.keys()) {
       const inside = new Set(
@@ -133,33 +136,37 @@
       const others = [...this.clusterState.jobs.get(jobId)!.knownPlacements()]
         .filter(([taskIndex]) => !inside.has(taskIndex))
         .map(([, placement]) => placement);
-      outside.set(jobId, zonesOf(others));
+      outside.set(jobId, countTasksPerZone(others));
     }
-    const hosts: Host[] = machines.map((m) => ({ id: m.machineId, zone: m.zone, free: rooms.get(m.machineId)! }));
+    const hosts: MatchingMachine[] = machines.map((m) => ({
+      id: m.machineId,
+      zone: m.zone,
+      free: rooms.get(m.machineId)!,
+    }));
     // Without usage data of the machine, a task's use equals its request.
-    const seekers: Seeker[] = running.map(({ name, placedTask, spec }) => ({
+    const seekers: MatchingTask[] = running.map(({ name, placedTask, spec }) => ({
       id: name,
       group: placedTask.jobId,
-      use: resourcesOf(spec),
-      peak: resourcesOf(spec),
+      usage: resourcesOf(spec),
+      requested: resourcesOf(spec),
     }));
     return match(seekers, hosts, {
-      allowed: (jobId, host) => {
+      isAllowed: (jobId, host) => {
         const machine = info.get(host.id);
-        return machine !== undefined && allowedOn(byRef.get(jobId)!, machine) && !machine.failedJobs.includes(jobId);
+        return machine !== undefined && isAllowedOn(byRef.get(jobId)!, machine) && !machine.failedJobs.includes(jobId);
       },
       zoneAllows: (jobId, zone, taken) => {
         const total = new Map(outside.get(jobId));
         for (const [each, count] of taken) total.set(each, (total.get(each) ?? 0) + count);
-        return zoneAllows(byRef.get(jobId)!, total, zone);
+        return isZoneAllowed(byRef.get(jobId)!, total, zone);
       },
-      hostAllows: () => true,
+      machineAllows: () => true,
       tier: () => 0,
     });
   }
 
   private machinesOf(machines: readonly { machineId: string }[]) {
-    const all = this.inventory.all();
+    const all = this.inventory.machines();
     return machines.map((machine) => all.get(machine.machineId)!);
   }
 }
--- a/src/scheduling/task-placer.ts
+++ b/src/scheduling/task-placer.ts
@@ -5,15 +5,17 @@
   SAMPLE_MACHINES,
   CACHED_IMAGE_WAIT_MS,
 } from '../constants/scheduling.js';
-import type { Tuning } from '../domain/settings.js';
+import type { ReschedulingSettings } from '../domain/settings.js';
 import type { ClusterState, JobView } from '../records/cluster-state.js';
-import { JOB_PRIORITIES, type JobSpec, type Resources, taskIdOf, type TaskPlacement } from '../records/records.js';
-import { fits, resourcesOf, subtractResources, zoneAllows } from '../records/placement-rules.js';
+import { isPlacedByLeader, JOB_PRIORITIES, type JobSpec } from '../domain/job.js';
+import { fits, type Resources, resourcesOf, subtractResources, countFittingTasks } from '../domain/resources.js';
+import { taskIdOf, type TaskPlacement } from '../domain/task.js';
+import { isZoneAllowed } from '../records/placement-rules.js';
+import type { MachineInventory } from '../inventory/machine-inventory.js';
+import type { MachineInfo } from '../domain/machine-state.js';
 import type { Clock } from '../net/clock.js';
 import type { Random } from '../net/random.js';
-import { match, type Host, type Seeker } from './decisions/matching.js';
-import { tasksIn } from '../autoscaling/scale-out-decision.js';
-import type { MachineInventory, MachineInfo } from '../inventory/machine-inventory.js';
+import { match, type MatchingMachine, type MatchingTask } from './decisions/matching.js';
 import type { CandidateMachines } from './candidate-machines.js';
 
 /** A shard that waits for a place. */
@@ -23,9 +25,6 @@
   placement: Extract<TaskPlacement, { kind: 'queued' }>;
 }
 
-/** Jobs that the leader places: their tasks depend on each other, or need more than a partition. */
-export const isLarge = (spec: JobSpec): boolean => spec.kind === 'gang' || spec.singleZone || spec.spreadAcrossZones;
-
 /** Matches the waiting tasks of one job after the other to machines, on rooms that the caller keeps. */
 export class TaskPlacer {
   private readonly preferred = new Map<string, string>();
@@ -34,7 +33,7 @@
   private matched = 0;
 
   constructor(
-    private readonly tuning: Tuning,
+    private readonly tuning: ReschedulingSettings,
     private readonly clusterState: ClusterState,
     private readonly inventory: MachineInventory,
     private readonly clock: Clock,
@@ -80,25 +79,25 @@
     const most = spec.kind === 'gang' && usable.tasks < waiting.length ? 0 : usable.tasks;
     if (most === 0) return new Map();
     this.matched += most;
-    const seekers: Seeker[] = waiting.slice(0, most).map((each) => ({
+    const seekers: MatchingTask[] = waiting.slice(0, most).map((each) => ({
       id: taskIdOf(view.jobId, each.taskIndex),
       group: view.jobId,
-      use: resourcesOf(spec),
-      peak: resourcesOf(spec),
+      usage: resourcesOf(spec),
+      requested: resourcesOf(spec),
     }));
     const byHost = new Map(usable.machines.map((machine) => [machine.machineId, machine]));
     const slots = view.tasksPerZone;
     for (const zone of flying) slots.set(zone, (slots.get(zone) ?? 0) + 1);
-    const hosts: Host[] = usable.machines.map((machine) => ({
+    const hosts: MatchingMachine[] = usable.machines.map((machine) => ({
       id: machine.machineId,
       zone: machine.zone,
       free: rooms.get(machine.machineId)!,
     }));
     const preferred = new Set(seekers.map(({ id }) => this.preferred.get(id)));
-    const tier = (host: Host) => (preferred.has(host.id) ? -1 : this.tier(spec, byHost.get(host.id)!));
-    let best = new Map<string, Host>();
+    const tier = (host: MatchingMachine) => (preferred.has(host.id) ? -1 : this.tier(spec, byHost.get(host.id)!));
+    let best = new Map<string, MatchingMachine>();
     if (spec.kind === 'service') {
-      const isWarm = (host: Host) => byHost.get(host.id)!.images.includes(spec.image);
+      const isWarm = (host: MatchingMachine) => byHost.get(host.id)!.images.includes(spec.image);
       best = this.matchApart(spec, seekers, hosts, slots, tier, isWarm);
     } else {
       const oneOf = spec.singleZone && slots.size === 0 && spec.taskCount > 1;
@@ -127,31 +126,31 @@
       full = false;
       if (machine.failedJobs.includes(spec.id)) continue;
       open.push(machine);
-      tasks += tasksIn(room, spec);
+      tasks += countFittingTasks(room, spec);
     }
     // With more to place than one run takes, a sample of many machines will do; what hangs together needs them all.
-    const busy = this.matched >= MAX_PLAN_TASKS && !isLarge(spec);
+    const busy = this.matched >= MAX_PLAN_TASKS && !isPlacedByLeader(spec);
     const usable = busy ? this.random.sample(open, SAMPLE_MACHINES) : open;
     return { machines: usable, tasks: Math.min(tasks, enough), full };
   }
 
   private matchInZones(
     spec: JobSpec,
-    seekers: readonly Seeker[],
-    hosts: readonly Host[],
+    seekers: readonly MatchingTask[],
+    hosts: readonly MatchingMachine[],
     slots: ReadonlyMap<string, number>,
-    tier: (host: Host) => number,
-    hostAllows: (host: Host, taken: number) => boolean = () => true,
-  ): Map<string, Host> {
+    tier: (host: MatchingMachine) => number,
+    hostAllows: (host: MatchingMachine, taken: number) => boolean = () => true,
+  ): Map<string, MatchingMachine> {
     return match(seekers, hosts, {
-      allowed: () => true,
+      isAllowed: () => true,
       zoneAllows: (_, zone, taken) => {
         if (!spec.spreadAcrossZones && !spec.singleZone) return true;
         const total = new Map(slots);
         for (const [each, count] of taken) total.set(each, (total.get(each) ?? 0) + count);
-        return zoneAllows(spec, total, zone);
+        return isZoneAllowed(spec, total, zone);
       },
-      hostAllows: (_, host, taken) => hostAllows(host, taken),
+      machineAllows: (_, host, taken) => hostAllows(host, taken),
       tier: (_, host) => tier(host),
     });
   }
@@ -162,13 +161,13 @@
    */
   private matchApart(
     spec: JobSpec,
-    seekers: readonly Seeker[],
-    hosts: readonly Host[],
+    seekers: readonly MatchingTask[],
+    hosts: readonly MatchingMachine[],
     slots: ReadonlyMap<string, number>,
-    tier: (host: Host) => number,
-    isWarm: (host: Host) => boolean,
-  ): Map<string, Host> {
-    const found = new Map<string, Host>();
+    tier: (host: MatchingMachine) => number,
+    isWarm: (host: MatchingMachine) => boolean,
+  ): Map<string, MatchingMachine> {
+    const found = new Map<string, MatchingMachine>();
     const zones = new Map(slots);
     const here = new Map<string, number>();
     const free = hosts.map((host) => ({ ...host, free: { ...host.free } }));
@@ -180,7 +179,7 @@
       for (let most = 1; most <= spec.taskCount; most++) {
         const rest = seekers.filter((seeker) => !found.has(seeker.id));
         if (rest.length === 0) return found;
-        const allows = (host: Host, taken: number) => here.get(host.id)! + taken < most;
+        const allows = (host: MatchingMachine, taken: number) => here.get(host.id)! + taken < most;
         const matched = this.matchInZones(spec, rest, open, zones, tier, allows);
         // No siblings in the way, and still no place: more of them on one machine won't help.
         if (matched.size === 0 && open.every((host) => here.get(host.id)! < most)) break;
--- a/src/scheduling/team-settlement.ts
+++ b/src/scheduling/team-settlement.ts
@@ -24,7 +24,7 @@
   constructor(private readonly dependencies: TeamSettlementDependencies) {}
 
   /** Called now and then: what has not changed since the last time is settled. */
-  look(): void {
+  settleQuietTeams(): void {
     const { teams, leadership, replica, transactions, accounting } = this.dependencies;
     if (!leadership.isLeader) return;
     for (const { name } of teams) {
--- a/src/store/store-client.ts
+++ b/src/store/store-client.ts
@@ -2,7 +2,7 @@
 import { RATE_SHARE, STORE_TIMEOUT_MS } from '../constants/store.js';
 import type { StoreSettings } from '../domain/settings.js';
 import type { Clock } from '../net/clock.js';
-import { NoAnswer, type HttpClient, type Reply } from '../net/http-client.js';
+import { NoResponseError, type HttpClient, type Reply } from '../net/http-client.js';
 import type { Random } from '../net/random.js';
 import { Priority, TokenBucket } from '../net/token-bucket.js';
 import {
@@ -96,7 +96,7 @@
     try {
       reply = await this.http.call(this.address, method, path, body, { timeoutMs, connectMs: STORE_TIMEOUT_MS });
     } catch (error) {
-      if (error instanceof NoAnswer) this.lastRefusedAt = this.clock.now();
+      if (error instanceof NoResponseError) this.lastRefusedAt = this.clock.now();
       throw error;
     }
     if (reply.status === 503) this.lastRefusedAt = this.clock.now();
@@ -162,7 +162,7 @@
     try {
       reply = await this.call({ ...call, writes: writes.length });
     } catch (error) {
-      return error instanceof NoAnswer && !error.sent ? { kind: 'refused', status: 0 } : { kind: 'unknown' };
+      return error instanceof NoResponseError && !error.wasSent ? { kind: 'refused', status: 0 } : { kind: 'unknown' };
     }
     return decodeTransactionResult(reply.status, reply.body);
   }
--- a/src/workers/cancellation-enforcer.ts
+++ b/src/workers/cancellation-enforcer.ts
@@ -1,12 +1,12 @@
 import { MAX_TOKEN_ANNOUNCEMENTS, TOKEN_ANNOUNCE_AGAIN_MS } from '../constants/workers.js';
 import type { ClusterState } from '../records/cluster-state.js';
-import { taskIdOf } from '../records/records.js';
-import type { Clock } from '../net/clock.js';
-import type { HttpClient } from '../net/http-client.js';
+import { taskIdOf } from '../domain/task.js';
 import { sendCommands } from './command-client.js';
 import type { WorkerCommand } from './worker-wire-codec.js';
-import { partitionRole, type RoleLeadership } from '../leadership/role-leadership.js';
-import type { MachineInventory } from '../inventory/machine-inventory.js';
+import { partitionRole } from '../domain/role.js';
+import type { RoleLeadership } from '../leadership/role-leadership.js';
+import type { Clock } from '../net/clock.js';
+import type { HttpClient } from '../net/http-client.js';
 import type { Log } from '../logging/log.js';
 
 /**
@@ -23,7 +23,7 @@
   constructor(
     private readonly leadership: RoleLeadership,
     private readonly clusterState: ClusterState,
-    private readonly inventory: MachineInventory,
+    private readonly inventory: { get(machineId: string): { endpoint: string } | undefined },
     private readonly peerDirectory: { isWithoutStore(node: string): boolean },
     private readonly http: HttpClient,
     private readonly clock: Clock,
--- a/src/workers/command-client.ts
+++ b/src/workers/command-client.ts
@@ -1,5 +1,5 @@
 import { COMMAND_TIMEOUT_MS, CONNECT_TIMEOUT_MS } from '../constants/workers.js';
-import { NoAnswer, type HttpClient } from '../net/http-client.js';
+import { NoResponseError, type HttpClient } from '../net/http-client.js';
 import { decodeWorkerStatus, encodeCommand, type WorkerCommand, type WorkerStatus } from './worker-wire-codec.js';
 
 export type CommandResult =
@@ -29,6 +29,6 @@
     if (reply.status === 409) return { kind: 'refused', workerStatus: decodeWorkerStatus(reply.body) };
     return reply.status === 400 ? { kind: 'unsent' } : { kind: 'unknown' };
   } catch (error) {
-    return error instanceof NoAnswer && !error.sent ? { kind: 'unsent' } : { kind: 'unknown' };
+    return error instanceof NoResponseError && !error.wasSent ? { kind: 'unsent' } : { kind: 'unknown' };
   }
 }
--- a/src/workers/exit-recorder.ts
+++ b/src/workers/exit-recorder.ts
@@ -4,14 +4,14 @@
 import { releasePlacement } from '../records/placement-mutations.js';
 import type { Proof } from '../records/placement-rules.js';
 import type { TeamAccounting } from '../records/team-accounting.js';
+import { exitPriority } from '../records/transaction-priority.js';
 import type { Clock } from '../net/clock.js';
-import { exitPriority } from '../scheduling/decisions/queue-order.js';
 import type { TransactionBatcher } from '../store/transaction-batcher.js';
-import { attemptKeyOf, taskIdOfPlaced, type Free } from './reconciliation.js';
+import { attemptKeyOf, taskIdOfPlaced, type PlacementRelease } from './reconciliation.js';
 import type { Worker } from './worker.js';
 import type { RoleLeadership } from '../leadership/role-leadership.js';
 import type { Log } from '../logging/log.js';
-import type { Stragglers } from './stragglers.js';
+import type { StragglerDetector } from './straggler-detector.js';
 import type { WorkerRegistry } from './worker-registry.js';
 
 /** Whom an exit is told to. */
@@ -29,7 +29,7 @@
   transactions: TransactionBatcher;
   accounting: TeamAccounting;
   workers: WorkerRegistry;
-  stragglers: Stragglers;
+  stragglers: StragglerDetector;
   events: ExitListener;
   clock: Clock;
   log: Log;
@@ -42,7 +42,7 @@
   constructor(private readonly dependencies: ExitRecorderDependencies) {}
 
   /** Frees a place; `proofNow` is asked again whenever the decision is tried, and gives the proof that it is taken on. */
-  record(machineId: string, role: string, free: Free, proofNow: () => Proof | undefined): void {
+  record(machineId: string, role: string, free: PlacementRelease, proofNow: () => Proof | undefined): void {
     const key = attemptKeyOf(free.placedTask);
     if (this.recording.has(key)) return;
     this.recording.add(key);
@@ -53,7 +53,12 @@
     void this.commit(machineId, role, free, proofNow).finally(() => this.recording.delete(key));
   }
 
-  private commit(machineId: string, role: string, { placedTask, ending }: Free, proofNow: () => Proof | undefined) {
+  private commit(
+    machineId: string,
+    role: string,
+    { placedTask, ending }: PlacementRelease,
+    proofNow: () => Proof | undefined,
+  ) {
     const { leadership, clusterState, transactions, accounting } = this.dependencies;
     const term = leadership.termOf(role);
     const spec = clusterState.jobs.get(placedTask.jobId)?.record.spec;
@@ -73,7 +78,7 @@
     );
   }
 
-  private noteExit(worker: Worker, { placedTask, ending, task }: Free): void {
+  private noteExit(worker: Worker, { placedTask, ending, task }: PlacementRelease): void {
     const { settings, stragglers, events, clock } = this.dependencies;
     const now = clock.now();
     const began = worker.runningSince.get(attemptKeyOf(placedTask));
@@ -84,18 +89,18 @@
     }
     if (ending === 'done' && began !== undefined) {
       events.completed(placedTask, (now - began) / 1000);
-      stragglers.compare(worker, placedTask, now - began);
+      stragglers.compareWithSiblings(worker, placedTask, now - began);
     }
   }
 
-  private noteDeath({ placedTask, ending }: Free): void {
+  private noteDeath({ placedTask, ending }: PlacementRelease): void {
     const { clusterState, events } = this.dependencies;
     const isStopped =
       placedTask.placement.gracePeriodS !== null || clusterState.jobs.get(placedTask.jobId)?.record.state !== 'active';
     if (ending !== 'done' && !isStopped) events.died(placedTask);
   }
 
-  private logExit(machineId: string, worker: Worker | undefined, { placedTask, proof, task }: Free): void {
+  private logExit(machineId: string, worker: Worker | undefined, { placedTask, proof, task }: PlacementRelease): void {
     const { clock, log } = this.dependencies;
     const key = attemptKeyOf(placedTask);
     const now = clock.now();
--- a/src/workers/heartbeat-service.ts
+++ b/src/workers/heartbeat-service.ts
@@ -1,5 +1,5 @@
 /** Answers workers' reports, also those that one node passes on to another. */
-import type { Answer } from '../api/job-service.js';
+import type { HttpAnswer } from '../net/http-answer.js';
 import type { ForwardedHeartbeat, ForwardedHeartbeatAnswer } from '../gossip/messages.js';
 import type { HeartbeatForwarder } from '../gossip/heartbeat-forwarder.js';
 import { decodeWorkerStatus, encodeRedirect, encodeHeartbeatAnswer } from './worker-wire-codec.js';
@@ -20,7 +20,7 @@
   constructor(private readonly dependencies: HeartbeatServiceDependencies) {}
 
   /** Answers a report that a worker has sent to this node. */
-  answer(body: unknown): Answer | Promise<Answer> {
+  answer(body: unknown): HttpAnswer | Promise<HttpAnswer> {
     const { workerManager, onMisrouted } = this.dependencies;
     const workerStatus = decodeWorkerStatus(body);
     if (workerStatus === undefined) return { status: 400, body: { error: 'not a report' } };
@@ -34,7 +34,7 @@
     return encodeOutcome(outcome);
   }
 
-  private async forward(leader: string, body: unknown): Promise<Answer> {
+  private async forward(leader: string, body: unknown): Promise<HttpAnswer> {
     const answer = await this.dependencies.heartbeatForwarder.forward(leader, body);
     const commands = answer?.status === 200 ? parseJson(answer.body) : undefined;
     if (commands === undefined) return encodeOutcome({ kind: 'redirected', node: leader, canForward: false });
@@ -54,7 +54,7 @@
   }
 }
 
-function encodeOutcome(outcome: HeartbeatOutcome): Answer {
+function encodeOutcome(outcome: HeartbeatOutcome): HttpAnswer {
   switch (outcome.kind) {
     case 'answered':
       return { status: 200, body: encodeHeartbeatAnswer(outcome.fencingToken, outcome.commands) };
--- a/src/workers/reconciliation.ts
+++ b/src/workers/reconciliation.ts
@@ -1,43 +1,43 @@
 import type { PlacedTask } from '../records/cluster-state.js';
-import { taskIdOf } from '../records/records.js';
-import type { Ending } from '../records/placement-mutations.js';
+import { taskIdOf } from '../domain/task.js';
+import type { TaskEnding } from '../records/placement-mutations.js';
 import type { Proof } from '../records/placement-rules.js';
 import type { WorkerCommand, ReportedTask } from './worker-wire-codec.js';
 import type { Worker } from './worker.js';
 
-export interface Desired {
+export interface DesiredTask {
   placedTask: PlacedTask;
   /** The job is withdrawn: nothing of it is of use any more. */
   isCancelled: boolean;
   /** A member of a gang may come here again under the same attempt. */
-  inGang: boolean;
+  isInGang: boolean;
 }
 
-export interface Free {
+export interface PlacementRelease {
   placedTask: PlacedTask;
   proof: Proof;
-  ending: Ending;
+  ending: TaskEnding;
   task: ReportedTask | undefined;
 }
 
-export interface Plan {
+export interface ReconciliationPlan {
   commands: WorkerCommand[];
-  frees: Free[];
+  releases: PlacementRelease[];
   /** Exits that can't be forgotten, or places that can't be freed, before the fence is raised. */
-  needsRaise: boolean;
+  needsNewToken: boolean;
 }
 
-export interface Rights {
+export interface CommandRights {
   fencingToken: number;
   /** The ledger is known up to the claim, and the store confirmed it just now: launches are allowed. */
-  mayLaunch: boolean;
+  canLaunch: boolean;
   /** The ledger is known up to the claim: tasks without a place in it are strays. */
-  mayJudge: boolean;
+  knowsAllPlacements: boolean;
   /** Orders go in a report's answer: only there may an exit be forgotten. */
-  inAnswer: boolean;
+  isHeartbeatAnswer: boolean;
 }
 
-const endingOf = (task: ReportedTask): Ending => {
+const endingOf = (task: ReportedTask): TaskEnding => {
   if (task.exitReason === 'done') return 'done';
   return task.exitReason === 'error' || task.exitReason === 'unknown' ? 'failed' : 'lost';
 };
@@ -48,9 +48,9 @@
  */
 export function findProof(
   worker: Worker,
-  { placedTask, isCancelled, inGang }: Desired,
+  { placedTask, isCancelled, isInGang }: DesiredTask,
   fencingToken: number,
-): Free | undefined {
+): PlacementRelease | undefined {
   const { placement } = placedTask;
   if (placement.agentEpoch < worker.agentEpoch) {
     return { placedTask, proof: { kind: 'tenure', agentEpoch: worker.agentEpoch }, ending: 'lost', task: undefined };
@@ -60,7 +60,7 @@
   const task = worker.tasks.get(taskIdOfPlaced(placedTask));
   if (task?.attempt === placement.attempt) {
     // A report from before the claim may tell of a member's first end, when it has been placed here once more since.
-    const isOld = inGang && worker.fencingToken < fencingToken;
+    const isOld = isInGang && worker.fencingToken < fencingToken;
     return task.state !== 'exited' || isOld ? undefined : { placedTask, proof, ending: endingOf(task), task };
   }
   const isUnwanted = isCancelled || placement.gracePeriodS !== null;
@@ -69,8 +69,12 @@
 }
 
 /** Compares what the ledger wants on a machine with what its worker reports. Pure, and level-triggered. */
-export function reconcile(worker: Worker, desired: Map<string, Desired>, rights: Rights): Plan {
-  const plan: Plan = { commands: [], frees: [], needsRaise: false };
+export function reconcile(
+  worker: Worker,
+  desired: Map<string, DesiredTask>,
+  rights: CommandRights,
+): ReconciliationPlan {
+  const plan: ReconciliationPlan = { commands: [], releases: [], needsNewToken: false };
   for (const [name, task] of worker.tasks) {
     const want = desired.get(name);
     const placement = want?.placedTask.placement;
@@ -82,7 +86,7 @@
   const launches: WorkerCommand[] = [];
   for (const [name, want] of desired) {
     const free = findProof(worker, want, rights.fencingToken);
-    if (free !== undefined) plan.frees.push(free);
+    if (free !== undefined) plan.releases.push(free);
     else if (isMissing(worker, name, want)) launchOrExclude(plan, launches, worker, name, want, rights);
   }
   plan.commands.push(...launches);
@@ -90,46 +94,57 @@
 }
 
 /** A place of the worker's present session, of which its last report shows nothing. */
-function isMissing(worker: Worker, name: string, { placedTask: { placement } }: Desired): boolean {
+function isMissing(worker: Worker, name: string, { placedTask: { placement } }: DesiredTask): boolean {
   return placement.agentEpoch === worker.agentEpoch && worker.tasks.get(name)?.attempt !== placement.attempt;
 }
 
-function stopIfUnwanted(plan: Plan, name: string, task: ReportedTask, { placedTask, isCancelled }: Desired): void {
+function stopIfUnwanted(
+  plan: ReconciliationPlan,
+  name: string,
+  task: ReportedTask,
+  { placedTask, isCancelled }: DesiredTask,
+): void {
   const gracePeriodS = isCancelled ? 0 : placedTask.placement.gracePeriodS;
   if (task.state === 'exited' || gracePeriodS === null || (task.state === 'checkpointing' && gracePeriodS > 0)) return;
   plan.commands.push({ kind: 'kill', taskId: name, attempt: task.attempt, gracePeriodS });
 }
 
 /** The ledger gives the task no place here: it is killed, and its exit forgotten. */
-function removeStray(plan: Plan, worker: Worker, name: string, task: ReportedTask, rights: Rights): void {
-  if (!rights.mayJudge) return;
+function removeStray(
+  plan: ReconciliationPlan,
+  worker: Worker,
+  name: string,
+  task: ReportedTask,
+  rights: CommandRights,
+): void {
+  if (!rights.knowsAllPlacements) return;
   if (task.state !== 'exited') {
     plan.commands.push({ kind: 'kill', taskId: name, attempt: task.attempt, gracePeriodS: 0 });
     return;
   }
-  if (!rights.inAnswer) return;
+  if (!rights.isHeartbeatAnswer) return;
   // Late copies of a launch restart a forgotten task: first it must be certain that none is left.
-  if (worker.unansweredLaunches.has(`${name}#${task.attempt}`)) plan.needsRaise = true;
+  if (worker.unansweredLaunches.has(`${name}#${task.attempt}`)) plan.needsNewToken = true;
   else plan.commands.push({ kind: 'forget', taskId: name, attempt: task.attempt });
 }
 
 function launchOrExclude(
-  plan: Plan,
+  plan: ReconciliationPlan,
   launches: WorkerCommand[],
   worker: Worker,
   name: string,
-  { placedTask, isCancelled }: Desired,
-  rights: Rights,
+  { placedTask, isCancelled }: DesiredTask,
+  rights: CommandRights,
 ): void {
   const { placement } = placedTask;
   if (isCancelled || placement.gracePeriodS !== null) {
-    if (worker.unansweredLaunches.has(attemptKeyOf(placedTask))) plan.needsRaise = true;
+    if (worker.unansweredLaunches.has(attemptKeyOf(placedTask))) plan.needsNewToken = true;
     return;
   }
   // Another attempt still there refuses this one (`in_use`): it is killed or forgotten first.
   const present = worker.tasks.get(name);
   const isClear = present === undefined || present.state === 'exited';
-  if (rights.mayLaunch && isClear) launches.push({ kind: 'launch', taskId: name, attempt: placement.attempt });
+  if (rights.canLaunch && isClear) launches.push({ kind: 'launch', taskId: name, attempt: placement.attempt });
 }
 
 export const attemptKeyOfCommand = (command: WorkerCommand): string => `${command.taskId}#${command.attempt}`;
--- a/src/workers/stragglers.ts
+++ b/src/workers/straggler-detector.ts
@@ -10,7 +10,7 @@
 import type { Log } from '../logging/log.js';
 
 /** Tells slow machines by tasks that run far longer than their siblings, and takes batch work off them. */
-export class Stragglers {
+export class StragglerDetector {
   constructor(
     private readonly leadership: RoleLeadership,
     private readonly clusterState: ClusterState,
@@ -22,12 +22,12 @@
   /** How long the finished tasks of a job ran on this node's machines. */
   private readonly siblings = new Map<string, { count: number; meanMs: number }>();
 
-  compare(worker: Worker, placedTask: PlacedTask, ranMs: number): void {
+  compareWithSiblings(worker: Worker, placedTask: PlacedTask, ranMs: number): void {
     // A task that goes on from a checkpoint has less left to run, and says nothing about others.
     if (placedTask.placement.attempt > 1) return;
     const known = this.siblings.get(placedTask.jobId) ?? { count: 0, meanMs: 0 };
     if (known.count >= SIBLINGS_KNOWN && this.isHalfDone(placedTask.jobId)) {
-      worker.noteRatio(attemptKeyOf(placedTask), ranMs / known.meanMs, this.clock.now());
+      worker.noteRunTimeRatio(attemptKeyOf(placedTask), ranMs / known.meanMs, this.clock.now());
     }
     const count = known.count + 1;
     this.siblings.set(placedTask.jobId, { count, meanMs: known.meanMs + (ranMs - known.meanMs) / count });
@@ -40,19 +40,20 @@
   }
 
   /** Tasks that run far longer than their finished siblings show that their machine is slow, before they end. */
-  look(worker: Worker): void {
+  checkRunning(worker: Worker): void {
     const now = this.clock.now();
     for (const [key, since] of worker.runningSince) {
       const jobId = key.slice(0, key.lastIndexOf('/'));
       const known = this.siblings.get(jobId);
       if (known === undefined || known.count < SIBLINGS_KNOWN || !key.endsWith('#1') || !this.isHalfDone(jobId))
         continue;
-      if (now - since > STRAGGLER_FACTOR * known.meanMs) worker.noteRatio(key, (now - since) / known.meanMs, now);
+      if (now - since > STRAGGLER_FACTOR * known.meanMs)
+        worker.noteRunTimeRatio(key, (now - since) / known.meanMs, now);
     }
   }
 
   /** Starts anew elsewhere what would take longer to end on a slow machine; services move by their happiness only. */
-  relieve(workers: Iterable<Worker>, roleOf: (machineId: string) => string): void {
+  evictFromSlowMachines(workers: Iterable<Worker>, roleOf: (machineId: string) => string): void {
     for (const jobId of this.siblings.keys()) if (!this.clusterState.jobs.has(jobId)) this.siblings.delete(jobId);
     if (!this.leadership.isInTouchWithStore) return;
     const now = this.clock.now();
@@ -66,8 +67,8 @@
       const since = worker.runningSince.get(key);
       const mean = this.siblings.get(placedTask.jobId)?.meanMs ?? (spec?.estimatedRunS ?? 0) * 1000;
       if (spec?.kind !== 'array' || placedTask.placement.gracePeriodS !== null || since === undefined) continue;
-      if (now - since > EVICT_STRAGGLER_FACTOR * mean || worker.evicted.has(key)) continue;
-      worker.evicted.add(key);
+      if (now - since > EVICT_STRAGGLER_FACTOR * mean || worker.evictedAttempts.has(key)) continue;
+      worker.evictedAttempts.add(key);
       this.log.info({ taskId: taskIdOfPlaced(placedTask), machine: worker.machineId }, 'taken off a slow machine');
       const gracePeriodS = spec.checkpointIntervalS > 0 ? spec.checkpointS : 0;
       void this.transactions.commit('relieve', Priority.background, (draft) => {
--- a/src/workers/token-announcer.ts
+++ b/src/workers/token-announcer.ts
@@ -1,20 +1,22 @@
 /** Tells this node's fencing token to workers that have not been heard since it took their partition over. */
 import type { ClusterState } from '../records/cluster-state.js';
 import type { RoleLeadership } from '../leadership/role-leadership.js';
-import type { MachineInventory } from '../inventory/machine-inventory.js';
-import type { ClusterLeader } from '../autoscaling/cluster-leader.js';
 import type { WorkerManager } from './worker-manager.js';
 
-export interface WorkerGreeterDependencies {
+/** Where machines that have not reported to this node are known to listen. */
+export interface EndpointDirectory {
+  endpointOf(machineId: string): string | undefined;
+}
+
+export interface TokenAnnouncerDependencies {
   leadership: RoleLeadership;
   clusterState: ClusterState;
   workerManager: WorkerManager;
-  inventory: MachineInventory;
-  leader: ClusterLeader;
+  endpoints: EndpointDirectory;
 }
 
 export class TokenAnnouncer {
-  constructor(private readonly dependencies: WorkerGreeterDependencies) {}
+  constructor(private readonly dependencies: TokenAnnouncerDependencies) {}
 
   announce(): void {
     const { leadership, clusterState, workerManager } = this.dependencies;
@@ -35,7 +37,6 @@
   }
 
   private endpointOf(machineId: string): string | undefined {
-    const { inventory, leader } = this.dependencies;
-    return inventory.peerReportOf(machineId)?.endpoint ?? leader.listing.get(machineId)?.endpoint;
+    return this.dependencies.endpoints.endpointOf(machineId);
   }
 }
--- a/src/workers/worker-manager-dependencies.ts
+++ b/src/workers/worker-manager-dependencies.ts
@@ -24,7 +24,7 @@
 /** What an owner asks of its surroundings, and where it tells of checks and exits. */
 export interface WorkerManagerEvents extends ExitListener {
   /** A worker of the role's partition is being answered. */
-  answered(role: string): void;
+  workerAnswered(role: string): void;
   /** A report was heard: one check of each service task on the machine. */
   heartbeatReceived(workerStatus: WorkerStatus): void;
   /** Has the cloud confirmed that the machine is gone? */
--- a/src/workers/worker-manager.ts
+++ b/src/workers/worker-manager.ts
@@ -11,37 +11,34 @@
 } from '../constants/workers.js';
 import type { Settings } from '../domain/settings.js';
 import type { ClusterState, PlacedTask } from '../records/cluster-state.js';
-import { parseTaskId } from '../records/records.js';
+import { parseTaskId } from '../domain/task.js';
 import type { Proof } from '../records/placement-rules.js';
-import type { Clock } from '../net/clock.js';
-import type { HttpClient } from '../net/http-client.js';
-import type { Replica } from '../store/replica.js';
-import { sendCommands, type CommandResult } from './command-client.js';
+import { type CommandResult, sendCommands } from './command-client.js';
 import {
   attemptKeyOf,
-  findProof,
   attemptKeyOfCommand,
-  taskIdOfPlaced,
+  type DesiredTask,
+  findProof,
+  type PlacementRelease,
+  type ReconciliationPlan,
   reconcile,
-  type Desired,
-  type Free,
-  type Plan,
-  type Rights,
+  type CommandRights,
+  taskIdOfPlaced,
 } from './reconciliation.js';
 import { encodeCommand, WireCommand, type WorkerCommand, type WorkerStatus } from './worker-wire-codec.js';
-import { leaseOverAt, reportLateMs, Worker } from './worker.js';
-import {
-  degradedServingMs,
-  partitionRole,
-  type RoleLeadership,
-  type HeldLeadership,
-} from '../leadership/role-leadership.js';
+import { leaseOverAt, heartbeatLateMs } from '../domain/worker-deadlines.js';
+import { Worker } from './worker.js';
+import { degradedServingMs, type HeldLeadership, type RoleLeadership } from '../leadership/role-leadership.js';
+import { partitionRole } from '../domain/role.js';
 import { ExitRecorder } from './exit-recorder.js';
-import type { Log } from '../logging/log.js';
 import { MisroutedWorkers } from './misrouted-workers.js';
-import { Stragglers } from './stragglers.js';
+import { StragglerDetector } from './straggler-detector.js';
 import { WorkerRegistry } from './worker-registry.js';
-import { WorkerManagerEvents, WorkerManagerDependencies, HeartbeatOutcome } from './worker-manager-dependencies.js';
+import { HeartbeatOutcome, WorkerManagerDependencies, WorkerManagerEvents } from './worker-manager-dependencies.js';
+import type { Clock } from '../net/clock.js';
+import type { HttpClient } from '../net/http-client.js';
+import type { Replica } from '../store/replica.js';
+import type { Log } from '../logging/log.js';
 
 /** The session's lease is over, as this node knows by itself. */
 const leaseProof = (placedTask: PlacedTask): Proof => ({ kind: 'lease', agentEpoch: placedTask.placement.agentEpoch });
@@ -59,7 +56,7 @@
   private readonly events: WorkerManagerEvents;
   private readonly log: Log;
   private readonly exits: ExitRecorder;
-  private readonly stragglers: Stragglers;
+  private readonly stragglers: StragglerDetector;
   /** Steady ms of the next push to each machine. */
   private readonly pushes = new Map<string, number>();
   private announcing = 0;
@@ -78,7 +75,7 @@
     this.events = events;
     this.log = log;
     this.workers = new WorkerRegistry(leadership, settings.cluster.workers);
-    this.stragglers = new Stragglers(leadership, clusterState, transactions, clock, log);
+    this.stragglers = new StragglerDetector(leadership, clusterState, transactions, clock, log);
     this.exits = new ExitRecorder({ ...dependencies, workers: this.workers, stragglers: this.stragglers });
   }
 
@@ -114,13 +111,13 @@
     const desired = this.desiredOn(workerStatus.machineId);
     if (this.mustExpire(worker, workerStatus, held, desired, now))
       return { kind: 'unavailable', error: 'no new token' };
-    this.events.answered(role);
-    worker.noteAnswer(workerStatus, held.fencingToken, door, reportLateMs(this.settings.cluster.workers), now);
+    this.events.workerAnswered(role);
+    worker.noteAnswer(workerStatus, held.fencingToken, door, heartbeatLateMs(this.settings.cluster.workers), now);
     // A report that crossed a newer answer of `/commands` is no late copy: the worker waits for its answer.
     worker.applyStatus(workerStatus, now, true);
     this.noteImages(worker);
     this.events.heartbeatReceived(workerStatus);
-    this.stragglers.look(worker);
+    this.stragglers.checkRunning(worker);
     const plan = reconcile(worker, desired, this.rights(held, true));
     this.carryOut(worker, role, plan);
     const commands = this.encodeAnswer(worker, plan.commands, workerStatus.sequence);
@@ -172,10 +169,10 @@
     worker: Worker,
     workerStatus: WorkerStatus,
     held: HeldLeadership,
-    desired: Map<string, Desired>,
+    desired: Map<string, DesiredTask>,
     now: number,
   ): boolean {
-    const isOpen = ([name, { placedTask, isCancelled }]: [string, Desired]) => {
+    const isOpen = ([name, { placedTask, isCancelled }]: [string, DesiredTask]) => {
       const fencingToken = worker.unansweredLaunches.get(attemptKeyOf(placedTask));
       const there = workerStatus.tasks.get(name)?.attempt === placedTask.placement.attempt;
       return (
@@ -216,27 +213,27 @@
     return { kind: 'redirected', node: partitionLeader, canForward };
   }
 
-  private rights(held: HeldLeadership, inAnswer: boolean): Rights {
+  private rights(held: HeldLeadership, isHeartbeatAnswer: boolean): CommandRights {
     // What the former owner freed, and its worker has forgotten, starts again unless it is known here.
-    const mayJudge = this.replica.revision >= held.term.startRevision;
+    const knowsAllPlacements = this.replica.revision >= held.term.startRevision;
     return {
       fencingToken: held.fencingToken,
-      mayLaunch: mayJudge && this.leadership.isInTouchWithStore,
-      mayJudge,
-      inAnswer,
+      canLaunch: knowsAllPlacements && this.leadership.isInTouchWithStore,
+      knowsAllPlacements,
+      isHeartbeatAnswer,
     };
   }
 
-  private desiredOn(machineId: string): Map<string, Desired> {
-    const desired = new Map<string, Desired>();
+  private desiredOn(machineId: string): Map<string, DesiredTask> {
+    const desired = new Map<string, DesiredTask>();
     for (const placedTask of this.clusterState.tasksOn(machineId))
       desired.set(taskIdOfPlaced(placedTask), this.desiredAt(placedTask));
     return desired;
   }
 
-  private desiredAt(placedTask: PlacedTask): Desired {
+  private desiredAt(placedTask: PlacedTask): DesiredTask {
     const record = this.clusterState.jobs.get(placedTask.jobId)?.record;
-    return { placedTask, isCancelled: record?.state === 'cancelled', inGang: record?.spec.kind === 'gang' };
+    return { placedTask, isCancelled: record?.state === 'cancelled', isInGang: record?.spec.kind === 'gang' };
   }
 
   private noteImages(worker: Worker): void {
@@ -250,12 +247,12 @@
     }
   }
 
-  private carryOut(worker: Worker, role: string, plan: Plan): void {
-    for (const free of plan.frees) this.recordExit(worker.machineId, role, free);
-    if (plan.needsRaise) this.advanceFencingToken(role);
+  private carryOut(worker: Worker, role: string, plan: ReconciliationPlan): void {
+    for (const free of plan.releases) this.recordExit(worker.machineId, role, free);
+    if (plan.needsNewToken) this.advanceFencingToken(role);
   }
 
-  private recordExit(machineId: string, role: string, free: Free): void {
+  private recordExit(machineId: string, role: string, free: PlacementRelease): void {
     this.exits.record(machineId, role, free, () => this.proofNow(machineId, role, free.placedTask));
   }
 
@@ -269,7 +266,7 @@
   }
 
   /** The ledger of a machine has changed: tell its worker soon, without waiting for its next report. */
-  push(machineId: string, gatherMs = PUSH_GATHER_MS): void {
+  pushCommands(machineId: string, gatherMs = PUSH_GATHER_MS): void {
     const due = this.clock.now() + gatherMs;
     if ((this.pushes.get(machineId) ?? Infinity) <= due) return;
     this.pushes.set(machineId, due);
@@ -309,7 +306,7 @@
     this.noteCommandResult(worker, role, launches, held.fencingToken, result);
     if (worker.pushAgain) {
       worker.pushAgain = false;
-      this.push(machineId);
+      this.pushCommands(machineId);
     }
   }
 
@@ -321,7 +318,7 @@
     while (isBusy() && this.clock.now() < until) await this.clock.sleep(DRAIN_CHECK_PERIOD_MS);
   }
 
-  private isForCommand(worker: Worker, command: WorkerCommand, desired: ReadonlyMap<string, Desired>): boolean {
+  private isForCommand(worker: Worker, command: WorkerCommand, desired: ReadonlyMap<string, DesiredTask>): boolean {
     // A worker that reports by way of another node is behind a cut: commands would only hang, and may arrive late. One that
     // is silent may be dead, or can only answer.
     const isFar =
@@ -349,7 +346,7 @@
     }
     for (const key of launches)
       if (worker.unansweredLaunches.get(key) === fencingToken) worker.unansweredLaunches.delete(key);
-    if (result.kind === 'done') worker.noteReached();
+    if (result.kind === 'done') worker.noteCommandsReached();
     if (!('workerStatus' in result) || result.workerStatus?.machineId !== worker.machineId) return;
     if (!worker.applyStatus(result.workerStatus, this.clock.now(), false)) return;
     this.noteImages(worker);
@@ -364,7 +361,7 @@
     for (const [machineId, at] of this.tokenAnnouncedAt)
       if (now - at > TOKEN_ANNOUNCE_AGAIN_MS) this.tokenAnnouncedAt.delete(machineId);
     this.freeDeadLeases();
-    this.stragglers.relieve(this.workers.values(), (machineId) => this.roleOf(machineId));
+    this.stragglers.evictFromSlowMachines(this.workers.values(), (machineId) => this.roleOf(machineId));
     this.forgetSilent(now);
   }
 
@@ -427,7 +424,7 @@
     const worker = this.workers.get(machineId) ?? new Worker(machineId);
     if (!worker.applyStatus(result.workerStatus, this.clock.now(), false)) return;
     this.workers.add(worker);
-    this.push(machineId);
+    this.pushCommands(machineId);
   }
 
   async run(signal: AbortSignal): Promise<void> {
--- a/src/workers/worker-registry.ts
+++ b/src/workers/worker-registry.ts
@@ -5,14 +5,15 @@
  */
 import { REPLICA_FRESH_MS } from '../constants/leadership.js';
 import type { WorkerTimings } from '../domain/settings.js';
-import { leaseOverAt, Worker } from './worker.js';
+import { leaseOverAt } from '../domain/worker-deadlines.js';
+import { Worker } from './worker.js';
 import {
   degradedServingMs,
-  partitionRole,
+  type HeldLeadership,
   type LeadershipTerm,
   type RoleLeadership,
-  type HeldLeadership,
 } from '../leadership/role-leadership.js';
+import { partitionRole } from '../domain/role.js';
 
 /** The workers of one partition, for as long as one acquisition of its claim lasts. */
 interface PartitionKnowledge {
--- a/src/workers/worker.ts
+++ b/src/workers/worker.ts
@@ -1,6 +1,4 @@
 import {
-  ANSWER_MISSED_MS,
-  ROUND_TRIP_MS,
   FAILED_JOB_BACKOFF_BASE_MS,
   FAILED_JOB_BACKOFF_MAX_MS,
   QUARANTINE_ERRORS,
@@ -9,9 +7,8 @@
   SLOW_MACHINE_MS,
   SLOW_MACHINE_TASKS,
 } from '../constants/workers.js';
-import { CLOCK_DRIFT, LEASE_MARGIN_MS } from '../constants/clocks.js';
-import type { WorkerTimings } from '../domain/settings.js';
 import { isNewerThan, type WorkerStatus, type ReportedTask } from './worker-wire-codec.js';
+import { leaseOverAt } from '../domain/worker-deadlines.js';
 
 /** What an owner knows of one worker of its part. Lost with the process; reports bring it back. */
 export class Worker {
@@ -66,7 +63,7 @@
   /** Attempts whose lateness has been counted already. */
   private readonly stragglers = new Set<string>();
   /** Attempts that were taken off because the machine is slow. */
-  readonly evicted = new Set<string>();
+  readonly evictedAttempts = new Set<string>();
   /** Steady ms when each attempt was first seen at all, and first seen running. */
   readonly firstSeen = new Map<string, number>();
   readonly runningSince = new Map<string, number>();
@@ -142,7 +139,7 @@
   }
 
   /** Orders reached it, by whatever way. */
-  noteReached(): void {
+  noteCommandsReached(): void {
     this.hasMissedAnswer = false;
   }
 
@@ -169,7 +166,7 @@
     }
     for (const key of this.firstSeen.keys()) if (!present.has(key)) this.firstSeen.delete(key);
     for (const key of this.runningSince.keys()) if (!present.has(key)) this.runningSince.delete(key);
-    for (const keys of [this.stragglers, this.evicted, this.alreadyRunning, this.attemptsWithNotedImage])
+    for (const keys of [this.stragglers, this.evictedAttempts, this.alreadyRunning, this.attemptsWithNotedImage])
       for (const key of keys) if (!present.has(key)) keys.delete(key);
   }
 
@@ -221,7 +218,7 @@
   }
 
   /** A task took, or has taken so far, that many times the mean of its siblings; each attempt counts once. */
-  noteRatio(key: string, ratio: number, now: number): void {
+  noteRunTimeRatio(key: string, ratio: number, now: number): void {
     if (this.stragglers.has(key)) return;
     this.stragglers.add(key);
     this.runTimeRatios.push(ratio);
@@ -246,21 +243,3 @@
     return now < this.quarantinedUntil;
   }
 }
-
-/**
- * Steady ms at which a worker's lease is certainly over, if nobody answers it again: counted from the receipt of the
- * last report that anybody could have answered, with the clocks' drift and a margin.
- */
-export const leaseOverAt = (lastAnswerableMs: number, leaseMs: number): number =>
-  lastAnswerableMs + leaseMs * (1 + CLOCK_DRIFT) + LEASE_MARGIN_MS;
-
-/** Workers send a heartbeat every interval, give or take a quarter of it. */
-const LATEST_HEARTBEAT_SHARE = 1.25;
-
-/** ms after a report by which the next is late. */
-export const reportLateMs = (workers: WorkerTimings): number =>
-  LATEST_HEARTBEAT_SHARE * workers.heartbeatIntervalMs + ANSWER_MISSED_MS;
-
-/** ms of silence after which a worker that lives would have knocked at another node. */
-export const silenceLimitMs = (workers: WorkerTimings): number =>
-  LATEST_HEARTBEAT_SHARE * workers.heartbeatIntervalMs + ROUND_TRIP_MS;
--- a/test/api/api-server.test.ts
+++ b/test/api/api-server.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test';
 import { once } from 'node:events';
 import { duplexPair, type Duplex } from 'node:stream';
-import type { Answer } from '../../src/api/job-service.js';
+import type { HttpAnswer } from '../../src/net/http-answer.js';
 import type { Handlers } from '../../src/api/routes.js';
 import { ApiServer } from '../../src/api/api-server.js';
 import { MAX_BODY_BYTES, MAX_OPEN_REQUESTS } from '../../src/constants/api.js';
@@ -107,8 +107,8 @@
   });
 
   it('refuses users at once while too many of their requests are open, and takes them again after', async () => {
-    let answerAll: (answer: Answer) => void = () => undefined;
-    const later = new Promise<Answer>((resolve) => (answerAll = resolve));
+    let answerAll: (answer: HttpAnswer) => void = () => undefined;
+    const later = new Promise<HttpAnswer>((resolve) => (answerAll = resolve));
     const { open } = connect({ poll: () => later, answerHeartbeat: () => ({ status: 200, body: {} }) });
     const waiting = Array.from({ length: MAX_OPEN_REQUESTS }, () => ask(open(), get('/v1/jobs/j-1')));
     const connection = open();
