--- a/test/clients-and-settings.test.ts
+++ b/test/clients-and-settings.test.ts
@@ -12,7 +12,7 @@
   LEAST_VALUE_KB,
 } from '../src/constants/platform-minimums.js';
 import { settingsFileOf } from '../testing/fixtures.js';
-import { NoAnswer, type HttpClient, type Reply } from '../src/net/http-client.js';
+import { NoResponseError, type HttpClient, type Reply } from '../src/net/http-client.js';
 import { Random } from '../src/net/random.js';
 import { Priority } from '../src/net/token-bucket.js';
 import { StoreClient, StoreError } from '../src/store/store-client.js';
@@ -20,10 +20,10 @@
 import { sendCommands } from '../src/workers/command-client.js';
 import { decodeStoreSettings } from '../src/config/settings-file-codec.js';
 
-const answering = (reply: Reply | NoAnswer): HttpClient => ({
-  call: () => (reply instanceof NoAnswer ? Promise.reject(reply) : Promise.resolve(reply)),
+const answering = (reply: Reply | NoResponseError): HttpClient => ({
+  call: () => (reply instanceof NoResponseError ? Promise.reject(reply) : Promise.resolve(reply)),
 });
-const state = (reply: Reply | NoAnswer) =>
+const state = (reply: Reply | NoResponseError) =>
   new StoreClient(
     answering(reply),
     'x:1',
@@ -32,7 +32,8 @@
     new FakeClock(),
     new Random(1),
   );
-const transact = (reply: Reply | NoAnswer) => state(reply).transact([], [{ key: 'a', value: 1 }], Priority.record);
+const transact = (reply: Reply | NoResponseError) =>
+  state(reply).transact([], [{ key: 'a', value: 1 }], Priority.record);
 
 describe('answers of the store', () => {
   it('to a transaction say whether it was, was not, or may yet be carried out', async () => {
@@ -43,8 +44,8 @@
     assert.equal((await transact({ status: 400, body: { error: 'bad' } })).kind, 'malformed');
     assert.equal((await transact({ status: 429, body: {} })).kind, 'refused');
     assert.equal((await transact({ status: 503, body: {} })).kind, 'refused');
-    assert.equal((await transact(new NoAnswer('never connected', false))).kind, 'refused');
-    assert.equal((await transact(new NoAnswer('timeout', true))).kind, 'unknown');
+    assert.equal((await transact(new NoResponseError('never connected', false))).kind, 'refused');
+    assert.equal((await transact(new NoResponseError('timeout', true))).kind, 'unknown');
     assert.equal((await transact({ status: 500, body: {} })).kind, 'unknown');
   });
 
@@ -57,7 +58,7 @@
 
 describe('answers of the cloud and of workers', () => {
   const rental = { rentalId: 'r-1-1', machineType: 'c8', zone: 'a', isSpot: false, count: 1 };
-  const rent = (reply: Reply | NoAnswer) =>
+  const rent = (reply: Reply | NoResponseError) =>
     new CloudClient(answering(reply), 'x:1', 8, new FakeClock()).scaleOut(rental);
 
   it('tell a lack of machines from trouble, after which the same request is sent again', async () => {
@@ -65,7 +66,7 @@
     assert.equal((await rent({ status: 503, body: { error: 'no capacity' } })).kind, 'no_capacity');
     assert.equal((await rent({ status: 503, body: { error: 'trouble' } })).kind, 'refused');
     assert.equal((await rent({ status: 429, body: {} })).kind, 'refused');
-    assert.equal((await rent(new NoAnswer('timeout', true))).kind, 'unknown');
+    assert.equal((await rent(new NoResponseError('timeout', true))).kind, 'unknown');
   });
 
   it('are not asked for by a leader that has lost its claim while the call waited for its turn', async () => {
@@ -90,11 +91,11 @@
   });
 
   it('to commands say whether these may still be executed', async () => {
-    const send = (reply: Reply | NoAnswer) => sendCommands(answering(reply), 'x:1', 1, 1, []);
+    const send = (reply: Reply | NoResponseError) => sendCommands(answering(reply), 'x:1', 1, 1, []);
     assert.equal((await send({ status: 200, body: {} })).kind, 'done');
     assert.equal((await send({ status: 409, body: {} })).kind, 'refused');
-    assert.equal((await send(new NoAnswer('refused', false))).kind, 'unsent');
-    assert.equal((await send(new NoAnswer('timeout', true))).kind, 'unknown');
+    assert.equal((await send(new NoResponseError('refused', false))).kind, 'unsent');
+    assert.equal((await send(new NoResponseError('timeout', true))).kind, 'unknown');
   });
 });
 
--- a/test/leadership/standby-stream.test.ts
+++ b/test/leadership/standby-stream.test.ts
@@ -106,7 +106,7 @@
     const owner = Number(cluster.anyNode().leadership.leaderOf(role)!.slice(1));
     const { happiness } = cluster.node(owner);
     for (let n = 0; n < 6; n++) happiness.note('j-svc/0', false, cluster.clock.now());
-    const before = happiness.of('j-svc/0', cluster.clock.now())!;
+    const before = happiness.happinessOf('j-svc/0', cluster.clock.now())!;
     assert.ok(before < 0.9);
     await cluster.advance(2500);
     cluster.crash(owner);
@@ -114,7 +114,7 @@
     const taker = () => others.find((node) => cluster.node(node).leadership.leadershipOf(role) !== undefined);
     await cluster.until(() => taker() !== undefined, 6000);
     await cluster.advance(600);
-    const known = cluster.node(taker()!).happiness.of('j-svc/0', cluster.clock.now());
+    const known = cluster.node(taker()!).happiness.happinessOf('j-svc/0', cluster.clock.now());
     assert.ok(known !== undefined && known < 1, 'its unhealthy checks are forgotten');
   });
 });
--- a/test/program/startup-snapshot.test.ts
+++ b/test/program/startup-snapshot.test.ts
@@ -6,7 +6,7 @@
 import { join } from 'node:path';
 import { after, before, describe, it } from 'node:test';
 import { parse } from 'smol-toml';
-import { Frames } from '../../src/gossip/frames.js';
+import { FrameDecoder } from '../../src/gossip/frames.js';
 import { decodeMessage } from '../../src/gossip/messages.js';
 
 const MAX_MESSAGE_BYTES = 1 << 20;
@@ -19,7 +19,7 @@
 /** Listens as a peer controller, and hands over the number of each life that it hears of. */
 async function listenForLives(hear: (incarnation: number) => void): Promise<Server> {
   const server = createServer((socket) => {
-    const frames = new Frames(MAX_MESSAGE_BYTES);
+    const frames = new FrameDecoder(MAX_MESSAGE_BYTES);
     socket.on('error', () => socket.destroy());
     socket.on('data', (bytes) => {
       for (const message of frames.push(bytes).map(decodeMessage))
--- a/test/records/dependency-mutations.test.ts
+++ b/test/records/dependency-mutations.test.ts
@@ -4,7 +4,7 @@
 import { cancelWaitingJob, releaseJob } from '../../src/records/dependency-mutations.js';
 import { finalJobKey, jobKey } from '../../src/records/record-keys.js';
 import type { JobRecord } from '../../src/records/records.js';
-import { whyNotStart } from '../../src/records/placement-rules.js';
+import { whyNotStartable } from '../../src/records/placement-rules.js';
 import { TransactionDraft } from '../../src/store/transaction-draft.js';
 import { specOf } from '../../testing/fixtures.js';
 import { encodeJobSpec } from '../../src/records/job-spec-codec.js';
@@ -62,7 +62,7 @@
   });
 
   it('starts no task, whatever machine there is, and does not end as done', () => {
-    const why = whyNotStart({
+    const why = whyNotStartable({
       job: waiting,
       placement: { kind: 'queued', attempt: 0, failures: 0 },
       others: [],
--- a/test/records/job-dependencies.test.ts
+++ b/test/records/job-dependencies.test.ts
@@ -1,8 +1,9 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { PipelineProgress, type PipelineProgressDependencies } from '../../src/jobs/dependency-progress.js';
+import { DependencyProgress, type DependencyProgressDependencies } from '../../src/jobs/dependency-progress.js';
 import { JobDependencies } from '../../src/records/job-dependencies.js';
-import { JOB_PRIORITIES, type JobRecord } from '../../src/records/records.js';
+import { JOB_PRIORITIES } from '../../src/domain/job.js';
+import type { JobRecord } from '../../src/records/records.js';
 import { noLog, specOf } from '../../testing/fixtures.js';
 
 let changes = 0;
@@ -49,7 +50,7 @@
     assert.equal(priorityIndexOf(index, 'j-begin'), 'low');
     assert.equal(index.urgencyOf('j-begin').finishBy, Infinity);
     for (const jobId of middle) index.update(jobId, undefined);
-    assert.equal(index.hasSuccessors('j-begin'), false);
+    assert.equal(index.hasDependents('j-begin'), false);
     assert.equal(index.waitingCount, 0);
   });
 
@@ -70,7 +71,7 @@
     for (let n = 1; n <= length; n++) index.update(`j-${n}`, waiting([`j-${n - 1}`]));
     let looks = 0;
     const steps: string[] = [];
-    const progress = new PipelineProgress({
+    const progress = new DependencyProgress({
       leadership: { isInTouchWithStore: true, partitionOf: () => 0, leadershipOf: () => ({}) },
       clusterState: { pipelines: index, jobs: new Map() },
       transactions: {
@@ -87,7 +88,7 @@
       },
       clock: { wall: () => 0 },
       log: noLog,
-    } as unknown as PipelineProgressDependencies);
+    } as unknown as DependencyProgressDependencies);
     progress.sweep();
     assert.equal(looks, length);
     assert.deepEqual(steps, ['release']);
--- a/test/records/record-formats.test.ts
+++ b/test/records/record-formats.test.ts
@@ -13,7 +13,8 @@
   placementChunkKey,
 } from '../../src/records/record-keys.js';
 import { compactChunk, decodeChunk, withPlacement } from '../../src/records/placement-codec.js';
-import { CorruptRecord, type JobRecord, type TaskPlacement } from '../../src/records/records.js';
+import { CorruptRecord, type JobRecord } from '../../src/records/records.js';
+import type { TaskPlacement } from '../../src/domain/task.js';
 import {
   decodeFinalJobRecord,
   decodeJobRecord,
--- a/test/records/team-accounting.test.ts
+++ b/test/records/team-accounting.test.ts
@@ -1,12 +1,11 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import type { Team } from '../../src/domain/settings.js';
+import type { Team, TeamUsage } from '../../src/domain/team.js';
 import { teamKey } from '../../src/records/record-keys.js';
-import type { TeamUsage } from '../../src/records/records.js';
 import { TeamAccounting } from '../../src/records/team-accounting.js';
+import { decodeTeamUsage, encodeTeamUsage } from '../../src/records/record-codecs.js';
 import { TransactionDraft } from '../../src/store/transaction-draft.js';
 import { specOf } from '../../testing/fixtures.js';
-import { encodeTeamUsage, decodeTeamUsage } from '../../src/records/record-codecs.js';
 
 const team: Team = { name: 'red', guaranteed: { cpus: 0, gpus: 0 }, limit: { cpus: 20, gpus: 0 } };
 const spec = specOf({ Cpus: 2 });
@@ -19,9 +18,9 @@
   const read = () => ({ value: encodeTeamUsage(record), modRevision: REVISION });
   const accounting = new TeamAccounting({
     teams: [team],
-    placedUse: (_, upTo) => (completeTo >= upTo ? { cpus: placed, gpus: 0 } : undefined),
+    placedUsageOf: (_, upTo) => (completeTo >= upTo ? { cpus: placed, gpus: 0 } : undefined),
     recordOf: read,
-    mayDefer: () => mayDefer,
+    canDeferExits: () => mayDefer,
   });
   const draft = new TransactionDraft(read);
   return {
@@ -48,7 +47,7 @@
 
   it('is never raised by what the ledger shows', () => {
     const { accounting, draft } = prepare({ placed: 16 });
-    assert.equal(accounting.useOf(draft, team, spec).cpus, 10);
+    assert.equal(accounting.usageOf(draft, team, spec).cpus, 10);
   });
 
   it('is left as it is by exits far below the limit, once all controllers know of that', () => {
--- a/test/scenarios/cluster.test.ts
+++ b/test/scenarios/cluster.test.ts
@@ -348,7 +348,7 @@
     for (const pair of ['n0>n1', 'n1>n0']) cluster.parted.add(pair);
     await cluster.advance(20_000);
     for (const node of [0, 1]) {
-      const known = [...cluster.node(node).inventory.all().values()];
+      const known = [...cluster.node(node).inventory.machines().values()];
       assert.equal(known.filter((machine) => cluster.node(node).inventory.isOpen(machine)).length, 6);
     }
   });
--- a/test/scenarios/combined-faults-jobs.test.ts
+++ b/test/scenarios/combined-faults-jobs.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { afterEach, describe, it } from 'node:test';
-import type { Answer } from '../../src/api/job-service.js';
+import type { HttpAnswer } from '../../src/net/http-answer.js';
 import { Cluster } from '../../testing/cluster.js';
 import { jobOf, type ClusterOptions } from '../../testing/fixtures.js';
 
@@ -22,7 +22,7 @@
   return cluster;
 }
 
-const body = (answer: Answer) => answer.body as { Phase: string; done: number; running: number };
+const body = (answer: HttpAnswer) => answer.body as { Phase: string; done: number; running: number };
 const phase = async (jobId: string, node = 0) => body(await cluster.poll(jobId, node)).Phase;
 const service = { Shape: 'service', Rank: 'prod', GuessS: 0 };
 const running = (jobId: string) =>
@@ -54,8 +54,8 @@
 }
 
 /** Users ask about the jobs every 5 s, each time another node, until the scenario ends. */
-function askAll(jobIds: readonly string[], forMs: number): Map<string, Answer[]> {
-  const answers = new Map<string, Answer[]>(jobIds.map((jobId) => [jobId, []]));
+function askAll(jobIds: readonly string[], forMs: number): Map<string, HttpAnswer[]> {
+  const answers = new Map<string, HttpAnswer[]>(jobIds.map((jobId) => [jobId, []]));
   for (const [at, jobId] of jobIds.entries()) {
     for (let turn = 0; turn * 5000 < forMs; turn++) {
       after(turn * 5000 + ((at * 370) % 5000), async () =>
@@ -347,7 +347,7 @@
       }
       await cluster.advance(2600);
       cluster.store.out = true;
-      const late: Answer[] = [];
+      const late: HttpAnswer[] = [];
       for (let n = 0; n < 20; n++) {
         after(4000 + n * 1500, async () => {
           const began = cluster.clock.now();
--- a/test/scenarios/store-outage.test.ts
+++ b/test/scenarios/store-outage.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { afterEach, describe, it } from 'node:test';
-import type { Answer } from '../../src/api/job-service.js';
+import type { HttpAnswer } from '../../src/net/http-answer.js';
 import { Cluster } from '../../testing/cluster.js';
 import { type ClusterOptions } from '../../testing/fixtures.js';
 
@@ -58,7 +58,7 @@
   let at = NaN;
   const asked = cluster.cancel(jobId, node);
   void asked.then(() => (at = cluster.clock.now()));
-  const answer: Answer = await cluster.during(asked, 300);
+  const answer: HttpAnswer = await cluster.during(asked, 300);
   assert.deepEqual(answer.body, { Ref: jobId, Phase: 'withdrawn' });
   return at;
 }
--- a/test/scheduling/decisions/matching.test.ts
+++ b/test/scheduling/decisions/matching.test.ts
@@ -5,21 +5,25 @@
   match,
   preferences,
   ranksBefore,
-  type Host,
+  type MatchingMachine,
   type MatchRules,
-  type Seeker,
+  type MatchingTask,
 } from '../../../src/scheduling/decisions/matching.js';
 
-const open: MatchRules = { allowed: () => true, zoneAllows: () => true, hostAllows: () => true, tier: () => 0 };
+const open: MatchRules = { isAllowed: () => true, zoneAllows: () => true, machineAllows: () => true, tier: () => 0 };
 
 const room = (cpus: number, memoryGb: number) => ({ cpus, memoryGb, gpus: 0 });
-const seeker = (id: string, cpus: number, memoryGb = 1): Seeker => ({
+const seeker = (id: string, cpus: number, memoryGb = 1): MatchingTask => ({
   id,
   group: id,
-  use: room(cpus, memoryGb),
-  peak: room(cpus, memoryGb),
+  usage: room(cpus, memoryGb),
+  requested: room(cpus, memoryGb),
+});
+const host = (id: string, cpus: number, memoryGb = 64, zone = 'a'): MatchingMachine => ({
+  id,
+  zone,
+  free: room(cpus, memoryGb),
 });
-const host = (id: string, cpus: number, memoryGb = 64, zone = 'a'): Host => ({ id, zone, free: room(cpus, memoryGb) });
 
 describe('matching', () => {
   it('sends a task to the machine whose free room is nearest to its use', () => {
@@ -63,8 +67,8 @@
         const found = match(seekers, machines, open);
         for (const machine of machines) {
           const here = seekers.filter((each) => found.get(each.id) === machine);
-          const sum = (key: 'cpus' | 'memoryGb', list: Seeker[]) =>
-            list.reduce((total, each) => total + each.peak[key], 0);
+          const sum = (key: 'cpus' | 'memoryGb', list: MatchingTask[]) =>
+            list.reduce((total, each) => total + each.requested[key], 0);
           assert.ok(sum('cpus', here) <= machine.free.cpus && sum('memoryGb', here) <= machine.free.memoryGb);
           for (const task of seekers) {
             const list = preferences(task, machines, open);
@@ -74,8 +78,8 @@
             // The task would rather be here. Could the machine take it by sending lower-ranked tasks away?
             const kept = here.filter((each) => ranksBefore(each, task));
             const blocks =
-              sum('cpus', kept) + task.peak.cpus <= machine.free.cpus &&
-              sum('memoryGb', kept) + task.peak.memoryGb <= machine.free.memoryGb;
+              sum('cpus', kept) + task.requested.cpus <= machine.free.cpus &&
+              sum('memoryGb', kept) + task.requested.memoryGb <= machine.free.memoryGb;
             assert.ok(!blocks, `${task.id} and ${machine.id} block`);
           }
         }
--- a/test/scheduling/overload.test.ts
+++ b/test/scheduling/overload.test.ts
@@ -10,10 +10,11 @@
 import type { RoleLeadership } from '../../src/leadership/role-leadership.js';
 import type { MachineInventory } from '../../src/inventory/machine-inventory.js';
 import { Rescheduler } from '../../src/scheduling/rescheduler.js';
-import { planRestMs, type PlacementPlanner } from '../../src/scheduling/placement-planner.js';
+import { planRestMs } from '../../src/scheduling/decisions/plan-rest.js';
+import type { PlacementPlanner } from '../../src/scheduling/placement-planner.js';
+import { Happiness } from '../../src/scheduling/decisions/happiness.js';
 import type { ClusterState } from '../../src/records/cluster-state.js';
 import { Random } from '../../src/net/random.js';
-import { Happiness } from '../../src/scheduling/decisions/happiness.js';
 import type { TransactionBatcher } from '../../src/store/transaction-batcher.js';
 import { noLog } from '../../testing/fixtures.js';
 import { FakeClock } from '../../testing/fake-clock.js';
@@ -41,7 +42,7 @@
       looks++;
       return new Map();
     };
-    const inventory = { all, isOpen: () => true };
+    const inventory = { machines: all, isOpen: () => true };
     const rescheduler = new Rescheduler(
       decodeTuning({ ...DEFAULT_TUNING, standby: DEFAULT_STANDBY_SETTINGS }),
       { isInTouchWithStore: true, ledPartitions: () => [0], partitionOf: () => 0 } as unknown as RoleLeadership,
--- a/test/testing/stand-ins.test.ts
+++ b/test/testing/stand-ins.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { afterEach, describe, it } from 'node:test';
-import { NoAnswer, type Reply } from '../../src/net/http-client.js';
+import { NoResponseError, type Reply } from '../../src/net/http-client.js';
 import { Cluster } from '../../testing/cluster.js';
 import { jobOf, type ClusterOptions } from '../../testing/fixtures.js';
 import { FakeClock } from '../../testing/fake-clock.js';
@@ -148,7 +148,7 @@
     network.fault({ path: /^\/txn/, kind: 'late', lateMs: [2000, 12_000], times: 1 });
     const first = set(1).then(
       () => 'answered',
-      (error: NoAnswer) => error.sent,
+      (error: NoResponseError) => error.wasSent,
     );
     const second = set(2);
     await clock.advance(1600);
--- a/test/workers/exit-recorder.test.ts
+++ b/test/workers/exit-recorder.test.ts
@@ -7,7 +7,7 @@
 import { TransactionDraft } from '../../src/store/transaction-draft.js';
 import { noLog, specOf } from '../../testing/fixtures.js';
 import { FakeClock } from '../../testing/fake-clock.js';
-import { findProof, type Desired } from '../../src/workers/reconciliation.js';
+import { findProof, type DesiredTask } from '../../src/workers/reconciliation.js';
 import { decodeWorkerStatus, type WorkerStatus } from '../../src/workers/worker-wire-codec.js';
 import { Worker } from '../../src/workers/worker.js';
 import { encodeJobRecord } from '../../src/records/record-codecs.js';
@@ -20,7 +20,7 @@
   taskIndex: 0,
   placement: { kind: 'placed', attempt: 1, failures: 0, machineId: HOST, agentEpoch: 1, gracePeriodS: null, zone: 'a' },
 };
-const desired: Desired = { placedTask, isCancelled: false, inGang: true };
+const desired: DesiredTask = { placedTask, isCancelled: false, isInGang: true };
 
 const reportOf = (sequence: number, shards: object[]): WorkerStatus =>
   decodeWorkerStatus({
--- a/test/workers/worker-registry.test.ts
+++ b/test/workers/worker-registry.test.ts
@@ -3,7 +3,8 @@
 import type { WorkerTimings } from '../../src/domain/settings.js';
 import type { LeadershipTerm, RoleLeadership } from '../../src/leadership/role-leadership.js';
 import { WorkerRegistry } from '../../src/workers/worker-registry.js';
-import { Worker, leaseOverAt } from '../../src/workers/worker.js';
+import { Worker } from '../../src/workers/worker.js';
+import { leaseOverAt } from '../../src/domain/worker-deadlines.js';
 
 const LEASE_MS = 10_000;
 const TIMINGS: WorkerTimings = {
--- a/testing/cluster.ts
+++ b/testing/cluster.ts
@@ -1,5 +1,7 @@
 import { setMaxListeners } from 'node:events';
-import type { Answer } from '../src/api/job-service.js';
+import type { HttpAnswer } from '../src/net/http-answer.js';
+import { NoResponseError, type Reply } from '../src/net/http-client.js';
+import { Random } from '../src/net/random.js';
 import { DEFAULT_STANDBY_SETTINGS } from '@dewlatch/standby';
 import { DEFAULT_TUNING } from '../src/constants/scheduling.js';
 import type { Controller } from '../src/controller/controller.js';
@@ -10,8 +12,6 @@
   type ProgramVersion,
   type TestedController,
 } from './program-version.js';
-import { NoAnswer, type Reply } from '../src/net/http-client.js';
-import { Random } from '../src/net/random.js';
 import { FakeClock } from './fake-clock.js';
 import { FakeCloud } from './fake-cloud.js';
 import { FakeGangs } from './fake-gangs.js';
@@ -132,7 +132,7 @@
     this.nodes.set(settings.node, node);
     this.network.serve(`${settings.node}:8080`, async (_method, path, body) => {
       const answer = await freezer.serve(path, () => controller.answerHeartbeat(body));
-      if (stop.signal.aborted) throw new NoAnswer('reset', true);
+      if (stop.signal.aborted) throw new NoResponseError('reset', true);
       return answer;
     });
     controller.connect((to, message) => !stop.signal.aborted && this.carry(settings.node, to, message));
@@ -316,7 +316,7 @@
   }
 
   /** A user sends a job; the answer comes as time passes. */
-  post(body: unknown, node = 0): Promise<Answer> {
+  post(body: unknown, node = 0): Promise<HttpAnswer> {
     this.checker.submitted(body);
     const jobId = String((body as { Ref?: unknown } | null)?.Ref);
     // Its user uploads it for the workers.
@@ -324,11 +324,11 @@
     return this.asUser('submit', jobId, node, (controller) => controller.submit(body));
   }
 
-  ask(jobId: string, node = 0): Promise<Answer> {
+  ask(jobId: string, node = 0): Promise<HttpAnswer> {
     return this.asUser('poll', jobId, node, (controller) => controller.poll(jobId));
   }
 
-  cancel(jobId: string, node = 0): Promise<Answer> {
+  cancel(jobId: string, node = 0): Promise<HttpAnswer> {
     this.checker.cancelAsked(this.clock.now(), jobId);
     return this.asUser('withdraw', jobId, node, (controller) => controller.cancel(jobId));
   }
@@ -337,14 +337,14 @@
     kind: UserAnswer['kind'],
     jobId: string,
     index: number,
-    call: (controller: TestedController) => Promise<Answer>,
-  ): Promise<Answer> {
+    call: (controller: TestedController) => Promise<HttpAnswer>,
+  ): Promise<HttpAnswer> {
     const askedAt = this.clock.now();
     const node = this.nodes.get(`n${index}`);
     const patienceMs = kind === 'poll' ? POLL_PATIENCE_MS : REQUEST_PATIENCE_MS;
     const { freezer, stop, controller } = node ?? {};
-    const told = await new Promise<Answer>((resolve) => {
-      const none: Answer = { status: 0, body: undefined };
+    const told = await new Promise<HttpAnswer>((resolve) => {
+      const none: HttpAnswer = { status: 0, body: undefined };
       // A node that ends in the meantime has told nobody anything.
       if (controller === undefined) return resolve(none);
       stop!.signal.addEventListener('abort', () => resolve(none));
@@ -355,15 +355,15 @@
     return told;
   }
 
-  submit(fields: object, node = 0): Promise<Answer> {
+  submit(fields: object, node = 0): Promise<HttpAnswer> {
     return this.during(this.post(jobOf(fields), node));
   }
 
-  poll(jobId: string, node = 0): Promise<Answer> {
+  poll(jobId: string, node = 0): Promise<HttpAnswer> {
     return this.during(this.ask(jobId, node));
   }
 
-  withdraw(jobId: string, node = 0): Promise<Answer> {
+  withdraw(jobId: string, node = 0): Promise<HttpAnswer> {
     return this.during(this.cancel(jobId, node));
   }
 
--- a/testing/fake-network.ts
+++ b/testing/fake-network.ts
@@ -1,4 +1,4 @@
-import { NoAnswer, type CallOptions, type HttpClient, type Reply } from '../src/net/http-client.js';
+import { NoResponseError, type CallOptions, type HttpClient, type Reply } from '../src/net/http-client.js';
 import { Random } from '../src/net/random.js';
 import type { FakeClock } from './fake-clock.js';
 
@@ -170,18 +170,18 @@
     const copy: unknown = body === undefined ? undefined : JSON.parse(JSON.stringify(body));
     const fault = this.match(from, to, path, copy);
     const what = `${method} ${to}${path}`;
-    if (!this.handlers.has(to) || fault?.kind === 'refuse') throw new NoAnswer(`${what}: refused`, false);
+    if (!this.handlers.has(to) || fault?.kind === 'refuse') throw new NoResponseError(`${what}: refused`, false);
     if (fault?.kind === 'status') return { status: fault.status!, body: fault.body ?? {} };
     this.log.push({ from, to, method, path, body: copy });
     const deliver = async (late = false): Promise<Reply> => {
       const handler = this.handlers.get(to);
-      if (handler === undefined) throw new NoAnswer(`${what}: refused`, false);
+      if (handler === undefined) throw new NoResponseError(`${what}: refused`, false);
       return handler(method, path, copy, late ? { ...sender, late } : sender);
     };
     const ignored = (arrived: Promise<Reply>) => void arrived.catch(() => undefined);
     let cancel = () => {};
     const timedOut = new Promise<Reply>((_, reject) => {
-      cancel = this.clock.after(options.timeoutMs, () => reject(new NoAnswer(`${what}: timeout`, true)));
+      cancel = this.clock.after(options.timeoutMs, () => reject(new NoResponseError(`${what}: timeout`, true)));
     });
     switch (fault?.kind) {
       case 'answerLost':
--- a/testing/fake-users.ts
+++ b/testing/fake-users.ts
@@ -1,4 +1,4 @@
-import type { Answer } from '../src/api/job-service.js';
+import type { HttpAnswer } from '../src/net/http-answer.js';
 import type { Random } from '../src/net/random.js';
 import type { FakeClock } from './fake-clock.js';
 
@@ -12,9 +12,9 @@
 export interface Service {
   nodes: number;
   isHealthy(node: number): boolean;
-  post(body: unknown, node: number): Promise<Answer>;
-  ask(jobId: string, node: number): Promise<Answer>;
-  cancel(jobId: string, node: number): Promise<Answer>;
+  post(body: unknown, node: number): Promise<HttpAnswer>;
+  ask(jobId: string, node: number): Promise<HttpAnswer>;
+  cancel(jobId: string, node: number): Promise<HttpAnswer>;
 }
 
 /** Users as the protocol describes them: they repeat what fails, go on asking, and some ask for odd things. */
@@ -36,7 +36,7 @@
     return choice[this.random.below(choice.length)]!;
   }
 
-  private async repeat(request: (node: number) => Promise<Answer>): Promise<Answer> {
+  private async repeat(request: (node: number) => Promise<HttpAnswer>): Promise<HttpAnswer> {
     const end = this.clock.now() + RETRY_MS;
     for (;;) {
       const answer = await request(this.anyNode());
@@ -46,7 +46,7 @@
   }
 
   /** Submits a job until that is decided, and then asks about it for ever. */
-  async submit(body: object): Promise<Answer> {
+  async submit(body: object): Promise<HttpAnswer> {
     const answer = await this.repeat((node) => this.service.post(body, node));
     const { Ref } = body as { Ref: string };
     if (answer.status > 201 || answer.status === 0 || this.jobs.has(Ref)) return answer;
@@ -55,13 +55,13 @@
     return answer;
   }
 
-  async withdraw(jobId: string): Promise<Answer> {
+  async withdraw(jobId: string): Promise<HttpAnswer> {
     const answer = await this.repeat((node) => this.service.cancel(jobId, node));
     this.note(jobId, answer);
     return answer;
   }
 
-  private note(jobId: string, answer: Answer): void {
+  private note(jobId: string, answer: HttpAnswer): void {
     const job = this.jobs.get(jobId);
     if (job !== undefined && answer.status === 200) job.phase = (answer.body as { Phase: string }).Phase;
   }
@@ -79,9 +79,9 @@
    * Odd requests, one after the other: submissions of unfinished jobs are repeated, also malformed; jobs that are done are
    * cancelled; jobs come that fit no machine or lack a field; and somebody asks about a job that nobody knows.
    */
-  async askOddThings(): Promise<Answer[]> {
-    const answers: Answer[] = [];
-    const one = async (request: (node: number) => Promise<Answer>) => answers.push(await request(this.anyNode()));
+  async askOddThings(): Promise<HttpAnswer[]> {
+    const answers: HttpAnswer[] = [];
+    const one = async (request: (node: number) => Promise<HttpAnswer>) => answers.push(await request(this.anyNode()));
     for (const [jobId, { body, phase }] of this.jobs) {
       if (phase === 'done') await one((node) => this.service.cancel(jobId, node));
       if (phase === 'done' || phase === 'withdrawn') continue;
--- a/testing/fixtures.ts
+++ b/testing/fixtures.ts
@@ -3,7 +3,7 @@
 import { parseSettingsFile } from '../src/config/load-settings.js';
 import type { SettingsFile, TuningFile } from '../src/config/settings-file-codec.js';
 import { decodeJobSpec, type WireJobSpec } from '../src/records/job-spec-codec.js';
-import type { JobSpec } from '../src/records/records.js';
+import type { JobSpec } from '../src/domain/job.js';
 import type { Log } from '../src/logging/log.js';
 import type { TransactionLimits } from '../src/store/transaction-draft.js';
 import type { ProgramVersion } from './program-version.js';
--- a/testing/production-version.ts
+++ b/testing/production-version.ts
@@ -1,7 +1,7 @@
 /** The version in production, as built from the history: its controllers under the names that it has for things. */
 import { resolve } from 'node:path';
 import { pathToFileURL } from 'node:url';
-import type { Answer } from '../src/api/job-service.js';
+import type { HttpAnswer } from '../src/net/http-answer.js';
 import type { Clock } from '../src/net/clock.js';
 import type { HttpClient } from '../src/net/http-client.js';
 import { noLog } from './fixtures.js';
@@ -10,14 +10,14 @@
 interface ProductionController {
   send: (node: string, message: OpaqueMessage) => boolean;
   duties(signal: AbortSignal): Promise<void>;
-  up(): Answer;
+  up(): HttpAnswer;
   readonly claims: { holding(role: string): unknown };
   readonly jobs: {
-    submit(body: unknown): Promise<Answer>;
-    poll(jobId: string): Promise<Answer>;
-    withdraw(jobId: string): Promise<Answer>;
+    submit(body: unknown): Promise<HttpAnswer>;
+    poll(jobId: string): Promise<HttpAnswer>;
+    withdraw(jobId: string): Promise<HttpAnswer>;
   };
-  hello(body: unknown): Answer | Promise<Answer>;
+  hello(body: unknown): HttpAnswer | Promise<HttpAnswer>;
   gossip(to: string): object;
   receive(message: OpaqueMessage): void;
 }
@@ -53,19 +53,19 @@
     return this.controller.claims.holding('leader') !== undefined;
   }
 
-  submit(body: unknown): Promise<Answer> {
+  submit(body: unknown): Promise<HttpAnswer> {
     return this.controller.jobs.submit(body);
   }
 
-  poll(jobId: string): Promise<Answer> {
+  poll(jobId: string): Promise<HttpAnswer> {
     return this.controller.jobs.poll(jobId);
   }
 
-  cancel(jobId: string): Promise<Answer> {
+  cancel(jobId: string): Promise<HttpAnswer> {
     return this.controller.jobs.withdraw(jobId);
   }
 
-  answerHeartbeat(body: unknown): Answer | Promise<Answer> {
+  answerHeartbeat(body: unknown): HttpAnswer | Promise<HttpAnswer> {
     return this.controller.hello(body);
   }
 
--- a/testing/program-version.ts
+++ b/testing/program-version.ts
@@ -1,10 +1,10 @@
 /** A version of the program, as far as the stand-ins need to know one from another. */
-import type { Answer } from '../src/api/job-service.js';
+import type { HttpAnswer } from '../src/net/http-answer.js';
 import { decodeSettings, decodeTuning, type SettingsFile, type TuningFile } from '../src/config/settings-file-codec.js';
-import { Controller } from '../src/controller/controller.js';
-import { decodeMessage, encodeMessage, type Message } from '../src/gossip/messages.js';
 import type { Clock } from '../src/net/clock.js';
 import type { HttpClient } from '../src/net/http-client.js';
+import { Controller } from '../src/controller/controller.js';
+import { decodeMessage, encodeMessage, type Message } from '../src/gossip/messages.js';
 import { noLog } from './fixtures.js';
 
 /** A message between controllers, in the form of the version that sends or receives it. */
@@ -18,10 +18,10 @@
   handOver(): Promise<void>;
   isHealthy(): boolean;
   isLeader(): boolean;
-  submit(body: unknown): Promise<Answer>;
-  poll(jobId: string): Promise<Answer>;
-  cancel(jobId: string): Promise<Answer>;
-  answerHeartbeat(body: unknown): Answer | Promise<Answer>;
+  submit(body: unknown): Promise<HttpAnswer>;
+  poll(jobId: string): Promise<HttpAnswer>;
+  cancel(jobId: string): Promise<HttpAnswer>;
+  answerHeartbeat(body: unknown): HttpAnswer | Promise<HttpAnswer>;
   composeGossip(to: string): OpaqueMessage;
   receive(message: OpaqueMessage): void;
 }
@@ -62,19 +62,19 @@
     return this.controller.leadership.leadershipOf('leader') !== undefined;
   }
 
-  submit(body: unknown): Promise<Answer> {
+  submit(body: unknown): Promise<HttpAnswer> {
     return this.controller.jobs.submit(body);
   }
 
-  poll(jobId: string): Promise<Answer> {
+  poll(jobId: string): Promise<HttpAnswer> {
     return this.controller.jobs.poll(jobId);
   }
 
-  cancel(jobId: string): Promise<Answer> {
+  cancel(jobId: string): Promise<HttpAnswer> {
     return this.controller.jobs.cancel(jobId);
   }
 
-  answerHeartbeat(body: unknown): Answer | Promise<Answer> {
+  answerHeartbeat(body: unknown): HttpAnswer | Promise<HttpAnswer> {
     return this.controller.answerHeartbeat(body);
   }
 
