--- a/test/records/job-dependencies.test.ts
+++ b/test/records/job-dependencies.test.ts
@@ -73,7 +73,7 @@
     const steps: string[] = [];
     const progress = new DependencyProgress({
       leadership: { isInTouchWithStore: true, partitionOf: () => 0, leadershipOf: () => ({}) },
-      clusterState: { pipelines: index, jobs: new Map() },
+      clusterState: { dependencies: index, jobs: new Map() },
       transactions: {
         commit: (name: string) => {
           steps.push(name);
@@ -81,7 +81,7 @@
         },
       },
       states: {
-        standingOfAll: (predecessors: readonly string[]) => {
+        stateOfAll: (predecessors: readonly string[]) => {
           looks += predecessors.length;
           return predecessors.includes('j-0') ? 'done' : 'open';
         },
