--- /dev/null
+++ b/src/controller/duties.ts
@@ -0,0 +1,81 @@
+/** The long-lived routines of a controller: all run until one signal fires. */
+import type { ClusterLeader } from '../autoscaling/cluster-leader.js';
+import {
+  DEPENDENCY_SWEEP_MS,
+  FINISH_PERIOD_MS,
+  FORMAT_CHECK_PERIOD_MS,
+  TEAM_SETTLEMENT_PERIOD_MS,
+} from '../constants/records.js';
+import { SWEEP_MS, TOKEN_ANNOUNCE_PERIOD_MS } from '../constants/workers.js';
+import type { MachineInventory } from '../inventory/machine-inventory.js';
+import type { DependencyProgress } from '../jobs/dependency-progress.js';
+import type { JobCompletion } from '../jobs/job-completion.js';
+import type { RoleLeadership } from '../leadership/role-leadership.js';
+import type { RoleRebalancer } from '../leadership/role-rebalancer.js';
+import type { Standby } from '../leadership/standby.js';
+import type { Log } from '../logging/log.js';
+import type { Clock } from '../net/clock.js';
+import { runPeriodically } from '../net/periodic.js';
+import type { ClusterState } from '../records/cluster-state.js';
+import type { FormatUpgrade } from '../records/format-upgrade.js';
+import type { Happiness } from '../scheduling/decisions/happiness.js';
+import type { PlacementPlanner } from '../scheduling/placement-planner.js';
+import type { Rescheduler } from '../scheduling/rescheduler.js';
+import type { TeamSettlement } from '../scheduling/team-settlement.js';
+import type { Replica } from '../store/replica.js';
+import type { CancellationEnforcer } from '../workers/cancellation-enforcer.js';
+import { TokenAnnouncer } from '../workers/token-announcer.js';
+import type { WorkerManager } from '../workers/worker-manager.js';
+
+export interface DutiesDependencies {
+  clock: Clock;
+  log: Log;
+  replica: Replica;
+  clusterState: ClusterState;
+  leadership: RoleLeadership;
+  formatUpgrade: FormatUpgrade;
+  workerManager: WorkerManager;
+  inventory: MachineInventory;
+  happiness: Happiness;
+  cancellationEnforcer: CancellationEnforcer;
+  planner: PlacementPlanner;
+  leader: ClusterLeader;
+  rescheduler: Rescheduler;
+  teamSettlement: TeamSettlement;
+  completion: JobCompletion;
+  dependencyProgress: DependencyProgress;
+  roleRebalancer: RoleRebalancer;
+  /** Without the warm standby there is none. */
+  standby: Standby | undefined;
+}
+
+/** Ends jobs that are over, and forgets what no longer matters. */
+function cleanUp({ leadership, completion, happiness, inventory, clock }: DutiesDependencies): void {
+  if (!leadership.isInTouchWithStore) return;
+  completion.completeAll();
+  happiness.prune(clock.now());
+  inventory.prune();
+}
+
+export async function runDuties(dependencies: DutiesDependencies, signal: AbortSignal): Promise<void> {
+  const { clock, log, leader } = dependencies;
+  const announcer = new TokenAnnouncer({ ...dependencies, endpoints: leader });
+  const repeat = (periodMs: number, work: () => Promise<void> | void): Promise<void> =>
+    runPeriodically(periodMs, { clock, log, signal }, work);
+  await Promise.all([
+    dependencies.replica.run(signal),
+    dependencies.leadership.run(signal),
+    dependencies.workerManager.run(signal),
+    dependencies.planner.run(signal),
+    leader.run(signal),
+    dependencies.standby?.run(signal),
+    dependencies.rescheduler.run(signal),
+    repeat(FINISH_PERIOD_MS, () => cleanUp(dependencies)),
+    repeat(SWEEP_MS, () => dependencies.roleRebalancer.rebalance()),
+    repeat(SWEEP_MS, () => dependencies.cancellationEnforcer.sweep()),
+    repeat(TOKEN_ANNOUNCE_PERIOD_MS, () => announcer.announce()),
+    repeat(DEPENDENCY_SWEEP_MS, () => dependencies.dependencyProgress.sweep()),
+    repeat(TEAM_SETTLEMENT_PERIOD_MS, () => dependencies.teamSettlement.settleQuietTeams()),
+    repeat(FORMAT_CHECK_PERIOD_MS, () => dependencies.formatUpgrade.check()),
+  ]);
+}
--- /dev/null
+++ b/src/controller/gossip-parts.ts
@@ -0,0 +1,42 @@
+/** Builds the exchange of messages with the other controllers, beside the links that carry them. */
+import { GossipExchange } from '../gossip/gossip-exchange.js';
+import { GossipSender } from '../gossip/gossip-sender.js';
+import { SentMachineUpdates } from '../gossip/machine-updates.js';
+import { peerNodesOf, type Environment } from './environment.js';
+import type { LeadershipParts } from './leadership-parts.js';
+import type { RecordParts } from './record-parts.js';
+import type { WorkerParts } from './worker-parts.js';
+
+export interface GossipParts {
+  readonly exchange: GossipExchange;
+  readonly sender: GossipSender;
+  /** What each peer has been told of this node's machines. */
+  readonly sentUpdates: SentMachineUpdates;
+}
+
+export function createGossipParts(
+  environment: Environment,
+  records: RecordParts,
+  { leadership, health }: LeadershipParts,
+  { inventory, workerManager }: WorkerParts,
+): GossipParts {
+  const { clock, incarnation, send } = environment;
+  const sentUpdates = new SentMachineUpdates(incarnation);
+  const sender: GossipSender = new GossipSender({
+    peers: peerNodesOf(environment),
+    clock,
+    compose: (node) => exchange.compose(node),
+    send,
+  });
+  const exchange: GossipExchange = new GossipExchange({
+    ...environment,
+    ...records,
+    leadership,
+    misroutedWorkers: workerManager.misroutedWorkers,
+    inventory,
+    sentUpdates,
+    isWithoutStore: () => health.isWithoutStore,
+    sendSoon: () => sender.sendSoon(),
+  });
+  return { exchange, sender, sentUpdates };
+}
--- /dev/null
+++ b/src/controller/leadership-parts.ts
@@ -0,0 +1,29 @@
+/** Builds what decides which roles this controller leads, and what follows from it for the whole process. */
+import { RoleLeadership } from '../leadership/role-leadership.js';
+import { FormatUpgrade } from '../records/format-upgrade.js';
+import { peerNodesOf, type Environment } from './environment.js';
+import { NodeHealth } from './node-health.js';
+import type { RecordParts } from './record-parts.js';
+
+export interface LeadershipParts {
+  readonly leadership: RoleLeadership;
+  readonly formatUpgrade: FormatUpgrade;
+  readonly health: NodeHealth;
+}
+
+export function createLeadershipParts(environment: Environment, records: RecordParts): LeadershipParts {
+  const { settings, log } = environment;
+  const { client, replica, peerDirectory } = records;
+  const leadership = new RoleLeadership({ ...environment, ...records });
+  const formatUpgrade = new FormatUpgrade({
+    node: settings.node,
+    nodes: [settings.node, ...peerNodesOf(environment)],
+    clusterSize: settings.cluster.size,
+    leadership,
+    replica,
+    transactions: records.transactions,
+    log,
+  });
+  const health = new NodeHealth(replica, leadership, client, peerDirectory);
+  return { leadership, formatUpgrade, health };
+}
--- a/src/controller/worker-manager-events.ts
+++ b/src/controller/worker-manager-events.ts
@@ -3,7 +3,6 @@
 import type { MachineInventory } from '../inventory/machine-inventory.js';
 import type { HealthChecks } from '../scheduling/health-checks.js';
 import type { PlacementPlanner } from '../scheduling/placement-planner.js';
-import type { Standby } from '../leadership/standby.js';
 import type { WorkerManagerEvents } from '../workers/worker-manager-dependencies.js';
 
 /** The parts that are built after the manager are asked for when they are needed. */
@@ -12,7 +11,8 @@
   healthChecks: HealthChecks;
   inventory: () => MachineInventory;
   planner: () => PlacementPlanner;
-  standby: () => Standby | undefined;
+  /** A worker of the role's partition is being answered. */
+  workerAnswered: (role: string) => void;
 }
 
 export function createWorkerManagerEvents({
@@ -20,14 +20,14 @@
   healthChecks,
   inventory,
   planner,
-  standby,
+  workerAnswered,
 }: WorkerManagerEventsDependencies): WorkerManagerEvents {
   return {
     isTerminated: (machineId) => inventory().terminated.has(machineId),
     isLate: (workerStatus) => inventory().isLate(workerStatus),
     knownImages: (machineId) => inventory().peerReportOf(machineId)?.images ?? [],
     cacheGb: (machineType) => inventory().catalog.get(machineType)?.imageCacheGb ?? Infinity,
-    workerAnswered: (role) => standby()?.workerAnswered(role),
+    workerAnswered,
     heartbeatReceived: (workerStatus) => healthChecks.heartbeatReceived(workerStatus),
     completed: (placedTask, ranS) => {
       const spec = clusterState.jobs.get(placedTask.jobId)?.record.spec;
--- /dev/null
+++ b/src/controller/worker-parts.ts
@@ -0,0 +1,67 @@
+/** Builds what serves the workers of the partitions that this controller leads, and what is known of their machines. */
+import { HeartbeatForwarder } from '../gossip/heartbeat-forwarder.js';
+import { followCatalog } from '../inventory/catalog-follower.js';
+import { MachineInventory } from '../inventory/machine-inventory.js';
+import type { RoleLeadership } from '../leadership/role-leadership.js';
+import { Happiness } from '../scheduling/decisions/happiness.js';
+import { HealthChecks } from '../scheduling/health-checks.js';
+import type { PlacementPlanner } from '../scheduling/placement-planner.js';
+import { CancellationEnforcer } from '../workers/cancellation-enforcer.js';
+import { HeartbeatService } from '../workers/heartbeat-service.js';
+import { WorkerManager } from '../workers/worker-manager.js';
+import type { Environment } from './environment.js';
+import type { RecordParts } from './record-parts.js';
+import { createWorkerManagerEvents } from './worker-manager-events.js';
+
+export interface WorkerParts {
+  readonly workerManager: WorkerManager;
+  readonly inventory: MachineInventory;
+  readonly happiness: Happiness;
+  readonly heartbeatForwarder: HeartbeatForwarder;
+  readonly heartbeats: HeartbeatService;
+  readonly cancellationEnforcer: CancellationEnforcer;
+}
+
+/** Parts that are built later, and asked for when they are needed. */
+export interface WorkerPartsHooks {
+  planner: () => PlacementPlanner;
+  /** A worker of the role's partition is being answered. */
+  workerAnswered: (role: string) => void;
+  /** A heartbeat came here that another node should have got. */
+  onMisrouted: () => void;
+}
+
+export function createWorkerParts(
+  environment: Environment,
+  records: RecordParts,
+  leadership: RoleLeadership,
+  hooks: WorkerPartsHooks,
+): WorkerParts {
+  const { settings, tuning, http, clock, log, incarnation, send } = environment;
+  const { clusterState, peerDirectory } = records;
+  const happiness = new Happiness(tuning.happinessWindowMs);
+  const healthChecks = new HealthChecks({ clusterState, happiness, clock });
+  const inventoryLater = (): MachineInventory => inventory;
+  const events = createWorkerManagerEvents({ ...hooks, clusterState, healthChecks, inventory: inventoryLater });
+  const workerManager = new WorkerManager({ ...environment, ...records, leadership, events });
+  const inventory: MachineInventory = new MachineInventory(settings, leadership, workerManager, clock);
+  followCatalog(records.replica, () => inventory.catalog, log);
+  const heartbeatForwarder = new HeartbeatForwarder(settings.node, incarnation, clock, send);
+  const heartbeats = new HeartbeatService({
+    node: settings.node,
+    workerManager,
+    heartbeatForwarder,
+    log,
+    onMisrouted: hooks.onMisrouted,
+  });
+  const cancellationEnforcer = new CancellationEnforcer(
+    leadership,
+    clusterState,
+    inventory,
+    peerDirectory,
+    http,
+    clock,
+    log,
+  );
+  return { workerManager, inventory, happiness, heartbeatForwarder, heartbeats, cancellationEnforcer };
+}
--- a/src/main.ts
+++ b/src/main.ts
@@ -40,7 +40,7 @@
   try {
     return {
       settings: loadSettings(options.config),
-      tuning: loadTuning(options.tuning ?? process.env['DEWLATCH_TUNING']),
+      tuning: loadTuning(options.tuning ?? process.env.DEWLATCH_TUNING),
     };
   } catch (error) {
     if (!(error instanceof SettingsError)) throw error;
@@ -76,10 +76,10 @@
     process.stdout.write('settings are good\n');
     process.exit(0);
   }
-  const log = createLog(settings.node, process.env['LOG_LEVEL']);
+  const log = createLog(settings.node, process.env.LOG_LEVEL);
   surviveErrors(log);
   const http = new NodeHttpClient(Math.floor(settings.cluster.sockets * HTTP_CLIENT_SOCKET_SHARE));
-  const controller = new Controller(settings, tuning, http, systemClock, log);
+  const controller = new Controller({ settings, tuning, http, clock: systemClock, log });
   const stop = stopSignal(() => controller.handOver());
   controller.run(stop).then(
     () => http.close(),
--- a/testing/program-version.ts
+++ b/testing/program-version.ts
@@ -95,7 +95,14 @@
 
 export const PRESENT_VERSION: ProgramVersion = {
   createController: (settings, tuning, http, clock, seed) =>
-    new PresentController(new Controller(decodeSettings(settings), decodeTuning(tuning), http, clock, noLog, seed)),
+    new PresentController(
+      new Controller({
+        ...{ http, clock, seed },
+        settings: decodeSettings(settings),
+        tuning: decodeTuning(tuning),
+        log: noLog,
+      }),
+    ),
   encodeMessage: (message) => encodeMessage(message as Message),
   decodeMessage,
 };
