--- a/src/autoscaling/cluster-leader.ts
+++ b/src/autoscaling/cluster-leader.ts
@@ -271,7 +271,7 @@
             placedTask.jobId,
             placedTask.taskIndex,
             machineId,
-            { kind: 'gone' },
+            { kind: 'machine_terminated' },
             'lost',
           );
         },
--- a/src/records/placement-rules.ts
+++ b/src/records/placement-rules.ts
@@ -72,21 +72,21 @@
 /** Why a place is free. Nothing else proves it. */
 export type Proof =
   | { kind: 'exited'; attempt: number; agentEpoch: number }
-  | { kind: 'tenure'; agentEpoch: number }
-  | { kind: 'gone' }
+  | { kind: 'newer_agent_epoch'; agentEpoch: number }
+  | { kind: 'machine_terminated' }
   /** The session's lease is over; it says nothing of what the machine is given in its next one. */
-  | { kind: 'lease'; agentEpoch: number };
+  | { kind: 'lease_expired'; agentEpoch: number };
 
 /** Does the proof free exactly this place? */
 export function provesFree(proof: Proof, placement: ActivePlacement): boolean {
   switch (proof.kind) {
     case 'exited':
       return proof.attempt === placement.attempt && proof.agentEpoch === placement.agentEpoch;
-    case 'tenure':
+    case 'newer_agent_epoch':
       return proof.agentEpoch > placement.agentEpoch;
-    case 'gone':
+    case 'machine_terminated':
       return true;
-    case 'lease':
+    case 'lease_expired':
       return proof.agentEpoch >= placement.agentEpoch;
   }
 }
--- a/src/store/replica.ts
+++ b/src/store/replica.ts
@@ -43,7 +43,7 @@
   /** Dropped keys, oldest first: what peers' copies may not know yet. */
   private tombstones: { key: string; modRevision: number }[] = [];
   /** Drops up to this revision are no longer known here. */
-  private forgottenUpTo = 0;
+  private compactedRevision = 0;
   private refreshing: Promise<boolean> | undefined;
   /** The copy is complete up to this revision; of later ones it holds some. */
   revision = 0;
@@ -58,7 +58,7 @@
     private readonly prefix: string,
     private readonly clock: Clock,
     /** ms between two watches. */
-    private readonly pauseMs: () => number = () => WATCH_PAUSE_MS,
+    private readonly watchPauseMs: () => number = () => WATCH_PAUSE_MS,
   ) {}
 
   onChange(listener: Listener): void {
@@ -93,15 +93,15 @@
   completeTo(revision: number): void {
     if (revision <= this.revision) return;
     this.revision = revision;
-    this.forgetDrops();
+    this.compactTombstones();
   }
 
   /** Old news of a dropped key is told by its Stamp, once the copy is complete beyond it. */
-  private forgetDrops(): void {
+  private compactTombstones(): void {
     let count = 0;
     while (this.tombstones.length - count > TOMBSTONES_KEPT && this.tombstones[count]!.modRevision <= this.revision) {
       const { key, modRevision } = this.tombstones[count++]!;
-      this.forgottenUpTo = Math.max(this.forgottenUpTo, modRevision);
+      this.compactedRevision = Math.max(this.compactedRevision, modRevision);
       const row = this.rows.get(key);
       if (row?.value === undefined && row?.modRevision === modRevision) this.rows.delete(key);
     }
@@ -133,7 +133,7 @@
   /** Up to which revision a copy is complete that was so up to `from` and has taken in all that this one holds since. */
   completeFrom(from: number): number {
     // Of drops that are forgotten here it has not heard.
-    return from < this.forgottenUpTo ? from : Math.max(from, this.revision);
+    return from < this.compactedRevision ? from : Math.max(from, this.revision);
   }
 
   /** Takes in what a peer's copy holds. */
@@ -143,30 +143,30 @@
 
   /** Reads all records; what is no longer there is dropped. */
   async load(): Promise<void> {
-    const sentAt = this.clock.now();
-    const seen = new Set<string>();
-    let from: string | undefined;
-    let first = 0;
+    const sentAtMs = this.clock.now();
+    const seenKeys = new Set<string>();
+    let pageAfter: string | undefined;
+    let firstRevision = 0;
     for (;;) {
-      const page = await this.client.list(this.prefix, from, PAGE_ROWS, Priority.lease);
-      if (from === undefined) first = page.revision;
+      const page = await this.client.list(this.prefix, pageAfter, PAGE_ROWS, Priority.lease);
+      if (pageAfter === undefined) firstRevision = page.revision;
       for (const row of page.rows) {
-        seen.add(row.key);
+        seenKeys.add(row.key);
         this.apply(row);
       }
       if (!page.hasMore || page.rows.length === 0) break;
-      from = page.rows[page.rows.length - 1]!.key;
+      pageAfter = page.rows[page.rows.length - 1]!.key;
     }
     for (const [key, row] of this.rows) {
-      if (!seen.has(key) && row.value !== undefined && row.modRevision <= first) {
-        this.apply({ key, value: undefined, modRevision: first });
+      if (!seenKeys.has(key) && row.value !== undefined && row.modRevision <= firstRevision) {
+        this.apply({ key, value: undefined, modRevision: firstRevision });
       }
     }
-    this.revision = Math.max(this.revision, first);
+    this.revision = Math.max(this.revision, firstRevision);
     // Drops before it have not been seen here.
-    this.forgottenUpTo = Math.max(this.forgottenUpTo, first);
+    this.compactedRevision = Math.max(this.compactedRevision, firstRevision);
     this.isLoaded = true;
-    this.freshAt = Math.max(this.freshAt, sentAt);
+    this.freshAt = Math.max(this.freshAt, sentAtMs);
   }
 
   /** Asks for all that is new, without waiting; shared by all who ask at once. */
@@ -207,7 +207,7 @@
         continue;
       }
       const ok = await this.pull(WATCH_WAIT_MS);
-      await this.clock.sleep(ok ? this.pauseMs() : 500, signal);
+      await this.clock.sleep(ok ? this.watchPauseMs() : 500, signal);
     }
   }
 }
--- a/src/store/store-client.ts
+++ b/src/store/store-client.ts
@@ -111,7 +111,7 @@
     this.requestBucket.backOff(pauseMs / REQUEST_PAUSE_DIVISOR, priority);
   }
 
-  private async callOrFail(call: Call): Promise<Reply> {
+  private async callOrThrow(call: Call): Promise<Reply> {
     try {
       return await this.call(call);
     } catch (error) {
@@ -120,7 +120,7 @@
   }
 
   private read(path: string, priority: Priority, timeoutMs = STORE_TIMEOUT_MS): Promise<Reply> {
-    return this.callOrFail({ method: 'GET', path, priority, timeoutMs });
+    return this.callOrThrow({ method: 'GET', path, priority, timeoutMs });
   }
 
   async get(key: string, priority: Priority): Promise<StoreRow> {
@@ -183,6 +183,6 @@
   }
 
   private leaseCall(path: string, body: unknown): Promise<Reply> {
-    return this.callOrFail({ method: 'POST', path, body, priority: Priority.lease, timeoutMs: STORE_TIMEOUT_MS });
+    return this.callOrThrow({ method: 'POST', path, body, priority: Priority.lease, timeoutMs: STORE_TIMEOUT_MS });
   }
 }
--- a/src/store/store-wire-codec.ts
+++ b/src/store/store-wire-codec.ts
@@ -106,7 +106,7 @@
   | { kind: 'conflict'; failed: string[]; revision: number }
   /** The store lease of a write has expired. */
   | { kind: 'lease_expired' }
-  | { kind: 'malformed'; why: string }
+  | { kind: 'malformed'; reason: string }
   /** Not carried out, and never will be. */
   | { kind: 'refused'; status: number }
   /** May have been carried out, or may be later, until a revision that it names has changed. */
@@ -124,7 +124,7 @@
     case 400:
       return answer?.error === LEASE_EXPIRED
         ? { kind: 'lease_expired' }
-        : { kind: 'malformed', why: String(answer?.error) };
+        : { kind: 'malformed', reason: String(answer?.error) };
     case 429:
     case 503:
       return { kind: 'refused', status };
--- a/src/store/transaction-batcher.ts
+++ b/src/store/transaction-batcher.ts
@@ -29,7 +29,7 @@
   /** Given up; it may or may not have happened. */
   | { kind: 'expired' }
   /** The store takes no change of that form or size, and has changed nothing. */
-  | { kind: 'rejected'; why: string };
+  | { kind: 'rejected'; reason: string };
 
 /** Whom an intent goes along with. */
 export interface BatchingHint {
@@ -43,28 +43,28 @@
   name: string;
   priority: Priority;
   decide: Mutation;
-  deadline: number;
+  deadlineMs: number;
   resolve: (outcome: CommitOutcome) => void;
   batchingHint: BatchingHint | undefined;
   /** The store has rejected a transaction that it was part of: it is tried by itself. */
-  isAlone: boolean;
+  mustBeSentAlone: boolean;
 }
 
-const isUsers = (priority: Priority): boolean => priority === Priority.cancel || priority === Priority.accept;
+const isUserRequest = (priority: Priority): boolean => priority === Priority.cancel || priority === Priority.accept;
 
 /** Turns intents into few, batched transactions, and tries again after conflicts, refusals and silence. */
 export class TransactionBatcher {
   private readonly queues = new Map<Priority, PendingMutation[]>(Object.values(Priority).map((each) => [each, []]));
-  private readonly inFlight = new Map<Priority, number>();
-  private readonly locked = new Set<string>();
+  private readonly inFlightCounts = new Map<Priority, number>();
+  private readonly keysInFlight = new Set<string>();
   private readonly finalRecords = new Map<string, StoredValue>();
   /** Steady ms before which nothing of a priority is sent. */
-  private readonly pausedUntil = new Map<Priority, number>();
-  private waking = false;
+  private readonly pausedUntilMs = new Map<Priority, number>();
+  private isWakeScheduled = false;
   /** Told what this node's transactions have changed. */
   announce: (changes: Change[]) => void = () => undefined;
   /** Told of each decision that the store does not take. */
-  onRejected: (name: string, why: string) => void = () => undefined;
+  onRejected: (name: string, reason: string) => void = () => undefined;
   /** The form in which records are written. */
   resize: Resize = (_, value) => value;
   private limits: TransactionLimits;
@@ -117,41 +117,41 @@
         name,
         priority,
         decide,
-        deadline: this.clock.now() + timeoutMs,
+        deadlineMs: this.clock.now() + timeoutMs,
         resolve,
         batchingHint,
-        isAlone: false,
+        mustBeSentAlone: false,
       });
       // Starts take room that the other nodes can't see until they are recorded, so they do not wait.
-      if (priority !== Priority.record) this.wake();
-      else if (queue.length === 1) this.gather(priority);
+      if (priority !== Priority.record) this.scheduleSending();
+      else if (queue.length === 1) this.scheduleGathering(priority);
     });
   }
 
   /** Lets decisions about a record that wait for their turn go with more urgent ones than they were handed in with. */
-  promote(concerns: (key: string) => boolean, from: Priority, to: Priority): void {
+  promote(isConcerned: (key: string) => boolean, from: Priority, to: Priority): void {
     const queue = this.queues.get(from)!;
-    const chosen = queue.filter(({ batchingHint }) => batchingHint !== undefined && concerns(batchingHint.key));
+    const chosen = queue.filter(({ batchingHint }) => batchingHint !== undefined && isConcerned(batchingHint.key));
     if (chosen.length === 0) return;
-    queue.splice(0, queue.length, ...queue.filter((intent) => !chosen.includes(intent)));
-    for (const intent of chosen) intent.priority = to;
+    queue.splice(0, queue.length, ...queue.filter((mutation) => !chosen.includes(mutation)));
+    for (const mutation of chosen) mutation.priority = to;
     this.queues.get(to)!.push(...chosen);
-    this.wake();
+    this.scheduleSending();
   }
 
   /** Exits of batch work wait for more of their kind. */
-  private gather(priority: Priority): void {
+  private scheduleGathering(priority: Priority): void {
     const now = this.clock.now();
-    if (now < (this.pausedUntil.get(priority) ?? 0)) return;
-    this.pausedUntil.set(priority, now + this.gatherMs);
-    void this.clock.sleep(this.gatherMs + 1).then(() => this.wake());
+    if (now < (this.pausedUntilMs.get(priority) ?? 0)) return;
+    this.pausedUntilMs.set(priority, now + this.gatherMs);
+    void this.clock.sleep(this.gatherMs + 1).then(() => this.scheduleSending());
   }
 
-  private wake(): void {
-    if (this.waking) return;
-    this.waking = true;
+  private scheduleSending(): void {
+    if (this.isWakeScheduled) return;
+    this.isWakeScheduled = true;
     queueMicrotask(() => {
-      this.waking = false;
+      this.isWakeScheduled = false;
       this.sendReady();
     });
   }
@@ -159,10 +159,10 @@
   private sendReady(): void {
     // Each priority has flights of its own: batch starts that wait for the write rate must not keep submissions waiting.
     for (const [priority, queue] of this.queues) {
-      if (this.clock.now() < (this.pausedUntil.get(priority) ?? 0)) continue;
+      if (this.clock.now() < (this.pausedUntilMs.get(priority) ?? 0)) continue;
       // What may wait shares transactions: each costs a change for the team's record, and the rate of changes is small.
       const most = priority <= Priority.accept ? MAX_IN_FLIGHT_TRANSACTIONS : 1;
-      while (queue.length > 0 && (this.inFlight.get(priority) ?? 0) < most) {
+      while (queue.length > 0 && (this.inFlightCounts.get(priority) ?? 0) < most) {
         const packed = this.pack(queue);
         if (packed === undefined) break;
         void this.sendBatch(packed.batch, packed.draft);
@@ -180,68 +180,68 @@
     let shared: string | undefined;
     let tried = 0;
     let full = 0;
-    for (const intent of queue) {
-      if (now >= intent.deadline) {
-        intent.resolve({ kind: 'expired' });
+    for (const mutation of queue) {
+      if (now >= mutation.deadlineMs) {
+        mutation.resolve({ kind: 'expired' });
         continue;
       }
       // A long queue is not tried whole for each transaction: that would cost its length squared. But where changes are
       // scarce, whatever changes a record that is written anyway goes along for nothing.
-      const along = intent.batchingHint !== undefined && draft.writes.has(intent.batchingHint.key);
+      const along = mutation.batchingHint !== undefined && draft.writes.has(mutation.batchingHint.key);
       // Each record that all nodes change may make the whole transaction fail, and a refused one counts as much as another.
-      const other = intent.batchingHint?.shared;
-      const isApart = batch.length > 0 && (intent.isAlone || batch[0]!.isAlone);
+      const other = mutation.batchingHint?.shared;
+      const isApart = batch.length > 0 && (mutation.mustBeSentAlone || batch[0]!.mustBeSentAlone);
       if (isApart || (shared !== undefined && other !== undefined && other !== shared)) {
-        later.push(intent);
+        later.push(mutation);
         continue;
       }
       if ((full >= PACK_MAX_MISSES && !along) || tried >= PACK_MAX_TRIES) {
-        later.push(intent);
+        later.push(mutation);
         continue;
       }
       tried++;
       const trial = draft.over();
-      if (!this.tryMutation(intent, trial)) {
-        intent.resolve({ kind: 'void' });
+      if (!this.evaluate(mutation, trial)) {
+        mutation.resolve({ kind: 'void' });
         continue;
       }
       // A key being written by another flight, or by an intent that waits for one, keeps this intent waiting.
-      const blocked = [...trial.conditions.keys()].some((key) => this.locked.has(key) || touched.has(key));
+      const blocked = [...trial.conditions.keys()].some((key) => this.keysInFlight.has(key) || touched.has(key));
       if (!blocked && trial.fits(this.limits, batch.length === 0 ? this.limits.ops : this.limits.batchOps)) {
         draft.merge(trial);
-        batch.push(intent);
+        batch.push(mutation);
         shared ??= other;
       } else if (!blocked && batch.length === 0) {
-        intent.resolve({ kind: 'void' });
+        mutation.resolve({ kind: 'void' });
       } else {
         if (!blocked) full++;
         else for (const key of trial.writes.keys()) if (!draft.writes.has(key)) touched.add(key);
-        later.push(intent);
+        later.push(mutation);
       }
     }
     queue.splice(0, queue.length, ...later);
     return batch.length === 0 ? undefined : { batch, draft };
   }
 
-  private tryMutation(intent: PendingMutation, draft: TransactionDraft): boolean {
-    return intent.decide(draft) && draft.writes.size > 0;
+  private evaluate(mutation: PendingMutation, draft: TransactionDraft): boolean {
+    return mutation.decide(draft) && draft.writes.size > 0;
   }
 
   private async sendBatch(batch: PendingMutation[], draft: TransactionDraft): Promise<void> {
     const { priority } = batch[0]!;
-    this.inFlight.set(priority, (this.inFlight.get(priority) ?? 0) + 1);
+    this.inFlightCounts.set(priority, (this.inFlightCounts.get(priority) ?? 0) + 1);
     const keys = [...draft.writes.keys()];
-    for (const key of keys) this.locked.add(key);
+    for (const key of keys) this.keysInFlight.add(key);
     const conditions: Condition[] = [...draft.conditions].map(([key, modRevision]) => ({ key, modRevision }));
     const writes: Write[] = [...draft.writes].map(([key, value]) => ({ key, value, leaseId: draft.leases.get(key) }));
     const result = await this.client.transact(conditions, writes, priority);
     switch (result.kind) {
       case 'done':
         this.applyCommitted(writes.map(({ key, value }) => ({ key, value, modRevision: result.revision })));
-        for (const intent of batch) intent.resolve({ kind: 'done', revision: result.revision });
+        for (const mutation of batch) mutation.resolve({ kind: 'done', revision: result.revision });
         break;
       case 'conflict':
-        await this.catchUp(result.failed ?? []);
+        await this.readChangedRecords(result.failed ?? []);
         this.requeue(batch);
         break;
       case 'unknown':
@@ -252,41 +252,42 @@
       case 'refused':
         this.pause(priority, result.status === 429);
         // A user is told at once what the store has refused for good, instead of waiting here for a deadline.
-        if (result.status !== 429 && isUsers(priority)) for (const intent of batch) intent.resolve({ kind: 'expired' });
+        if (result.status !== 429 && isUserRequest(priority))
+          for (const mutation of batch) mutation.resolve({ kind: 'expired' });
         else this.requeue(batch);
         break;
       case 'lease_expired':
-        for (const intent of batch) intent.resolve({ kind: 'void' });
+        for (const mutation of batch) mutation.resolve({ kind: 'void' });
         break;
       case 'malformed':
-        this.reject(batch, result.why);
+        this.reject(batch, result.reason);
     }
-    for (const key of keys) this.locked.delete(key);
-    this.inFlight.set(priority, this.inFlight.get(priority)! - 1);
-    const wait = (this.pausedUntil.get(priority) ?? 0) - this.clock.now();
-    if (wait > 0) void this.clock.sleep(wait + 1).then(() => this.wake());
-    this.wake();
+    for (const key of keys) this.keysInFlight.delete(key);
+    this.inFlightCounts.set(priority, this.inFlightCounts.get(priority)! - 1);
+    const wait = (this.pausedUntilMs.get(priority) ?? 0) - this.clock.now();
+    if (wait > 0) void this.clock.sleep(wait + 1).then(() => this.scheduleSending());
+    this.scheduleSending();
   }
 
   /**
    * The store's limits have changed, or a decision asks for what it never takes. Each decision is made again by itself, within
    * the limits to come; one that is rejected even so is given up.
    */
-  private reject(batch: PendingMutation[], why: string): void {
+  private reject(batch: PendingMutation[], reason: string): void {
     this.limits = { ...this.limits, valueBytes: this.limits.lastingValueBytes };
     if (batch.length > 1) {
-      for (const intent of batch) intent.isAlone = true;
+      for (const mutation of batch) mutation.mustBeSentAlone = true;
       this.requeue(batch);
       return;
     }
     const [only] = batch;
-    this.onRejected(only!.name, why);
-    only!.resolve({ kind: 'rejected', why });
+    this.onRejected(only!.name, reason);
+    only!.resolve({ kind: 'rejected', reason });
   }
 
   private pause(priority: Priority, busy: boolean): void {
     const ms = busy ? (isBatch(priority) ? BUSY_PAUSE_MS : BUSY_PAUSE_MS * URGENT_RETRY_SHARE) : OUTAGE_PAUSE_MS;
-    this.pausedUntil.set(priority, this.clock.now() + this.random.jitter(ms, 0.5));
+    this.pausedUntilMs.set(priority, this.clock.now() + this.random.jitter(ms, 0.5));
   }
 
   private applyCommitted(changes: Change[]): void {
@@ -297,7 +298,7 @@
     this.announce(changes);
   }
 
-  private async catchUp(failed: string[]): Promise<void> {
+  private async readChangedRecords(failed: string[]): Promise<void> {
     const foreign = failed.filter((key) => !key.startsWith(this.prefix));
     await Promise.all([
       this.replica.refresh(),
--- a/src/store/transaction-draft.ts
+++ b/src/store/transaction-draft.ts
@@ -35,7 +35,7 @@
   };
 }
 
-const bytesOf = (key: string, value: unknown): number => key.length + 40 + jsonLength(value);
+const writeBytes = (key: string, value: unknown): number => key.length + 40 + jsonLength(value);
 const CONDITION_BYTES = 30;
 
 /** The form in which a record is written, of a size that the store takes. */
@@ -55,22 +55,22 @@
 
   constructor(
     private readonly read: (key: string) => StoredValue,
-    private readonly below?: TransactionDraft,
+    private readonly base?: TransactionDraft,
     private readonly resize: Resize = (_, value) => value,
   ) {}
 
   /** The draft that this one sees below itself, down to the records, or the one that has written the key already. */
-  private writer(key: string): TransactionDraft | undefined {
-    return this.writes.has(key) ? this : this.below?.writer(key);
+  private findWriter(key: string): TransactionDraft | undefined {
+    return this.writes.has(key) ? this : this.base?.findWriter(key);
   }
 
   /** Does this draft, or one below it, change the key? */
   hasWritten(key: string): boolean {
-    return this.writer(key) !== undefined;
+    return this.findWriter(key) !== undefined;
   }
 
   get(key: string): unknown {
-    const writer = this.writer(key);
+    const writer = this.findWriter(key);
     if (writer !== undefined) return writer.writes.get(key);
     const row = this.read(key);
     this.conditions.set(key, row.modRevision);
@@ -79,7 +79,7 @@
 
   /** Reads without making it a condition: only for what can't change any more. */
   peek(key: string): unknown {
-    const writer = this.writer(key);
+    const writer = this.findWriter(key);
     return writer !== undefined ? writer.writes.get(key) : this.read(key).value;
   }
 
@@ -104,20 +104,20 @@
 
   /** Would this draft, merged into the one below it, still be one transaction? */
   fits(limits: TransactionLimits, ops = limits.ops): boolean {
-    const { below } = this;
-    let writes = below?.writes.size ?? 0;
-    let conditions = below?.conditions.size ?? 0;
-    let bytes = below?.bytes ?? 0;
+    const { base } = this;
+    let writes = base?.writes.size ?? 0;
+    let conditions = base?.conditions.size ?? 0;
+    let bytes = base?.bytes ?? 0;
     for (const [key, value] of this.writes) {
-      const size = bytesOf(key, value);
+      const size = writeBytes(key, value);
       if (value !== undefined && jsonLength(value) > limits.valueBytes) return false;
       this.sizes.set(key, size);
-      const old = below?.sizes.get(key);
+      const old = base?.sizes.get(key);
       if (old === undefined) writes++;
       bytes += size - (old ?? 0);
     }
     for (const key of this.conditions.keys()) {
-      if (below?.conditions.has(key) === true) continue;
+      if (base?.conditions.has(key) === true) continue;
       conditions++;
       bytes += key.length + CONDITION_BYTES;
     }
--- a/src/workers/reconciliation.ts
+++ b/src/workers/reconciliation.ts
@@ -53,7 +53,12 @@
 ): PlacementRelease | undefined {
   const { placement } = placedTask;
   if (placement.agentEpoch < worker.agentEpoch) {
-    return { placedTask, proof: { kind: 'tenure', agentEpoch: worker.agentEpoch }, ending: 'lost', task: undefined };
+    return {
+      placedTask,
+      proof: { kind: 'newer_agent_epoch', agentEpoch: worker.agentEpoch },
+      ending: 'lost',
+      task: undefined,
+    };
   }
   if (placement.agentEpoch > worker.agentEpoch) return undefined;
   const proof: Proof = { kind: 'exited', attempt: placement.attempt, agentEpoch: placement.agentEpoch };
--- a/src/workers/worker-manager.ts
+++ b/src/workers/worker-manager.ts
@@ -41,7 +41,10 @@
 import type { Log } from '../logging/log.js';
 
 /** The session's lease is over, as this node knows by itself. */
-const leaseProof = (placedTask: PlacedTask): Proof => ({ kind: 'lease', agentEpoch: placedTask.placement.agentEpoch });
+const leaseProof = (placedTask: PlacedTask): Proof => ({
+  kind: 'lease_expired',
+  agentEpoch: placedTask.placement.agentEpoch,
+});
 
 /** What an owner does for the workers of its partitions: answers reports, sends commands, records exits, proves leases over. */
 export class WorkerManager {
--- a/test/store/transaction-batcher.test.ts
+++ b/test/store/transaction-batcher.test.ts
@@ -47,7 +47,7 @@
       const keys = writes.map(({ key }) => key);
       sent.push(keys);
       const isRejected = keys.includes('live/large');
-      return Promise.resolve(isRejected ? { kind: 'malformed', why: 'too large' } : { kind: 'done', revision: 1 });
+      return Promise.resolve(isRejected ? { kind: 'malformed', reason: 'too large' } : { kind: 'done', revision: 1 });
     };
     const client = { transact } as unknown as StoreClient;
     const limits = anyTransactionLimits({ valueBytes: 4096, lastingValueBytes: 2048 });
