--- a/src/api/job-service.ts
+++ b/src/api/job-service.ts
@@ -133,7 +133,7 @@
         state = this.record(draft, spec, dependencies);
         return true;
       },
-      SUBMIT_DEADLINE_MS,
+      { timeoutMs: SUBMIT_DEADLINE_MS },
     );
     if (outcome.kind === 'void') return this.ifKnown(spec.id, later(OUT));
     if (outcome.kind !== 'done') return later(OUT);
@@ -193,7 +193,9 @@
     const deadline = clock.now() + SUBMIT_DEADLINE_MS;
     while (clock.now() < deadline) {
       const decide = (draft: TransactionDraft) => this.recordCancellation(draft, jobId);
-      const outcome = await transactions.commit('withdraw', Priority.cancel, decide, deadline - clock.now());
+      const outcome = await transactions.commit('withdraw', Priority.cancel, decide, {
+        timeoutMs: deadline - clock.now(),
+      });
       if (outcome.kind === 'done') {
         log.info({ jobId: jobId }, 'job cancelled');
         return { status: 200, body: encodeJobState({ jobId: jobId, state: 'cancelled' }) };
--- a/src/autoscaling/cluster-leader.ts
+++ b/src/autoscaling/cluster-leader.ts
@@ -275,8 +275,7 @@
             'lost',
           );
         },
-        undefined,
-        this.clusterState.batchingHintFor(placedTask.jobId, placedTask.taskIndex),
+        { batchingHint: this.clusterState.batchingHintFor(placedTask.jobId, placedTask.taskIndex) },
       );
     }
   }
--- a/src/constants/store.ts
+++ b/src/constants/store.ts
@@ -57,9 +57,15 @@
 export const BUSY_PAUSE_MS = 150;
 export const URGENT_RETRY_SHARE = 0.2;
 
-/** ms between two tries in an outage of the store. */
+/** ms between two attempts in an outage of the store. */
 export const OUTAGE_PAUSE_MS = 300;
 
+/** Share by which pauses before a retry are drawn longer or shorter, so that nodes do not retry together. */
+export const RETRY_JITTER_SHARE = 0.5;
+
+/** ms after which a mutation that no transaction has taken is given up, unless its caller says otherwise. */
+export const DEFAULT_COMMIT_TIMEOUT_MS = 60_000;
+
 /**
  * Share of a second's changes that one transaction of several decisions may take. The store refuses a large one as long as
  * small ones of other nodes use up its rate, and here too it would wait for a bucket that is never full.
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -126,15 +126,18 @@
       recordUnreadable: (key, error) => log.error({ key, error: String(error) }, 'record can not be read'),
     });
     followCatalog(this.replica, () => this.inventory.catalog, log);
-    this.transactions = new TransactionBatcher(
-      this.client,
-      this.replica,
+    this.transactions = new TransactionBatcher({
+      client: this.client,
+      replica: this.replica,
       limits,
-      LIVE,
+      prefix: LIVE,
       clock,
-      this.random,
-      periodMs * BATCH_GATHER_SHARE,
-    );
+      random: this.random,
+      gatherMs: periodMs * BATCH_GATHER_SHARE,
+      onCommitted: (changes) => this.broadcast.announce(changes),
+      onRejected: (mutation, reason) => log.error({ mutation, reason }, 'transaction rejected'),
+      resize: recordSizer(settings.cluster.store.lasting.valueBytes, () => this.formatUpgrade.isComplete),
+    });
     this.peerDirectory = new PeerDirectory(peerNodes, clock, () => this.replica.freshAt);
     this.replicaFreshness = new ReplicaFreshness(
       settings.node,
@@ -152,10 +155,6 @@
       log,
       send: (node, message) => this.send(node, message),
     });
-    this.transactions.announce = (changes) => this.broadcast.announce(changes);
-    this.transactions.onRejected = (name, why) => log.error({ change: name, why }, 'the store does not take a change');
-    const { valueBytes } = settings.cluster.store.lasting;
-    this.transactions.resize = recordSizer(valueBytes, () => this.formatUpgrade.isComplete);
     this.leadership = new RoleLeadership({
       settings,
       client: this.client,
--- a/src/leadership/role-leadership.ts
+++ b/src/leadership/role-leadership.ts
@@ -277,7 +277,7 @@
         draft.delete(leadershipKey(role));
         return true;
       },
-      STORE_LEASE_TTL_MS,
+      { timeoutMs: STORE_LEASE_TTL_MS },
     );
     this.releasing.delete(role);
     // As long as the claim stands nobody else can answer: in an outage the tasks would die of waiting for the handover.
@@ -304,7 +304,7 @@
         );
         return true;
       },
-      STORE_LEASE_TTL_MS,
+      { timeoutMs: STORE_LEASE_TTL_MS },
     );
     this.acquiring.delete(role);
     if (outcome.kind === 'done') {
--- a/src/scheduling/eviction-marker.ts
+++ b/src/scheduling/eviction-marker.ts
@@ -68,8 +68,7 @@
         }
         return marked;
       },
-      undefined,
-      this.clusterState.batchingHintFor(jobId, placedTask.taskIndex),
+      { batchingHint: this.clusterState.batchingHintFor(jobId, placedTask.taskIndex) },
     );
   }
 }
--- a/src/scheduling/placement-planner.ts
+++ b/src/scheduling/placement-planner.ts
@@ -379,13 +379,10 @@
       }
       const priority = startPriority(view.record.spec);
       void this.transactions
-        .commit(
-          'start',
-          priority,
-          (draft) => this.decide(draft, group, role, team, whole),
-          5000,
-          this.clusterState.batchingHintFor(view.jobId, group[0]!.waiting.taskIndex, team),
-        )
+        .commit('start', priority, (draft) => this.decide(draft, group, role, team, whole), {
+          timeoutMs: 5000,
+          batchingHint: this.clusterState.batchingHintFor(view.jobId, group[0]!.waiting.taskIndex, team),
+        })
         .then((outcome) => {
           const flying = this.inFlightTasks.get(view.jobId);
           for (const { waiting } of group) flying?.delete(waiting.taskIndex);
--- a/src/store/transaction-batcher.ts
+++ b/src/store/transaction-batcher.ts
@@ -1,318 +1,292 @@
+/**
+ * Turns mutations of records into few, batched compare-and-swap transactions, and tries again after conflicts, refusals and
+ * silence of the store.
+ */
 import {
   BUSY_PAUSE_MS,
-  MAX_CACHED_FINAL_RECORDS,
+  DEFAULT_COMMIT_TIMEOUT_MS,
   MAX_IN_FLIGHT_TRANSACTIONS,
   MAX_PENDING_MUTATIONS,
   OUTAGE_PAUSE_MS,
-  PACK_MAX_MISSES,
-  PACK_MAX_TRIES,
+  RETRY_JITTER_SHARE,
   URGENT_RETRY_SHARE,
 } from '../constants/store.js';
 import type { Clock } from '../net/clock.js';
 import type { Random } from '../net/random.js';
 import { isBatch, Priority } from '../net/token-bucket.js';
-import type { Change, Condition, Write } from './store-wire-codec.js';
-import type { StoreClient } from './store-client.js';
-import { type Resize, TransactionDraft, type TransactionLimits } from './transaction-draft.js';
+import { packBatch, type PackedBatch } from './batch-packer.js';
+import { FinalRecordCache } from './final-record-cache.js';
+import {
+  type BatchingHint,
+  type CommitOutcome,
+  type Mutation,
+  type PendingMutation,
+  resolveAll,
+} from './pending-mutation.js';
 import type { Replica, StoredValue } from './replica.js';
+import type { StoreClient } from './store-client.js';
+import type { Change, Condition, TransactionResult, Write } from './store-wire-codec.js';
+import type { Resize, TransactionLimits } from './transaction-draft.js';
 
-/**
- * What somebody wants to change, as a function of the records as they are when it is tried. It may be called several
- * times. False: nothing is to be done (any more).
- */
-export type Mutation = (draft: TransactionDraft) => boolean;
+export type { BatchingHint, CommitOutcome, Mutation } from './pending-mutation.js';
 
-export type CommitOutcome =
-  | { kind: 'done'; revision: number }
-  /** The decision fell away, or is too large for a transaction. */
-  | { kind: 'void' }
-  /** Given up; it may or may not have happened. */
-  | { kind: 'expired' }
-  /** The store takes no change of that form or size, and has changed nothing. */
-  | { kind: 'rejected'; reason: string };
+export interface TransactionBatcherOptions {
+  client: StoreClient;
+  replica: Replica;
+  limits: TransactionLimits;
+  /** Keys below it are read from the replica; others never change once they exist. */
+  prefix: string;
+  clock: Clock;
+  random: Random;
+  /** ms that batch work waits for more of its kind; 0 by default. */
+  gatherMs?: number;
+  /** A transaction of this node has changed these keys. */
+  onCommitted?: (changes: Change[]) => void;
+  /** The store takes no transaction with this mutation in it. */
+  onRejected?: (name: string, reason: string) => void;
+  /** The form in which a record is written; as it is by default. */
+  resize?: Resize;
+}
 
-/** Whom an intent goes along with. */
-export interface BatchingHint {
-  /** A record that it will change: it goes with others that change it too. */
-  key: string;
-  /** A record that intents of all nodes change: a transaction changes one such record only. */
-  shared: string | undefined;
+export interface CommitOptions {
+  /** ms after which the mutation is given up; `DEFAULT_COMMIT_TIMEOUT_MS` by default. */
+  timeoutMs?: number | undefined;
+  batchingHint?: BatchingHint | undefined;
 }
 
-interface PendingMutation {
-  name: string;
-  priority: Priority;
-  decide: Mutation;
-  deadlineMs: number;
-  resolve: (outcome: CommitOutcome) => void;
-  batchingHint: BatchingHint | undefined;
-  /** The store has rejected a transaction that it was part of: it is tried by itself. */
-  mustBeSentAlone: boolean;
+/** The mutations of one priority, and its transactions. */
+interface PriorityQueue {
+  readonly priority: Priority;
+  readonly pending: PendingMutation[];
+  inFlightCount: number;
+  /** Steady ms before which nothing is sent. */
+  pausedUntilMs: number;
 }
 
 const isUserRequest = (priority: Priority): boolean => priority === Priority.cancel || priority === Priority.accept;
 
-/** Turns intents into few, batched transactions, and tries again after conflicts, refusals and silence. */
+/** Mutations that may wait share transactions: each costs a write of the team's record, and the rate of writes is small. */
+const maxInFlight = (priority: Priority): number => (priority <= Priority.accept ? MAX_IN_FLIGHT_TRANSACTIONS : 1);
+
 export class TransactionBatcher {
-  private readonly queues = new Map<Priority, PendingMutation[]>(Object.values(Priority).map((each) => [each, []]));
-  private readonly inFlightCounts = new Map<Priority, number>();
+  private readonly queues: ReadonlyMap<Priority, PriorityQueue> = new Map(
+    Object.values(Priority).map((priority) => [
+      priority,
+      { priority, pending: [], inFlightCount: 0, pausedUntilMs: -Infinity },
+    ]),
+  );
   private readonly keysInFlight = new Set<string>();
-  private readonly finalRecords = new Map<string, StoredValue>();
-  /** Steady ms before which nothing of a priority is sent. */
-  private readonly pausedUntilMs = new Map<Priority, number>();
-  private isWakeScheduled = false;
-  /** Told what this node's transactions have changed. */
-  announce: (changes: Change[]) => void = () => undefined;
-  /** Told of each decision that the store does not take. */
-  onRejected: (name: string, reason: string) => void = () => undefined;
-  /** The form in which records are written. */
-  resize: Resize = (_, value) => value;
+  private readonly finalRecords = new FinalRecordCache();
+  private isSendingScheduled = false;
   private limits: TransactionLimits;
+  private readonly gatherMs: number;
+  private readonly resize: Resize;
 
-  constructor(
-    private readonly client: StoreClient,
-    private readonly replica: Replica,
-    limits: TransactionLimits,
-    private readonly prefix: string,
-    private readonly clock: Clock,
-    private readonly random: Random,
-    /** ms that batch work waits for more of its kind. */
-    private readonly gatherMs = 0,
-  ) {
-    this.limits = limits;
+  constructor(private readonly options: TransactionBatcherOptions) {
+    this.limits = options.limits;
+    this.gatherMs = options.gatherMs ?? 0;
+    this.resize = options.resize ?? ((_, value) => value);
   }
 
-  /** Intents that go before whatever has a higher number. */
+  /** The number of pending mutations that go before whatever has a higher number. */
   backlog(upTo: Priority): number {
     let count = 0;
-    for (const [priority, queue] of this.queues) if (priority <= upTo) count += queue.length;
+    for (const { priority, pending } of this.queues.values()) if (priority <= upTo) count += pending.length;
     return count;
   }
 
-  /** Records outside the replica never change once they exist (final states), so they may be kept. */
+  /** Keeps a record outside the replica, which never changes once it exists (a final state). */
   remember(key: string, row: StoredValue): void {
-    if (row.value === undefined) return;
-    this.finalRecords.delete(key);
     this.finalRecords.set(key, row);
-    if (this.finalRecords.size > MAX_CACHED_FINAL_RECORDS)
-      this.finalRecords.delete(this.finalRecords.keys().next().value!);
   }
 
+  /** The record as this node knows it; a transaction decided on it is safe, since it names the revisions that it read. */
   readonly read = (key: string): StoredValue =>
-    key.startsWith(this.prefix)
-      ? this.replica.get(key)
-      : (this.finalRecords.get(key) ?? { value: undefined, modRevision: 0 });
+    this.isInReplica(key) ? this.options.replica.get(key) : this.finalRecords.get(key);
 
+  /** Queues a mutation; `name` stands for it in log messages. Never rejects: failures are outcomes. */
   commit(
     name: string,
     priority: Priority,
     decide: Mutation,
-    timeoutMs = 60_000,
-    batchingHint?: BatchingHint,
+    { timeoutMs = DEFAULT_COMMIT_TIMEOUT_MS, batchingHint }: CommitOptions = {},
   ): Promise<CommitOutcome> {
-    const queue = this.queues.get(priority)!;
-    if (queue.length >= MAX_PENDING_MUTATIONS) return Promise.resolve({ kind: 'expired' });
+    const queue = this.queueOf(priority);
+    if (queue.pending.length >= MAX_PENDING_MUTATIONS) return Promise.resolve({ kind: 'expired' });
+    const deadlineMs = this.options.clock.now() + timeoutMs;
     return new Promise((resolve) => {
-      queue.push({
-        name,
-        priority,
-        decide,
-        deadlineMs: this.clock.now() + timeoutMs,
-        resolve,
-        batchingHint,
-        mustBeSentAlone: false,
-      });
-      // Starts take room that the other nodes can't see until they are recorded, so they do not wait.
+      queue.pending.push({ name, priority, decide, deadlineMs, resolve, batchingHint, mustBeSentAlone: false });
+      // Starts take resources that the other nodes can't see until they are recorded, so they do not wait.
       if (priority !== Priority.record) this.scheduleSending();
-      else if (queue.length === 1) this.scheduleGathering(priority);
+      else if (queue.pending.length === 1) this.scheduleGathering(queue);
     });
   }
 
-  /** Lets decisions about a record that wait for their turn go with more urgent ones than they were handed in with. */
+  /** Moves pending mutations whose hint names a concerned key to a more urgent priority than they were handed in with. */
   promote(isConcerned: (key: string) => boolean, from: Priority, to: Priority): void {
-    const queue = this.queues.get(from)!;
-    const chosen = queue.filter(({ batchingHint }) => batchingHint !== undefined && isConcerned(batchingHint.key));
-    if (chosen.length === 0) return;
-    queue.splice(0, queue.length, ...queue.filter((mutation) => !chosen.includes(mutation)));
-    for (const mutation of chosen) mutation.priority = to;
-    this.queues.get(to)!.push(...chosen);
+    const { pending } = this.queueOf(from);
+    const promoted = pending.filter(({ batchingHint }) => batchingHint !== undefined && isConcerned(batchingHint.key));
+    if (promoted.length === 0) return;
+    pending.splice(0, pending.length, ...pending.filter((mutation) => !promoted.includes(mutation)));
+    for (const mutation of promoted) mutation.priority = to;
+    this.queueOf(to).pending.push(...promoted);
     this.scheduleSending();
   }
 
+  private isInReplica(key: string): boolean {
+    return key.startsWith(this.options.prefix);
+  }
+
+  private queueOf(priority: Priority): PriorityQueue {
+    return this.queues.get(priority)!;
+  }
+
   /** Exits of batch work wait for more of their kind. */
-  private scheduleGathering(priority: Priority): void {
-    const now = this.clock.now();
-    if (now < (this.pausedUntilMs.get(priority) ?? 0)) return;
-    this.pausedUntilMs.set(priority, now + this.gatherMs);
-    void this.clock.sleep(this.gatherMs + 1).then(() => this.scheduleSending());
+  private scheduleGathering(queue: PriorityQueue): void {
+    const { clock } = this.options;
+    const now = clock.now();
+    if (now < queue.pausedUntilMs) return;
+    queue.pausedUntilMs = now + this.gatherMs;
+    void clock.sleep(this.gatherMs + 1).then(() => this.scheduleSending());
   }
 
   private scheduleSending(): void {
-    if (this.isWakeScheduled) return;
-    this.isWakeScheduled = true;
+    if (this.isSendingScheduled) return;
+    this.isSendingScheduled = true;
     queueMicrotask(() => {
-      this.isWakeScheduled = false;
+      this.isSendingScheduled = false;
       this.sendReady();
     });
   }
 
+  /**
+   * Each priority has transactions of its own in flight: batch starts that wait for the write rate must not keep submissions
+   * waiting.
+   */
   private sendReady(): void {
-    // Each priority has flights of its own: batch starts that wait for the write rate must not keep submissions waiting.
-    for (const [priority, queue] of this.queues) {
-      if (this.clock.now() < (this.pausedUntilMs.get(priority) ?? 0)) continue;
-      // What may wait shares transactions: each costs a change for the team's record, and the rate of changes is small.
-      const most = priority <= Priority.accept ? MAX_IN_FLIGHT_TRANSACTIONS : 1;
-      while (queue.length > 0 && (this.inFlightCounts.get(priority) ?? 0) < most) {
-        const packed = this.pack(queue);
-        if (packed === undefined) break;
-        void this.sendBatch(packed.batch, packed.draft);
-      }
+    for (const queue of this.queues.values()) {
+      if (this.options.clock.now() >= queue.pausedUntilMs) this.sendQueue(queue);
     }
   }
 
-  /** Takes as many intents of one priority off the queue as one transaction holds. */
-  private pack(queue: PendingMutation[]): { batch: PendingMutation[]; draft: TransactionDraft } | undefined {
-    const now = this.clock.now();
-    const batch: PendingMutation[] = [];
-    const draft = new TransactionDraft(this.read, undefined, this.resize);
-    const later: PendingMutation[] = [];
-    const touched = new Set<string>();
-    let shared: string | undefined;
-    let tried = 0;
-    let full = 0;
-    for (const mutation of queue) {
-      if (now >= mutation.deadlineMs) {
-        mutation.resolve({ kind: 'expired' });
-        continue;
-      }
-      // A long queue is not tried whole for each transaction: that would cost its length squared. But where changes are
-      // scarce, whatever changes a record that is written anyway goes along for nothing.
-      const along = mutation.batchingHint !== undefined && draft.writes.has(mutation.batchingHint.key);
-      // Each record that all nodes change may make the whole transaction fail, and a refused one counts as much as another.
-      const other = mutation.batchingHint?.shared;
-      const isApart = batch.length > 0 && (mutation.mustBeSentAlone || batch[0]!.mustBeSentAlone);
-      if (isApart || (shared !== undefined && other !== undefined && other !== shared)) {
-        later.push(mutation);
-        continue;
-      }
-      if ((full >= PACK_MAX_MISSES && !along) || tried >= PACK_MAX_TRIES) {
-        later.push(mutation);
-        continue;
-      }
-      tried++;
-      const trial = draft.over();
-      if (!this.evaluate(mutation, trial)) {
-        mutation.resolve({ kind: 'void' });
-        continue;
-      }
-      // A key being written by another flight, or by an intent that waits for one, keeps this intent waiting.
-      const blocked = [...trial.conditions.keys()].some((key) => this.keysInFlight.has(key) || touched.has(key));
-      if (!blocked && trial.fits(this.limits, batch.length === 0 ? this.limits.ops : this.limits.batchOps)) {
-        draft.merge(trial);
-        batch.push(mutation);
-        shared ??= other;
-      } else if (!blocked && batch.length === 0) {
-        mutation.resolve({ kind: 'void' });
-      } else {
-        if (!blocked) full++;
-        else for (const key of trial.writes.keys()) if (!draft.writes.has(key)) touched.add(key);
-        later.push(mutation);
-      }
+  private sendQueue(queue: PriorityQueue): void {
+    while (queue.pending.length > 0 && queue.inFlightCount < maxInFlight(queue.priority)) {
+      const batch = this.pack(queue);
+      if (batch === undefined) return;
+      void this.send(queue, batch);
     }
-    queue.splice(0, queue.length, ...later);
-    return batch.length === 0 ? undefined : { batch, draft };
   }
 
-  private evaluate(mutation: PendingMutation, draft: TransactionDraft): boolean {
-    return mutation.decide(draft) && draft.writes.size > 0;
+  private pack(queue: PriorityQueue): PackedBatch | undefined {
+    const { read, resize, limits, keysInFlight } = this;
+    return packBatch(queue.pending, { read, resize, limits, keysInFlight, nowMs: this.options.clock.now() });
   }
 
-  private async sendBatch(batch: PendingMutation[], draft: TransactionDraft): Promise<void> {
-    const { priority } = batch[0]!;
-    this.inFlightCounts.set(priority, (this.inFlightCounts.get(priority) ?? 0) + 1);
+  private async send(queue: PriorityQueue, { mutations, draft }: PackedBatch): Promise<void> {
+    queue.inFlightCount++;
     const keys = [...draft.writes.keys()];
     for (const key of keys) this.keysInFlight.add(key);
     const conditions: Condition[] = [...draft.conditions].map(([key, modRevision]) => ({ key, modRevision }));
     const writes: Write[] = [...draft.writes].map(([key, value]) => ({ key, value, leaseId: draft.leases.get(key) }));
-    const result = await this.client.transact(conditions, writes, priority);
+    const result = await this.options.client.transact(conditions, writes, queue.priority);
+    const reading = this.readBeforeRetry(result);
+    if (reading !== undefined) await reading;
+    this.settle(queue, mutations, writes, result);
+    for (const key of keys) this.keysInFlight.delete(key);
+    queue.inFlightCount--;
+    this.scheduleNext(queue);
+  }
+
+  private scheduleNext(queue: PriorityQueue): void {
+    const { clock } = this.options;
+    const remainingPauseMs = queue.pausedUntilMs - clock.now();
+    if (remainingPauseMs > 0) void clock.sleep(remainingPauseMs + 1).then(() => this.scheduleSending());
+    this.scheduleSending();
+  }
+
+  /** Brings the records up to date that the next attempt is decided on; undefined: nothing is to be read. */
+  private readBeforeRetry(result: TransactionResult): Promise<unknown> | undefined {
+    if (result.kind === 'conflict') return this.readChangedRecords(result.failed ?? []);
+    return result.kind === 'unknown' ? this.options.replica.refresh() : undefined;
+  }
+
+  private settle(
+    queue: PriorityQueue,
+    mutations: PendingMutation[],
+    writes: readonly Write[],
+    result: TransactionResult,
+  ): void {
     switch (result.kind) {
       case 'done':
         this.applyCommitted(writes.map(({ key, value }) => ({ key, value, modRevision: result.revision })));
-        for (const mutation of batch) mutation.resolve({ kind: 'done', revision: result.revision });
+        resolveAll(mutations, { kind: 'done', revision: result.revision });
         break;
+      // Unknown: it may have been applied, or may be later. The next attempt names the same revisions, so only one can take
+      // effect.
       case 'conflict':
-        await this.readChangedRecords(result.failed ?? []);
-        this.requeue(batch);
-        break;
       case 'unknown':
-        // It may have been applied, or may be later. The next try names the same Stamps, so only one can take effect.
-        await this.replica.refresh();
-        this.requeue(batch);
+        queue.pending.unshift(...mutations);
         break;
       case 'refused':
-        this.pause(priority, result.status === 429);
-        // A user is told at once what the store has refused for good, instead of waiting here for a deadline.
-        if (result.status !== 429 && isUserRequest(priority))
-          for (const mutation of batch) mutation.resolve({ kind: 'expired' });
-        else this.requeue(batch);
+        this.handleRefusal(queue, mutations, result.status);
         break;
       case 'lease_expired':
-        for (const mutation of batch) mutation.resolve({ kind: 'void' });
+        resolveAll(mutations, { kind: 'void' });
         break;
       case 'malformed':
-        this.reject(batch, result.reason);
+        this.handleRejection(queue, mutations, result.reason);
     }
-    for (const key of keys) this.keysInFlight.delete(key);
-    this.inFlightCounts.set(priority, this.inFlightCounts.get(priority)! - 1);
-    const wait = (this.pausedUntilMs.get(priority) ?? 0) - this.clock.now();
-    if (wait > 0) void this.clock.sleep(wait + 1).then(() => this.scheduleSending());
-    this.scheduleSending();
+  }
+
+  private handleRefusal(queue: PriorityQueue, mutations: PendingMutation[], status: number): void {
+    const isBusy = status === 429;
+    this.pause(queue, isBusy);
+    // A user is told at once what the store has refused for good, instead of waiting here for a deadline.
+    if (!isBusy && isUserRequest(queue.priority)) resolveAll(mutations, { kind: 'expired' });
+    else queue.pending.unshift(...mutations);
   }
 
   /**
-   * The store's limits have changed, or a decision asks for what it never takes. Each decision is made again by itself, within
-   * the limits to come; one that is rejected even so is given up.
+   * The store's limits have changed, or a mutation asks for what the store never takes. Each mutation is tried again by itself,
+   * within the limits to come; one that is rejected even so is given up.
    */
-  private reject(batch: PendingMutation[], reason: string): void {
+  private handleRejection(queue: PriorityQueue, mutations: PendingMutation[], reason: string): void {
     this.limits = { ...this.limits, valueBytes: this.limits.lastingValueBytes };
-    if (batch.length > 1) {
-      for (const mutation of batch) mutation.mustBeSentAlone = true;
-      this.requeue(batch);
+    if (mutations.length > 1) {
+      for (const mutation of mutations) mutation.mustBeSentAlone = true;
+      queue.pending.unshift(...mutations);
       return;
     }
-    const [only] = batch;
-    this.onRejected(only!.name, reason);
-    only!.resolve({ kind: 'rejected', reason });
+    for (const { name } of mutations) this.options.onRejected?.(name, reason);
+    resolveAll(mutations, { kind: 'rejected', reason });
   }
 
-  private pause(priority: Priority, busy: boolean): void {
-    const ms = busy ? (isBatch(priority) ? BUSY_PAUSE_MS : BUSY_PAUSE_MS * URGENT_RETRY_SHARE) : OUTAGE_PAUSE_MS;
-    this.pausedUntilMs.set(priority, this.clock.now() + this.random.jitter(ms, 0.5));
+  private pause(queue: PriorityQueue, isBusy: boolean): void {
+    const busyPauseMs = isBatch(queue.priority) ? BUSY_PAUSE_MS : BUSY_PAUSE_MS * URGENT_RETRY_SHARE;
+    const { clock, random } = this.options;
+    const now = clock.now();
+    queue.pausedUntilMs = now + random.jitter(isBusy ? busyPauseMs : OUTAGE_PAUSE_MS, RETRY_JITTER_SHARE);
   }
 
   private applyCommitted(changes: Change[]): void {
     for (const change of changes) {
-      if (change.key.startsWith(this.prefix)) this.replica.apply(change);
+      if (this.isInReplica(change.key)) this.options.replica.apply(change);
       else this.remember(change.key, change);
     }
-    this.announce(changes);
+    this.options.onCommitted?.(changes);
   }
 
-  private async readChangedRecords(failed: string[]): Promise<void> {
-    const foreign = failed.filter((key) => !key.startsWith(this.prefix));
-    await Promise.all([
-      this.replica.refresh(),
-      ...foreign.map(async (key) => {
-        try {
-          this.remember(key, await this.client.get(key, 0));
-        } catch {
-          // The next try fails the same way and reads again.
-        }
-      }),
-    ]);
+  /** Reads the records that a conflict has shown to be outdated here. */
+  private async readChangedRecords(failedKeys: readonly string[]): Promise<void> {
+    const keysOutsideReplica = failedKeys.filter((key) => !this.isInReplica(key));
+    await Promise.all([this.options.replica.refresh(), ...keysOutsideReplica.map((key) => this.readFinalRecord(key))]);
   }
 
-  private requeue(batch: PendingMutation[]): void {
-    this.queues.get(batch[0]!.priority)!.unshift(...batch);
+  private async readFinalRecord(key: string): Promise<void> {
+    try {
+      this.remember(key, await this.options.client.get(key, Priority.lease));
+    } catch {
+      // The next attempt fails the same way and reads again.
+    }
   }
 }
--- a/src/workers/exit-recorder.ts
+++ b/src/workers/exit-recorder.ts
@@ -73,8 +73,13 @@
         if (proof === undefined) return false;
         return releasePlacement(draft, accounting, placedTask.jobId, placedTask.taskIndex, machineId, proof, ending);
       },
-      undefined,
-      clusterState.batchingHintFor(placedTask.jobId, placedTask.taskIndex, accounting.teamChangedByExit(spec)),
+      {
+        batchingHint: clusterState.batchingHintFor(
+          placedTask.jobId,
+          placedTask.taskIndex,
+          accounting.teamChangedByExit(spec),
+        ),
+      },
     );
   }
 
--- a/test/scenarios/large-clusters.test.ts
+++ b/test/scenarios/large-clusters.test.ts
@@ -187,15 +187,15 @@
     };
     const client = { transact } as unknown as StoreClient;
     const limits = anyTransactionLimits();
-    const transactions = new TransactionBatcher(
+    const transactions = new TransactionBatcher({
       client,
-      new Replica(client, 'live/', clock),
+      replica: new Replica(client, 'live/', clock),
       limits,
-      'live/',
+      prefix: 'live/',
       clock,
-      new Random(1),
-      200,
-    );
+      random: new Random(1),
+      gatherMs: 200,
+    });
     const put = (key: string, priority: Priority) =>
       void transactions.commit(key, priority, (draft) => {
         draft.set(key, {});
@@ -227,14 +227,14 @@
     };
     const client = { transact } as unknown as StoreClient;
     const limits = anyTransactionLimits();
-    const transactions = new TransactionBatcher(
+    const transactions = new TransactionBatcher({
       client,
-      new Replica(client, 'live/', clock),
+      replica: new Replica(client, 'live/', clock),
       limits,
-      'live/',
+      prefix: 'live/',
       clock,
-      new Random(1),
-    );
+      random: new Random(1),
+    });
     for (let n = 0; n < 600; n++) {
       const key = `live/ledger/${n % 30}`;
       const decide = (draft: TransactionDraft) => {
@@ -242,7 +242,9 @@
         draft.set(`live/team/${n % 3}`, { n });
         return true;
       };
-      void transactions.commit('free', Priority.record, decide, 60_000, { key, shared: `team/${n % 3}` });
+      void transactions.commit('free', Priority.record, decide, {
+        batchingHint: { key, shared: `team/${n % 3}` },
+      });
     }
     await clock.advance(20_000);
     assert.ok(
--- a/test/scenarios/limits.test.ts
+++ b/test/scenarios/limits.test.ts
@@ -193,7 +193,14 @@
     const client = { transact } as unknown as StoreClient;
     const replica = new Replica(client, 'live/', clock);
     const limits = anyTransactionLimits();
-    const transactions = new TransactionBatcher(client, replica, limits, 'live/', clock, new Random(1));
+    const transactions = new TransactionBatcher({
+      client,
+      replica,
+      limits,
+      prefix: 'live/',
+      clock,
+      random: new Random(1),
+    });
     let decided = 0;
     const intents = 1200;
     const done = Array.from({ length: intents }, (_, n) =>
@@ -221,7 +228,14 @@
     const client = { transact } as unknown as StoreClient;
     const replica = new Replica(client, 'live/', clock);
     const limits = anyTransactionLimits({ batchOps: 4 });
-    const transactions = new TransactionBatcher(client, replica, limits, 'live/', clock, new Random(1));
+    const transactions = new TransactionBatcher({
+      client,
+      replica,
+      limits,
+      prefix: 'live/',
+      clock,
+      random: new Random(1),
+    });
     const put = (name: string, keys: number) =>
       transactions.commit(name, Priority.start, (draft) => {
         for (let n = 0; n < keys; n++) draft.set(`live/${name}/${n}`, { n });
--- a/test/store/transaction-batcher.test.ts
+++ b/test/store/transaction-batcher.test.ts
@@ -24,7 +24,14 @@
     const client = { transact } as unknown as StoreClient;
     const replica = new Replica(client, 'live/', clock);
     const limits = anyTransactionLimits();
-    const transactions = new TransactionBatcher(client, replica, limits, 'live/', clock, new Random(1));
+    const transactions = new TransactionBatcher({
+      client,
+      replica,
+      limits,
+      prefix: 'live/',
+      clock,
+      random: new Random(1),
+    });
     const put = (key: string, priority: Priority) =>
       transactions.commit(key, priority, (draft) => {
         draft.set(key, {});
@@ -51,16 +58,16 @@
     };
     const client = { transact } as unknown as StoreClient;
     const limits = anyTransactionLimits({ valueBytes: 4096, lastingValueBytes: 2048 });
-    const transactions = new TransactionBatcher(
+    const rejected: string[] = [];
+    const transactions = new TransactionBatcher({
       client,
-      new Replica(client, 'live/', clock),
+      replica: new Replica(client, 'live/', clock),
       limits,
-      'live/',
+      prefix: 'live/',
       clock,
-      new Random(1),
-    );
-    const rejected: string[] = [];
-    transactions.onRejected = (name) => rejected.push(name);
+      random: new Random(1),
+      onRejected: (name) => rejected.push(name),
+    });
     const put = (key: string, value: unknown) =>
       transactions.commit(key, Priority.start, (draft) => {
         draft.set(key, value);
@@ -91,20 +98,23 @@
     };
     const client = { transact } as unknown as StoreClient;
     const limits = anyTransactionLimits({ ops: 1, batchOps: 1, valueBytes: 4096, lastingValueBytes: 4096 });
-    const transactions = new TransactionBatcher(
+    const transactions = new TransactionBatcher({
       client,
-      new Replica(client, 'live/', clock),
+      replica: new Replica(client, 'live/', clock),
       limits,
-      'live/',
+      prefix: 'live/',
       clock,
-      new Random(1),
-    );
+      random: new Random(1),
+    });
     for (const key of ['live/a', 'live/b', 'live/c']) {
       const decide = (draft: TransactionDraft): boolean => {
         draft.set(key, {});
         return true;
       };
-      void transactions.commit('start', Priority.background, decide, 5000, { key, shared: undefined });
+      void transactions.commit('start', Priority.background, decide, {
+        timeoutMs: 5000,
+        batchingHint: { key, shared: undefined },
+      });
     }
     await clock.advance(20);
     transactions.promote((key) => key === 'live/c', Priority.background, Priority.start);
