--- a/src/constants/store.ts
+++ b/src/constants/store.ts
@@ -19,6 +19,10 @@
  */
 export const WATCH_HEARD_PAUSE_MS = 350;
 
+/** ms before a replica that could not be loaded is loaded again, and before a watch that has failed is opened again. */
+export const LOAD_RETRY_MS = 300;
+export const WATCH_RETRY_MS = 500;
+
 /** Rows a page when the replica is read: the store's own maximum. */
 export const PAGE_ROWS = 1000;
 
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -110,14 +110,14 @@
     this.sentUpdates = new SentMachineUpdates(incarnation);
     const limits = transactionLimits(settings.cluster.store);
     const peerNodes = settings.peers.map((peer) => peer.node);
-    this.client = new StoreClient(
+    this.client = new StoreClient({
       http,
-      settings.storeAddress,
-      settings.cluster.store,
-      settings.cluster.size,
+      address: settings.storeAddress,
+      settings: settings.cluster.store,
+      nodeCount: settings.cluster.size,
       clock,
-      this.random,
-    );
+      random: this.random,
+    });
     this.replica = new Replica(this.client, LIVE, clock, () => watchPauseMs(this.peerDirectory));
     this.clusterState = new ClusterState(this.replica, {
       jobChanged: (jobId, taskIndexes) => this.jobDuties.reactions.jobChanged(jobId, taskIndexes),
--- a/src/store/json-size.ts
+++ b/src/store/json-size.ts
@@ -1,8 +1,12 @@
-/** Bytes that values take as JSON; of values that are never changed after they were made: a record is measured once, not at every try. */
+/**
+ * Bytes that values take as JSON. Values that are measured must never be changed afterwards: a record is measured once, not at
+ * every attempt to write it.
+ */
 const measuredBytes = new WeakMap<object, number>();
 
 const bytesOf = (value: unknown): number => Buffer.byteLength(JSON.stringify(value) ?? '');
 
+/** The length of the value as JSON, in bytes. */
 export function jsonLength(value: unknown): number {
   if (typeof value !== 'object' || value === null) return bytesOf(value);
   let length = measuredBytes.get(value);
@@ -10,7 +14,7 @@
   return length;
 }
 
-/** For who makes a value from one that is measured, and knows what has changed. */
+/** For callers that derive a value from a measured one, and know by how much its length differs. */
 export function noteLength(value: object, length: number): void {
   measuredBytes.set(value, length);
 }
--- a/src/store/store-client.ts
+++ b/src/store/store-client.ts
@@ -1,4 +1,4 @@
-/** Calls to the store. Its limits of requests and of changes a second are kept here, by priority. */
+/** The store's client. Its limits of requests and of writes a second are kept here, by priority. */
 import { RATE_SHARE, STORE_TIMEOUT_MS } from '../constants/store.js';
 import type { StoreSettings } from '../domain/settings.js';
 import type { Clock } from '../net/clock.js';
@@ -26,22 +26,22 @@
   type Write,
 } from './store-wire-codec.js';
 
-/** ms of pause after a 429, before its jitter; and how much shorter it is for requests that change nothing. */
+/** ms of pause after a 429, before its jitter; and how much shorter it is for requests that write nothing. */
 const BUSY_PAUSE_MS = 120;
 const BUSY_JITTER_SHARE = 0.5;
 const REQUEST_PAUSE_DIVISOR = 4;
-/** Changes in one burst at least, however low the rate is. */
+/** Writes in one burst at least, however low the rate is. */
 const LEAST_WRITE_BURST = 4;
 /** A page of rows may take longer than other answers. */
 const LIST_TIMEOUTS = 2;
 
-/** The store said no, or nothing. */
+/** The store refused a request or did not answer; the message says what was asked of it. */
 export class StoreError extends Error {
   readonly code = 'store_unavailable';
 
   constructor(
     message: string,
-    /** 503, 429, ... or 0 for no answer. */
+    /** The HTTP status, or 0 for no answer. */
     readonly status: number,
     options?: ErrorOptions,
   ) {
@@ -49,46 +49,65 @@
   }
 }
 
+const refusalOf = (operation: string, { status }: Reply): StoreError =>
+  new StoreError(`${operation} failed: the store answered ${status}`, status);
+
+/** A request, the priority of its turn, and what it takes of the limits. */
 interface Call {
   method: 'GET' | 'POST';
   path: string;
   body?: unknown;
   priority: Priority;
   timeoutMs: number;
-  /** Changes that it asks for. */
+  /** Writes that it asks for; 0 by default. */
   writes?: number;
 }
 
-/** A row as the store has it; `revision`: of the store, told where the key does not exist. */
+/** A row as the store has it. */
 export interface StoreRow {
   value: unknown;
   modRevision: number;
+  /** The store's revision, told where the key does not exist. */
   revision?: number;
 }
 
+export interface StoreClientOptions {
+  http: HttpClient;
+  /** HOST:PORT. */
+  address: string;
+  settings: StoreSettings;
+  /** Nodes that share the store's limits. */
+  nodeCount: number;
+  clock: Clock;
+  random: Random;
+}
+
 export class StoreClient {
   private readonly requestBucket: TokenBucket;
   private readonly writeBucket: TokenBucket;
-  /** Steady ms when the store last answered anything but 503, and when it last refused or was silent. */
+  private readonly http: HttpClient;
+  private readonly address: string;
+  private readonly clock: Clock;
+  private readonly random: Random;
+  /** Steady ms when the store last answered anything but 503, and when it last refused or did not answer. */
   lastAnsweredAt = -Infinity;
   lastRefusedAt = -Infinity;
 
-  constructor(
-    private readonly http: HttpClient,
-    private readonly address: string,
-    { requestsPerSecond, present }: StoreSettings,
-    nodes: number,
-    private readonly clock: Clock,
-    private readonly random: Random,
-  ) {
+  constructor({ http, address, settings, nodeCount, clock, random }: StoreClientOptions) {
+    this.http = http;
+    this.address = address;
+    this.clock = clock;
+    this.random = random;
+    const { requestsPerSecond, present } = settings;
     const { writesPerSecond } = present;
     const requests = requestsPerSecond * RATE_SHARE;
-    this.requestBucket = new TokenBucket(clock, requests, requests, Math.min(requests, requestsPerSecond / nodes));
+    this.requestBucket = new TokenBucket(clock, requests, requests, Math.min(requests, requestsPerSecond / nodeCount));
     const writes = writesPerSecond * RATE_SHARE;
     const burst = Math.max(writes, LEAST_WRITE_BURST);
-    this.writeBucket = new TokenBucket(clock, writes, burst, Math.min(writes, writesPerSecond / nodes));
+    this.writeBucket = new TokenBucket(clock, writes, burst, Math.min(writes, writesPerSecond / nodeCount));
   }
 
+  /** Waits for its turn within the limits. Throws what the HTTP client throws. */
   private async call({ method, path, body, priority, timeoutMs, writes = 0 }: Call): Promise<Reply> {
     if (writes > 0) await this.writeBucket.take(writes, priority);
     await this.requestBucket.take(1, priority);
@@ -101,13 +120,13 @@
     }
     if (reply.status === 503) this.lastRefusedAt = this.clock.now();
     else this.lastAnsweredAt = this.clock.now();
-    if (reply.status === 429) this.backOff(priority, writes > 0);
+    if (reply.status === 429) this.backOff(priority, { hasWrites: writes > 0 });
     return reply;
   }
 
-  private backOff(priority: Priority, isChange: boolean): void {
+  private backOff(priority: Priority, { hasWrites }: { hasWrites: boolean }): void {
     const pauseMs = this.random.jitter(BUSY_PAUSE_MS, BUSY_JITTER_SHARE);
-    if (isChange) this.writeBucket.backOff(pauseMs, priority);
+    if (hasWrites) this.writeBucket.backOff(pauseMs, priority);
     this.requestBucket.backOff(pauseMs / REQUEST_PAUSE_DIVISOR, priority);
   }
 
@@ -115,7 +134,8 @@
     try {
       return await this.call(call);
     } catch (error) {
-      throw new StoreError((error as Error).message, 0, { cause: error });
+      const reason = error instanceof Error ? error.message : String(error);
+      throw new StoreError(`${call.method} ${call.path} failed: ${reason}`, 0, { cause: error });
     }
   }
 
@@ -123,21 +143,25 @@
     return this.callOrThrow({ method: 'GET', path, priority, timeoutMs });
   }
 
+  /** Throws a `StoreError`. */
   async get(key: string, priority: Priority): Promise<StoreRow> {
     const reply = await this.read(keyPath(key), priority);
     if (reply.status === 404) return { value: undefined, modRevision: 0, revision: decodeMissingKey(reply.body) };
-    if (reply.status !== 200) throw new StoreError(`get ${key}: ${reply.status}`, reply.status);
+    if (reply.status !== 200) throw refusalOf(`get ${key}`, reply);
     return decodeKey(reply.body);
   }
 
-  /** `after`: the key behind which the page begins; undefined: the first page. */
+  /** One page of keys; `after`: the key behind which it begins; undefined: the first page. Throws a `StoreError`. */
   async list(prefix: string, after: string | undefined, limit: number, priority: Priority): Promise<Page> {
     const reply = await this.read(listPath(prefix, after, limit), priority, STORE_TIMEOUT_MS * LIST_TIMEOUTS);
-    if (reply.status !== 200) throw new StoreError(`list ${prefix}: ${reply.status}`, reply.status);
+    if (reply.status !== 200) throw refusalOf(`list ${prefix}`, reply);
     return decodePage(reply.body);
   }
 
-  /** undefined: the revision is too old, and the keys must be read again. */
+  /**
+   * Waits for changes since a revision, `waitMs` at most. Undefined: the revision is too old, and the keys must be read again.
+   * Throws a `StoreError`.
+   */
   async watch(
     prefix: string,
     fromRevision: number,
@@ -146,11 +170,11 @@
   ): Promise<WatchedChanges | undefined> {
     const reply = await this.read(watchPath(prefix, fromRevision, waitMs), priority, waitMs + STORE_TIMEOUT_MS);
     if (reply.status === 410) return undefined;
-    if (reply.status !== 200) throw new StoreError(`watch ${prefix}: ${reply.status}`, reply.status);
+    if (reply.status !== 200) throw refusalOf(`watch ${prefix}`, reply);
     return decodeWatch(reply.body);
   }
 
-  /** A compare-and-swap transaction: all writes take effect at once, if all conditions hold. */
+  /** A compare-and-swap transaction: all writes take effect at once, if all conditions hold. Never throws. */
   async transact(
     conditions: readonly Condition[],
     writes: readonly Write[],
@@ -167,18 +191,18 @@
     return decodeTransactionResult(reply.status, reply.body);
   }
 
-  /** Returns the id of the lease. */
+  /** Creates a store lease and returns its id. Throws a `StoreError`. */
   async createLease(ttlMs: number): Promise<number> {
     const reply = await this.leaseCall(LEASES_PATH, encodeLeaseRequest(ttlMs));
-    if (reply.status !== 200) throw new StoreError(`create lease: ${reply.status}`, reply.status);
+    if (reply.status !== 200) throw refusalOf(`create lease`, reply);
     return decodeLeaseId(reply.body);
   }
 
-  /** False: the lease has expired. */
+  /** False: the lease has expired. Throws a `StoreError`. */
   async renewLease(leaseId: number): Promise<boolean> {
     const reply = await this.leaseCall(leaseRenewalPath(leaseId), {});
     if (reply.status === 404) return false;
-    if (reply.status !== 200) throw new StoreError(`renew lease: ${reply.status}`, reply.status);
+    if (reply.status !== 200) throw refusalOf(`renew lease ${leaseId}`, reply);
     return true;
   }
 
--- a/src/store/store-wire-codec.ts
+++ b/src/store/store-wire-codec.ts
@@ -1,4 +1,4 @@
-/** The store's wire form: its paths, requests and answers, and their translation. */
+/** The store's wire form: its paths, requests and answers, and their translation to the terms of the program. */
 
 /** A key with its value and the revision of its last change. */
 export interface Row {
@@ -38,8 +38,10 @@
 
 const decodeRow = ({ K, V, Stamp }: WireRow): Row => ({ key: K, value: V, modRevision: Stamp });
 
+/** The path of one key. */
 export const keyPath = (key: string): string => `/store/${key}`;
 
+/** The answer for a key that exists. */
 export const decodeKey = (body: unknown): { value: unknown; modRevision: number } => {
   const { V, Stamp } = body as WireRow;
   return { value: V, modRevision: Stamp };
@@ -48,7 +50,7 @@
 /** The store's revision, as the answer for a missing key tells it. */
 export const decodeMissingKey = (body: unknown): number => (body as { Epoch: number }).Epoch;
 
-/** `after`: the key behind which the page begins; undefined: the first page. */
+/** The path of a page of keys; `after`: the key behind which it begins; undefined: the first page. */
 export function listPath(prefix: string, after: string | undefined, limit: number): string {
   const from = after === undefined ? '' : `&From=${encodeURIComponent(after)}`;
   return `/store?Starts=${encodeURIComponent(prefix)}${from}&Limit=${limit}`;
@@ -58,14 +60,17 @@
 export interface Page {
   rows: Row[];
   hasMore: boolean;
+  /** The store's revision when the page was read. */
   revision: number;
 }
 
+/** The answer to a list of keys. */
 export function decodePage(body: unknown): Page {
   const { Rows, HasNext, Epoch } = body as { Rows: WireRow[]; HasNext: boolean; Epoch: number };
   return { rows: Rows.map(decodeRow), hasMore: HasNext, revision: Epoch };
 }
 
+/** The path of a watch that waits for changes after a revision. */
 export const watchPath = (prefix: string, fromRevision: number, waitMs: number): string =>
   `/watch?Starts=${encodeURIComponent(prefix)}&From=${fromRevision}&WaitMs=${waitMs}`;
 
@@ -85,6 +90,7 @@
 const decodeChange = ({ Set: put, Drop: deleted, V: value, Stamp: modRevision }: WireChange): Change =>
   put !== undefined ? { key: put, value, modRevision } : { key: deleted!, value: undefined, modRevision };
 
+/** The answer to a watch; an idle watch ends without changes. */
 export function decodeWatch(body: unknown): WatchedChanges {
   const { Epoch, News } = body as { Epoch: number; News?: WireChange[] };
   return { revision: Epoch, changes: (News ?? []).map(decodeChange) };
@@ -95,25 +101,31 @@
   return leaseId === undefined ? { Set: key, V: value } : { Set: key, V: value, Latch: leaseId };
 };
 
+/** The body of a compare-and-swap transaction. */
 export const encodeTransaction = (conditions: readonly Condition[], writes: readonly Write[]): unknown => ({
   If: conditions.map(({ key, modRevision }) => ({ K: key, Stamp: modRevision })),
   Apply: writes.map(encodeWrite),
 });
 
+/** How the store answered a transaction. */
 export type TransactionResult =
+  /** Committed at this revision. */
   | { kind: 'done'; revision: number }
-  /** Conditions that do not hold. */
+  /** Nothing was changed; `failed`: the keys whose conditions do not hold. */
   | { kind: 'conflict'; failed: string[]; revision: number }
   /** The store lease of a write has expired. */
   | { kind: 'lease_expired' }
+  /** The store takes no transaction of that form or size. */
   | { kind: 'malformed'; reason: string }
   /** Not carried out, and never will be. */
   | { kind: 'refused'; status: number }
   /** May have been carried out, or may be later, until a revision that it names has changed. */
   | { kind: 'unknown' };
 
+/** The store's error text for a lease that does not exist any more. */
 const LEASE_EXPIRED = 'no such lease';
 
+/** Any status that the protocol does not name leaves the outcome unknown. */
 export function decodeTransactionResult(status: number, body: unknown): TransactionResult {
   const answer = body as { Epoch: number; failed: string[]; error?: string };
   switch (status) {
@@ -133,6 +145,7 @@
   }
 }
 
+/** Store leases: creation and renewal. */
 export const LEASES_PATH = '/holds';
 export const leaseRenewalPath = (leaseId: number): string => `/holds/${leaseId}/renew`;
 export const encodeLeaseRequest = (ttlMs: number): unknown => ({ TtlMs: ttlMs });
--- a/src/store/transaction-draft.ts
+++ b/src/store/transaction-draft.ts
@@ -1,27 +1,32 @@
-/** Transactions under construction, and the room that the store has for one. */
+/** A compare-and-swap transaction under construction, and the limits of the store for one. */
 import {
-  LEAST_BATCH_TRANSACTION_WRITES,
   BATCH_TRANSACTION_SHARE,
   CONDITIONS_PER_WRITE,
+  LEAST_BATCH_TRANSACTION_WRITES,
   MAX_TRANSACTION_BYTES,
 } from '../constants/store.js';
 import type { StoreSettings } from '../domain/settings.js';
-import type { StoredValue } from './replica.js';
 import { jsonLength } from './json-size.js';
+import type { StoredValue } from './replica.js';
 
-/** Room in one transaction. */
+/** The most that one transaction may hold. */
 export interface TransactionLimits {
+  /** Writes. */
   ops: number;
-  /** Changes beyond which no other intent is added to a transaction. */
+  /** Writes beyond which no other mutation is added to a transaction. */
   batchOps: number;
   conditions: number;
   bytes: number;
-  /** Bytes of one value, now and after an announced change of the limit. */
+  /** Bytes of one value at present. */
   valueBytes: number;
+  /** Bytes of one value, now and after an announced change of the limit. */
   lastingValueBytes: number;
 }
 
-/** Room that is left after an announced change of the store's limits too; but what is stored already may be larger. */
+/**
+ * Limits that hold after an announced change of the store's limits too; but of one value the present limit, since what is stored
+ * already may be larger than the limit to come.
+ */
 export function transactionLimits({ present, lasting }: StoreSettings): TransactionLimits {
   const { transactionWrites, writesPerSecond } = lasting;
   const batchOps = Math.max(LEAST_BATCH_TRANSACTION_WRITES, Math.floor(writesPerSecond * BATCH_TRANSACTION_SHARE));
@@ -35,22 +40,36 @@
   };
 }
 
-const writeBytes = (key: string, value: unknown): number => key.length + 40 + jsonLength(value);
-const CONDITION_BYTES = 30;
-
 /** The form in which a record is written, of a size that the store takes. */
 export type Resize = (key: string, value: unknown) => unknown;
 
+/** Bytes of the envelope of a write and of a condition, safe upper bounds. */
+const WRITE_ENVELOPE_BYTES = 40;
+const CONDITION_BYTES = 30;
+
+const writeBytes = (key: string, value: unknown): number => key.length + WRITE_ENVELOPE_BYTES + jsonLength(value);
+
+/** What a transaction takes of each limit. */
+interface TransactionSize {
+  writes: number;
+  conditions: number;
+  bytes: number;
+}
+
 /**
- * A transaction under construction: every record that a decision reads becomes a condition. A draft over another sees that
- * one's writes; it is merged into it if it is kept, so that trying one more decision costs no more than its own records.
+ * A transaction under construction: every record that a mutation reads becomes a condition. A draft over a base draft sees the
+ * writes of the base; it is merged into the base if it is kept, so that trying one more mutation costs no more than its own
+ * records.
  */
 export class TransactionDraft {
+  /** The revisions that the records must still have, by key. */
   readonly conditions = new Map<string, number>();
+  /** The new values, by key; undefined deletes. */
   readonly writes = new Map<string, unknown>();
-  /** The holds that written keys live on. */
+  /** The store leases that written keys are attached to. */
   readonly leases = new Map<string, number>();
-  private readonly sizes = new Map<string, number>();
+  /** Bytes of each write, as far as `fits` has measured them. */
+  private readonly writeSizes = new Map<string, number>();
   private bytes = 0;
 
   constructor(
@@ -59,16 +78,17 @@
     private readonly resize: Resize = (_, value) => value,
   ) {}
 
-  /** The draft that this one sees below itself, down to the records, or the one that has written the key already. */
+  /** The newest draft, of this one and its bases, that has written the key; undefined: none has. */
   private findWriter(key: string): TransactionDraft | undefined {
     return this.writes.has(key) ? this : this.base?.findWriter(key);
   }
 
-  /** Does this draft, or one below it, change the key? */
+  /** Does this draft, or a base of it, write the key? */
   hasWritten(key: string): boolean {
     return this.findWriter(key) !== undefined;
   }
 
+  /** Reads a record, and makes its revision a condition unless this draft or a base of it has written it. */
   get(key: string): unknown {
     const writer = this.findWriter(key);
     if (writer !== undefined) return writer.writes.get(key);
@@ -83,12 +103,13 @@
     return writer !== undefined ? writer.writes.get(key) : this.read(key).value;
   }
 
+  /** Writes a record, under the condition that it is as it was read. */
   set(key: string, value: unknown): void {
     if (!this.conditions.has(key)) this.conditions.set(key, this.read(key).modRevision);
     this.writes.set(key, this.resize(key, value));
   }
 
-  /** Sets a key that goes with a hold. */
+  /** Writes a record that is deleted when the store lease expires. */
   setUnderLease(key: string, value: unknown, leaseId: number): void {
     this.set(key, value);
     this.leases.set(key, leaseId);
@@ -98,39 +119,64 @@
     this.set(key, undefined);
   }
 
+  /** A draft with this one as its base. */
   over(): TransactionDraft {
     return new TransactionDraft(this.read, this, this.resize);
   }
 
-  /** Would this draft, merged into the one below it, still be one transaction? */
+  /** Would this draft, merged into its base, still be one transaction? `ops`: the most writes. */
   fits(limits: TransactionLimits, ops = limits.ops): boolean {
+    if (this.hasValueAbove(limits.valueBytes)) return false;
+    const size = this.measureMerged();
+    this.bytes = size.bytes;
+    return size.writes <= ops && size.conditions <= limits.conditions && size.bytes <= limits.bytes;
+  }
+
+  private hasValueAbove(valueBytes: number): boolean {
+    for (const value of this.writes.values()) {
+      if (value !== undefined && jsonLength(value) > valueBytes) return true;
+    }
+    return false;
+  }
+
+  /** The size of the base with this draft merged into it. */
+  private measureMerged(): TransactionSize {
     const { base } = this;
-    let writes = base?.writes.size ?? 0;
-    let conditions = base?.conditions.size ?? 0;
-    let bytes = base?.bytes ?? 0;
+    const size: TransactionSize = {
+      writes: base?.writes.size ?? 0,
+      conditions: base?.conditions.size ?? 0,
+      bytes: base?.bytes ?? 0,
+    };
+    this.addWrites(size);
+    this.addConditions(size);
+    return size;
+  }
+
+  private addWrites(size: TransactionSize): void {
     for (const [key, value] of this.writes) {
-      const size = writeBytes(key, value);
-      if (value !== undefined && jsonLength(value) > limits.valueBytes) return false;
-      this.sizes.set(key, size);
-      const old = base?.sizes.get(key);
-      if (old === undefined) writes++;
-      bytes += size - (old ?? 0);
+      const bytes = writeBytes(key, value);
+      this.writeSizes.set(key, bytes);
+      const replacedBytes = this.base?.writeSizes.get(key);
+      if (replacedBytes === undefined) size.writes++;
+      size.bytes += bytes - (replacedBytes ?? 0);
     }
+  }
+
+  private addConditions(size: TransactionSize): void {
     for (const key of this.conditions.keys()) {
-      if (base?.conditions.has(key) === true) continue;
-      conditions++;
-      bytes += key.length + CONDITION_BYTES;
+      if (this.base?.conditions.has(key) === true) continue;
+      size.conditions++;
+      size.bytes += key.length + CONDITION_BYTES;
     }
-    this.bytes = bytes;
-    return writes <= ops && conditions <= limits.conditions && bytes <= limits.bytes;
   }
 
-  /** Takes in a draft over this one, whose `fits` has been asked. */
+  /** Takes in a draft over this one, which must have been measured by `fits`. */
   merge(above: TransactionDraft): void {
-    for (const [key, modRevision] of above.conditions)
+    for (const [key, modRevision] of above.conditions) {
       if (!this.conditions.has(key)) this.conditions.set(key, modRevision);
+    }
     for (const [key, value] of above.writes) this.writes.set(key, value);
-    for (const [key, size] of above.sizes) this.sizes.set(key, size);
+    for (const [key, size] of above.writeSizes) this.writeSizes.set(key, size);
     this.bytes = above.bytes;
     for (const [key, leaseId] of above.leases) this.leases.set(key, leaseId);
   }
--- a/test/clients-and-settings.test.ts
+++ b/test/clients-and-settings.test.ts
@@ -24,14 +24,14 @@
   call: () => (reply instanceof NoResponseError ? Promise.reject(reply) : Promise.resolve(reply)),
 });
 const state = (reply: Reply | NoResponseError) =>
-  new StoreClient(
-    answering(reply),
-    'x:1',
-    decodeStoreSettings({ rps: 100, write_rps: 100, value_kb: 4, txn_ops: 12 }),
-    1,
-    new FakeClock(),
-    new Random(1),
-  );
+  new StoreClient({
+    http: answering(reply),
+    address: 'x:1',
+    settings: decodeStoreSettings({ rps: 100, write_rps: 100, value_kb: 4, txn_ops: 12 }),
+    nodeCount: 1,
+    clock: new FakeClock(),
+    random: new Random(1),
+  });
 const transact = (reply: Reply | NoResponseError) =>
   state(reply).transact([], [{ key: 'a', value: 1 }], Priority.record);
 
