--- /dev/null
+++ b/src/records/machine-placements.ts
@@ -0,0 +1,75 @@
+/** Which tasks are on which machine, and the resources that they use there; kept up with every change, not summed anew. */
+import type { JobSpec } from '../domain/job.js';
+import { type Resources, subtractResources } from '../domain/resources.js';
+import type { ActivePlacement } from '../domain/task.js';
+
+/** A task that is on a machine. */
+export interface PlacedTask {
+  jobId: string;
+  taskIndex: number;
+  placement: ActivePlacement;
+}
+
+const keyOf = ({ jobId, taskIndex }: Omit<PlacedTask, 'placement'>): string => `${jobId}/${taskIndex}`;
+
+export class MachinePlacements {
+  /** By machine, and there by task. */
+  private readonly tasksByMachine = new Map<string, Map<string, PlacedTask>>();
+  private readonly usedByMachine = new Map<string, Resources>();
+
+  /** In the order in which they were placed. */
+  tasksOn(machineId: string): Iterable<PlacedTask> {
+    return this.tasksByMachine.get(machineId)?.values() ?? [];
+  }
+
+  taskCountOn(machineId: string): number {
+    return this.tasksByMachine.get(machineId)?.size ?? 0;
+  }
+
+  /** Undefined: no task is there. */
+  usedOn(machineId: string): Readonly<Resources> | undefined {
+    return this.usedByMachine.get(machineId);
+  }
+
+  /** Machines with a task. */
+  get machineIds(): Iterable<string> {
+    return this.tasksByMachine.keys();
+  }
+
+  get machineCount(): number {
+    return this.tasksByMachine.size;
+  }
+
+  add(placedTask: PlacedTask, spec: JobSpec): void {
+    const { machineId } = placedTask.placement;
+    let placedTasks = this.tasksByMachine.get(machineId);
+    if (placedTasks === undefined) {
+      placedTasks = new Map();
+      this.tasksByMachine.set(machineId, placedTasks);
+    }
+    placedTasks.set(keyOf(placedTask), placedTask);
+    let used = this.usedByMachine.get(machineId);
+    if (used === undefined) {
+      used = { cpus: 0, gpus: 0, memoryGb: 0 };
+      this.usedByMachine.set(machineId, used);
+    }
+    subtractResources(used, spec, -1);
+  }
+
+  /** Another placement of a task on the same machine. */
+  replace(placedTask: PlacedTask): void {
+    this.tasksByMachine.get(placedTask.placement.machineId)!.set(keyOf(placedTask), placedTask);
+  }
+
+  remove(placedTask: PlacedTask, spec: JobSpec): void {
+    const { machineId } = placedTask.placement;
+    const placedTasks = this.tasksByMachine.get(machineId)!;
+    placedTasks.delete(keyOf(placedTask));
+    if (placedTasks.size > 0) {
+      subtractResources(this.usedByMachine.get(machineId)!, spec, 1);
+      return;
+    }
+    this.tasksByMachine.delete(machineId);
+    this.usedByMachine.delete(machineId);
+  }
+}
--- a/src/records/team-accounting.ts
+++ b/src/records/team-accounting.ts
@@ -10,7 +10,7 @@
 import { teamKey } from './record-keys.js';
 import type { JobSpec } from '../domain/job.js';
 import { isLimited } from './placement-rules.js';
-import { roundAmount } from '../domain/resources.js';
+import { withTask } from './team-usage-index.js';
 import type { TransactionDraft } from '../store/transaction-draft.js';
 import type { StoredValue } from '../store/replica.js';
 
@@ -23,11 +23,6 @@
   canDeferExits: () => boolean;
 }
 
-const withTask = (use: TeamUsage, spec: JobSpec, tasks: 1 | -1): TeamUsage => ({
-  cpus: roundAmount(use.cpus + tasks * spec.cpus),
-  gpus: roundAmount(use.gpus + tasks * spec.gpus),
-});
-
 /** Is there so much room under the limit that the next start need not know of every exit? */
 const isFarBelow = (use: TeamUsage, { limit }: Team): boolean =>
   (limit.cpus === 0 || use.cpus <= limit.cpus * DEFERRED_EXIT_SHARE) &&
