--- a/src/autoscaling/cluster-leader.ts
+++ b/src/autoscaling/cluster-leader.ts
@@ -265,15 +265,13 @@
         priority,
         (draft) => {
           if (!this.leadership.requireLeadership(draft, CLUSTER_LEADER_ROLE)) return false;
-          return releasePlacement(
-            draft,
-            this.accounting,
-            placedTask.jobId,
-            placedTask.taskIndex,
+          return releasePlacement(draft, this.accounting, {
+            jobId: placedTask.jobId,
+            taskIndex: placedTask.taskIndex,
             machineId,
-            { kind: 'machine_terminated' },
-            'lost',
-          );
+            proof: { kind: 'machine_terminated' },
+            ending: 'lost',
+          });
         },
         { batchingHint: this.clusterState.batchingHintFor(placedTask.jobId, placedTask.taskIndex) },
       );
--- a/src/records/placement-rules.ts
+++ b/src/records/placement-rules.ts
@@ -1,8 +1,9 @@
+/** The rules of starts and of releases: which task may start on which machine, and what proves that one has left it. */
 import type { Team, TeamUsage } from '../domain/team.js';
 import type { JobRecord } from './records.js';
 import type { JobSpec } from '../domain/job.js';
 import type { ActivePlacement, TaskPlacement } from '../domain/task.js';
-import { Machine } from '../domain/machine.js';
+import type { Machine } from '../domain/machine.js';
 
 /** May a task of this job ever run on such a machine? */
 export const isAllowedOn = (job: JobSpec, machine: Pick<Machine, 'machineType' | 'zone' | 'isSpot'>): boolean =>
@@ -10,10 +11,10 @@
   (job.zone === null || job.zone === machine.zone) &&
   (job.allowsSpot || !machine.isSpot);
 
-/** Tasks of a spread job that one zone may hold. */
+/** The most tasks that one zone may hold, of a job that is spread across zones. */
 export const spreadLimit = (job: JobSpec): number => Math.ceil(job.taskCount / 2);
 
-/** Tasks of the job in each zone, counted until their exit is known. */
+/** Tasks of the job in each zone; a task counts until its exit is known. */
 export function countTasksPerZone(placements: Iterable<TaskPlacement>): Map<string, number> {
   const zones = new Map<string, number>();
   for (const placement of placements)
@@ -29,14 +30,14 @@
 }
 
 /** Amounts are decimal; what differs by less counts as equal. */
-const EPS = 1e-6;
+const TOLERANCE = 1e-6;
 
-/** Does the team's committed use, with this added, stay within its limit? 0 means no limit. */
+/** Does the team's recorded usage, with this added, stay within its limit? 0 means no limit. */
 export const isWithinQuota = ({ limit }: Team, use: TeamUsage, cpus: number, gpus: number): boolean =>
-  (limit.cpus === 0 || cpus === 0 || use.cpus + cpus <= limit.cpus + EPS) &&
-  (limit.gpus === 0 || gpus === 0 || use.gpus + gpus <= limit.gpus + EPS);
+  (limit.cpus === 0 || cpus === 0 || use.cpus + cpus <= limit.cpus + TOLERANCE) &&
+  (limit.gpus === 0 || gpus === 0 || use.gpus + gpus <= limit.gpus + TOLERANCE);
 
-/** Does the team have any limit that this job counts against? Without one its use is not recorded. */
+/** Does the team have any limit that this job counts against? Without one its usage is not recorded. */
 export const isLimited = ({ limit }: Team, job: JobSpec): boolean =>
   (limit.cpus > 0 && job.cpus > 0) || (limit.gpus > 0 && job.gpus > 0);
 
@@ -44,7 +45,7 @@
 export interface StartFacts {
   job: JobRecord | undefined;
   placement: TaskPlacement;
-  /** All other slots of the job where Spread or OneZone asks for them. */
+  /** Placements of the job's other tasks, where a rule on zones asks for them. */
   others: Iterable<TaskPlacement>;
   team: Team;
   teamUsage: TeamUsage;
@@ -52,32 +53,63 @@
   attempt: number;
 }
 
-/** The one check of every start: undefined if it may be committed, else the rule in its way. */
-export function whyNotStartable(facts: StartFacts): string | undefined {
-  const { job, placement, team, teamUsage, machine } = facts;
-  if (job === undefined) return 'no such job';
-  if (job.state === 'waiting') return 'waits for other jobs';
-  if (job.state !== 'active') return 'cancelled';
-  if (placement.kind === 'done') return 'done already';
-  if (placement.kind === 'placed') return 'placed already';
-  if (facts.attempt < placement.attempt || (facts.attempt === placement.attempt && job.spec.kind !== 'gang')) {
-    return 'attempt used before';
+/** The rule that a start would break. */
+export type StartRefusal =
+  | 'no_such_job'
+  | 'waiting_for_dependencies'
+  | 'cancelled'
+  | 'already_done'
+  | 'already_placed'
+  | 'attempt_used'
+  | 'machine_not_allowed'
+  | 'zone_not_allowed'
+  | 'over_quota';
+
+/** The one check of every start: undefined if it may be committed, else the rule that it would break. */
+export function findStartRefusal(facts: StartFacts): StartRefusal | undefined {
+  const { job } = facts;
+  if (job === undefined) return 'no_such_job';
+  return findJobRefusal(job) ?? findPlacementRefusal(job.spec, facts) ?? findMachineRefusal(job.spec, facts);
+}
+
+function findJobRefusal({ state }: JobRecord): StartRefusal | undefined {
+  switch (state) {
+    case 'waiting':
+      return 'waiting_for_dependencies';
+    case 'cancelled':
+      return 'cancelled';
+    case 'active':
+      return undefined;
   }
-  if (!isAllowedOn(job.spec, machine)) return 'machine not allowed';
-  if (!isZoneAllowed(job.spec, countTasksPerZone(facts.others), machine.zone)) return 'zone not allowed';
-  if (!isWithinQuota(team, teamUsage, job.spec.cpus, job.spec.gpus)) return 'over the limit of its team';
-  return undefined;
 }
 
-/** Why a place is free. Nothing else proves it. */
+function findPlacementRefusal(job: JobSpec, { placement, attempt }: StartFacts): StartRefusal | undefined {
+  if (placement.kind === 'done') return 'already_done';
+  if (placement.kind === 'placed') return 'already_placed';
+  // All tasks of a gang start with one attempt, also those that have not used it.
+  const isUsed = attempt < placement.attempt || (attempt === placement.attempt && job.kind !== 'gang');
+  return isUsed ? 'attempt_used' : undefined;
+}
+
+function findMachineRefusal(job: JobSpec, facts: StartFacts): StartRefusal | undefined {
+  const { machine, others, team, teamUsage } = facts;
+  if (!isAllowedOn(job, machine)) return 'machine_not_allowed';
+  if (!isZoneAllowed(job, countTasksPerZone(others), machine.zone)) return 'zone_not_allowed';
+  return isWithinQuota(team, teamUsage, job.cpus, job.gpus) ? undefined : 'over_quota';
+}
+
+/** Why a task has left its machine. Nothing else proves it. */
 export type Proof =
+  /** The agent has reported the end of this attempt. */
   | { kind: 'exited'; attempt: number; agentEpoch: number }
+  /** The agent has begun another epoch, and with it ended what ran before. */
   | { kind: 'newer_agent_epoch'; agentEpoch: number }
+  /** The cloud has confirmed that the machine is terminated. */
   | { kind: 'machine_terminated' }
-  /** The session's lease is over; it says nothing of what the machine is given in its next one. */
+  /** The lease of the agent's epoch has expired; it says nothing of what the machine is given in its next one. */
   | { kind: 'lease_expired'; agentEpoch: number };
 
-/** Does the proof free exactly this place? */
+/** Does the proof release exactly this placement? */
 export function provesFree(proof: Proof, placement: ActivePlacement): boolean {
   switch (proof.kind) {
     case 'exited':
--- a/src/scheduling/eviction-marker.ts
+++ b/src/scheduling/eviction-marker.ts
@@ -63,8 +63,7 @@
         if (!this.leadership.requireLeadership(draft, CLUSTER_LEADER_ROLE)) return false;
         let marked = false;
         for (const each of placedTasks) {
-          if (markForStop(draft, jobId, each.taskIndex, each.placement.machineId, each.placement.attempt, gracePeriodS))
-            marked = true;
+          if (markForStop(draft, each, gracePeriodS)) marked = true;
         }
         return marked;
       },
--- a/src/scheduling/placement-planner.ts
+++ b/src/scheduling/placement-planner.ts
@@ -413,12 +413,16 @@
   private decide(draft: TransactionDraft, group: Choice[], role: string, team: Team, whole: boolean): boolean {
     if (!this.leadership.requireLeadership(draft, role)) return false;
     let started = 0;
-    for (const { waiting, machine, attempt } of group) {
+    for (const {
+      waiting: { view, taskIndex },
+      machine,
+      attempt,
+    } of group) {
       // The machine may have begun a new session, or have gone silent, since the choice was made.
       const stale = this.inventory.agentEpochOf(machine.machineId) !== machine.agentEpoch || !this.hasRoom(machine);
       const why = stale
         ? 'machine changed'
-        : startTask(draft, this.accounting, team, waiting.view.jobId, waiting.taskIndex, machine, attempt);
+        : startTask(draft, this.accounting, { team, jobId: view.jobId, taskIndex, machine, attempt });
       if (why === undefined) started++;
       else if (whole) return false;
     }
--- a/src/scheduling/rescheduler.ts
+++ b/src/scheduling/rescheduler.ts
@@ -94,14 +94,7 @@
       this.log.info({ taskId: name, from: placedTask.placement.machineId, to: host.id }, 'unhappy task moves');
       void this.transactions.commit('move', Priority.start, (draft) => {
         if (!this.leadership.requireLeadership(draft, partitionRole(partition))) return false;
-        return markForStop(
-          draft,
-          placedTask.jobId,
-          placedTask.taskIndex,
-          placedTask.placement.machineId,
-          placedTask.placement.attempt,
-          0,
-        );
+        return markForStop(draft, placedTask, 0);
       });
     }
   }
--- a/src/workers/exit-recorder.ts
+++ b/src/workers/exit-recorder.ts
@@ -71,7 +71,8 @@
         // Nor of a later stay on the same machine, after a change without an answer has freed the place already.
         const proof = proofNow();
         if (proof === undefined) return false;
-        return releasePlacement(draft, accounting, placedTask.jobId, placedTask.taskIndex, machineId, proof, ending);
+        const { jobId, taskIndex } = placedTask;
+        return releasePlacement(draft, accounting, { jobId, taskIndex, machineId, proof, ending });
       },
       {
         batchingHint: clusterState.batchingHintFor(
--- a/src/workers/straggler-detector.ts
+++ b/src/workers/straggler-detector.ts
@@ -73,14 +73,7 @@
       const gracePeriodS = spec.checkpointIntervalS > 0 ? spec.checkpointS : 0;
       void this.transactions.commit('relieve', Priority.background, (draft) => {
         if (!this.leadership.requireLeadership(draft, role)) return false;
-        return markForStop(
-          draft,
-          placedTask.jobId,
-          placedTask.taskIndex,
-          worker.machineId,
-          placedTask.placement.attempt,
-          gracePeriodS,
-        );
+        return markForStop(draft, placedTask, gracePeriodS);
       });
     }
   }
--- a/test/records/dependency-mutations.test.ts
+++ b/test/records/dependency-mutations.test.ts
@@ -4,7 +4,7 @@
 import { cancelWaitingJob, releaseJob } from '../../src/records/dependency-mutations.js';
 import { finalJobKey, jobKey } from '../../src/records/record-keys.js';
 import type { JobRecord } from '../../src/records/records.js';
-import { whyNotStartable } from '../../src/records/placement-rules.js';
+import { findStartRefusal } from '../../src/records/placement-rules.js';
 import { TransactionDraft } from '../../src/store/transaction-draft.js';
 import { specOf } from '../../testing/fixtures.js';
 import { encodeJobSpec } from '../../src/records/job-spec-codec.js';
@@ -62,7 +62,7 @@
   });
 
   it('starts no task, whatever machine there is, and does not end as done', () => {
-    const why = whyNotStartable({
+    const refusal = findStartRefusal({
       job: waiting,
       placement: { kind: 'queued', attempt: 0, failures: 0 },
       others: [],
@@ -71,7 +71,7 @@
       machine: { machineId: 'i-1', machineType: 'c8', zone: 'a', isSpot: false, agentEpoch: 1 },
       attempt: 1,
     });
-    assert.equal(why, 'waits for other jobs');
+    assert.equal(refusal, 'waiting_for_dependencies');
     const finished = { [jobKey(JOB_ID)]: encodeJobRecord(waiting), [`live/ledger/${JOB_ID}/0000`]: { s: [1] } };
     assert.equal(endJob(draftOf(finished), JOB_ID, 12), false);
   });
