--- a/src/records/dependency-mutations.ts
+++ b/src/records/dependency-mutations.ts
@@ -1,4 +1,4 @@
-/** The edits that move jobs on which wait for others. Each is one write under the condition that the job still waits. */
+/** Mutations of jobs that wait for others. Each is decided under the condition that the job still waits. */
 import type { TransactionDraft } from '../store/transaction-draft.js';
 import { readJob } from './placement-mutations.js';
 import { decodeFinalJobRecord, encodeJobRecord, encodeFinalJobRecord } from './record-codecs.js';
@@ -10,16 +10,20 @@
   return value !== undefined && decodeFinalJobRecord(value).state === 'done';
 }
 
-/** Lets a waiting job start, if all its predecessors are done. `now`: time of day, ms. */
-export function releaseJob(draft: TransactionDraft, jobId: string, now: number): boolean {
+/** Lets a waiting job start, if all its dependencies are done. `nowMs`: time of day. */
+export function releaseJob(draft: TransactionDraft, jobId: string, nowMs: number): boolean {
   const job = readJob(draft, jobId);
-  if (job?.state !== 'waiting' || job.dependencies?.every((each) => isDone(draft, each)) !== true) return false;
+  if (job?.state !== 'waiting' || job.dependencies?.every((dependency) => isDone(draft, dependency)) !== true)
+    return false;
   const { spec, submittedAtMs, tasksPerChunk } = job;
-  draft.set(jobKey(jobId), encodeJobRecord({ spec, state: 'active', submittedAtMs, tasksPerChunk, releasedAtMs: now }));
+  draft.set(
+    jobKey(jobId),
+    encodeJobRecord({ spec, state: 'active', submittedAtMs, tasksPerChunk, releasedAtMs: nowMs }),
+  );
   return true;
 }
 
-/** Ends a waiting job as cancelled, with a job before it; the caller has seen that one's cancellation, which is final. */
+/** Ends a waiting job as cancelled, with a job that it depends on; the caller has seen that one's cancellation, which is final. */
 export function cancelWaitingJob(draft: TransactionDraft, jobId: string): boolean {
   const job = readJob(draft, jobId);
   if (job?.state !== 'waiting') return false;
--- a/src/records/format-upgrade.ts
+++ b/src/records/format-upgrade.ts
@@ -1,7 +1,8 @@
 /**
- * Finds out when every controller reads the present form of records. Each process says so in a record under its own hold, so
- * what a process has said is gone with it; and once all controllers are seen to say so in one transaction, a lasting record
- * notes it. Until then nothing is written that an earlier version would misread, and after it no earlier version comes back.
+ * Finds out when every controller reads the present record format. Each process announces it in a record attached to its own
+ * store lease, so that the announcement ends with the process; once the announcements of all controllers are seen in one
+ * transaction, a lasting record notes it. Until then nothing is written that an earlier version would misread, and after it no
+ * earlier version comes back.
  */
 import { decodeFormatRecord, encodeFormatRecord, encodeFormatCompleteRecord } from './record-codecs.js';
 import { FORMAT_COMPLETE_KEY, formatKey } from './record-keys.js';
@@ -16,9 +17,9 @@
   node: string;
   /** All controllers, this one included. */
   nodes: readonly string[];
-  /** How many there should be. */
+  /** How many controllers there should be. */
   clusterSize: number;
-  /** The hold that this process's records live on, and whether it may act on its copy of the records. */
+  /** The store lease that this process's records are attached to, and whether it may act on its replica. */
   leadership: { readonly storeLeaseId: number | undefined; readonly isInTouchWithStore: boolean };
   replica: Replica;
   transactions: TransactionBatcher;
@@ -28,20 +29,19 @@
 export class FormatUpgrade {
   constructor(private readonly dependencies: FormatUpgradeDependencies) {}
 
-  /** Does every controller read the present form? */
+  /** Does every controller read the present format? */
   get isComplete(): boolean {
     return this.dependencies.replica.get(FORMAT_COMPLETE_KEY).value !== undefined;
   }
 
-  /** Says so of this process, and notes when all do. Called now and then, one look after the other. */
+  /** Announces this process, and notes when all controllers are announced. Called periodically, one call after the other. */
   async check(): Promise<void> {
     const { leadership, transactions, log } = this.dependencies;
     if (this.isComplete || leadership.storeLeaseId === undefined || !leadership.isInTouchWithStore) return;
     if (!this.isAnnounced) await transactions.commit('format', Priority.lease, (draft) => this.announce(draft));
     else if (this.areAllAnnounced) {
       const outcome = await transactions.commit('format complete', Priority.lease, (draft) => this.complete(draft));
-      if (outcome.kind === 'done')
-        log.info({ format: RECORD_FORMAT }, 'all controllers read the present form of records');
+      if (outcome.kind === 'done') log.info({ recordFormat: RECORD_FORMAT }, 'record format upgrade completed');
     }
   }
 
@@ -70,7 +70,7 @@
     return true;
   }
 
-  /** Under the condition that all processes that have said so are still there. */
+  /** Under the condition that all processes that have announced themselves still run. */
   private complete(draft: TransactionDraft): boolean {
     if (!this.areAllAnnounced || draft.get(FORMAT_COMPLETE_KEY) !== undefined) return false;
     for (const node of this.dependencies.nodes) draft.get(formatKey(node));
--- a/src/records/job-dependencies.ts
+++ b/src/records/job-dependencies.ts
@@ -1,28 +1,31 @@
 /**
- * Which jobs wait for which others, and what each job inherits from those that need it. Kept up with every change of a job
- * record: a change reaches only the jobs before it whose urgency it changes.
+ * The graph of jobs that wait for others, and the urgency that each job inherits from its dependents. Kept up with every change
+ * of a job record: a change propagates only to the dependencies whose urgency it changes.
  */
 import { JOB_PRIORITIES } from '../domain/job.js';
 import type { JobRecord } from './records.js';
 
-/** What the jobs that need a job ask of it. */
+/** What a job inherits from the jobs that depend on it. */
 export interface Urgency {
-  /** Index in `RANKS` of the highest rank among them, directly or through others. */
+  /** Index in `JOB_PRIORITIES` of the highest priority among them, directly or through others. */
   priorityIndex: number;
   /** Time of day, ms, by which the job must be complete so that the last of them can be in time; Infinity: no deadline. */
   finishBy: number;
 }
 
+const MS_PER_S = 1000;
+const NO_DEPENDENTS: ReadonlySet<string> = new Set();
 const NO_URGENCY: Urgency = { priorityIndex: JOB_PRIORITIES.length, finishBy: Infinity };
 
+/** Time of day, ms. */
 const deadlineOf = ({ spec, submittedAtMs }: JobRecord): number =>
-  spec.deadlineS === null ? Infinity : submittedAtMs + spec.deadlineS * 1000;
+  spec.deadlineS === null ? Infinity : submittedAtMs + spec.deadlineS * MS_PER_S;
 
 export class JobDependencies {
   /** The waiting jobs, with their records. */
   private readonly waiting = new Map<string, JobRecord>();
-  /** The waiting jobs that name a job. */
-  private readonly successors = new Map<string, Set<string>>();
+  /** The waiting jobs that name a job as their dependency. */
+  private readonly dependents = new Map<string, Set<string>>();
   private readonly inherited = new Map<string, Urgency>();
 
   /** `onChange`: what a job inherits has changed. */
@@ -41,74 +44,72 @@
     return this.waiting.has(jobId);
   }
 
-  /** The jobs that a waiting job names. */
+  /** The jobs that a waiting job depends on; empty for one that does not wait. */
   dependenciesOf(jobId: string): readonly string[] {
     return this.waiting.get(jobId)?.dependencies ?? [];
   }
 
-  /** The waiting jobs that name a job. */
+  /** The waiting jobs that depend on a job directly. */
   dependentsOf(jobId: string): ReadonlySet<string> {
-    return this.successors.get(jobId) ?? NONE;
+    return this.dependents.get(jobId) ?? NO_DEPENDENTS;
   }
 
   hasDependents(jobId: string): boolean {
-    return this.successors.has(jobId);
+    return this.dependents.has(jobId);
   }
 
   urgencyOf(jobId: string): Urgency {
     return this.inherited.get(jobId) ?? NO_URGENCY;
   }
 
-  /** Takes in a job's record; undefined: it is gone. */
+  /** Takes in a job's record; undefined: the job is over. */
   update(jobId: string, record: JobRecord | undefined): void {
     const before = this.dependenciesOf(jobId);
     const isWaiting = record?.state === 'waiting';
     if (!isWaiting && before.length === 0) return;
-    for (const predecessor of before) this.unlink(predecessor, jobId);
+    for (const dependency of before) this.unlink(dependency, jobId);
     this.waiting.delete(jobId);
     if (isWaiting) {
       this.waiting.set(jobId, record);
-      for (const predecessor of record.dependencies ?? []) this.link(predecessor, jobId);
+      for (const dependency of record.dependencies ?? []) this.link(dependency, jobId);
     }
     this.propagate([...before, ...this.dependenciesOf(jobId)]);
   }
 
-  private link(predecessor: string, jobId: string): void {
-    const known = this.successors.get(predecessor) ?? new Set();
-    this.successors.set(predecessor, known.add(jobId));
+  private link(dependency: string, jobId: string): void {
+    const known = this.dependents.get(dependency) ?? new Set();
+    this.dependents.set(dependency, known.add(jobId));
   }
 
-  private unlink(predecessor: string, jobId: string): void {
-    const known = this.successors.get(predecessor);
+  private unlink(dependency: string, jobId: string): void {
+    const known = this.dependents.get(dependency);
     known?.delete(jobId);
-    if (known?.size === 0) this.successors.delete(predecessor);
+    if (known?.size === 0) this.dependents.delete(dependency);
   }
 
-  /** Works out anew what these jobs inherit, and from there on those before them, as far as anything changes. */
+  /** Computes anew what these jobs inherit, and then their dependencies in turn, as far as anything changes. */
   private propagate(jobIds: readonly string[]): void {
-    const open = [...jobIds];
-    for (let jobId = open.pop(); jobId !== undefined; jobId = open.pop()) {
+    const pending = [...jobIds];
+    for (let jobId = pending.pop(); jobId !== undefined; jobId = pending.pop()) {
       const old = this.urgencyOf(jobId);
       const now = this.inheritedBy(jobId);
       if (now.priorityIndex === old.priorityIndex && now.finishBy === old.finishBy) continue;
       if (this.hasDependents(jobId)) this.inherited.set(jobId, now);
       else this.inherited.delete(jobId);
       this.onChange(jobId, now);
-      open.push(...this.dependenciesOf(jobId));
+      pending.push(...this.dependenciesOf(jobId));
     }
   }
 
   private inheritedBy(jobId: string): Urgency {
     let { priorityIndex, finishBy } = NO_URGENCY;
-    for (const successor of this.dependentsOf(jobId)) {
-      const record = this.waiting.get(successor)!;
-      const theirs = this.urgencyOf(successor);
+    for (const dependent of this.dependentsOf(jobId)) {
+      const record = this.waiting.get(dependent)!;
+      const theirs = this.urgencyOf(dependent);
       priorityIndex = Math.min(priorityIndex, theirs.priorityIndex, JOB_PRIORITIES.indexOf(record.spec.priority));
-      const due = Math.min(theirs.finishBy, deadlineOf(record));
-      finishBy = Math.min(finishBy, due - record.spec.estimatedRunS * 1000);
+      const dependentFinishBy = Math.min(theirs.finishBy, deadlineOf(record));
+      finishBy = Math.min(finishBy, dependentFinishBy - record.spec.estimatedRunS * MS_PER_S);
     }
     return { priorityIndex, finishBy };
   }
 }
-
-const NONE: ReadonlySet<string> = new Set();
--- a/src/records/job-spec-codec.ts
+++ b/src/records/job-spec-codec.ts
@@ -1,9 +1,10 @@
 /** A job as users submit it and as its record in the store holds it: the wire names, and their translation. */
 import type { JobKind, JobPriority, JobSpec } from '../domain/job.js';
 
+/** The kind of a job, as users submit it. */
 export type WireJobShape = 'array' | 'ensemble' | 'service';
 
-/** The order of the fields is the order in which they are stored. */
+/** A job's specification on the wire and in the store; the order of the fields is the order in which they are stored. */
 export interface WireJobSpec {
   Ref: string;
   Jobclass: string;
@@ -36,6 +37,7 @@
  */
 const wireForms = new WeakMap<JobSpec, WireJobSpec>();
 
+/** Takes a specification that has been checked. */
 export function decodeJobSpec(wire: WireJobSpec): JobSpec {
   const spec: JobSpec = {
     id: wire.Ref,
@@ -63,6 +65,7 @@
   return spec;
 }
 
+/** The wire form that the specification was read from, else a new one. */
 export function encodeJobSpec(spec: JobSpec): WireJobSpec {
   const known = wireForms.get(spec);
   if (known !== undefined) return known;
--- a/src/records/placement-codec.ts
+++ b/src/records/placement-codec.ts
@@ -16,6 +16,7 @@
 /** Fields of a task that waits for another attempt. */
 const RAW_QUEUED_LENGTH = 2;
 
+/** A task on a machine, with fields that are not checked yet; the first two also stand for one that is queued again. */
 type RawActive = [
   attempt: number,
   failures: number,
@@ -31,7 +32,7 @@
   z?: string[];
 }
 
-/** Is it what stood there before? Mostly nothing has changed, and then the very same object is kept. */
+/** Is it the placement from before? Mostly nothing has changed, and then the very same object is kept. */
 function isSame(before: TaskPlacement | undefined, raw: RawActive, zone: unknown): before is ActivePlacement {
   const [attempt, failures, machineId, agentEpoch, grace] = raw;
   return (
@@ -48,16 +49,22 @@
 function decodePlacement(raw: unknown, zones: readonly string[], before?: TaskPlacement): TaskPlacement {
   if (raw === RAW_NEVER_PLACED) return NEVER_PLACED;
   if (raw === RAW_DONE) return DONE;
-  if (Array.isArray(raw) && isCount(raw[0]) && isCount(raw[1])) {
-    const [attempt, failures, machineId, agentEpoch, grace, rawZone] = raw as RawActive;
-    const zone = typeof rawZone === 'number' ? zones[rawZone] : rawZone;
-    if (isSame(before, raw as RawActive, zone)) return before;
-    if (raw.length === RAW_QUEUED_LENGTH) return { kind: 'queued', attempt, failures };
-    if (typeof machineId === 'string' && isCount(agentEpoch) && typeof grace === 'number' && typeof zone === 'string') {
-      return { kind: 'placed', attempt, failures, machineId, agentEpoch, gracePeriodS: grace < 0 ? null : grace, zone };
-    }
-  }
-  throw new CorruptRecord(`ledger entry ${JSON.stringify(raw)}`);
+  const placement = isRawAttempt(raw) ? decodeAttempt(raw, zones, before) : undefined;
+  if (placement === undefined) throw new CorruptRecord(`task placement ${JSON.stringify(raw)}`);
+  return placement;
+}
+
+const isRawAttempt = (raw: unknown): raw is RawActive => Array.isArray(raw) && isCount(raw[0]) && isCount(raw[1]);
+
+/** A task that has been placed once at least; undefined: it can't be decoded. */
+function decodeAttempt(raw: RawActive, zones: readonly string[], before?: TaskPlacement): TaskPlacement | undefined {
+  const [attempt, failures, machineId, agentEpoch, grace, rawZone] = raw;
+  const zone = typeof rawZone === 'number' ? zones[rawZone] : rawZone;
+  if (isSame(before, raw, zone)) return before;
+  if ((raw as unknown[]).length === RAW_QUEUED_LENGTH) return { kind: 'queued', attempt, failures };
+  if (typeof machineId !== 'string' || !isCount(agentEpoch)) return undefined;
+  if (typeof grace !== 'number' || typeof zone !== 'string') return undefined;
+  return { kind: 'placed', attempt, failures, machineId, agentEpoch, gracePeriodS: grace < 0 ? null : grace, zone };
 }
 
 function encodePlacement(placement: TaskPlacement, zones?: readonly string[]): unknown {
@@ -91,7 +98,8 @@
 export function decodeChunk(value: unknown, size: number, before?: readonly TaskPlacement[]): readonly TaskPlacement[] {
   if (value === undefined) return Array.from({ length: size }, () => NEVER_PLACED);
   const { s: raw, z: zones = [] } = (value ?? {}) as Partial<RawChunk>;
-  if (!Array.isArray(raw) || raw.length !== size || !Array.isArray(zones)) throw new CorruptRecord('ledger chunk');
+  if (!Array.isArray(raw) || raw.length !== size || !Array.isArray(zones))
+    throw new CorruptRecord('chunk of task placements');
   const known = decodedChunks.get(value as object);
   if (known !== undefined) return known;
   const placements = raw.map((each, at) => decodePlacement(each, zones, before?.[at]));
@@ -99,7 +107,7 @@
   return placements;
 }
 
-/** Does a chunk, of whatever job, hold no task that is on a machine? One that can't be read may hold any. */
+/** Does a chunk, of whatever job, hold no task that is on a machine? One that can't be decoded may hold any. */
 export function hasNoActivePlacements(value: unknown): boolean {
   const { s: raw } = (value ?? {}) as Partial<RawChunk>;
   if (!Array.isArray(raw)) return false;
@@ -122,8 +130,8 @@
 }
 
 /**
- * The same chunk with its zones named once, for stores that take less than the version that made the chunk counted on: an
- * entry then takes some 25 bytes in place of 40. Only for readers of `RECORD_FORMAT` 2.
+ * The same chunk with its zones named once, for stores that take less than the version that made the chunk counted on: a
+ * placement then takes some 25 bytes in place of 40. Only for readers of `RECORD_FORMAT` 2.
  */
 export function compactChunk(value: unknown): unknown {
   const placements = decodeChunk(value, (value as RawChunk).s.length);
--- a/src/records/record-codecs.ts
+++ b/src/records/record-codecs.ts
@@ -41,22 +41,21 @@
   value === undefined || (Array.isArray(value) && value.every((each) => typeof each === 'string'));
 
 function isStoredJob(value: unknown): value is StoredJob {
-  const job = value as StoredJob | null;
-  const spec = job?.spec;
-  return (
-    spec !== undefined &&
-    typeof spec.Ref === 'string' &&
-    isCount(spec.Shards) &&
-    isCount(job!.chunk) &&
-    job!.chunk >= 1 &&
-    Object.hasOwn(STATE_OF_PHASE, job!.phase) &&
-    JOB_PRIORITIES.includes(spec.Rank) &&
-    isListOfJobs(job!.awaits) &&
-    (job!.phase !== 'waiting' || job!.awaits !== undefined) &&
-    ['number', 'undefined'].includes(typeof job!.releasedAt)
-  );
+  const job = value as StoredJob | null | undefined;
+  if (job?.spec === undefined || !isStoredSpec(job.spec)) return false;
+  const hasChunkSize = isCount(job.chunk) && job.chunk >= 1;
+  return hasChunkSize && Object.hasOwn(STATE_OF_PHASE, job.phase) && hasStoredDependencies(job);
 }
 
+const isStoredSpec = (spec: WireJobSpec): boolean =>
+  typeof spec.Ref === 'string' && isCount(spec.Shards) && JOB_PRIORITIES.includes(spec.Rank);
+
+/** A job that waits must say for which; the time of its release stands in the records of those that have waited. */
+const hasStoredDependencies = ({ phase, awaits, releasedAt }: StoredJob): boolean =>
+  isListOfJobs(awaits) &&
+  (phase !== 'waiting' || awaits !== undefined) &&
+  (releasedAt === undefined || typeof releasedAt === 'number');
+
 /** Records are never changed in place, so each is decoded once, however many decisions look at it. */
 const decodedJobs = new WeakMap<object, JobRecord>();
 
@@ -64,7 +63,7 @@
 export function decodeJobRecord(value: unknown): JobRecord {
   const known = typeof value === 'object' && value !== null ? decodedJobs.get(value) : undefined;
   if (known !== undefined) return known;
-  if (!isStoredJob(value)) throw new CorruptRecord('job');
+  if (!isStoredJob(value)) throw new CorruptRecord('job record');
   const { spec, phase, at, chunk, awaits, releasedAt } = value;
   const record: JobRecord = {
     spec: decodeJobSpec(spec),
@@ -78,6 +77,7 @@
   return record;
 }
 
+/** The order of the fields is that in which they are stored. */
 export function encodeJobRecord(record: JobRecord): unknown {
   const { spec, state, submittedAtMs, tasksPerChunk, dependencies, releasedAtMs } = record;
   const stored: StoredJob = {
@@ -95,7 +95,7 @@
 /** The stored form of a job's record once the job is cancelled: nothing else of it changes. */
 export const cancelStoredJob = (stored: unknown): unknown => ({ ...(stored as StoredJob), phase: 'withdrawn' });
 
-/** Does a record, as it is stored, cancel its job? */
+/** Is this the stored record of a cancelled job? */
 export const isStoredCancellation = (key: string, value: unknown): boolean =>
   key.startsWith(JOB_PREFIX) && (value as StoredJob | undefined)?.phase === 'withdrawn';
 
@@ -110,9 +110,10 @@
   shards: number;
 }
 
+/** Throws `CorruptRecord` for what is no final record. */
 export function decodeFinalJobRecord(value: unknown): FinalJobRecord {
   const stored = value as StoredFinalJob | null;
-  if (stored?.phase !== 'done' && stored?.phase !== 'withdrawn') throw new CorruptRecord('ended job');
+  if (stored?.phase !== 'done' && stored?.phase !== 'withdrawn') throw new CorruptRecord('final job record');
   return { state: stored.phase === 'done' ? 'done' : 'cancelled', taskCount: stored.shards };
 }
 
@@ -124,6 +125,7 @@
   latch: number;
 }
 
+/** Undefined: nobody leads the role. */
 export function decodeLeadershipRecord(value: unknown): LeadershipRecord | undefined {
   if (value === undefined) return undefined;
   const { node, latch } = value as StoredLeadership;
@@ -143,11 +145,12 @@
   hosts: string[] | null;
 }
 
+/** Throws `CorruptRecord` for what is no rental. */
 export function decodeRentalRecord(value: unknown): RentalRecord {
   const stored = value as StoredRental | null;
   const texts = [stored?.name, stored?.flavor, stored?.site].every((each) => typeof each === 'string');
-  if (!texts || !isCount(stored!.count) || typeof stored!.at !== 'number') throw new CorruptRecord('rental');
-  if (stored!.hosts !== null && !Array.isArray(stored!.hosts)) throw new CorruptRecord('rental');
+  if (!texts || !isCount(stored!.count) || typeof stored!.at !== 'number') throw new CorruptRecord('rental record');
+  if (stored!.hosts !== null && !Array.isArray(stored!.hosts)) throw new CorruptRecord('rental record');
   const { name, flavor, site, reclaimable, count, at, hosts } = stored!;
   return {
     rentalId: name,
@@ -176,11 +179,12 @@
   cards: number;
 }
 
-/** A team without a record uses nothing. */
+/** A team without a record uses nothing. Throws `CorruptRecord` for what is no usage. */
 export function decodeTeamUsage(value: unknown): TeamUsage {
   if (value === undefined) return { cpus: 0, gpus: 0 };
   const stored = value as StoredTeamUsage | null;
-  if (typeof stored?.cpus !== 'number' || typeof stored.cards !== 'number') throw new CorruptRecord('team');
+  if (typeof stored?.cpus !== 'number' || typeof stored.cards !== 'number')
+    throw new CorruptRecord('team usage record');
   return { cpus: stored.cpus, gpus: stored.cards };
 }
 
@@ -192,6 +196,7 @@
   latch: number;
 }
 
+/** Undefined: the process has not announced its format. */
 export function decodeFormatRecord(value: unknown): FormatRecord | undefined {
   if (value === undefined) return undefined;
   const { format, latch } = value as StoredFormat;
@@ -209,6 +214,7 @@
   latch: number;
 }
 
+/** Undefined: the process has not announced that it reads the stream. */
 export function decodeStandbyRecord(value: unknown): StandbyRecord | undefined {
   if (value === undefined) return undefined;
   const { life, latch } = value as StoredStandby;
--- a/src/records/records.ts
+++ b/src/records/records.ts
@@ -1,6 +1,5 @@
-/** What the records in the store say, as the program works with it; see record-codecs.ts for the stored form. */
-
-import { JobSpec } from '../domain/job.js';
+/** The records in the store, as the program works with them; the codecs beside hold their stored form. */
+import type { JobSpec } from '../domain/job.js';
 
 /** Version of the record format that this program reads: 2 knows compact chunks of task placements. */
 export const RECORD_FORMAT = 2;
@@ -10,13 +9,13 @@
   spec: JobSpec;
   /** `waiting`: until its dependencies are done; versions that know none can't read such a record, and start nothing. */
   state: 'waiting' | 'active' | 'cancelled';
-  /** Time of day of the submission; orders jobs and sets deadlines, never safety. */
+  /** Time of day, ms, of the submission; jobs are ordered and deadlines counted by it, but no safety depends on it. */
   submittedAtMs: number;
   /** Tasks in one chunk of this job's placements. */
   tasksPerChunk: number;
   /** Jobs that must be done before this one may start, of one that waits for them. */
   dependencies?: readonly string[];
-  /** Time of day when the last dependency was seen to be done; absent where there was none. */
+  /** Time of day, ms, when the last dependency was seen to be done; absent where there was none. */
   releasedAtMs?: number;
 }
 
@@ -29,7 +28,7 @@
   taskCount: number;
 }
 
-/** A controller's process that reads records of this format, and the store lease that keeps the record. */
+/** A controller's process that reads records of this format, and the store lease that its record is attached to. */
 export interface FormatRecord {
   format: number;
   leaseId: number;
@@ -57,17 +56,25 @@
   zone: string;
   isSpot: boolean;
   count: number;
-  /** Time of day. */
+  /** Time of day, ms. */
   requestedAtMs: number;
   /** null: not answered yet. */
   machineIds: string[] | null;
 }
 
-/** A record that can't be read. Nothing is decided on it. */
-export class CorruptRecord extends Error {}
+/** A stored record that can't be decoded; nothing is decided on it. `what` names the kind of record. */
+export class CorruptRecord extends Error {
+  readonly code = 'record_corrupt';
+
+  constructor(what: string) {
+    super(`${what} can not be decoded`);
+  }
+}
 
+/** Is the value a whole number, 0 or more? */
 export const isCount = (value: unknown): value is number => Number.isSafeInteger(value) && (value as number) >= 0;
 
+/** Chunks that hold the placements of all tasks of a job. */
 export const chunkCount = (job: JobRecord): number => Math.ceil(job.spec.taskCount / job.tasksPerChunk);
 
 /** Tasks in one chunk: the last one may be shorter. */
--- a/src/records/team-accounting.ts
+++ b/src/records/team-accounting.ts
@@ -1,8 +1,8 @@
 /**
  * What each team uses, as its record in the store has it. The record is never less than what the team's tasks use: every start
  * adds to it, under the condition that nobody else has changed it. Exits far below the team's limit leave it as it is, since
- * a change of a record that all controllers write for every task of a team is what the store's rate of changes allows least;
- * the next start sets it to what the ledger shows, if the copy is known to hold every start that the record counts.
+ * a write, for every task of a team, of a record that all controllers write is what the store's rate of writes allows least;
+ * the next start sets it to what the placements show, if the replica is known to hold every start that the record counts.
  */
 import { DEFERRED_EXIT_SHARE } from '../constants/records.js';
 import type { Team, TeamUsage } from '../domain/team.js';
@@ -16,17 +16,18 @@
 
 export interface TeamAccountingDependencies {
   teams: readonly Team[];
-  /** What a team's places use by the ledger; undefined unless the copy holds all that happened up to the revision. */
+  /** What a team's placed tasks use; undefined unless the replica holds all that happened up to the revision. */
   placedUsageOf: (team: string, upTo: number) => TeamUsage | undefined;
+  /** A record as the replica has it. */
   recordOf: (key: string) => StoredValue;
-  /** Do all controllers know that a record may be more than its team uses? */
+  /** Do all controllers know that a record may say more than its team uses? */
   canDeferExits: () => boolean;
 }
 
-/** Is there so much room under the limit that the next start need not know of every exit? */
-const isFarBelow = (use: TeamUsage, { limit }: Team): boolean =>
-  (limit.cpus === 0 || use.cpus <= limit.cpus * DEFERRED_EXIT_SHARE) &&
-  (limit.gpus === 0 || use.gpus <= limit.gpus * DEFERRED_EXIT_SHARE);
+/** Is the usage so far below the limit that the next start need not know of every exit? */
+const isFarBelowLimit = (usage: TeamUsage, { limit }: Team): boolean =>
+  (limit.cpus === 0 || usage.cpus <= limit.cpus * DEFERRED_EXIT_SHARE) &&
+  (limit.gpus === 0 || usage.gpus <= limit.gpus * DEFERRED_EXIT_SHARE);
 
 export class TeamAccounting {
   private readonly teams: ReadonlyMap<string, Team>;
@@ -35,16 +36,17 @@
     this.teams = new Map(dependencies.teams.map((team) => [team.name, team]));
   }
 
-  /** What the job's team uses at most; a condition of the draft from then on. */
+  /** What the job's team uses at most; its record is a condition of the draft from then on. */
   usageOf(draft: TransactionDraft, team: Team, spec: JobSpec): TeamUsage {
     if (!isLimited(team, spec)) return { cpus: 0, gpus: 0 };
     const key = teamKey(team.name);
-    const isCounted = draft.hasWritten(key);
+    const isWritten = draft.hasWritten(key);
     const recorded = decodeTeamUsage(draft.get(key));
-    if (isCounted) return recorded;
-    return this.atMost(team.name, recorded, draft.conditions.get(key) ?? Infinity);
+    if (isWritten) return recorded;
+    return this.usageAtMost(team.name, recorded, draft.conditions.get(key) ?? Infinity);
   }
 
+  /** Adds a task to its team's record. */
   addStart(draft: TransactionDraft, team: Team, spec: JobSpec): void {
     if (!isLimited(team, spec)) return;
     draft.set(teamKey(team.name), encodeTeamUsage(withTask(this.usageOf(draft, team, spec), spec, 1)));
@@ -60,39 +62,41 @@
   private isDeferred(draft: TransactionDraft, team: Team): boolean {
     const key = teamKey(team.name);
     return (
-      this.dependencies.canDeferExits() && !draft.hasWritten(key) && isFarBelow(decodeTeamUsage(draft.peek(key)), team)
+      this.dependencies.canDeferExits() &&
+      !draft.hasWritten(key) &&
+      isFarBelowLimit(decodeTeamUsage(draft.peek(key)), team)
     );
   }
 
-  /** Does a team's record say more than the ledger shows? */
+  /** Does a team's record say more than the placements show? */
   isOverstated(team: string): boolean {
-    return this.settledUse(team, this.dependencies.recordOf(teamKey(team))) !== undefined;
+    return this.findLowerUsage(team, this.dependencies.recordOf(teamKey(team))) !== undefined;
   }
 
-  /** Sets a team's record to what the ledger shows, if that is less. */
+  /** Sets a team's record to what the placements show, if that is less. */
   settle(draft: TransactionDraft, team: string): boolean {
     const key = teamKey(team);
     if (draft.hasWritten(key)) return false;
     const value = draft.get(key);
-    const use = this.settledUse(team, { value, modRevision: draft.conditions.get(key) ?? Infinity });
-    if (use === undefined) return false;
-    draft.set(key, encodeTeamUsage(use));
+    const usage = this.findLowerUsage(team, { value, modRevision: draft.conditions.get(key) ?? Infinity });
+    if (usage === undefined) return false;
+    draft.set(key, encodeTeamUsage(usage));
     return true;
   }
 
   /** What a team's record should say, where that is less than what it says. */
-  private settledUse(team: string, { value, modRevision }: StoredValue): TeamUsage | undefined {
+  private findLowerUsage(team: string, { value, modRevision }: StoredValue): TeamUsage | undefined {
     if (value === undefined) return undefined;
     const recorded = decodeTeamUsage(value);
-    const use = this.atMost(team, recorded, modRevision);
-    return use.cpus < recorded.cpus || use.gpus < recorded.gpus ? use : undefined;
+    const usage = this.usageAtMost(team, recorded, modRevision);
+    return usage.cpus < recorded.cpus || usage.gpus < recorded.gpus ? usage : undefined;
   }
 
   /**
-   * The smaller of what the record and the ledger say. Every start changes the record, so its Stamp is that of the last one;
-   * exits that the copy has not seen count as use.
+   * The smaller of what the record and the placements say. Every start changes the record, so the record's revision is that of
+   * the last start; exits that the replica has not seen count as usage.
    */
-  private atMost(team: string, recorded: TeamUsage, modRevision: number): TeamUsage {
+  private usageAtMost(team: string, recorded: TeamUsage, modRevision: number): TeamUsage {
     const placed = this.dependencies.placedUsageOf(team, modRevision);
     if (placed === undefined) return recorded;
     return { cpus: Math.min(recorded.cpus, placed.cpus), gpus: Math.min(recorded.gpus, placed.gpus) };
