--- a/src/constants/api.ts
+++ b/src/constants/api.ts
@@ -1,4 +1,4 @@
-/** Requests of users, and the HTTP server. */
+/** Limits and deadlines of users' requests, and of the HTTP server. */
 
 /** ms after which a submission is refused with 503: users give up after 5 s, and a refusal lets them go elsewhere. */
 export const SUBMIT_DEADLINE_MS = 1800;
@@ -8,26 +8,26 @@
 
 /**
  * ms that polls are collected before one comparing transaction answers them all: users wait 2 s, and some hundred of them
- * who poll every 5 s would otherwise take a request of the store's each.
+ * who poll every 5 s would otherwise take one store request each.
  */
 export const POLL_GATHER_MS = 250;
 
-/** Comparisons in a row for one question, after each of which the records that differed are read again. */
+/** Attempts of a comparing transaction for one poll, after each of which the records that differed are read again. */
 export const POLL_COMPARISONS = 3;
 
-/** Users' requests in work at once; above it a node answers 429 at once, so that memory stays bounded. */
+/** Users' requests in progress at once; beyond, a node answers 429 at once, so that memory stays bounded. */
 export const MAX_OPEN_REQUESTS = 200;
 
-/** s told to users in `Retry-After` when a request can't be taken: the protocol's shortest wait. */
+/** s in `Retry-After` when a request can't be accepted: the protocol's shortest wait. */
 export const RETRY_AFTER_S = 1;
 
-/** s told to users in `Retry-After` at most: they follow no longer times. */
+/** s in `Retry-After` at most: users follow no longer times. */
 export const MAX_RETRY_AFTER_S = 30;
 
 /** Bytes of a request body: the protocol's limit. */
 export const MAX_BODY_BYTES = 65_536;
 
-/** ms an idle user or worker connection is kept: several reports or polls. */
+/** ms an idle connection of a user or worker is kept open: several heartbeats or polls. */
 export const KEEP_ALIVE_MS = 30_000;
 
 /** ms within which a request must have arrived in full. */
--- a/src/constants/clocks.ts
+++ b/src/constants/clocks.ts
@@ -1,7 +1,7 @@
-/** Bounds on what clocks and leases of different machines may differ by. */
+/** Bounds on the difference between clocks, and so between leases, of different machines. */
 
-/** Relative drift between two steady clocks: each may run fast by 0.05 %, taken twice for the pair. */
+/** Relative drift between two steady clocks: each may be off by 0.05 %, taken twice for the pair. */
 export const CLOCK_DRIFT = 0.001;
 
-/** ms added to every proof that a lease is over: timer steps, scheduling delay of the worker. */
+/** ms added to every proof of a lease expiry: timer resolution and scheduling delay of the worker. */
 export const LEASE_MARGIN_MS = 300;
--- a/src/constants/program.ts
+++ b/src/constants/program.ts
@@ -1,4 +1,4 @@
-/** What the program says of itself. */
+/** The program's identity. */
 
-/** Name and version shown by `--version`. */
+/** The version shown by `--version`. */
 export const VERSION = '0.1.0';
--- a/src/constants/scheduling.ts
+++ b/src/constants/scheduling.ts
@@ -1,4 +1,4 @@
-/** Plans, preemption and re-matching. */
+/** Planning, preemption and re-matching. */
 
 /** ms between two runs of the planner when nothing happens. */
 export const PLAN_TICK_MS = 500;
@@ -6,74 +6,74 @@
 /** ms that events are collected before the planner runs. */
 export const PLAN_GATHER_MS = 20;
 
-/** Machines looked at for each kind of task when more is asked than can be done (house style: samples). */
+/** Machines sampled for each kind of task when demand exceeds the time for planning. */
 export const SAMPLE_MACHINES = 64;
 
 /** Tasks matched in one planner run: bounds the processor time of one turn. */
 export const MAX_PLAN_TASKS = 400;
 
-/** Waiting tasks listed in one planner run; beyond, a job is only looked at with `SAMPLE_TASKS_OF_JOB` tasks. */
+/** Queued tasks listed in one planner run; beyond, each job is represented by `SAMPLE_TASKS_OF_JOB` tasks only. */
 export const MAX_UNPLACED = 1500;
 
-/** ms after which a job should have begun, whatever waits before it: users expect the largest within four minutes. */
+/** ms after which a job should have started, whatever is queued before it: users expect the largest within four minutes. */
 export const OVERDUE_START_MS = 120_000;
 
-/** Tasks of one job tried where many others wait already, or where it must begin at last. */
+/** Tasks of one job tried where many others are queued already, or where the job is overdue. */
 export const SAMPLE_TASKS_OF_JOB = 16;
 
-/** ms pause before a shard that failed is tried again; doubled each time. */
+/** ms of backoff before a failed task is tried again; doubled each time. */
 export const RETRY_BASE_MS = 500;
 
-/** ms at most between two tries of a failing shard. */
+/** ms of backoff between two attempts of a failing task at most. */
 export const RETRY_MAX_MS = 30_000;
 
-/** ms for which a service holds out for a machine with its image: stopping lower work takes less than most fetches. */
+/** ms for which a service waits for a machine that has its image cached: preempting lower work takes less than most fetches. */
 export const CACHED_IMAGE_WAIT_MS = 700;
 
-/** ms for which a task that was told to stop counts as stopping before the ledger shows it. */
+/** ms for which a task that is marked for stopping counts as stopping before its placement shows it. */
 export const STOPPING_MS = 2000;
 
-/** What a machine without the image costs in choosing whom to stop, in units of one stopped low task that can save. */
+/** Cost of a machine without the image in choosing what to preempt, in units of one preempted low-priority task with checkpoints. */
 export const IMAGE_FETCH_COST = 4;
 
-/** Weight of the newest run in a class's ratio of run time to estimate: follows a day's bias within some ten tasks. */
+/** Weight of the newest run in a job class's moving average of run time by estimate: follows a day's bias within some ten tasks. */
 export const RUN_TIME_RATIO_WEIGHT = 0.05;
 
 /**
- * Share of the time that a search of the whole cluster (plan, preemption) may take: whoever needs long looks more rarely,
- * so that reports and submissions always find the processor free. Work that is waited for within seconds, services and
- * gangs, may take more.
+ * Share of the time that a search of the whole cluster (planning, preemption) may take: a search that takes long runs more
+ * rarely, so that heartbeats and submissions always find the processor free. Work that must start within seconds, services
+ * and gangs, may take more.
  */
 export const PLANNING_TIME_SHARE = 0.01;
 export const URGENT_PLANNING_TIME_SHARE = 0.025;
 
 /**
- * ms between two plans at most: the first plans of a process take many times as long as later ones, and a whole cluster waits
- * for them when all nodes have come back at once.
+ * ms between two plans at most: the first plans of a process take many times as long as later ones, and the whole cluster waits
+ * for them when all nodes have restarted at once.
  */
 export const MAX_PLAN_REST_MS = 800;
 
-/** Times as long as a plan took that the next one waits at least: a node short of processor time must hear reports in between. */
+/** Times a plan's duration that the next one waits at least: a node short of processor time must serve heartbeats in between. */
 export const LEAST_PLAN_REST_FACTOR = 2;
 
-/** ms between two preemption rounds: the exits of the last must have been seen. */
+/** ms between two preemption rounds: the exits that the last one caused must have been seen. */
 export const PREEMPT_PERIOD_MS = 200;
 
-/** Default values of what operators may set in TOML; the first three are DESIGN's. */
+/** Default values of what operators may set in TOML; the first three are those of the design. */
 export const DEFAULT_TUNING = {
   /** Happiness below which a task is unhappy, a share. */
   threshold: 0.9,
-  /** s of worker reports that count. */
+  /** s of the sliding window of checks. */
   window_s: 30,
-  /** s between two tests. */
+  /** s between two checks. */
   check_s: 10,
-  /** Tasks moved at most by one part in one round. */
+  /** Tasks moved at most by one partition in one round. */
   moves_per_round: 2,
-  /** Share of distance taken off for machines that hold the image, 1 = the image decides alone. */
+  /** Share of the distance taken off for machines that have the image cached; 1: the image decides alone. */
   image_bonus: 1,
 };
 
-/** Tiers put machines behind others whatever their distance; a missing image counts `image_bonus` (1 by default). */
+/** Distance added where a task without GPUs would take a GPU machine; for comparison, a missing image counts `image_bonus`. */
 export const GPU_TIER = 4;
-/** s of fetching that count as much again as the image's being missed at all. */
+/** s of fetching an image that count as much again as its being missing at all. */
 export const FETCH_TIER_S = 20;
--- a/src/store/store-client.ts
+++ b/src/store/store-client.ts
@@ -1,5 +1,5 @@
 /** The store's client. Its limits of requests and of writes a second are kept here, by priority. */
-import { RATE_SHARE, STORE_TIMEOUT_MS } from '../constants/store.js';
+import { RATE_SHARE, RETRY_JITTER_SHARE, STORE_TIMEOUT_MS } from '../constants/store.js';
 import type { StoreSettings } from '../domain/settings.js';
 import type { Clock } from '../net/clock.js';
 import { NoResponseError, type HttpClient, type Reply } from '../net/http-client.js';
@@ -26,9 +26,8 @@
   type Write,
 } from './store-wire-codec.js';
 
-/** ms of pause after a 429, before its jitter; and how much shorter it is for requests that write nothing. */
-const BUSY_PAUSE_MS = 120;
-const BUSY_JITTER_SHARE = 0.5;
+/** ms for which a rate is throttled after a 429, before the jitter; and how much shorter it is for requests that write nothing. */
+const THROTTLE_PAUSE_MS = 120;
 const REQUEST_PAUSE_DIVISOR = 4;
 /** Writes in one burst at least, however low the rate is. */
 const LEAST_WRITE_BURST = 4;
@@ -125,7 +124,7 @@
   }
 
   private backOff(priority: Priority, { hasWrites }: { hasWrites: boolean }): void {
-    const pauseMs = this.random.jitter(BUSY_PAUSE_MS, BUSY_JITTER_SHARE);
+    const pauseMs = this.random.jitter(THROTTLE_PAUSE_MS, RETRY_JITTER_SHARE);
     if (hasWrites) this.writeBucket.backOff(pauseMs, priority);
     this.requestBucket.backOff(pauseMs / REQUEST_PAUSE_DIVISOR, priority);
   }
