--- /dev/null
+++ b/test/cloud/cloud-client.test.ts
@@ -0,0 +1,41 @@
+import assert from 'node:assert/strict';
+import { describe, it } from 'node:test';
+import { CloudClient } from '../../src/cloud/cloud-client.js';
+import { NoResponseError, type Reply } from '../../src/net/http-client.js';
+import { answering } from '../../testing/answering-http-client.js';
+import { FakeClock } from '../../testing/fake-clock.js';
+
+describe('answers of the cloud', () => {
+  const rental = { rentalId: 'r-1-1', machineType: 'c8', zone: 'a', isSpot: false, count: 1 };
+  const rent = (reply: Reply | NoResponseError) =>
+    new CloudClient(answering(reply), 'x:1', 8, new FakeClock()).scaleOut(rental);
+
+  it('tell a lack of machines from trouble, after which the same request is sent again', async () => {
+    assert.deepEqual(await rent({ status: 200, body: { Hosts: ['i-1'] } }), { kind: 'rented', machineIds: ['i-1'] });
+    assert.equal((await rent({ status: 503, body: { error: 'no capacity' } })).kind, 'no_capacity');
+    assert.equal((await rent({ status: 503, body: { error: 'trouble' } })).kind, 'refused');
+    assert.equal((await rent({ status: 429, body: {} })).kind, 'refused');
+    assert.equal((await rent(new NoResponseError('timeout', true))).kind, 'unknown');
+  });
+
+  it('are not asked for by a leader that has lost its claim while the call waited for its turn', async () => {
+    const clock = new FakeClock();
+    let isLeader = true;
+    let sent = 0;
+    const http = {
+      call: async (): Promise<Reply> => {
+        sent++;
+        return { status: 200, body: { Hosts: ['i-1'] } };
+      },
+    };
+    const cloud = new CloudClient(http, 'x:1', 1, clock, () => isLeader);
+    assert.equal(await cloud.scaleIn(['i-1']), true);
+    const waiting = [cloud.scaleIn(['i-2']), cloud.scaleOut(rental)] as const;
+    await clock.advance(1);
+    isLeader = false;
+    await clock.advance(60_000);
+    assert.equal(await waiting[0], false);
+    assert.deepEqual(await waiting[1], { kind: 'refused' });
+    assert.equal(sent, 1);
+  });
+});
--- /dev/null
+++ b/test/store/store-client.test.ts
@@ -0,0 +1,42 @@
+import assert from 'node:assert/strict';
+import { describe, it } from 'node:test';
+import { decodeStoreSettings } from '../../src/config/settings-file-codec.js';
+import { NoResponseError, type Reply } from '../../src/net/http-client.js';
+import { Random } from '../../src/net/random.js';
+import { Priority } from '../../src/net/token-bucket.js';
+import { StoreClient, StoreError } from '../../src/store/store-client.js';
+import { answering } from '../../testing/answering-http-client.js';
+import { FakeClock } from '../../testing/fake-clock.js';
+
+const clientOf = (reply: Reply | NoResponseError) =>
+  new StoreClient({
+    http: answering(reply),
+    address: 'x:1',
+    settings: decodeStoreSettings({ rps: 100, write_rps: 100, value_kb: 4, txn_ops: 12 }),
+    nodeCount: 1,
+    clock: new FakeClock(),
+    random: new Random(1),
+  });
+const transact = (reply: Reply | NoResponseError) =>
+  clientOf(reply).transact([], [{ key: 'a', value: 1 }], Priority.record);
+
+describe('answers of the store', () => {
+  it('to a transaction say whether it was, was not, or may yet be carried out', async () => {
+    assert.deepEqual(await transact({ status: 200, body: { Epoch: 5 } }), { kind: 'done', revision: 5 });
+    const conflict = await transact({ status: 409, body: { failed: ['a'], Epoch: 5 } });
+    assert.deepEqual(conflict, { kind: 'conflict', failed: ['a'], revision: 5 });
+    assert.equal((await transact({ status: 400, body: { error: 'no such lease' } })).kind, 'lease_expired');
+    assert.equal((await transact({ status: 400, body: { error: 'bad' } })).kind, 'malformed');
+    assert.equal((await transact({ status: 429, body: {} })).kind, 'refused');
+    assert.equal((await transact({ status: 503, body: {} })).kind, 'refused');
+    assert.equal((await transact(new NoResponseError('never connected', false))).kind, 'refused');
+    assert.equal((await transact(new NoResponseError('timeout', true))).kind, 'unknown');
+    assert.equal((await transact({ status: 500, body: {} })).kind, 'unknown');
+  });
+
+  it('to a watch from too long ago ask for a new reading, and to a renewal say that the hold is over', async () => {
+    assert.equal(await clientOf({ status: 410, body: {} }).watch('a', 1, 0, Priority.lease), undefined);
+    assert.equal(await clientOf({ status: 404, body: {} }).renewLease(3), false);
+    await assert.rejects(clientOf({ status: 503, body: {} }).renewLease(3), StoreError);
+  });
+});
--- /dev/null
+++ b/test/workers/command-client.test.ts
@@ -0,0 +1,15 @@
+import assert from 'node:assert/strict';
+import { describe, it } from 'node:test';
+import { NoResponseError, type Reply } from '../../src/net/http-client.js';
+import { sendCommands } from '../../src/workers/command-client.js';
+import { answering } from '../../testing/answering-http-client.js';
+
+describe('answers of workers', () => {
+  it('to commands say whether these may still be executed', async () => {
+    const send = (reply: Reply | NoResponseError) => sendCommands(answering(reply), 'x:1', 1, 1, []);
+    assert.equal((await send({ status: 200, body: {} })).kind, 'done');
+    assert.equal((await send({ status: 409, body: {} })).kind, 'refused');
+    assert.equal((await send(new NoResponseError('refused', false))).kind, 'unsent');
+    assert.equal((await send(new NoResponseError('timeout', true))).kind, 'unknown');
+  });
+});
