--- a/src/controller/record-parts.ts
+++ b/src/controller/record-parts.ts
@@ -36,17 +36,25 @@
   const { cluster } = settings;
   const peers = peerNodesOf(environment);
   const limits = transactionLimits(cluster.store);
-  const client = new StoreClient(http, settings.storeAddress, cluster.store, cluster.size, clock, random);
+  const client = new StoreClient({
+    address: settings.storeAddress,
+    settings: cluster.store,
+    nodeCount: cluster.size,
+    ...{ http, clock, random },
+  });
   const peerDirectory: PeerDirectory = new PeerDirectory(peers, clock, () => replica.freshAt);
   const replica: Replica = new Replica(client, LIVE, clock, () => watchPauseMs(peerDirectory));
   const clusterState = new ClusterState(replica, listener);
-  const gatherMs = cluster.workers.heartbeatIntervalMs * BATCH_GATHER_SHARE;
-  const transactions = new TransactionBatcher(client, replica, limits, LIVE, clock, random, gatherMs);
+  const transactions = new TransactionBatcher({
+    ...{ client, replica, limits, clock, random },
+    prefix: LIVE,
+    gatherMs: cluster.workers.heartbeatIntervalMs * BATCH_GATHER_SHARE,
+    onCommitted: (changes) => broadcast.announce(changes),
+    onRejected: (mutation, reason) => log.error({ mutation, reason }, 'transaction rejected'),
+    resize: recordSizer(cluster.store.lasting.valueBytes, isFormatComplete),
+  });
   const replicaFreshness = new ReplicaFreshness(settings.node, peers, incarnation, replica, clock, send);
   const broadcast = new RecordBroadcast({ peers, replica, transactions, clock, log, send });
-  transactions.announce = (changes) => broadcast.announce(changes);
-  transactions.onRejected = (name, why) => log.error({ change: name, why }, 'the store does not take a change');
-  transactions.resize = recordSizer(cluster.store.lasting.valueBytes, isFormatComplete);
   const accounting = new TeamAccounting({
     teams: cluster.teams,
     placedUsageOf: (team, upTo) => clusterState.placedUsageOf(team, upTo),
--- a/src/scheduling/placement-planner.ts
+++ b/src/scheduling/placement-planner.ts
@@ -379,13 +379,10 @@
       }
       const priority = startPriority(view.record.spec);
       void this.transactions
-        .commit(
-          'start',
-          priority,
-          (draft) => this.decide(draft, group, role, team, whole),
-          5000,
-          this.clusterState.batchingHintFor(view.jobId, group[0]!.waiting.taskIndex, team),
-        )
+        .commit('start', priority, (draft) => this.decide(draft, group, role, team, whole), {
+          timeoutMs: 5000,
+          batchingHint: this.clusterState.batchingHintFor(view.jobId, group[0]!.waiting.taskIndex, team),
+        })
         .then((outcome) => {
           const flying = this.inFlightTasks.get(view.jobId);
           for (const { waiting } of group) flying?.delete(waiting.taskIndex);
@@ -416,12 +413,16 @@
   private decide(draft: TransactionDraft, group: Choice[], role: string, team: Team, whole: boolean): boolean {
     if (!this.leadership.requireLeadership(draft, role)) return false;
     let started = 0;
-    for (const { waiting, machine, attempt } of group) {
+    for (const {
+      waiting: { view, taskIndex },
+      machine,
+      attempt,
+    } of group) {
       // The machine may have begun a new session, or have gone silent, since the choice was made.
       const stale = this.inventory.agentEpochOf(machine.machineId) !== machine.agentEpoch || !this.hasRoom(machine);
       const why = stale
         ? 'machine changed'
-        : startTask(draft, this.accounting, team, waiting.view.jobId, waiting.taskIndex, machine, attempt);
+        : startTask(draft, this.accounting, { team, jobId: view.jobId, taskIndex, machine, attempt });
       if (why === undefined) started++;
       else if (whole) return false;
     }
