--- /dev/null
+++ b/src/leadership/role-transactions.ts
@@ -0,0 +1,100 @@
+/** The transactions by which a role is acquired, its fencing token advanced, and the role released. */
+import { STORE_LEASE_TTL_MS } from '../constants/leadership.js';
+import type { Log } from '../logging/log.js';
+import type { Clock } from '../net/clock.js';
+import { Priority } from '../net/token-bucket.js';
+import type { ClusterState } from '../records/cluster-state.js';
+import { decodeLeadershipRecord, encodeLeadershipRecord } from '../records/record-codecs.js';
+import { leadershipKey } from '../records/record-keys.js';
+import type { Replica } from '../store/replica.js';
+import type { TransactionBatcher } from '../store/transaction-batcher.js';
+import type { HeldRoles } from './held-roles.js';
+import type { HeldLeadership } from './leadership-term.js';
+import type { SuccessionPolicy } from './succession-policy.js';
+
+export interface RoleTransactionsDependencies {
+  node: string;
+  heldRoles: HeldRoles;
+  clusterState: ClusterState;
+  replica: Replica;
+  transactions: TransactionBatcher;
+  succession: () => SuccessionPolicy;
+  clock: Clock;
+  log: Log;
+}
+
+export class RoleTransactions {
+  private readonly acquiring = new Set<string>();
+
+  constructor(private readonly dependencies: RoleTransactionsDependencies) {}
+
+  isAcquiring(role: string): boolean {
+    return this.acquiring.has(role);
+  }
+
+  /** Acquires a role that no node leads, or that the store's record gives to this node already. */
+  acquire(role: string): Promise<void> {
+    const { heldRoles, clusterState, clock, log, replica, succession } = this.dependencies;
+    const isRecordOwn = clusterState.leadershipRecords.get(role)?.record.leaseId === heldRoles.storeLeaseId;
+    return this.writeRecord(role, isRecordOwn, (revision) => {
+      heldRoles.add(role, { fencingToken: revision, term: { startRevision: revision, at: clock.now() } });
+      log.info({ role, fencingToken: revision }, 'leadership acquired');
+      succession().acquired(role);
+      // No task is started before the replica is complete up to the acquisition.
+      void replica.refresh();
+    });
+  }
+
+  /** Writes the record of a role once more, within the same term: workers refuse late commands under the former token. */
+  advanceFencingToken(role: string, { term }: HeldLeadership): Promise<void> {
+    const { heldRoles, log } = this.dependencies;
+    return this.writeRecord(role, true, (revision) => {
+      heldRoles.add(role, { fencingToken: revision, term });
+      log.info({ role, fencingToken: revision }, 'fencing token advanced');
+    });
+  }
+
+  /** `isRecordOwn`: the record must be under this process's lease; else there must be none, or a former incarnation's. */
+  private async writeRecord(role: string, isRecordOwn: boolean, onWritten: (revision: number) => void): Promise<void> {
+    const { node, heldRoles, transactions } = this.dependencies;
+    const leaseId = heldRoles.storeLeaseId;
+    if (leaseId === undefined || this.acquiring.has(role)) return;
+    this.acquiring.add(role);
+    const outcome = await transactions.commit(
+      'acquire role',
+      Priority.lease,
+      (draft) => {
+        const current = decodeLeadershipRecord(draft.get(leadershipKey(role)));
+        // The record of a former incarnation of this node may be replaced at once: that process has ended.
+        if (leaseId !== heldRoles.storeLeaseId || (current !== undefined && current.node !== node)) return false;
+        if ((current?.leaseId === leaseId) !== isRecordOwn) return false;
+        draft.setUnderLease(leadershipKey(role), encodeLeadershipRecord({ node, leaseId }), leaseId);
+        return true;
+      },
+      STORE_LEASE_TTL_MS,
+    );
+    this.acquiring.delete(role);
+    if (outcome.kind === 'done') onWritten(outcome.revision);
+  }
+
+  /** Deletes the leadership record. Workers are not answered meanwhile. */
+  async release(role: string, reason: string): Promise<void> {
+    const { heldRoles, transactions, log } = this.dependencies;
+    heldRoles.startRelease(role);
+    log.info({ role, reason }, 'releasing leadership');
+    const outcome = await transactions.commit(
+      'release role',
+      Priority.lease,
+      (draft) => {
+        const current = decodeLeadershipRecord(draft.get(leadershipKey(role)));
+        if (current === undefined || current.leaseId !== heldRoles.storeLeaseId) return false;
+        draft.delete(leadershipKey(role));
+        return true;
+      },
+      STORE_LEASE_TTL_MS,
+    );
+    heldRoles.endRelease(role);
+    // As long as the record stands no other node can answer: in an outage the tasks' leases would expire while the release waits.
+    if (outcome.kind !== 'expired') heldRoles.remove(role);
+  }
+}
--- /dev/null
+++ b/src/leadership/vacant-role-selector.ts
@@ -0,0 +1,106 @@
+/** Which roles this node should acquire now: its own partition at once, others after a wait that lets the better node go first. */
+import {
+  START_GRACE_MS,
+  STORE_LEASE_TTL_MS,
+  SUCCESSOR_HEAD_START_MS,
+  VACANT_ROLE_WAIT_MS,
+} from '../constants/leadership.js';
+import { CLUSTER_LEADER_ROLE, partitionOfRole, partitionRole } from '../domain/role.js';
+import type { Clock } from '../net/clock.js';
+import type { Random } from '../net/random.js';
+import type { ClusterState } from '../records/cluster-state.js';
+import type { HeldRoles } from './held-roles.js';
+import type { RolePreferences } from './role-preferences.js';
+import type { SuccessionPolicy } from './succession-policy.js';
+
+export interface VacantRoleSelectorDependencies {
+  node: string;
+  preferences: RolePreferences;
+  heldRoles: HeldRoles;
+  isAcquiring: (role: string) => boolean;
+  ledPartitionCount: () => number;
+  clusterState: ClusterState;
+  /** The peer is up and reaches the store, as of just now. */
+  peerDirectory: { reachesStore(node: string): boolean };
+  succession: () => SuccessionPolicy;
+  clock: Clock;
+  random: Random;
+}
+
+export class VacantRoleSelector {
+  /** Steady ms, by role. */
+  private readonly vacantSince = new Map<string, number>();
+  private readonly avoidUntil = new Map<string, number>();
+  /** Roles that some node has led since this process read the records. */
+  private readonly everLed = new Set<string>();
+  private hasStopped = false;
+
+  constructor(private readonly dependencies: VacantRoleSelectorDependencies) {}
+
+  get isStopped(): boolean {
+    return this.hasStopped;
+  }
+
+  /** From now on all roles are avoided. */
+  stop(): void {
+    this.hasStopped = true;
+  }
+
+  avoid(role: string, avoidMs: number): void {
+    this.avoidUntil.set(role, this.dependencies.clock.now() + avoidMs);
+  }
+
+  avoidedRoles(): string[] {
+    const { preferences, clock } = this.dependencies;
+    if (this.hasStopped) return preferences.roles();
+    const now = clock.now();
+    return [...this.avoidUntil].filter(([, until]) => until > now).map(([role]) => role);
+  }
+
+  /** The roles to acquire now. Notes which roles are vacant and since when, so it is to be called at each change. */
+  rolesToAcquire(): string[] {
+    const { preferences, clock } = this.dependencies;
+    const now = clock.now();
+    return preferences.roles().filter((role) => this.shouldAcquire(role, now));
+  }
+
+  private shouldAcquire(role: string, now: number): boolean {
+    const { node, preferences, clusterState, succession } = this.dependencies;
+    const leader = clusterState.leadershipRecords.get(role)?.record.node;
+    if (leader !== undefined) {
+      this.vacantSince.delete(role);
+      this.everLed.add(role);
+      return leader === node && this.canReacquire(role);
+    }
+    if ((this.avoidUntil.get(role) ?? -Infinity) > now) return false;
+    if (role === partitionRole(preferences.preferredPartition)) return true;
+    const successor = succession().successorOf(role);
+    if (successor === node) return true;
+    const since = this.vacantSince.get(role) ?? now;
+    this.vacantSince.set(role, since);
+    return now - since >= this.waitMs(role, successor !== undefined);
+  }
+
+  /** The record names this node: it is a former incarnation's, or this one's by a transaction whose answer was lost. */
+  private canReacquire(role: string): boolean {
+    const { heldRoles, isAcquiring } = this.dependencies;
+    return heldRoles.leadershipOf(role) === undefined && !heldRoles.isReleasing(role) && !isAcquiring(role);
+  }
+
+  private waitMs(role: string, hasSuccessor: boolean): number {
+    const { ledPartitionCount, random } = this.dependencies;
+    const successorHeadStartMs = hasSuccessor ? SUCCESSOR_HEAD_START_MS : 0;
+    const loadMs = ledPartitionCount() * VACANT_ROLE_WAIT_MS;
+    const jitterMs = random.float() * VACANT_ROLE_WAIT_MS;
+    return successorHeadStartMs + loadMs + this.preferredNodeHeadStartMs(role) + jitterMs;
+  }
+
+  /** ms by which a partition is left to its preferred node, should that node come for it. */
+  private preferredNodeHeadStartMs(role: string): number {
+    const { preferences, peerDirectory } = this.dependencies;
+    if (role === CLUSTER_LEADER_ROLE) return 0;
+    const preferredNode = preferences.preferredNodeOf(partitionOfRole(role)!);
+    if (peerDirectory.reachesStore(preferredNode)) return STORE_LEASE_TTL_MS / 2;
+    return this.everLed.has(role) ? 0 : START_GRACE_MS;
+  }
+}
