--- a/packages/standby/src/index.ts
+++ b/packages/standby/src/index.ts
@@ -1,7 +1,7 @@
 /** Warm standby of controllers: who succeeds whom, what a successor follows, and when it may act. See docs/standby.md. */
 export * from './advisory-log.js';
-export * from './following-pace.js';
-export * from './outward-calls.js';
+export * from './follow-throttle.js';
+export * from './outbound-calls.js';
 export * from './pause-guard.js';
 export * from './settings.js';
 export * from './stream-follower.js';
