--- a/packages/standby/src/advisory-log.ts
+++ b/packages/standby/src/advisory-log.ts
@@ -4,7 +4,7 @@
  */
 import type { AdvisoryEntry, AdvisoryKind, SentEntry } from './stream-messages.js';
 
-interface Kept {
+interface LoggedEntry {
   readonly entry: AdvisoryEntry;
   readonly sequence: number;
 }
@@ -18,15 +18,15 @@
 
 export const DEFAULT_ADVISORY_LIMITS: AdvisoryLimits = { entries: 4096, removals: 1024 };
 
-export const keyOf = (kind: AdvisoryKind, name: string): string => `${kind} ${name}`;
+export const advisoryKeyOf = (kind: AdvisoryKind, name: string): string => `${kind} ${name}`;
 
 export class AdvisoryLog {
   /** In the order of their last change, oldest first. */
-  private readonly entries = new Map<string, Kept>();
-  private readonly removed = new Map<string, number>();
+  private readonly entries = new Map<string, LoggedEntry>();
+  private readonly removals = new Map<string, number>();
   /** Changes up to this number are no longer known one by one. */
-  private floor = 0;
-  private last = 0;
+  private compactedUpTo = 0;
+  private lastSequence = 0;
 
   constructor(
     /** Steady ms. */
@@ -36,7 +36,7 @@
 
   /** Number of the last change. */
   get sequence(): number {
-    return this.last;
+    return this.lastSequence;
   }
 
   get size(): number {
@@ -45,7 +45,7 @@
 
   /** Sets an entry; what says the same as before is no change. */
   put(entry: AdvisoryEntry): void {
-    const key = keyOf(entry.kind, entry.name);
+    const key = advisoryKeyOf(entry.kind, entry.name);
     const before = this.entries.get(key)?.entry;
     if (
       before !== undefined &&
@@ -55,8 +55,8 @@
     )
       return;
     this.entries.delete(key);
-    this.removed.delete(key);
-    this.entries.set(key, { entry, sequence: ++this.last });
+    this.removals.delete(key);
+    this.entries.set(key, { entry, sequence: ++this.lastSequence });
     if (this.entries.size > this.limits.entries) this.removeKey(this.entries.keys().next().value!);
   }
 
@@ -64,7 +64,7 @@
   replace(kind: AdvisoryKind, entries: Iterable<AdvisoryEntry>): void {
     const names = new Set<string>();
     for (const entry of entries) {
-      names.add(keyOf(kind, entry.name));
+      names.add(advisoryKeyOf(kind, entry.name));
       this.put(entry);
     }
     for (const [key, { entry }] of this.entries) if (entry.kind === kind && !names.has(key)) this.removeKey(key);
@@ -72,33 +72,33 @@
 
   private removeKey(key: string): void {
     if (!this.entries.delete(key)) return;
-    this.removed.set(key, ++this.last);
-    if (this.removed.size <= this.limits.removals) return;
-    const [oldest, sequence] = this.removed.entries().next().value!;
-    this.removed.delete(oldest);
-    this.floor = sequence;
+    this.removals.set(key, ++this.lastSequence);
+    if (this.removals.size <= this.limits.removals) return;
+    const [oldest, sequence] = this.removals.entries().next().value!;
+    this.removals.delete(oldest);
+    this.compactedUpTo = sequence;
   }
 
   /** Can a follower that has come so far be told what changed since, or does it need a snapshot? */
-  knowsSince(sequence: number): boolean {
-    return sequence >= this.floor && sequence <= this.last;
+  hasChangesSince(sequence: number): boolean {
+    return sequence >= this.compactedUpTo && sequence <= this.lastSequence;
   }
 
   /** What changed after the number, oldest first. */
-  since(sequence: number): { entry: SentEntry; sequence: number }[] {
+  changesSince(sequence: number): { entry: SentEntry; sequence: number }[] {
     const now = this.now();
     const changed: { entry: SentEntry; sequence: number }[] = [];
     for (const { entry, sequence: at } of this.entries.values()) {
-      if (at > sequence) changed.push({ entry: { ...entryAge(entry, now), isRemoved: false }, sequence: at });
+      if (at > sequence) changed.push({ entry: { ...toSentEntry(entry, now), isRemoved: false }, sequence: at });
     }
-    for (const [key, at] of this.removed) {
-      if (at > sequence) changed.push({ entry: removalOf(key), sequence: at });
+    for (const [key, at] of this.removals) {
+      if (at > sequence) changed.push({ entry: toSentRemoval(key), sequence: at });
     }
     return changed.sort((a, b) => a.sequence - b.sequence);
   }
 }
 
-const entryAge = ({ kind, name, at, healthy, unhealthy }: AdvisoryEntry, now: number) => ({
+const toSentEntry = ({ kind, name, at, healthy, unhealthy }: AdvisoryEntry, now: number) => ({
   kind,
   name,
   ageMs: Math.max(0, Math.round(now - at)),
@@ -106,7 +106,7 @@
   unhealthy,
 });
 
-function removalOf(key: string): SentEntry {
+function toSentRemoval(key: string): SentEntry {
   const space = key.indexOf(' ');
   const kind = key.slice(0, space) as AdvisoryKind;
   return { kind, name: key.slice(space + 1), ageMs: 0, healthy: 0, unhealthy: 0, isRemoved: true };
--- a/packages/standby/src/follow-throttle.ts
+++ b/packages/standby/src/follow-throttle.ts
@@ -4,58 +4,62 @@
  */
 
 /** Following: as often as meant. Slowed: a quarter as often. Resting: not at all; takeovers then start from the records alone. */
-export type FollowingStage = 'following' | 'slowed' | 'resting';
+export type FollowStage = 'following' | 'throttled' | 'suspended';
 
-const STAGES: readonly FollowingStage[] = ['following', 'slowed', 'resting'];
+const STAGES: readonly FollowStage[] = ['following', 'throttled', 'suspended'];
 
-export interface PaceBounds {
+export interface FollowThrottleLimits {
   /** Lateness of a timer, ms, from which on a look counts as late. */
-  readonly lateMs: number;
+  readonly lateThresholdMs: number;
   /** Late looks in a row that move one stage down, looks in time that move one up. */
-  readonly looksDown: number;
-  readonly looksUp: number;
+  readonly lateTicksToThrottle: number;
+  readonly timelyTicksToRecover: number;
 }
 
 /** On a twentieth of a core a request may take 100 ms; more than a quarter of a second is a queue. */
-export const DEFAULT_PACE_BOUNDS: PaceBounds = { lateMs: 250, looksDown: 3, looksUp: 40 };
+export const DEFAULT_FOLLOW_THROTTLE_LIMITS: FollowThrottleLimits = {
+  lateThresholdMs: 250,
+  lateTicksToThrottle: 3,
+  timelyTicksToRecover: 40,
+};
 
-const SLOWED_FACTOR = 4;
+const THROTTLED_PERIOD_FACTOR = 4;
 
-export class FollowingPace {
-  private index = 0;
-  private late = 0;
-  private inTime = 0;
-  private looks = 0;
+export class FollowThrottle {
+  private stageIndex = 0;
+  private lateTicks = 0;
+  private timelyTicks = 0;
+  private ticks = 0;
 
-  constructor(private readonly bounds: PaceBounds = DEFAULT_PACE_BOUNDS) {}
+  constructor(private readonly bounds: FollowThrottleLimits = DEFAULT_FOLLOW_THROTTLE_LIMITS) {}
 
-  get stage(): FollowingStage {
-    return STAGES[this.index]!;
+  get stage(): FollowStage {
+    return STAGES[this.stageIndex]!;
   }
 
   /** One turn of a timer that came so late. Returns the stage if it has changed. */
-  look(latenessMs: number): FollowingStage | undefined {
-    this.looks++;
-    const isLate = latenessMs >= this.bounds.lateMs;
-    this.late = isLate ? this.late + 1 : 0;
-    this.inTime = isLate ? 0 : this.inTime + 1;
-    if (this.late >= this.bounds.looksDown) return this.move(1);
-    if (this.inTime >= this.bounds.looksUp) return this.move(-1);
+  recordTick(latenessMs: number): FollowStage | undefined {
+    this.ticks++;
+    const isLate = latenessMs >= this.bounds.lateThresholdMs;
+    this.lateTicks = isLate ? this.lateTicks + 1 : 0;
+    this.timelyTicks = isLate ? 0 : this.timelyTicks + 1;
+    if (this.lateTicks >= this.bounds.lateTicksToThrottle) return this.move(1);
+    if (this.timelyTicks >= this.bounds.timelyTicksToRecover) return this.move(-1);
     return undefined;
   }
 
-  private move(by: 1 | -1): FollowingStage | undefined {
-    this.late = 0;
-    this.inTime = 0;
-    const next = Math.min(STAGES.length - 1, Math.max(0, this.index + by));
-    if (next === this.index) return undefined;
-    this.index = next;
+  private move(by: 1 | -1): FollowStage | undefined {
+    this.lateTicks = 0;
+    this.timelyTicks = 0;
+    const next = Math.min(STAGES.length - 1, Math.max(0, this.stageIndex + by));
+    if (next === this.stageIndex) return undefined;
+    this.stageIndex = next;
     return this.stage;
   }
 
   /** May the follower ask at this turn? */
-  get mayAsk(): boolean {
-    if (this.stage === 'resting') return false;
-    return this.stage === 'following' || this.looks % SLOWED_FACTOR === 0;
+  get canRequest(): boolean {
+    if (this.stage === 'suspended') return false;
+    return this.stage === 'following' || this.ticks % THROTTLED_PERIOD_FACTOR === 0;
   }
 }
--- a/packages/standby/src/pause-guard.ts
+++ b/packages/standby/src/pause-guard.ts
@@ -3,7 +3,7 @@
  * then on no claim counts until the store has confirmed the hold by a request that was sent after the pause.
  */
 export class PauseGuard {
-  private lastSeenAt: number;
+  private lastCheckAt: number;
   private pausedUntil = -Infinity;
   private confirmedAt = -Infinity;
 
@@ -13,19 +13,19 @@
     /** ms; a shorter pause can't outlive a hold that was confirmed at its begin. */
     private readonly longestPauseMs: number,
   ) {
-    this.lastSeenAt = now();
+    this.lastCheckAt = now();
   }
 
   /** To be called often by a timer. Every question looks too, since a resumed process may be asked before its timers fire. */
-  look(): void {
+  check(): void {
     const now = this.now();
-    if (now - this.lastSeenAt > this.longestPauseMs) this.pausedUntil = now;
-    this.lastSeenAt = now;
+    if (now - this.lastCheckAt > this.longestPauseMs) this.pausedUntil = now;
+    this.lastCheckAt = now;
   }
 
   /** The store has confirmed the hold; `sentAt`: steady ms when it was asked. */
   confirm(sentAt: number): void {
-    this.look();
+    this.check();
     this.confirmedAt = Math.max(this.confirmedAt, sentAt);
   }
 
@@ -36,7 +36,7 @@
 
   /** No pause since the hold was last confirmed, as of this very moment. */
   get isConfirmed(): boolean {
-    this.look();
+    this.check();
     return this.wasConfirmed;
   }
 
--- a/packages/standby/src/settings.ts
+++ b/packages/standby/src/settings.ts
@@ -40,7 +40,7 @@
 /** What the settings have to agree with. */
 export interface StandbyBounds {
   /** Life of a hold, ms: a role may change hands after that. */
-  holdMs: number;
+  storeLeaseTtlMs: number;
   /** Bytes that the link between two controllers takes in one message. */
   linkMessageBytes: number;
 }
@@ -48,7 +48,8 @@
 /** The first field that contradicts another or the surroundings, with the reason; undefined: none does. */
 export function findContradiction(settings: StandbySettings, bounds: StandbyBounds): string | undefined {
   if (settings.follow && !settings.enabled) return 'follow: needs enabled = true';
-  if (settings.max_lag_ms > bounds.holdMs) return `max_lag_ms: must not exceed the life of a hold, ${bounds.holdMs}`;
+  if (settings.max_lag_ms > bounds.storeLeaseTtlMs)
+    return `max_lag_ms: must not exceed the life of a hold, ${bounds.storeLeaseTtlMs}`;
   if (settings.message_bytes > bounds.linkMessageBytes)
     return `message_bytes: must not exceed what a link takes, ${bounds.linkMessageBytes}`;
   if (settings.unacknowledged_bytes < settings.message_bytes)
--- a/packages/standby/src/stream-sender.ts
+++ b/packages/standby/src/stream-sender.ts
@@ -2,7 +2,7 @@
 import type { AdvisoryLog } from './advisory-log.js';
 import { batchBytes, entryBytes, type FollowRequest, type SentEntry, type StreamBatch } from './stream-messages.js';
 
-export interface StreamBounds {
+export interface StreamLimits {
   readonly bytesPerSecond: number;
   readonly messageBytes: number;
   readonly unacknowledgedBytes: number;
@@ -22,7 +22,7 @@
 
 interface Follower {
   request: FollowRequest;
-  askedAt: number;
+  requestedAt: number;
   /** Number up to which it has been sent changes. */
   sentUpTo: number;
   needsSnapshot: boolean;
@@ -35,12 +35,12 @@
   readonly snapshots: number;
   readonly bytesSent: number;
   /** Changes that the slowest follower has not acknowledged. */
-  readonly behind: number;
+  readonly maxPendingChanges: number;
 }
 
 export class StreamSender {
   private readonly followers = new Map<string, Follower>();
-  private allowance: number;
+  private allowedBytes: number;
   private refilledAt: number;
   private snapshots = 0;
   private bytesSent = 0;
@@ -50,25 +50,25 @@
     /** Tells this process from its former lives. */
     private readonly incarnation: number,
     private readonly log: AdvisoryLog,
-    private readonly bounds: StreamBounds,
+    private readonly bounds: StreamLimits,
     /** Steady ms. */
     private readonly now: () => number,
   ) {
-    this.allowance = bounds.bytesPerSecond;
+    this.allowedBytes = bounds.bytesPerSecond;
     this.refilledAt = now();
   }
 
   /** A follower asks. */
-  take(request: FollowRequest): void {
+  receiveRequest(request: FollowRequest): void {
     const known = this.followers.get(request.node);
     if (known === undefined || known.request.incarnation !== request.incarnation) {
-      const follower = { request, askedAt: this.now(), sentUpTo: 0, needsSnapshot: true, unacknowledged: [] };
+      const follower = { request, requestedAt: this.now(), sentUpTo: 0, needsSnapshot: true, unacknowledged: [] };
       this.resume(follower);
       this.followers.set(request.node, follower);
       return;
     }
     known.request = request;
-    known.askedAt = this.now();
+    known.requestedAt = this.now();
     const hasFollowed = request.followedIncarnation === this.incarnation;
     known.unacknowledged = known.unacknowledged.filter(({ upTo }) => !hasFollowed || upTo > request.upTo);
     for (const each of known.unacknowledged) each.requests++;
@@ -80,18 +80,18 @@
   /** Goes on from where the follower says it is. */
   private resume(follower: Follower): void {
     const { followedIncarnation, upTo } = follower.request;
-    const isKnown = followedIncarnation === this.incarnation && this.log.knowsSince(upTo);
+    const isKnown = followedIncarnation === this.incarnation && this.log.hasChangesSince(upTo);
     follower.needsSnapshot = !isKnown;
     follower.sentUpTo = isKnown ? upTo : 0;
     follower.unacknowledged = [];
   }
 
   /** What is to be sent now, by follower. To be called whenever something changed, and now and then. */
-  compose(): Map<string, StreamBatch[]> {
+  composeBatches(): Map<string, StreamBatch[]> {
     this.refill();
     const messages = new Map<string, StreamBatch[]>();
     for (const [node, follower] of this.followers) {
-      if (this.now() - follower.askedAt > this.bounds.followerTimeoutMs) {
+      if (this.now() - follower.requestedAt > this.bounds.followerTimeoutMs) {
         this.followers.delete(node);
         continue;
       }
@@ -104,27 +104,27 @@
   private refill(): void {
     const now = this.now();
     const earned = ((now - this.refilledAt) / 1000) * this.bounds.bytesPerSecond;
-    this.allowance = Math.min(this.bounds.bytesPerSecond, this.allowance + earned);
+    this.allowedBytes = Math.min(this.bounds.bytesPerSecond, this.allowedBytes + earned);
     this.refilledAt = now;
   }
 
   private composeFor(follower: Follower): StreamBatch[] {
-    const waiting = follower.unacknowledged.reduce((sum, { bytes }) => sum + bytes, 0);
-    if (waiting >= this.bounds.unacknowledgedBytes) {
+    const unacknowledgedBytes = follower.unacknowledged.reduce((sum, { bytes }) => sum + bytes, 0);
+    if (unacknowledgedBytes >= this.bounds.unacknowledgedBytes) {
       follower.needsSnapshot = true;
       return [];
     }
-    if (!this.log.knowsSince(follower.sentUpTo)) follower.needsSnapshot = true;
+    if (!this.log.hasChangesSince(follower.sentUpTo)) follower.needsSnapshot = true;
     const isSnapshot = follower.needsSnapshot;
     const after = isSnapshot ? 0 : follower.sentUpTo;
     if (!isSnapshot && after === this.log.sequence) return [];
-    const changes = this.log.since(after).map(({ entry }) => entry);
+    const changes = this.log.changesSince(after).map(({ entry }) => entry);
     const wanted = isSnapshot ? changes.filter(({ isRemoved }) => !isRemoved) : changes;
     const batches = this.split(wanted, after, isSnapshot, follower.request);
     const bytes = batches.reduce((sum, batch) => sum + batchBytes(batch), 0);
     // All or nothing, since a part alone is of no use. What is larger than a second's allowance waits for a full one.
-    if (this.allowance < Math.min(bytes, this.bounds.bytesPerSecond)) return [];
-    this.allowance -= bytes;
+    if (this.allowedBytes < Math.min(bytes, this.bounds.bytesPerSecond)) return [];
+    this.allowedBytes -= bytes;
     this.bytesSent += bytes;
     if (isSnapshot) this.snapshots++;
     follower.needsSnapshot = false;
@@ -164,10 +164,10 @@
   }
 
   get status(): StreamStatus {
-    const behind = [...this.followers.values()].map(({ request }) =>
+    const pendingChanges = [...this.followers.values()].map(({ request }) =>
       request.followedIncarnation === this.incarnation ? this.log.sequence - request.upTo : this.log.sequence,
     );
     const { snapshots, bytesSent } = this;
-    return { followers: this.followers.size, snapshots, bytesSent, behind: Math.max(0, ...behind) };
+    return { followers: this.followers.size, snapshots, bytesSent, maxPendingChanges: Math.max(0, ...pendingChanges) };
   }
 }
--- a/packages/standby/src/succession.ts
+++ b/packages/standby/src/succession.ts
@@ -9,15 +9,15 @@
   /** It is being stopped, or gave this very role up and does not take it again for now. */
   readonly avoidsRole: boolean;
   /** Roles that it holds. */
-  readonly roles: number;
+  readonly ledRoleCount: number;
 }
 
 export interface RoleToSucceed {
   readonly role: string;
   /** Who holds it, or held it last; undefined: nobody is known to have. */
-  readonly holder: string | undefined;
+  readonly leader: string | undefined;
   /** The controller that the role belongs to while it is up; undefined for the leadership. */
-  readonly home: string | undefined;
+  readonly preferredNode: string | undefined;
 }
 
 /** FNV-1a, so that ties are broken differently for each role and alike at every node. */
@@ -29,14 +29,14 @@
 
 /** The controller that should claim the role first once it is vacant; undefined: none is fit. */
 export function designateSuccessor(target: RoleToSucceed, candidates: readonly Candidate[]): string | undefined {
-  const zoneOfHolder = candidates.find(({ node }) => node === target.holder)?.zone;
+  const zoneOfHolder = candidates.find(({ node }) => node === target.leader)?.zone;
   const fit = candidates.filter(
-    ({ node, isServing, avoidsRole }) => node !== target.holder && isServing && !avoidsRole,
+    ({ node, isServing, avoidsRole }) => node !== target.leader && isServing && !avoidsRole,
   );
   const rank = (candidate: Candidate): number[] => [
-    candidate.node === target.home ? 0 : 1,
+    candidate.node === target.preferredNode ? 0 : 1,
     candidate.zone === zoneOfHolder ? 1 : 0,
-    candidate.roles,
+    candidate.ledRoleCount,
     tieBreaker(`${target.role} ${candidate.node}`),
   ];
   const [first] = fit.sort((a, b) => compareRanks(rank(a), rank(b)) || (a.node < b.node ? -1 : 1));
--- a/packages/standby/src/takeover-barrier.ts
+++ b/packages/standby/src/takeover-barrier.ts
@@ -1,6 +1,6 @@
 /** What must hold before a controller takes its first decision in a role, and before each one after it. */
 
-export type BarrierReason = 'no_claim' | 'unconfirmed' | 'out_of_touch' | 'records_behind';
+export type BarrierReason = 'not_leader' | 'lease_unconfirmed' | 'replica_stale' | 'replica_behind';
 
 export type BarrierOutcome = { readonly kind: 'open' } | { readonly kind: 'closed'; readonly reason: BarrierReason };
 
@@ -15,11 +15,11 @@
   /** The claim is this process's, under its present hold; undefined: it is not. */
   readonly term: RoleTerm | undefined;
   /** No pause since the store last confirmed the hold. */
-  readonly isConfirmed: boolean;
+  readonly isLeaseConfirmed: boolean;
   /** The store has shown the copy of the records complete just now. */
-  readonly isInTouch: boolean;
+  readonly isReplicaFresh: boolean;
   /** Revision up to which the copy is complete. */
-  readonly completeUpTo: number;
+  readonly replicaRevision: number;
 }
 
 export const OPEN: BarrierOutcome = { kind: 'open' };
@@ -40,10 +40,10 @@
 
   assess(evidence: BarrierEvidence): BarrierOutcome {
     const { term } = evidence;
-    if (term === undefined) return closed('no_claim');
-    if (!evidence.isConfirmed) return closed('unconfirmed');
-    if (!evidence.isInTouch) return closed('out_of_touch');
-    if (evidence.completeUpTo < term.startRevision) return closed('records_behind');
+    if (term === undefined) return closed('not_leader');
+    if (!evidence.isLeaseConfirmed) return closed('lease_unconfirmed');
+    if (!evidence.isReplicaFresh) return closed('replica_stale');
+    if (evidence.replicaRevision < term.startRevision) return closed('replica_behind');
     if (this.reconciled !== term) return this.reconcileOnce(term);
     return OPEN;
   }
--- a/packages/standby/src/takeover-tracer.ts
+++ b/packages/standby/src/takeover-tracer.ts
@@ -2,22 +2,22 @@
 import type { TakeoverReport } from './takeover-timeline.js';
 
 /** A role that this process held is somebody else's. */
-export interface RoleLoss {
+export interface LeadershipLoss {
   readonly role: string;
   /** Revision of this process's claim. */
   readonly fencingToken: number;
   /** Steady ms when the store last confirmed the hold, and when the loss was noticed. */
-  readonly confirmedAt: number;
+  readonly leaseConfirmedAt: number;
   readonly noticedAt: number;
 }
 
 export interface TakeoverTracer {
   /** This process has taken a role over. */
-  takenOver(report: TakeoverReport): void;
-  lost(loss: RoleLoss): void;
+  takeoverFinished(report: TakeoverReport): void;
+  leadershipLost(loss: LeadershipLoss): void;
 }
 
-export const NO_TRACER: TakeoverTracer = { takenOver: () => undefined, lost: () => undefined };
+export const NO_TRACER: TakeoverTracer = { takeoverFinished: () => undefined, leadershipLost: () => undefined };
 
 /** What the module with the implementation exports. */
 export interface TracingModule {
--- a/packages/standby/src/tracing.ts
+++ b/packages/standby/src/tracing.ts
@@ -12,7 +12,7 @@
   type SpanExporter,
 } from '@opentelemetry/sdk-trace-base';
 import type { TakeoverReport, TakeoverStep } from './takeover-timeline.js';
-import type { RoleLoss, TakeoverTracer } from './takeover-tracer.js';
+import type { LeadershipLoss, TakeoverTracer } from './takeover-tracer.js';
 
 const TRACE_ID_DIGITS = 32;
 const SPAN_ID_DIGITS = 16;
@@ -71,10 +71,10 @@
 /** From which step to which each span of a takeover goes; the first begins with the last word of the former holder. */
 const SPANS: readonly { name: string; from: TakeoverStep | undefined; to: TakeoverStep }[] = [
   { name: 'detection', from: undefined, to: 'vacant' },
-  { name: 'claim', from: 'vacant', to: 'claimed' },
-  { name: 'records complete', from: 'claimed', to: 'records_complete' },
-  { name: 'first worker answered', from: 'claimed', to: 'worker_answered' },
-  { name: 'first decision', from: 'claimed', to: 'decided' },
+  { name: 'acquisition', from: 'vacant', to: 'acquired' },
+  { name: 'records complete', from: 'acquired', to: 'records_complete' },
+  { name: 'first worker answered', from: 'acquired', to: 'worker_answered' },
+  { name: 'first decision', from: 'acquired', to: 'decided' },
 ];
 
 class OpenTelemetryTracer implements TakeoverTracer {
@@ -90,12 +90,12 @@
     this.tracer = new BasicTracerProvider({ spanProcessors }).getTracer('dewlatch.standby');
   }
 
-  takenOver(report: TakeoverReport): void {
-    const { role, former, formerFencingToken, steps } = report;
+  takeoverFinished(report: TakeoverReport): void {
+    const { role, formerLeader, formerFencingToken, steps } = report;
     const vacantAt = steps.get('vacant')!;
-    const begin = Number.isFinite(report.lastHeardAt) ? report.lastHeardAt : vacantAt;
+    const begin = Number.isFinite(report.lastSeenAt) ? report.lastSeenAt : vacantAt;
     const end = Math.max(...steps.values());
-    const attributes = { role, former, formerFencingToken };
+    const attributes = { role, formerLeader, formerFencingToken };
     const whole = this.tracer.startSpan(
       'takeover',
       { startTime: this.wallOf(begin), attributes },
@@ -111,10 +111,14 @@
     whole.end(this.wallOf(end));
   }
 
-  lost(loss: RoleLoss): void {
-    const { role, fencingToken, confirmedAt, noticedAt } = loss;
-    const startTime = this.wallOf(confirmedAt);
-    const span = this.tracer.startSpan('role lost', { startTime, attributes: { role } }, contextOf(role, fencingToken));
+  leadershipLost(loss: LeadershipLoss): void {
+    const { role, fencingToken, leaseConfirmedAt, noticedAt } = loss;
+    const startTime = this.wallOf(leaseConfirmedAt);
+    const span = this.tracer.startSpan(
+      'leadership lost',
+      { startTime, attributes: { role } },
+      contextOf(role, fencingToken),
+    );
     span.end(this.wallOf(noticedAt));
   }
 }
--- a/packages/standby/test/settings.test.ts
+++ b/packages/standby/test/settings.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test';
 import { DEFAULT_STANDBY_SETTINGS, findContradiction } from '../src/index.js';
 
-const BOUNDS = { holdMs: 3000, linkMessageBytes: 1_000_000 };
+const BOUNDS = { storeLeaseTtlMs: 3000, linkMessageBytes: 1_000_000 };
 const fault = (fields: object) => findContradiction({ ...DEFAULT_STANDBY_SETTINGS, ...fields }, BOUNDS);
 
 describe('the settings of the warm standby', () => {
--- a/packages/standby/test/stream.test.ts
+++ b/packages/standby/test/stream.test.ts
@@ -50,24 +50,24 @@
   }
 
   private record(): void {
-    const names = this.log.since(0).filter(({ entry }) => !entry.isRemoved);
+    const names = this.log.changesSince(0).filter(({ entry }) => !entry.isRemoved);
     this.history.set(`${this.incarnation} ${this.log.sequence}`, namesOf(names.map(({ entry }) => entry)));
   }
 
   ask(): void {
-    this.sender.take(this.follower.request());
+    this.sender.receiveRequest(this.follower.request());
     this.compose();
   }
 
   compose(): void {
-    for (const batches of this.sender.compose().values()) {
+    for (const batches of this.sender.composeBatches().values()) {
       for (const batch of batches) assert.ok(batchBytes(batch) <= BOUNDS.messageBytes + 96 + 64);
       this.onTheWay.push(...batches);
     }
   }
 
   deliverAll(): void {
-    for (const batch of this.onTheWay.splice(0)) this.follower.take(batch);
+    for (const batch of this.onTheWay.splice(0)) this.follower.receive(batch);
   }
 
   /** The view is what the holder knew at one of its numbers, as a whole. */
@@ -123,7 +123,7 @@
       onTheWay.reverse();
       return;
     case 'deliver':
-      if (onTheWay.length > 0) stream.follower.take(onTheWay.shift()!);
+      if (onTheWay.length > 0) stream.follower.receive(onTheWay.shift()!);
       return;
     case 'pass':
       stream.time += each.ms;
@@ -160,9 +160,9 @@
     stream.ask();
     const [late] = stream.onTheWay;
     stream.time += MAX_LAG_MS + 1;
-    assert.deepEqual(stream.follower.take(late!), { kind: 'refused', reason: 'too_old' });
+    assert.deepEqual(stream.follower.receive(late!), { kind: 'refused', reason: 'too_old' });
     const foreign = { ...late!, echo: { incarnation: 8, clock: stream.time } };
-    assert.deepEqual(stream.follower.take(foreign), { kind: 'refused', reason: 'other_life' });
+    assert.deepEqual(stream.follower.receive(foreign), { kind: 'refused', reason: 'other_incarnation' });
     stream.onTheWay.length = 0;
     stream.ask();
     stream.ask();
@@ -174,7 +174,7 @@
     stream.ask();
     stream.deliverAll();
     const former = { ...late!, echo: { incarnation: 7, clock: stream.time } };
-    assert.deepEqual(stream.follower.take(former), { kind: 'refused', reason: 'former_holder' });
+    assert.deepEqual(stream.follower.receive(former), { kind: 'refused', reason: 'former_incarnation' });
     assert.equal(namesOf(stream.follower.entries('idle')), 'i-2');
   });
 
@@ -190,7 +190,7 @@
     const last = stream.onTheWay.pop()!;
     stream.deliverAll();
     assert.equal(namesOf(stream.follower.entries('idle')), 'i-1');
-    stream.follower.take(last);
+    stream.follower.receive(last);
     assert.equal(stream.follower.size, 10);
   });
 
--- a/packages/standby/test/succession.test.ts
+++ b/packages/standby/test/succession.test.ts
@@ -4,27 +4,39 @@
 import { designateSuccessor, type Candidate } from '../src/index.js';
 
 const candidate = (node: string, fields: Partial<Candidate> = {}): Candidate => ({
-  ...{ node, zone: 'a', isServing: true, avoidsRole: false, roles: 1 },
+  ...{ node, zone: 'a', isServing: true, avoidsRole: false, ledRoleCount: 1 },
   ...fields,
 });
-const leadership = { role: 'leader', holder: 'n0', home: undefined };
+const leadership = { role: 'leader', leader: 'n0', preferredNode: undefined };
 
 describe('the successor of a role', () => {
   it("is the role's own node while that serves, wherever it is", () => {
-    const nodes = [candidate('n0'), candidate('n1', { zone: 'b', roles: 0 }), candidate('n2', { roles: 5 })];
-    assert.equal(designateSuccessor({ role: 'part-2', holder: 'n0', home: 'n2' }, nodes), 'n2');
+    const nodes = [
+      candidate('n0'),
+      candidate('n1', { zone: 'b', ledRoleCount: 0 }),
+      candidate('n2', { ledRoleCount: 5 }),
+    ];
+    assert.equal(designateSuccessor({ role: 'part-2', leader: 'n0', preferredNode: 'n2' }, nodes), 'n2');
   });
 
   it('is in another zone than the holder, where there is a choice', () => {
-    const nodes = [candidate('n0'), candidate('n1', { roles: 0 }), candidate('n2', { zone: 'b', roles: 3 })];
+    const nodes = [
+      candidate('n0'),
+      candidate('n1', { ledRoleCount: 0 }),
+      candidate('n2', { zone: 'b', ledRoleCount: 3 }),
+    ];
     assert.equal(designateSuccessor(leadership, nodes), 'n2');
   });
 
   it('is another at once when the first is not heard, has no store, or gave the role up', () => {
-    const others = [candidate('n0'), candidate('n1', { roles: 0 })];
-    assert.equal(designateSuccessor(leadership, [...others, candidate('n2', { roles: 4 })]), 'n1');
+    const others = [candidate('n0'), candidate('n1', { ledRoleCount: 0 })];
+    assert.equal(designateSuccessor(leadership, [...others, candidate('n2', { ledRoleCount: 4 })]), 'n1');
     for (const unfit of [{ isServing: false }, { avoidsRole: true }]) {
-      const nodes = [candidate('n0'), candidate('n1', { roles: 0, ...unfit }), candidate('n2', { roles: 4 })];
+      const nodes = [
+        candidate('n0'),
+        candidate('n1', { ledRoleCount: 0, ...unfit }),
+        candidate('n2', { ledRoleCount: 4 }),
+      ];
       assert.equal(designateSuccessor(leadership, nodes), 'n2');
     }
   });
@@ -39,12 +51,12 @@
       zone: fc.constantFrom('a', 'b'),
       isServing: fc.boolean(),
       avoidsRole: fc.boolean(),
-      roles: fc.nat(3),
+      ledRoleCount: fc.nat(3),
     });
     const nodes = fc.uniqueArray(node, { selector: (each) => each.node });
     fc.assert(
       fc.property(nodes, fc.constantFrom('leader', 'part-1'), (list, role) => {
-        const target = { role, holder: 'n0', home: role === 'part-1' ? 'n1' : undefined };
+        const target = { role, leader: 'n0', preferredNode: role === 'part-1' ? 'n1' : undefined };
         const chosen = designateSuccessor(target, list);
         assert.equal(designateSuccessor(target, [...list].reverse()), chosen);
         const fit = list.filter((each) => each.isServing && !each.avoidsRole && each.node !== 'n0');
--- a/packages/standby/test/takeover-barrier.test.ts
+++ b/packages/standby/test/takeover-barrier.test.ts
@@ -1,6 +1,13 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { FollowingPace, PauseGuard, TakeoverBarrier, guardOf, maySend, type BarrierOutcome } from '../src/index.js';
+import {
+  FollowThrottle,
+  PauseGuard,
+  TakeoverBarrier,
+  stalenessGuardOf,
+  maySend,
+  type BarrierOutcome,
+} from '../src/index.js';
 
 const HOLD_MS = 3000;
 const REPLICA_FRESH_MS = 2000;
@@ -34,7 +41,7 @@
   readonly actions: Record<string, () => void> = {
     pass: () => {
       this.time += TICK_MS;
-      this.guard.look();
+      this.guard.check();
     },
     // Nothing of A runs meanwhile; what is asked of it first when it resumes may come before its timers.
     freeze: () => void (this.time += FREEZE_MS),
@@ -61,19 +68,19 @@
   private assessA(): BarrierOutcome {
     return this.barrierOfA.assess({
       term: this.tenureOfA,
-      isConfirmed: !this.hasGuard || this.guard.isConfirmed,
-      isInTouch: this.time - this.freshOfA < REPLICA_FRESH_MS,
-      completeUpTo: 5,
+      isLeaseConfirmed: !this.hasGuard || this.guard.isConfirmed,
+      isReplicaFresh: this.time - this.freshOfA < REPLICA_FRESH_MS,
+      replicaRevision: 5,
     });
   }
 
   private assessB(): BarrierOutcome {
-    const isInTouch = this.time - this.freshOfB < REPLICA_FRESH_MS;
+    const isReplicaFresh = this.time - this.freshOfB < REPLICA_FRESH_MS;
     return this.barrierOfB.assess({
       term: this.tenureOfB,
-      isConfirmed: true,
-      isInTouch,
-      completeUpTo: this.copyOfB,
+      isLeaseConfirmed: true,
+      isReplicaFresh,
+      replicaRevision: this.copyOfB,
     });
   }
 
@@ -120,15 +127,15 @@
     const reconciled: number[] = [];
     const barrier = new TakeoverBarrier(({ startRevision }) => reconciled.push(startRevision));
     const term = { startRevision: 9 };
-    const good = { term, isConfirmed: true, isInTouch: true, completeUpTo: 9 };
+    const good = { term, isLeaseConfirmed: true, isReplicaFresh: true, replicaRevision: 9 };
     const reason = (evidence: typeof good | (Omit<typeof good, 'term'> & { term: undefined })) => {
       const outcome = barrier.assess(evidence);
       return outcome.kind === 'closed' ? outcome.reason : 'open';
     };
-    assert.equal(reason({ ...good, term: undefined }), 'no_claim');
-    assert.equal(reason({ ...good, isConfirmed: false }), 'unconfirmed');
-    assert.equal(reason({ ...good, isInTouch: false }), 'out_of_touch');
-    assert.equal(reason({ ...good, completeUpTo: 8 }), 'records_behind');
+    assert.equal(reason({ ...good, term: undefined }), 'not_leader');
+    assert.equal(reason({ ...good, isLeaseConfirmed: false }), 'lease_unconfirmed');
+    assert.equal(reason({ ...good, isReplicaFresh: false }), 'replica_stale');
+    assert.equal(reason({ ...good, replicaRevision: 8 }), 'replica_behind');
     assert.deepEqual(reconciled, []);
     assert.equal(reason(good), 'open');
     assert.equal(reason(good), 'open');
@@ -140,9 +147,9 @@
 
 describe('outward calls', () => {
   it('that no receiver can refuse are checked when they are sent', () => {
-    assert.equal(guardOf('cloud_return').kind, 'checked_when_sent');
-    assert.equal(guardOf('cloud_rent').kind, 'checked_when_sent');
-    assert.equal(guardOf('command').kind, 'refused_when_late');
+    assert.equal(stalenessGuardOf('cloud_return').kind, 'checked_when_sent');
+    assert.equal(stalenessGuardOf('cloud_rent').kind, 'checked_when_sent');
+    assert.equal(stalenessGuardOf('command').kind, 'rejected_by_receiver');
     assert.equal(
       maySend('cloud_return', () => false),
       false,
@@ -156,17 +163,17 @@
 
 describe('following', () => {
   it('slows down and rests when timers come late, and comes back step by step', () => {
-    const pace = new FollowingPace();
-    const looks = (count: number, latenessMs: number) => {
-      for (let n = 0; n < count; n++) pace.look(latenessMs);
-      return pace.stage;
+    const throttle = new FollowThrottle();
+    const afterTicks = (count: number, latenessMs: number) => {
+      for (let n = 0; n < count; n++) throttle.recordTick(latenessMs);
+      return throttle.stage;
     };
-    assert.equal(looks(2, 900), 'following');
-    assert.equal(looks(1, 900), 'slowed');
-    assert.equal(looks(3, 900), 'resting');
-    assert.equal(pace.mayAsk, false);
-    assert.equal(looks(40, 5), 'slowed');
-    assert.equal(looks(40, 5), 'following');
-    assert.equal(pace.mayAsk, true);
+    assert.equal(afterTicks(2, 900), 'following');
+    assert.equal(afterTicks(1, 900), 'throttled');
+    assert.equal(afterTicks(3, 900), 'suspended');
+    assert.equal(throttle.canRequest, false);
+    assert.equal(afterTicks(40, 5), 'throttled');
+    assert.equal(afterTicks(40, 5), 'following');
+    assert.equal(throttle.canRequest, true);
   });
 });
--- a/packages/standby/test/tracing.test.ts
+++ b/packages/standby/test/tracing.test.ts
@@ -24,13 +24,13 @@
     () => time,
     (report) => reports.push(report),
   );
-  timeline.note('leader', 'decided');
-  timeline.vacant('leader', 'n0', 41, 7000);
-  timeline.note('leader', 'decided');
-  for (const step of ['claimed', 'records_complete', 'decided'] as const) {
+  timeline.recordStep('leader', 'decided');
+  timeline.startTakeover('leader', 'n0', 41, 7000);
+  timeline.recordStep('leader', 'decided');
+  for (const step of ['acquired', 'records_complete', 'decided'] as const) {
     time += 20;
-    timeline.note('leader', step);
-    timeline.note('leader', step);
+    timeline.recordStep('leader', step);
+    timeline.recordStep('leader', step);
   }
   assert.equal(reports.length, 1);
   return reports[0]!;
@@ -38,7 +38,7 @@
 
 describe('the timeline of a takeover', () => {
   it('counts from the last word of the former holder, and only what follows the claim', () => {
-    const expected = { vacant: 3000, claimed: 3020, records_complete: 3040, decided: 3060 };
+    const expected = { vacant: 3000, acquired: 3020, records_complete: 3040, decided: 3060 };
     assert.deepEqual(stepDurations(takeOver()), expected);
   });
 
@@ -49,10 +49,10 @@
       () => time,
       () => reports++,
     );
-    timeline.vacant('leader', 'n0', 41, 0);
-    timeline.taken('leader');
+    timeline.startTakeover('leader', 'n0', 41, 0);
+    timeline.acquiredElsewhere('leader');
     time += 60_000;
-    timeline.sweep();
+    timeline.expire();
     assert.equal(reports, 0);
   });
 });
@@ -62,16 +62,16 @@
     const folder = mkdtempSync(join(tmpdir(), 'dewlatch-trace-'));
     const file = join(folder, 'spans.jsonl');
     const wallOf = (steadyMs: number) => 1_700_000_000_000 + steadyMs;
-    createTakeoverTracer(file, 'n1', wallOf).takenOver(takeOver());
-    const loss = { role: 'leader', fencingToken: 41, confirmedAt: 7000, noticedAt: 12_000 };
-    createTakeoverTracer(file, 'n0', wallOf).lost(loss);
+    createTakeoverTracer(file, 'n1', wallOf).takeoverFinished(takeOver());
+    const loss = { role: 'leader', fencingToken: 41, leaseConfirmedAt: 7000, noticedAt: 12_000 };
+    createTakeoverTracer(file, 'n0', wallOf).leadershipLost(loss);
     const lines = readFileSync(file, 'utf8').trim().split('\n');
     rmSync(folder, { recursive: true });
     const spans = lines.map((line) => JSON.parse(line) as SpanLine);
     assert.equal(new Set(spans.map(({ traceId }) => traceId)).size, 1);
     assert.deepEqual(spans.map(({ node, name }) => `${node} ${name}`).sort(), [
-      'n0 role lost',
-      'n1 claim',
+      'n0 leadership lost',
+      'n1 acquisition',
       'n1 detection',
       'n1 first decision',
       'n1 records complete',
--- a/src/config/load-settings.ts
+++ b/src/config/load-settings.ts
@@ -65,7 +65,10 @@
 
 export function parseTuning(toml: string, where: string): Tuning {
   const tuning = decodeTuning(parseTuningFile(toml, where));
-  const fault = findContradiction(tuning.standby, { holdMs: STORE_LEASE_TTL_MS, linkMessageBytes: MAX_GOSSIP_BYTES });
+  const fault = findContradiction(tuning.standby, {
+    storeLeaseTtlMs: STORE_LEASE_TTL_MS,
+    linkMessageBytes: MAX_GOSSIP_BYTES,
+  });
   if (fault !== undefined) throw new SettingsError(`${where}: standby.${fault}`);
   return tuning;
 }
--- a/src/leadership/standby.ts
+++ b/src/leadership/standby.ts
@@ -4,7 +4,7 @@
  */
 import {
   AdvisoryLog,
-  FollowingPace,
+  FollowThrottle,
   PauseGuard,
   StreamFollower,
   StreamSender,
@@ -74,7 +74,7 @@
   private readonly advice: AdvisoryLog;
   private readonly sender: StreamSender;
   private readonly followers = new Map<string, StreamFollower>();
-  private readonly pace = new FollowingPace();
+  private readonly throttle = new FollowThrottle();
   private readonly timeline: TakeoverTimeline;
   /** Who held each role last, other than this node. */
   private readonly former = new Map<string, FormerClaim>();
@@ -97,9 +97,9 @@
     };
     this.sender = new StreamSender(settings.node, incarnation, this.advice, bounds, now);
     this.timeline = new TakeoverTimeline(now, (report) => {
-      const { role, former } = report;
-      log.info({ role, former, ms: stepDurations(report) }, 'takeover');
-      tracer.takenOver(report);
+      const { role, formerLeader } = report;
+      log.info({ role, formerLeader, stepsMs: stepDurations(report) }, 'takeover');
+      tracer.takeoverFinished(report);
     });
   }
 
@@ -111,11 +111,11 @@
     return former === undefined ? undefined : this.designate(role, former.node);
   }
 
-  private designate(role: string, holder: string | undefined): string | undefined {
+  private designate(role: string, leader: string | undefined): string | undefined {
     const { leadership } = this.dependencies;
     const partition = partitionOfRole(role);
-    const home = partition === undefined ? undefined : leadership.preferredNodeOf(partition);
-    return designateSuccessor({ role, holder, home }, this.candidates(role));
+    const preferredNode = partition === undefined ? undefined : leadership.preferredNodeOf(partition);
+    return designateSuccessor({ role, leader, preferredNode }, this.candidates(role));
   }
 
   private candidates(role: string): Candidate[] {
@@ -127,14 +127,14 @@
       zone: settings.zone,
       isServing: leadership.isInTouchWithStore && this.isConfirmed,
       avoidsRole: leadership.avoidedRoles().includes(role),
-      roles: rolesOf(settings.node),
+      ledRoleCount: rolesOf(settings.node),
     };
     const others = settings.peers.map(({ node, zone }): Candidate => ({
       node,
       zone,
       isServing: peerDirectory.reachesStore(node),
       avoidsRole: peerDirectory.avoidsRole(node, role),
-      roles: rolesOf(node),
+      ledRoleCount: rolesOf(node),
     }));
     return [own, ...others];
   }
@@ -155,7 +155,7 @@
 
   mayDecide(role: string, held: HeldLeadership): boolean {
     const isReady = this.isReady(role, held);
-    if (isReady) this.timeline.note(role, 'decided');
+    if (isReady) this.timeline.recordStep(role, 'decided');
     return isReady;
   }
 
@@ -164,9 +164,9 @@
     const outcome = this.barrierOf(role).assess({
       term: held.term,
       // Whoever has found the role held has looked at this very moment.
-      isConfirmed: this.wasConfirmed,
-      isInTouch: leadership.isInTouchWithStore,
-      completeUpTo: replica.revision,
+      isLeaseConfirmed: this.wasConfirmed,
+      isReplicaFresh: leadership.isInTouchWithStore,
+      replicaRevision: replica.revision,
     });
     this.noteOutcome(role, outcome);
     return outcome.kind === 'open';
@@ -198,12 +198,12 @@
   }
 
   acquired(role: string): void {
-    this.timeline.note(role, 'claimed');
+    this.timeline.recordStep(role, 'acquired');
   }
 
   /** A worker of the partition has been answered. */
   workerAnswered(role: string): void {
-    this.timeline.note(role, 'worker_answered');
+    this.timeline.recordStep(role, 'worker_answered');
   }
 
   // ---- claims as they change
@@ -225,7 +225,7 @@
           continue;
         }
         this.noteLoss(role);
-        this.timeline.taken(role);
+        this.timeline.acquiredElsewhere(role);
         this.former.set(role, { node: holder.record.node, modRevision: holder.modRevision });
       }
     }
@@ -236,7 +236,12 @@
     if (modRevision === undefined) return;
     this.own.delete(role);
     const { tracer, clock } = this.dependencies;
-    tracer.lost({ role, fencingToken: modRevision, confirmedAt: this.guard.lastConfirmedAt, noticedAt: clock.now() });
+    tracer.leadershipLost({
+      role,
+      fencingToken: modRevision,
+      leaseConfirmedAt: this.guard.lastConfirmedAt,
+      noticedAt: clock.now(),
+    });
   }
 
   private noteVacant(role: string, peerDirectory: PeerDirectory): void {
@@ -244,26 +249,26 @@
     if (this.vacant.has(role)) return;
     this.vacant.add(role);
     if (former !== undefined)
-      this.timeline.vacant(role, former.node, former.modRevision, peerDirectory.lastHeardAt(former.node));
+      this.timeline.startTakeover(role, former.node, former.modRevision, peerDirectory.lastHeardAt(former.node));
   }
 
   // ---- the stream
 
   receive(message: StreamMessage): void {
     if ('follow' in message) {
-      this.sender.take(message.follow);
+      this.sender.receiveRequest(message.follow);
       this.push();
       return;
     }
     const { batch } = message;
-    const outcome = this.followers.get(batch.node)?.take(batch);
+    const outcome = this.followers.get(batch.node)?.receive(batch);
     if (outcome?.kind !== 'refused') return;
     this.dependencies.log.info({ from: batch.node, reason: outcome.reason }, 'stream message refused');
     if (outcome.reason === 'gap') this.ask(batch.node);
   }
 
   private push(): void {
-    for (const [node, batches] of this.sender.compose())
+    for (const [node, batches] of this.sender.composeBatches())
       for (const batch of batches) this.dependencies.send(node, { stream: { batch } });
   }
 
@@ -357,7 +362,7 @@
   /** Takes in what was followed of the former holder, as far as the records agree. */
   private reconcile(role: string): void {
     const { log } = this.dependencies;
-    this.timeline.note(role, 'records_complete');
+    this.timeline.recordStep(role, 'records_complete');
     const former = this.former.get(role);
     const follower = former === undefined ? undefined : this.followers.get(former.node);
     if (former === undefined || follower === undefined || follower.size === 0) return;
@@ -402,8 +407,8 @@
       const due = clock.now() + STANDBY_PERIOD_MS;
       await clock.sleep(STANDBY_PERIOD_MS, signal);
       if (signal.aborted) return;
-      this.guard.look();
-      const stage = this.pace.look(clock.now() - due);
+      this.guard.check();
+      const stage = this.throttle.recordTick(clock.now() - due);
       if (stage !== undefined) this.dependencies.log.info({ stage }, 'standby stage');
       this.look();
     }
@@ -411,23 +416,23 @@
 
   private look(): void {
     this.looks++;
-    this.timeline.sweep();
+    this.timeline.expire();
     this.assessAll();
     if (this.looks % LOOKS_PER_STATUS === 0) this.dependencies.log.info(this.status, 'standby');
     if (!this.dependencies.standby.follow) return;
     void this.announce();
     this.collectEvents();
     if (this.looks % LOOKS_PER_COLLECTION === 0) this.collectCounts();
-    if (this.looks % LOOKS_PER_REQUEST === 0 && this.pace.mayAsk) this.askAll();
+    if (this.looks % LOOKS_PER_REQUEST === 0 && this.throttle.canRequest) this.askAll();
     this.push();
   }
 
   /** What an operator wants to know of it. */
   get status(): object {
-    const { followers, snapshots, bytesSent, behind } = this.sender.status;
+    const { followers, snapshots, bytesSent, maxPendingChanges } = this.sender.status;
     const lags = [...this.followers].map(([node, follower]) => [node, Math.round(follower.lagMs)]);
     const lagMs = Object.fromEntries(lags.filter(([, lag]) => Number.isFinite(lag))) as Record<string, number>;
     const entries = this.advice.size;
-    return { stage: this.pace.stage, followed: lagMs, followers, behind, snapshots, bytesSent, entries };
+    return { stage: this.throttle.stage, followed: lagMs, followers, maxPendingChanges, snapshots, bytesSent, entries };
   }
 }
