--- /dev/null
+++ b/src/leadership/advisory-stream.ts
@@ -0,0 +1,110 @@
+/** Both ends of the stream of advisory state: this node as a leader that is followed, and as a follower of others. */
+import {
+  StreamFollower,
+  StreamSender,
+  type AdvisoryLog,
+  type FollowRequest,
+  type StandbySettings,
+  type StreamBatch,
+  type StreamMessage,
+  type StreamStatus,
+} from '@dewlatch/standby';
+import { FOLLOWER_TIMEOUT_MS } from '../constants/standby.js';
+import type { PeerDirectory } from '../gossip/peer-directory.js';
+import type { Log } from '../logging/log.js';
+import type { Clock } from '../net/clock.js';
+import { decodeStandbyRecord } from '../records/record-codecs.js';
+import { standbyKey } from '../records/record-keys.js';
+import type { Replica } from '../store/replica.js';
+
+export interface AdvisoryStreamDependencies {
+  node: string;
+  incarnation: number;
+  standby: StandbySettings;
+  advisoryLog: AdvisoryLog;
+  peerDirectory: PeerDirectory;
+  replica: Replica;
+  clock: Clock;
+  log: Log;
+  send: (node: string, message: { stream: StreamMessage }) => void;
+}
+
+export class AdvisoryStream {
+  private readonly sender: StreamSender;
+  /** By the node that is followed. */
+  private readonly followers = new Map<string, StreamFollower>();
+
+  constructor(private readonly dependencies: AdvisoryStreamDependencies) {
+    const { node, incarnation, standby, advisoryLog, clock } = dependencies;
+    const limits = {
+      bytesPerSecond: standby.stream_bytes_per_s,
+      messageBytes: standby.message_bytes,
+      unacknowledgedBytes: standby.unacknowledged_bytes,
+      followerTimeoutMs: FOLLOWER_TIMEOUT_MS,
+    };
+    this.sender = new StreamSender(node, incarnation, advisoryLog, limits, () => clock.now());
+  }
+
+  receive(message: StreamMessage): void {
+    if ('follow' in message) this.receiveRequest(message.follow);
+    else this.receiveBatch(message.batch);
+  }
+
+  private receiveRequest(request: FollowRequest): void {
+    this.sender.receiveRequest(request);
+    this.sendChanges();
+  }
+
+  private receiveBatch(batch: StreamBatch): void {
+    const outcome = this.followers.get(batch.node)?.receive(batch);
+    if (outcome?.kind !== 'refused') return;
+    this.dependencies.log.info({ from: batch.node, reason: outcome.reason }, 'stream message rejected');
+    if (outcome.reason === 'gap') this.request(batch.node);
+  }
+
+  /** Sends what has changed to the followers, as far as the limits allow. */
+  sendChanges(): void {
+    for (const [node, batches] of this.sender.composeBatches())
+      for (const batch of batches) this.dependencies.send(node, { stream: { batch } });
+  }
+
+  /** Asks these nodes for what has changed. */
+  requestFrom(nodes: Iterable<string>): void {
+    const { node: ownNode, incarnation, standby, clock } = this.dependencies;
+    for (const node of nodes) {
+      if (!this.followers.has(node)) {
+        const follower = new StreamFollower(ownNode, incarnation, standby.max_lag_ms, () => clock.now());
+        this.followers.set(node, follower);
+      }
+      this.request(node);
+    }
+  }
+
+  private request(node: string): void {
+    const follower = this.followers.get(node);
+    if (follower === undefined || !this.canReadStream(node)) return;
+    this.dependencies.send(node, { stream: { follow: follower.request() } });
+  }
+
+  /** The very incarnation of the node that gossip knows has announced in the store that it reads the stream. */
+  private canReadStream(node: string): boolean {
+    const { replica, peerDirectory } = this.dependencies;
+    const record = decodeStandbyRecord(replica.get(standbyKey(node)).value);
+    return record !== undefined && record.incarnation === peerDirectory.incarnationOf(node);
+  }
+
+  /** What is known of a node's advisory state; undefined: it was never followed. */
+  followerOf(node: string): StreamFollower | undefined {
+    return this.followers.get(node);
+  }
+
+  get senderStatus(): StreamStatus {
+    return this.sender.status;
+  }
+
+  /** ms of lag behind each node that is followed and has answered. */
+  followedLagsMs(): Record<string, number> {
+    const lags = [...this.followers].map(([node, { lagMs }]) => [node, Math.round(lagMs)] as const);
+    return Object.fromEntries(lags.filter(([, lagMs]) => Number.isFinite(lagMs)));
+  }
+}
