--- a/packages/standby/test/stream.test.ts
+++ b/packages/standby/test/stream.test.ts
@@ -25,7 +25,8 @@
   }
 
   private newSender(): StreamSender {
-    return new StreamSender('n0', this.incarnation, this.log, BOUNDS, () => this.time);
+    const { incarnation, log } = this;
+    return new StreamSender({ node: 'n0', incarnation, log, limits: BOUNDS, now: () => this.time });
   }
 
   restart(): void {
--- a/src/leadership/advisory-stream.ts
+++ b/src/leadership/advisory-stream.ts
@@ -42,7 +42,7 @@
       unacknowledgedBytes: standby.unacknowledged_bytes,
       followerTimeoutMs: FOLLOWER_TIMEOUT_MS,
     };
-    this.sender = new StreamSender(node, incarnation, advisoryLog, limits, () => clock.now());
+    this.sender = new StreamSender({ node, incarnation, log: advisoryLog, limits, now: () => clock.now() });
   }
 
   receive(message: StreamMessage): void {
