--- a/packages/standby/src/advisory-log.ts
+++ b/packages/standby/src/advisory-log.ts
@@ -1,6 +1,7 @@
 /**
- * What a controller remembers beside the records and would like a successor to know. Entries are kept by name; each carries the
- * number of its last change, so a follower that lags is sent every entry that changed since once, and nothing grows with its lag.
+ * What a controller remembers beside the records and a successor should know. Entries are kept by kind and name; each carries the
+ * sequence number of its last change, so a follower that lags is sent each entry that changed since once, and nothing grows with
+ * its lag.
  */
 import type { AdvisoryEntry, AdvisoryKind, SentEntry } from './stream-messages.js';
 
@@ -10,21 +11,24 @@
 }
 
 export interface AdvisoryLimits {
-  /** Entries kept, the oldest go first. */
+  /** Entries kept; the oldest are dropped first. */
   readonly entries: number;
-  /** Removals remembered; a follower that lags further needs a snapshot. */
+  /** Removals kept; a follower that lags further needs a snapshot. */
   readonly removals: number;
 }
 
 export const DEFAULT_ADVISORY_LIMITS: AdvisoryLimits = { entries: 4096, removals: 1024 };
 
+/** Key of an entry: its kind and name, separated by a space, which no kind contains. */
 export const advisoryKeyOf = (kind: AdvisoryKind, name: string): string => `${kind} ${name}`;
 
+/** The advisory state of this process, from which all its followers are served. */
 export class AdvisoryLog {
   /** In the order of their last change, oldest first. */
   private readonly entries = new Map<string, LoggedEntry>();
+  /** Sequence number of each removal, oldest first. */
   private readonly removals = new Map<string, number>();
-  /** Changes up to this number are no longer known one by one. */
+  /** Changes up to this sequence number are no longer known one by one. */
   private compactedUpTo = 0;
   private lastSequence = 0;
 
@@ -34,33 +38,28 @@
     private readonly limits: AdvisoryLimits = DEFAULT_ADVISORY_LIMITS,
   ) {}
 
-  /** Number of the last change. */
+  /** Sequence number of the last change. */
   get sequence(): number {
     return this.lastSequence;
   }
 
+  /** Entries kept now. */
   get size(): number {
     return this.entries.size;
   }
 
-  /** Sets an entry; what says the same as before is no change. */
+  /** Sets an entry; an entry equal to the one before is no change. */
   put(entry: AdvisoryEntry): void {
     const key = advisoryKeyOf(entry.kind, entry.name);
     const before = this.entries.get(key)?.entry;
-    if (
-      before !== undefined &&
-      Math.abs(before.at - entry.at) < 1 &&
-      before.healthy === entry.healthy &&
-      before.unhealthy === entry.unhealthy
-    )
-      return;
+    if (before !== undefined && isSame(before, entry)) return;
     this.entries.delete(key);
     this.removals.delete(key);
     this.entries.set(key, { entry, sequence: ++this.lastSequence });
     if (this.entries.size > this.limits.entries) this.removeKey(this.entries.keys().next().value!);
   }
 
-  /** Makes the entries of a kind these, and no others. */
+  /** Replaces all entries of a kind by these. */
   replace(kind: AdvisoryKind, entries: Iterable<AdvisoryEntry>): void {
     const names = new Set<string>();
     for (const entry of entries) {
@@ -79,12 +78,12 @@
     this.compactedUpTo = sequence;
   }
 
-  /** Can a follower that has come so far be told what changed since, or does it need a snapshot? */
+  /** Whether all changes after the sequence number are known; else a follower that has come so far needs a snapshot. */
   hasChangesSince(sequence: number): boolean {
     return sequence >= this.compactedUpTo && sequence <= this.lastSequence;
   }
 
-  /** What changed after the number, oldest first. */
+  /** Changes after the sequence number, oldest first. */
   changesSince(sequence: number): { entry: SentEntry; sequence: number }[] {
     const now = this.now();
     const changed: { entry: SentEntry; sequence: number }[] = [];
@@ -98,6 +97,10 @@
   }
 }
 
+/** Moments that differ by less than 1 ms count as the same. */
+const isSame = (a: AdvisoryEntry, b: AdvisoryEntry): boolean =>
+  Math.abs(a.at - b.at) < 1 && a.healthy === b.healthy && a.unhealthy === b.unhealthy;
+
 const toSentEntry = ({ kind, name, at, healthy, unhealthy }: AdvisoryEntry, now: number) => ({
   kind,
   name,
--- a/packages/standby/src/follow-throttle.ts
+++ b/packages/standby/src/follow-throttle.ts
@@ -1,17 +1,17 @@
 /**
- * How often a follower asks. Following must not cost a small machine its requests, so it slows down, and at last rests, when the
- * process's own timers come late, and goes on in the same steps when they have been in time for a while.
+ * How often a follower sends requests. Following must not cost a small machine its other work, so it is throttled, and at last
+ * suspended, when the process's own timers fire late, and resumes in the same steps when they have been in time for a while.
  */
 
-/** Following: as often as meant. Slowed: a quarter as often. Resting: not at all; takeovers then start from the records alone. */
+/** `following`: at the normal rate. `throttled`: a quarter of it. `suspended`: none; takeovers then start from the records alone. */
 export type FollowStage = 'following' | 'throttled' | 'suspended';
 
 const STAGES: readonly FollowStage[] = ['following', 'throttled', 'suspended'];
 
 export interface FollowThrottleLimits {
-  /** Lateness of a timer, ms, from which on a look counts as late. */
+  /** Lateness of a timer, ms, from which on a tick counts as late. */
   readonly lateThresholdMs: number;
-  /** Late looks in a row that move one stage down, looks in time that move one up. */
+  /** Late ticks in a row that move one stage down, and ticks in time that move one up. */
   readonly lateTicksToThrottle: number;
   readonly timelyTicksToRecover: number;
 }
@@ -37,7 +37,7 @@
     return STAGES[this.stageIndex]!;
   }
 
-  /** One turn of a timer that came so late. Returns the stage if it has changed. */
+  /** One tick of a timer that fired so late. Returns the stage if it has changed. */
   recordTick(latenessMs: number): FollowStage | undefined {
     this.ticks++;
     const isLate = latenessMs >= this.bounds.lateThresholdMs;
@@ -57,7 +57,7 @@
     return this.stage;
   }
 
-  /** May the follower ask at this turn? */
+  /** Whether requests may be sent at this tick. */
   get canRequest(): boolean {
     if (this.stage === 'suspended') return false;
     return this.stage === 'following' || this.ticks % THROTTLED_PERIOD_FACTOR === 0;
--- a/packages/standby/src/pause-guard.ts
+++ b/packages/standby/src/pause-guard.ts
@@ -1,6 +1,6 @@
 /**
- * Notices that this process has stood still for longer than a hold lives, after which somebody else may hold its roles. From
- * then on no claim counts until the store has confirmed the hold by a request that was sent after the pause.
+ * Detects that this process has paused for longer than the TTL of its store lease, after which another node may lead its roles.
+ * From then on its leadership does not count until the store has confirmed the lease by a request that was sent after the pause.
  */
 export class PauseGuard {
   private lastCheckAt: number;
@@ -10,37 +10,37 @@
   constructor(
     /** Steady ms. */
     private readonly now: () => number,
-    /** ms; a shorter pause can't outlive a hold that was confirmed at its begin. */
+    /** ms; a shorter pause can't outlast a lease that was confirmed when it began. */
     private readonly longestPauseMs: number,
   ) {
     this.lastCheckAt = now();
   }
 
-  /** To be called often by a timer. Every question looks too, since a resumed process may be asked before its timers fire. */
+  /** To be called often by a timer. `isConfirmed` checks too, since a resumed process may be asked before its timers fire. */
   check(): void {
     const now = this.now();
     if (now - this.lastCheckAt > this.longestPauseMs) this.pausedUntil = now;
     this.lastCheckAt = now;
   }
 
-  /** The store has confirmed the hold; `sentAt`: steady ms when it was asked. */
+  /** The store has confirmed the lease; `sentAt`: steady ms when the request was sent. */
   confirm(sentAt: number): void {
     this.check();
     this.confirmedAt = Math.max(this.confirmedAt, sentAt);
   }
 
-  /** Steady ms of the sending of the last request by which the store confirmed the hold. */
+  /** Steady ms when the last request was sent by which the store confirmed the lease; -Infinity: none was. */
   get lastConfirmedAt(): number {
     return this.confirmedAt;
   }
 
-  /** No pause since the hold was last confirmed, as of this very moment. */
+  /** No pause since the lease was last confirmed, as of this very moment. */
   get isConfirmed(): boolean {
     this.check();
     return this.wasConfirmed;
   }
 
-  /** The same as of the last look: reads no clock, for what is asked thousands of times a second and sends nothing. */
+  /** The same as of the last check: reads no clock, for what is asked thousands of times a second and sends nothing. */
   get wasConfirmed(): boolean {
     return this.confirmedAt >= this.pausedUntil;
   }
--- a/packages/standby/src/settings.ts
+++ b/packages/standby/src/settings.ts
@@ -1,13 +1,13 @@
 /** The operators' settings of the warm standby, the `[standby]` table of the tuning file. */
 import * as v from 'valibot';
 
-/** Every field with its default. Times are in ms, sizes in bytes. */
+/** Every field with its default. The names are those of the tuning file; times are in ms, sizes in bytes. */
 export const DEFAULT_STANDBY_SETTINGS = {
   /** Designated successors, the takeover barrier and planned handovers. */
   enabled: false,
   /** Successors follow the advisory state of the active controllers. Needs `enabled`. */
   follow: false,
-  /** Age at which what the stream says is no longer used, and the stream is resynchronized. */
+  /** Age from which a message of the stream is refused, and the stream is resynchronized. */
   max_lag_ms: 2000,
   /** Bytes a second that one controller sends to all its followers at most. */
   stream_bytes_per_s: 65_536,
@@ -15,7 +15,7 @@
   message_bytes: 32_768,
   /** Bytes sent but not acknowledged, beyond which changes are dropped in favour of a snapshot. */
   unacknowledged_bytes: 131_072,
-  /** Time that a controller that is told to stop may take to hand its roles over. */
+  /** ms that a controller that is told to stop may take to hand its roles over. */
   handover_ms: 3000,
   /** File to which spans of takeovers are appended as JSON lines; empty: no tracing. */
   trace_file: '',
@@ -37,19 +37,19 @@
 
 export type StandbySettings = v.InferOutput<typeof StandbySettingsSchema>;
 
-/** What the settings have to agree with. */
+/** What the settings must be consistent with. */
 export interface StandbyBounds {
-  /** Life of a hold, ms: a role may change hands after that. */
+  /** TTL of a store lease, ms: a role may change its leader after that. */
   storeLeaseTtlMs: number;
   /** Bytes that the link between two controllers takes in one message. */
   linkMessageBytes: number;
 }
 
-/** The first field that contradicts another or the surroundings, with the reason; undefined: none does. */
+/** The first field that contradicts another or the bounds, as `field: reason`; undefined: none does. */
 export function findContradiction(settings: StandbySettings, bounds: StandbyBounds): string | undefined {
   if (settings.follow && !settings.enabled) return 'follow: needs enabled = true';
   if (settings.max_lag_ms > bounds.storeLeaseTtlMs)
-    return `max_lag_ms: must not exceed the life of a hold, ${bounds.storeLeaseTtlMs}`;
+    return `max_lag_ms: must not exceed the TTL of a store lease, ${bounds.storeLeaseTtlMs}`;
   if (settings.message_bytes > bounds.linkMessageBytes)
     return `message_bytes: must not exceed what a link takes, ${bounds.linkMessageBytes}`;
   if (settings.unacknowledged_bytes < settings.message_bytes)
--- a/packages/standby/src/stream-messages.ts
+++ b/packages/standby/src/stream-messages.ts
@@ -1,12 +1,12 @@
-/** What goes between a controller and those that follow it. */
+/** Messages of the stream between a leader and the controllers that follow it. Their encoding is in src/gossip/stream-codec.ts. */
 
-/** See docs/standby.md, "What is followed". */
+/** See docs/standby.md, "What is followed". The order is part of the encoding. */
 export const ADVISORY_KINDS = ['health', 'moved', 'stopping', 'idle', 'no_capacity'] as const;
 export type AdvisoryKind = (typeof ADVISORY_KINDS)[number];
 
 export interface AdvisoryEntry {
   readonly kind: AdvisoryKind;
-  /** Of the task, attempt, machine or offer. */
+  /** Name of the task, attempt, machine or offer. */
   readonly name: string;
   /** Steady ms of the reader's own clock. */
   readonly at: number;
@@ -15,36 +15,36 @@
   readonly unhealthy: number;
 }
 
-/** An entry on its way: moments become ages, since two clocks have nothing to do with each other. */
+/** An entry as it is sent: moments become ages, since the steady clocks of two processes are unrelated. */
 export interface SentEntry extends Omit<AdvisoryEntry, 'at'> {
   readonly ageMs: number;
   readonly isRemoved: boolean;
 }
 
-/** A moment of a process's own clock, with the life of the process whose clock it is. */
+/** A moment of a process's own clock, with the incarnation of that process. */
 export interface ClockEcho {
   readonly incarnation: number;
   readonly clock: number;
 }
 
-/** Asks a holder for what changed, and tells how far the follower has come. */
+/** Asks a leader for what changed, and tells how far the follower has come. */
 export interface FollowRequest {
   readonly node: string;
-  /** The follower's process, and its clock when it asked. */
+  /** The follower's incarnation, and its steady clock, ms, when it sent the request. */
   readonly incarnation: number;
   readonly clock: number;
-  /** The holder's process whose changes are known up to `upTo`; 0: none. */
+  /** The leader's incarnation whose changes are known up to `upTo`; 0: none. */
   readonly followedIncarnation: number;
   readonly upTo: number;
 }
 
-/** A part of what changed. */
+/** One part of an update, which is a set of changes or a snapshot. */
 export interface StreamBatch {
   readonly node: string;
   readonly incarnation: number;
-  /** The number that it builds on; in all parts of a snapshot 0. */
+  /** The sequence number that it builds on; in all parts of a snapshot 0. */
   readonly after: number;
-  /** The number that it leads to, with all its parts. */
+  /** The sequence number that the update leads to, with all its parts. */
   readonly upTo: number;
   readonly isSnapshot: boolean;
   readonly part: number;
@@ -55,7 +55,7 @@
 
 export type StreamMessage = { readonly follow: FollowRequest } | { readonly batch: StreamBatch };
 
-/** Bytes of an entry beside its name, and of a message beside its entries, no less than what the encoding takes. */
+/** Bytes of an entry beside its name, and of a message beside its entries: upper bounds of what the encoding takes. */
 const ENTRY_BYTES = 24;
 const BATCH_BYTES = 96;
 
--- a/packages/standby/src/takeover-barrier.ts
+++ b/packages/standby/src/takeover-barrier.ts
@@ -1,24 +1,25 @@
-/** What must hold before a controller takes its first decision in a role, and before each one after it. */
+/** What must hold before a controller makes its first decision in a role, and before each one after it. */
 
+/** What is missing; see docs/standby.md, "The barrier". */
 export type BarrierReason = 'not_leader' | 'lease_unconfirmed' | 'replica_stale' | 'replica_behind';
 
 export type BarrierOutcome = { readonly kind: 'open' } | { readonly kind: 'closed'; readonly reason: BarrierReason };
 
-/** One stay of a role with this process: the object itself tells it from others. */
+/** One unbroken term of a role with this process, identified by the object itself. */
 export interface RoleTerm {
-  /** Revision of the store by which the role came. */
+  /** Revision of the store by which the role was acquired. */
   readonly startRevision: number;
 }
 
 /** What this process knows of a role at this very moment. */
 export interface BarrierEvidence {
-  /** The claim is this process's, under its present hold; undefined: it is not. */
+  /** The term, if this process leads the role under its present store lease. */
   readonly term: RoleTerm | undefined;
-  /** No pause since the store last confirmed the hold. */
+  /** The process has not paused since the store last confirmed its lease. */
   readonly isLeaseConfirmed: boolean;
-  /** The store has shown the copy of the records complete just now. */
+  /** The store has recently shown the replica of the records complete. */
   readonly isReplicaFresh: boolean;
-  /** Revision up to which the copy is complete. */
+  /** Revision up to which the replica is complete. */
   readonly replicaRevision: number;
 }
 
@@ -27,14 +28,14 @@
 const closed = (reason: BarrierReason): BarrierOutcome => ({ kind: 'closed', reason });
 
 /**
- * The barrier of one role. What was followed of the former holder is reconciled with the records once in each tenure, as soon as
- * the records are complete up to the claim.
+ * The barrier of one role. What was followed of the former leader is reconciled with the records once in each term, as soon as
+ * the replica is complete up to the acquisition.
  */
 export class TakeoverBarrier {
   private reconciled: RoleTerm | undefined;
 
   constructor(
-    /** Compares what was followed with the records and takes it in. It must not fail, and must not wait. */
+    /** Compares what was followed with the records and restores it. It must neither fail nor wait. */
     private readonly reconcile: (term: RoleTerm) => void,
   ) {}
 
--- a/packages/standby/src/takeover-timeline.ts
+++ b/packages/standby/src/takeover-timeline.ts
@@ -1,22 +1,22 @@
-/** What a takeover took, step by step, as the new holder sees it. */
+/** The steps of a takeover and when each came, as the new leader sees them. */
 
 export const TAKEOVER_STEPS = ['vacant', 'acquired', 'records_complete', 'worker_answered', 'decided'] as const;
 export type TakeoverStep = (typeof TAKEOVER_STEPS)[number];
 
-/** A takeover that is over: its first decision has been made, or none was needed for a while. */
+/** A finished takeover: its first decision has been made, or none was needed within 30 s. */
 export interface TakeoverReport {
   readonly role: string;
-  /** The node that held the role before. */
+  /** The node that led the role before. */
   readonly formerLeader: string;
-  /** Revision of the former claim: with the role it names the takeover at both nodes. */
+  /** Fencing token of the former leader: with the role it identifies the takeover at both nodes. */
   readonly formerFencingToken: number;
-  /** Steady ms when the former holder was last heard. */
+  /** Steady ms when the former leader was last heard from. */
   readonly lastSeenAt: number;
-  /** Steady ms of each step that came about. */
+  /** Steady ms of each step that was reached. */
   readonly steps: ReadonlyMap<TakeoverStep, number>;
 }
 
-/** ms from the last word of the former holder to each step. */
+/** ms from when the former leader was last heard from to each step. */
 export function stepDurations({ steps, lastSeenAt }: TakeoverReport): Partial<Record<TakeoverStep, number>> {
   const entries = [...steps].map(([step, at]) => [step, Math.round(at - lastSeenAt)] as const);
   return Object.fromEntries(entries);
@@ -29,7 +29,7 @@
   readonly steps: Map<TakeoverStep, number>;
 }
 
-/** ms after which a takeover counts as over although nothing had to be decided. */
+/** ms after which a takeover counts as finished although nothing had to be decided. */
 const TAKEOVER_TIMEOUT_MS = 30_000;
 
 export class TakeoverTimeline {
@@ -41,17 +41,18 @@
     private readonly report: (report: TakeoverReport) => void,
   ) {}
 
-  /** The claim of a role that somebody else held is gone. */
+  /** A role that another node led has become vacant. */
   startTakeover(role: string, formerLeader: string, formerFencingToken: number, lastSeenAt: number): void {
     const steps = new Map<TakeoverStep, number>([['vacant', this.now()]]);
     this.inProgress.set(role, { formerLeader, formerFencingToken, lastSeenAt, steps });
   }
 
-  /** Somebody else has taken the role. */
+  /** Another node has acquired the role. */
   acquiredElsewhere(role: string): void {
     this.inProgress.delete(role);
   }
 
+  /** Records the first time of a step; steps before the acquisition are none of the takeover's. */
   recordStep(role: string, step: Exclude<TakeoverStep, 'vacant'>): void {
     const takeover = this.inProgress.get(role);
     if (takeover === undefined || takeover.steps.has(step)) return;
@@ -60,7 +61,7 @@
     if (step === 'decided') this.finish(role, takeover);
   }
 
-  /** Reports what has been under way for long; what was never claimed here is no takeover. */
+  /** Reports takeovers that time out; a role that was never acquired here is no takeover. */
   expire(): void {
     for (const [role, takeover] of this.inProgress) {
       if (this.now() - takeover.steps.get('vacant')! > TAKEOVER_TIMEOUT_MS) this.finish(role, takeover);
--- a/packages/standby/src/takeover-tracer.ts
+++ b/packages/standby/src/takeover-tracer.ts
@@ -1,12 +1,12 @@
-/** Where takeovers are told as traces. The implementation, tracing.ts, is loaded only where tracing is on. */
+/** Interface of the tracing of takeovers. The implementation, tracing.ts, is loaded only where tracing is on. */
 import type { TakeoverReport } from './takeover-timeline.js';
 
-/** A role that this process held is somebody else's. */
+/** Another node leads a role that this process led. */
 export interface LeadershipLoss {
   readonly role: string;
-  /** Revision of this process's claim. */
+  /** Fencing token of this process. */
   readonly fencingToken: number;
-  /** Steady ms when the store last confirmed the hold, and when the loss was noticed. */
+  /** Steady ms when the store last confirmed the lease, and when the loss was noticed. */
   readonly leaseConfirmedAt: number;
   readonly noticedAt: number;
 }
@@ -19,7 +19,7 @@
 
 export const NO_TRACER: TakeoverTracer = { takeoverFinished: () => undefined, leadershipLost: () => undefined };
 
-/** What the module with the implementation exports. */
+/** What the module with the implementation exports. `wallOf` maps the steady clock to the time of day, ms. */
 export interface TracingModule {
   createTakeoverTracer: (file: string, node: string, wallOf: (steadyMs: number) => number) => TakeoverTracer;
 }
--- a/packages/standby/src/tracing.ts
+++ b/packages/standby/src/tracing.ts
@@ -1,6 +1,6 @@
 /**
- * Takeovers as OpenTelemetry traces, one a takeover across both nodes: the trace is named by the role and the former claim, which
- * both know, so nothing has to be sent. A module of its own, loaded only where tracing is on.
+ * Takeovers as OpenTelemetry traces, one a takeover across both nodes: the trace id is computed from the role and the former
+ * fencing token, which both know, so nothing has to be sent. A module of its own, loaded only where tracing is on.
  */
 import { createHash } from 'node:crypto';
 import { appendFileSync } from 'node:fs';
@@ -57,7 +57,7 @@
 
 const toMilliseconds = ([seconds, nanoseconds]: HrTime): number => seconds * 1000 + nanoseconds / 1e6;
 
-/** The context under which both nodes put their spans of one takeover. */
+/** The parent context of both nodes' spans of one takeover. */
 function contextOf(role: string, formerFencingToken: number): Context {
   const digest = createHash('sha256').update(`${role} ${formerFencingToken}`).digest('hex');
   return trace.setSpanContext(ROOT_CONTEXT, {
@@ -68,7 +68,7 @@
   });
 }
 
-/** From which step to which each span of a takeover goes; the first begins with the last word of the former holder. */
+/** The steps between which each span lies; the first begins when the former leader was last heard from. */
 const SPANS: readonly { name: string; from: TakeoverStep | undefined; to: TakeoverStep }[] = [
   { name: 'detection', from: undefined, to: 'vacant' },
   { name: 'acquisition', from: 'vacant', to: 'acquired' },
@@ -96,19 +96,19 @@
     const begin = Number.isFinite(report.lastSeenAt) ? report.lastSeenAt : vacantAt;
     const end = Math.max(...steps.values());
     const attributes = { role, formerLeader, formerFencingToken };
-    const whole = this.tracer.startSpan(
+    const takeoverSpan = this.tracer.startSpan(
       'takeover',
       { startTime: this.wallOf(begin), attributes },
       contextOf(role, formerFencingToken),
     );
-    const inside = trace.setSpan(ROOT_CONTEXT, whole);
+    const takeoverContext = trace.setSpan(ROOT_CONTEXT, takeoverSpan);
     for (const { name, from, to } of SPANS) {
       const startAt = from === undefined ? begin : steps.get(from);
       const endAt = steps.get(to);
       if (startAt === undefined || endAt === undefined) continue;
-      this.tracer.startSpan(name, { startTime: this.wallOf(startAt) }, inside).end(this.wallOf(endAt));
+      this.tracer.startSpan(name, { startTime: this.wallOf(startAt) }, takeoverContext).end(this.wallOf(endAt));
     }
-    whole.end(this.wallOf(end));
+    takeoverSpan.end(this.wallOf(end));
   }
 
   leadershipLost(loss: LeadershipLoss): void {
--- a/src/leadership/load-tracer.ts
+++ b/src/leadership/load-tracer.ts
@@ -1,14 +1,14 @@
-/** Loads the tracing of takeovers, which is no part of the program's bundle or startup snapshot, where it is asked for. */
+/** Loads the tracing of takeovers where it is configured; it is no part of the program's bundle or startup snapshot. */
 import { createRequire } from 'node:module';
 import { resolve } from 'node:path';
 import { NO_TRACER, type TakeoverTracer, type TracingModule } from '@dewlatch/standby';
 import type { Clock } from '../net/clock.js';
 import type { Log } from '../logging/log.js';
 
-/** Made by the build beside the program; the program is started from the folder above. */
+/** Written by the build beside the program; the program is started from the folder above. */
 const TRACING_BUNDLE = 'target/tracing.cjs';
 
-/** Without traces if the module can't be loaded: the service matters more. */
+/** Falls back to no tracing if the module can't be loaded: the service matters more. */
 export function loadTracer(file: string, node: string, clock: Clock, log: Log): TakeoverTracer {
   if (file === '') return NO_TRACER;
   try {
@@ -16,7 +16,7 @@
     const { createTakeoverTracer } = createRequire(path)(path) as TracingModule;
     return createTakeoverTracer(file, node, (steadyMs) => clock.wall() - (clock.now() - steadyMs));
   } catch (error) {
-    log.error({ error: String(error) }, 'takeovers are not traced');
+    log.error({ error: String(error) }, 'takeover tracing unavailable');
     return NO_TRACER;
   }
 }
--- a/src/leadership/responsibility.ts
+++ b/src/leadership/responsibility.ts
@@ -1,9 +1,9 @@
-/** Who looks after the records of a job: the owner of its partition, or the leader while there is none. */
+/** Which node maintains the records of a job: the leader of its partition, or the cluster leader while that role is vacant. */
 import { partitionRole } from '../domain/role.js';
 import type { RoleLeadership } from './role-leadership.js';
 
 export function isResponsibleFor(leadership: RoleLeadership, jobId: string): boolean {
   const role = partitionRole(leadership.partitionOf(jobId));
-  const isMine = leadership.leadershipOf(role) !== undefined;
-  return isMine || (leadership.isLeader && leadership.leaderOf(role) === undefined);
+  const isLedHere = leadership.leadershipOf(role) !== undefined;
+  return isLedHere || (leadership.isLeader && leadership.leaderOf(role) === undefined);
 }
--- a/src/leadership/role-rebalancer.ts
+++ b/src/leadership/role-rebalancer.ts
@@ -1,4 +1,4 @@
-/** Gives partitions back to the nodes that prefer them, and partitions whose workers can't reach this node to others. */
+/** Releases partitions to their preferred nodes, and partitions whose workers can't reach this node to other nodes. */
 import {
   AVOID_ROLE_MS,
   PREFERRED_NODE_UP_MS,
@@ -13,7 +13,7 @@
 import type { PeerDirectory } from '../gossip/peer-directory.js';
 import type { Clock } from '../net/clock.js';
 
-/** The workers that have reported to this node, with the steady ms. */
+/** The workers that have sent heartbeats to this node; `reportedAt`: steady ms of the last one. */
 export interface PartitionWorkers {
   ofPartition(partition: number): Iterable<{ machineId: string; reportedAt: number }>;
 }
@@ -29,33 +29,37 @@
 export class RoleRebalancer {
   constructor(private readonly dependencies: RoleRebalancerDependencies) {}
 
-  /** One look at each partition that this node owns. */
+  /** Checks each partition that this node leads, once. */
   rebalance(): void {
     const { leadership } = this.dependencies;
     if (!leadership.isInTouchWithStore) return;
     for (const partition of leadership.ledPartitions()) {
       const role = partitionRole(partition);
-      if (this.isWantedAtHome(partition)) void leadership.release(role, 'its own node is back', STORE_LEASE_TTL_MS);
-      else if (this.isOutOfReach(partition))
-        void leadership.release(role, 'its workers reach other nodes only', AVOID_ROLE_MS);
+      if (this.isPreferredNodeReady(partition))
+        void leadership.release(role, 'preferred node is back', STORE_LEASE_TTL_MS);
+      else if (this.isUnreachableHere(partition))
+        void leadership.release(role, 'workers reach other nodes only', AVOID_ROLE_MS);
     }
   }
 
-  /** The partition belongs to another node, which has been up for a while and does not avoid it. */
-  private isWantedAtHome(partition: number): boolean {
+  /** The partition prefers another node, which has been up for a while and does not avoid the role. */
+  private isPreferredNodeReady(partition: number): boolean {
     const { settings, leadership, peerDirectory } = this.dependencies;
-    const home = leadership.preferredNodeOf(partition);
-    const isReady = peerDirectory.uptimeMs(home) > PREFERRED_NODE_UP_MS && peerDirectory.reachesStore(home);
-    return home !== settings.node && isReady && !peerDirectory.avoidsRole(home, partitionRole(partition));
+    const preferredNode = leadership.preferredNodeOf(partition);
+    const isReady =
+      peerDirectory.uptimeMs(preferredNode) > PREFERRED_NODE_UP_MS && peerDirectory.reachesStore(preferredNode);
+    return (
+      preferredNode !== settings.node && isReady && !peerDirectory.avoidsRole(preferredNode, partitionRole(partition))
+    );
   }
 
-  /** Many of the partition's workers are silent here, and most of these have been seen at other nodes since. */
-  private isOutOfReach(partition: number): boolean {
+  /** Many of the partition's workers are silent here, and most of these have sent heartbeats to other nodes since. */
+  private isUnreachableHere(partition: number): boolean {
     const { settings, workers, peerDirectory, clock } = this.dependencies;
     const now = clock.now();
-    const limit = silenceLimitMs(settings.cluster.workers);
+    const limitMs = silenceLimitMs(settings.cluster.workers);
     const known = [...workers.ofPartition(partition)];
-    const silent = known.filter((worker) => now - worker.reportedAt > limit);
+    const silent = known.filter((worker) => now - worker.reportedAt > limitMs);
     if (silent.length < LEAST_SILENT_WORKERS || silent.length <= known.length * SELF_SUSPECT_SHARE) return false;
     const seenElsewhere = silent.filter((worker) =>
       peerDirectory.hasReportedElsewhere(worker.machineId, worker.reportedAt),
