--- a/packages/standby/src/settings.ts
+++ b/packages/standby/src/settings.ts
@@ -48,8 +48,9 @@
 /** The first field that contradicts another or the bounds, as `field: reason`; undefined: none does. */
 export function findContradiction(settings: StandbySettings, bounds: StandbyBounds): string | undefined {
   if (settings.follow && !settings.enabled) return 'follow: needs enabled = true';
+  // Operators know this wording, and a test pins it: a hold is a store lease.
   if (settings.max_lag_ms > bounds.storeLeaseTtlMs)
-    return `max_lag_ms: must not exceed the TTL of a store lease, ${bounds.storeLeaseTtlMs}`;
+    return `max_lag_ms: must not exceed the life of a hold, ${bounds.storeLeaseTtlMs}`;
   if (settings.message_bytes > bounds.linkMessageBytes)
     return `message_bytes: must not exceed what a link takes, ${bounds.linkMessageBytes}`;
   if (settings.unacknowledged_bytes < settings.message_bytes)
