--- a/packages/standby/test/settings.test.ts
+++ b/packages/standby/test/settings.test.ts
@@ -6,12 +6,12 @@
 const fault = (fields: object) => findContradiction({ ...DEFAULT_STANDBY_SETTINGS, ...fields }, BOUNDS);
 
 describe('the settings of the warm standby', () => {
-  it('agree with each other by default, on and off', () => {
+  it('are consistent by default, on and off', () => {
     assert.equal(fault({}), undefined);
     assert.equal(fault({ enabled: true, follow: true }), undefined);
   });
 
-  it('are refused by the name of the field that contradicts another', () => {
+  it('are rejected by the name of the field that contradicts another', () => {
     assert.match(fault({ follow: true })!, /^follow:/);
     assert.match(fault({ max_lag_ms: 3001 })!, /^max_lag_ms:/);
     assert.match(fault({ message_bytes: 1_000_001 })!, /^message_bytes:/);
--- a/packages/standby/test/succession.test.ts
+++ b/packages/standby/test/succession.test.ts
@@ -10,7 +10,7 @@
 const leadership = { role: 'leader', leader: 'n0', preferredNode: undefined };
 
 describe('the successor of a role', () => {
-  it("is the role's own node while that serves, wherever it is", () => {
+  it('is the preferred node of the partition while that serves, in whichever zone', () => {
     const nodes = [
       candidate('n0'),
       candidate('n1', { zone: 'b', ledRoleCount: 0 }),
@@ -19,7 +19,7 @@
     assert.equal(designateSuccessor({ role: 'part-2', leader: 'n0', preferredNode: 'n2' }, nodes), 'n2');
   });
 
-  it('is in another zone than the holder, where there is a choice', () => {
+  it('is in another zone than the leader, where there is a choice', () => {
     const nodes = [
       candidate('n0'),
       candidate('n1', { ledRoleCount: 0 }),
@@ -28,24 +28,24 @@
     assert.equal(designateSuccessor(leadership, nodes), 'n2');
   });
 
-  it('is another at once when the first is not heard, has no store, or gave the role up', () => {
+  it('is another at once when the first does not serve or avoids the role', () => {
     const others = [candidate('n0'), candidate('n1', { ledRoleCount: 0 })];
     assert.equal(designateSuccessor(leadership, [...others, candidate('n2', { ledRoleCount: 4 })]), 'n1');
-    for (const unfit of [{ isServing: false }, { avoidsRole: true }]) {
+    for (const ineligible of [{ isServing: false }, { avoidsRole: true }]) {
       const nodes = [
         candidate('n0'),
-        candidate('n1', { ledRoleCount: 0, ...unfit }),
+        candidate('n1', { ledRoleCount: 0, ...ineligible }),
         candidate('n2', { ledRoleCount: 4 }),
       ];
       assert.equal(designateSuccessor(leadership, nodes), 'n2');
     }
   });
 
-  it('is nobody when no one is fit', () => {
+  it('is undefined when no candidate is eligible', () => {
     assert.equal(designateSuccessor(leadership, [candidate('n0'), candidate('n1', { isServing: false })]), undefined);
   });
 
-  it('does not depend on the order in which a node lists the others, and is always fit', () => {
+  it('does not depend on the order of the candidates, and is always eligible', () => {
     const node = fc.record({
       node: fc.constantFrom('n0', 'n1', 'n2', 'n3', 'n4'),
       zone: fc.constantFrom('a', 'b'),
@@ -59,9 +59,9 @@
         const target = { role, leader: 'n0', preferredNode: role === 'part-1' ? 'n1' : undefined };
         const chosen = designateSuccessor(target, list);
         assert.equal(designateSuccessor(target, [...list].reverse()), chosen);
-        const fit = list.filter((each) => each.isServing && !each.avoidsRole && each.node !== 'n0');
-        assert.equal(chosen === undefined, fit.length === 0);
-        if (chosen !== undefined) assert.ok(fit.some((each) => each.node === chosen));
+        const eligible = list.filter((each) => each.isServing && !each.avoidsRole && each.node !== 'n0');
+        assert.equal(chosen === undefined, eligible.length === 0);
+        if (chosen !== undefined) assert.ok(eligible.some((each) => each.node === chosen));
       }),
       { seed: 27 },
     );
--- a/packages/standby/test/takeover-barrier.test.ts
+++ b/packages/standby/test/takeover-barrier.test.ts
@@ -9,32 +9,32 @@
   type BarrierOutcome,
 } from '../src/index.js';
 
-const HOLD_MS = 3000;
+const STORE_LEASE_TTL_MS = 3000;
 const REPLICA_FRESH_MS = 2000;
 const TICK_MS = 500;
 const FREEZE_MS = 3500;
 
 /**
- * A store, a holder A that may stand still, and a successor B. The holder sends to the cloud, which takes whatever comes; the
- * successor decides on its copy of the records.
+ * A store, a leader A that may freeze, and a successor B. The leader sends to the cloud, which accepts whatever comes; the
+ * successor decides on its replica of the records.
  */
 class Model {
   private time = 0;
-  private holdUntil = HOLD_MS;
-  private owner: 'A' | 'B' = 'A';
+  private leaseUntil = STORE_LEASE_TTL_MS;
+  private leader: 'A' | 'B' = 'A';
   private startRevision = 5;
-  private copyOfB = 5;
+  private replicaRevisionOfB = 5;
   private freshOfA = 0;
   private freshOfB = -Infinity;
-  private readonly tenureOfA = { startRevision: 5 };
-  private tenureOfB: { startRevision: number } | undefined;
+  private readonly termOfA = { startRevision: 5 };
+  private termOfB: { startRevision: number } | undefined;
   private readonly guard: PauseGuard;
   private readonly barrierOfA = new TakeoverBarrier(() => undefined);
-  private readonly barrierOfB = new TakeoverBarrier(() => this.reconciledAt.push(this.copyOfB));
+  private readonly barrierOfB = new TakeoverBarrier(() => this.reconciledAt.push(this.replicaRevisionOfB));
   readonly reconciledAt: number[] = [];
 
   constructor(private readonly hasGuard: boolean) {
-    this.guard = new PauseGuard(() => this.time, HOLD_MS);
+    this.guard = new PauseGuard(() => this.time, STORE_LEASE_TTL_MS);
     this.guard.confirm(0);
   }
 
@@ -43,31 +43,31 @@
       this.time += TICK_MS;
       this.guard.check();
     },
-    // Nothing of A runs meanwhile; what is asked of it first when it resumes may come before its timers.
+    // Nothing of A runs meanwhile; a request may reach it when it resumes before its timers fire.
     freeze: () => void (this.time += FREEZE_MS),
     renew: () => {
-      if (this.time >= this.holdUntil) return;
-      this.holdUntil = this.time + HOLD_MS;
+      if (this.time >= this.leaseUntil) return;
+      this.leaseUntil = this.time + STORE_LEASE_TTL_MS;
       this.freshOfA = this.time;
       this.guard.confirm(this.time);
     },
-    // A read that was on its way when A froze: it says nothing of the hold, but makes the copy look fresh.
+    // A read that was in flight when A froze: it says nothing of the lease, but makes the replica look fresh.
     lateRead: () => void (this.freshOfA = this.time),
-    claim: () => {
-      if (this.time < this.holdUntil || this.owner === 'B') return;
-      this.owner = 'B';
+    acquire: () => {
+      if (this.time < this.leaseUntil || this.leader === 'B') return;
+      this.leader = 'B';
       this.startRevision += 2;
-      this.tenureOfB = { startRevision: this.startRevision };
+      this.termOfB = { startRevision: this.startRevision };
     },
-    copy: () => {
-      this.copyOfB = this.startRevision;
+    replicate: () => {
+      this.replicaRevisionOfB = this.startRevision;
       this.freshOfB = this.time;
     },
   };
 
   private assessA(): BarrierOutcome {
     return this.barrierOfA.assess({
-      term: this.tenureOfA,
+      term: this.termOfA,
       isLeaseConfirmed: !this.hasGuard || this.guard.isConfirmed,
       isReplicaFresh: this.time - this.freshOfA < REPLICA_FRESH_MS,
       replicaRevision: 5,
@@ -77,24 +77,25 @@
   private assessB(): BarrierOutcome {
     const isReplicaFresh = this.time - this.freshOfB < REPLICA_FRESH_MS;
     return this.barrierOfB.assess({
-      term: this.tenureOfB,
+      term: this.termOfB,
       isLeaseConfirmed: true,
       isReplicaFresh,
-      replicaRevision: this.copyOfB,
+      replicaRevision: this.replicaRevisionOfB,
     });
   }
 
-  /** What must never be: the holder sends to the cloud when its claim is gone; the successor decides on an older copy. */
+  /** What must never happen: A sends to the cloud when it no longer leads; B decides on an outdated replica. */
   violation(): string | undefined {
     const isSent = maySend('cloud_return', () => this.assessA().kind === 'open');
-    if (isSent && this.owner === 'B') return 'a return of the former holder';
+    if (isSent && this.leader === 'B') return 'a scale-in by the former leader';
     const decides = this.assessB().kind === 'open';
-    if (decides && (this.owner !== 'B' || this.copyOfB < this.startRevision)) return 'a decision on an older copy';
+    if (decides && (this.leader !== 'B' || this.replicaRevisionOfB < this.startRevision))
+      return 'a decision on an outdated replica';
     return undefined;
   }
 }
 
-/** Plays every sequence of so many actions; returns the first that leads to a violation. */
+/** Runs every sequence of so many actions; returns the first that leads to a violation. */
 function explore(depth: number, hasGuard: boolean): string[] | undefined {
   const names = Object.keys(new Model(hasGuard).actions);
   const sequences = names.length ** depth;
@@ -113,17 +114,17 @@
 }
 
 describe('the takeover barrier', () => {
-  it('lets no former holder send to the cloud and no successor decide early, in any sequence of seven steps', () => {
+  it('lets no former leader send to the cloud and no successor decide early, in any sequence of seven steps', () => {
     assert.equal(explore(7, true), undefined);
   });
 
   it('is needed: without the check for pauses some sequence breaks it', () => {
     const found = explore(5, false);
     assert.ok(found !== undefined);
-    assert.equal(found.at(-1), 'a return of the former holder');
+    assert.equal(found.at(-1), 'a scale-in by the former leader');
   });
 
-  it('names what is missing, in order, and reconciles once in each tenure', () => {
+  it('names what is missing, in order, and reconciles once in each term', () => {
     const reconciled: number[] = [];
     const barrier = new TakeoverBarrier(({ startRevision }) => reconciled.push(startRevision));
     const term = { startRevision: 9 };
@@ -145,8 +146,8 @@
   });
 });
 
-describe('outward calls', () => {
-  it('that no receiver can refuse are checked when they are sent', () => {
+describe('outbound calls', () => {
+  it('that no receiver can reject are checked when they are sent', () => {
     assert.equal(stalenessGuardOf('cloud_return').kind, 'checked_when_sent');
     assert.equal(stalenessGuardOf('cloud_rent').kind, 'checked_when_sent');
     assert.equal(stalenessGuardOf('command').kind, 'rejected_by_receiver');
@@ -162,7 +163,7 @@
 });
 
 describe('following', () => {
-  it('slows down and rests when timers come late, and comes back step by step', () => {
+  it('is throttled and suspended when timers fire late, and resumes step by step', () => {
     const throttle = new FollowThrottle();
     const afterTicks = (count: number, latenessMs: number) => {
       for (let n = 0; n < count; n++) throttle.recordTick(latenessMs);
--- a/packages/standby/test/tracing.test.ts
+++ b/packages/standby/test/tracing.test.ts
@@ -16,7 +16,7 @@
   endMs: number;
 }
 
-/** A takeover of the leadership that was vacant 3 s after the last word of its holder, step by step. */
+/** A takeover of the leadership that became vacant 3 s after its leader was last heard from, step by step. */
 function takeOver(): TakeoverReport {
   let time = 10_000;
   const reports: TakeoverReport[] = [];
@@ -37,12 +37,12 @@
 }
 
 describe('the timeline of a takeover', () => {
-  it('counts from the last word of the former holder, and only what follows the claim', () => {
+  it('counts from when the former leader was last heard from, and only steps after the acquisition', () => {
     const expected = { vacant: 3000, acquired: 3020, records_complete: 3040, decided: 3060 };
     assert.deepEqual(stepDurations(takeOver()), expected);
   });
 
-  it('reports nothing of a role that another has taken', () => {
+  it('reports nothing of a role that another node has acquired', () => {
     let time = 0;
     let reports = 0;
     const timeline = new TakeoverTimeline(
--- a/test/leadership/standby-schedules.test.ts
+++ b/test/leadership/standby-schedules.test.ts
@@ -7,7 +7,7 @@
 const NODES = 3;
 const SPELL_MS = 20_000;
 const CALM_MS = 40_000;
-/** CI plays the same ones each time; `STANDBY_SEED` chooses others. */
+/** CI runs the same ones each time; `STANDBY_SEED` selects others. */
 const SEED = Number(process.env['STANDBY_SEED'] ?? '27');
 /** More of them: `STANDBY_SCHEDULES=200 node --test target/test/test/leadership/standby-schedules.test.js`. */
 const SCHEDULES = Number(process.env['STANDBY_SCHEDULES'] ?? '12');
@@ -71,12 +71,12 @@
   await cluster.advance(SPELL_MS + 10_000);
   cluster.checker.troublesOver(cluster.clock.now());
   await cluster.advance(CALM_MS);
-  const broken = cluster.verdict();
-  return cluster.leader() === undefined ? [...broken, 'nobody leads'] : broken;
+  const violations = cluster.verdict();
+  return cluster.leader() === undefined ? [...violations, 'no node leads'] : violations;
 }
 
 describe('kills, freezes, stops, cuts and delays of controllers in any order', () => {
-  it('break no rule, and somebody leads in the end', async () => {
+  it('violate no invariant, and some node leads in the end', async () => {
     await fc.assert(
       fc.asyncProperty(fc.array(step, { minLength: 1, maxLength: 6 }), async (steps) => {
         assert.deepEqual(await play(steps), []);
--- a/test/leadership/standby-stream.test.ts
+++ b/test/leadership/standby-stream.test.ts
@@ -10,7 +10,7 @@
 const NODES = [0, 1, 2];
 const ON = { enabled: true, follow: true };
 const OFFER = 'c8 a false';
-/** ms by which a date may be wrong that came by the stream: the lag that it accepts. */
+/** ms by which a moment that came by the stream may be wrong: the lag that it accepts. */
 const MAX_LAG_MS = 2000;
 const isStream = (message: Message) => 'stream' in message;
 
@@ -41,7 +41,7 @@
 };
 
 describe('what a leader remembers beside the records', () => {
-  it('is known to its successor: offers that were refused, and since when machines are idle', async () => {
+  it('is restored at its successor: offers that were refused, and since when machines are idle', async () => {
     await ready();
     const leader = cluster.leader()!;
     const { memory } = cluster.node(leader).leader;
@@ -68,7 +68,7 @@
     assert.ok([...memory.stopping()].some(({ attempt }) => attempt === 'j-y/0#3'));
   });
 
-  it('does not stand in the way of a takeover when the stream is cut and the store is well', async () => {
+  it('does not delay a takeover when the stream is cut and the store answers', async () => {
     await ready();
     const leader = cluster.leader()!;
     for (const node of NODES) for (const other of NODES) if (node !== other) cluster.parted.add(`n${node}>n${other}`);
@@ -115,12 +115,12 @@
     await cluster.until(() => taker() !== undefined, 6000);
     await cluster.advance(600);
     const known = cluster.node(taker()!).happiness.happinessOf('j-svc/0', cluster.clock.now());
-    assert.ok(known !== undefined && known < 1, 'its unhealthy checks are forgotten');
+    assert.ok(known !== undefined && known < 1, 'its unhealthy checks are lost');
   });
 });
 
 describe('controllers that do not read the stream', () => {
-  it('are sent nothing of it, before and after takeovers both ways', async () => {
+  it('are sent none of it, before and after takeovers both ways', async () => {
     await ready({ standbyOf: (node) => (node === 1 ? { enabled: false, follow: false } : {}) });
     const counts = countStream();
     await cluster.advance(5000);
@@ -138,7 +138,7 @@
 });
 
 describe('messages of the stream', () => {
-  it('are read as they were written, and begin like no other message', () => {
+  it('are decoded as they were encoded, and begin like no other message', () => {
     const echo = { incarnation: 4, clock: 5.5 };
     const entry = { kind: 'health' as const, name: 'j-1/0', ageMs: 7, healthy: 8, unhealthy: 9, isRemoved: false };
     const batch = {
--- a/test/leadership/standby.test.ts
+++ b/test/leadership/standby.test.ts
@@ -9,7 +9,7 @@
 
 const NODES = [0, 1, 2];
 const ON = { enabled: true, follow: true };
-const service = { Ref: 'j-svc', Shape: 'service', Rank: 'prod', GuessS: 0, Shards: 3 };
+const SERVICE_JOB = { Ref: 'j-svc', Shape: 'service', Rank: 'prod', GuessS: 0, Shards: 3 };
 
 async function ready(options: ClusterOptions = {}, machines = 6): Promise<void> {
   cluster = new Cluster({ nodes: 3, teams: [{ name: 'red' }], standby: ON, ...options });
@@ -19,8 +19,9 @@
   await cluster.advance(8000);
 }
 
-const claimOf = (role: string) => cluster.store.rows.get(`live/claim/${role}`)?.value as { node: string } | undefined;
-const holderOf = (role: string) => Number(claimOf(role)?.node.slice(1));
+const leadershipRecordOf = (role: string) =>
+  cluster.store.rows.get(`live/claim/${role}`)?.value as { node: string } | undefined;
+const leaderOf = (role: string) => Number(leadershipRecordOf(role)?.node.slice(1));
 const others = (...nodes: number[]) => NODES.filter((node) => !nodes.includes(node));
 const since = (from: number) => cluster.clock.now() - from;
 
@@ -35,7 +36,7 @@
   }
 }
 
-/** Service goes on after all that happened, and no rule was broken. */
+/** Jobs still run after all that happened, and no invariant was violated. */
 async function assertServes(): Promise<void> {
   cluster.checker.troublesOver(cluster.clock.now());
   await cluster.advance(20_000);
@@ -47,22 +48,22 @@
   assert.deepEqual(cluster.verdict(), []);
 }
 
-describe('a role whose holder ends', () => {
-  it('is claimed by its designated successor as soon as the hold is over, and by no other', async () => {
+describe('a role whose leader ends', () => {
+  it('is acquired by its designated successor as soon as the store lease has expired, and by no other', async () => {
     await ready();
     const leader = cluster.leader()!;
     const [one, two] = others(leader).map((node) => cluster.node(node).leadership.succession.successorOf('leader'));
     assert.equal(one, two);
     cluster.crash(leader);
-    await cluster.until(() => claimOf('leader')?.node !== `n${leader}`, 5000);
+    await cluster.until(() => leadershipRecordOf('leader')?.node !== `n${leader}`, 5000);
     const vacantAt = cluster.clock.now();
-    await cluster.until(() => claimOf('leader') !== undefined, 2000);
-    assert.ok(since(vacantAt) <= 60, `${since(vacantAt)} ms without a claimant`);
-    assert.equal(claimOf('leader')!.node, one);
+    await cluster.until(() => leadershipRecordOf('leader') !== undefined, 2000);
+    assert.ok(since(vacantAt) <= 60, `${since(vacantAt)} ms without a leader`);
+    assert.equal(leadershipRecordOf('leader')!.node, one);
     await assertServes();
   });
 
-  it('is in the hands of the third when holder and successor end together', async () => {
+  it('is acquired by the third node when leader and successor end together', async () => {
     await ready();
     const leader = cluster.leader()!;
     const successor = Number(
@@ -72,22 +73,22 @@
     const lostAt = cluster.clock.now();
     cluster.crash(leader);
     cluster.crash(successor);
-    await cluster.until(() => holderOf('leader') === third, 5000);
+    await cluster.until(() => leaderOf('leader') === third, 5000);
     assert.ok(since(lostAt) < 4500, `${since(lostAt)} ms`);
     await assertServes();
   });
 
-  it('goes to a node in another zone than the holder', async () => {
+  it('goes to a node in another zone than the former leader', async () => {
     await ready({ locations: ['a', 'a', 'b'] });
     const leader = cluster.leader()!;
     if (leader === 2) return;
     cluster.crash(leader);
-    await cluster.until(() => claimOf('leader') !== undefined && holderOf('leader') !== leader, 5000);
-    assert.equal(holderOf('leader'), 2);
+    await cluster.until(() => leadershipRecordOf('leader') !== undefined && leaderOf('leader') !== leader, 5000);
+    assert.equal(leaderOf('leader'), 2);
     await assertServes();
   });
 
-  it('has one holder though two nodes think themselves its successor', async () => {
+  it('has one leader although two nodes consider themselves its successor', async () => {
     await ready();
     const leader = cluster.leader()!;
     for (const node of others(leader)) cluster.node(node).leadership.succession.successorOf = () => `n${node}`;
@@ -99,16 +100,16 @@
     await assertServes();
   });
 
-  it('passes ten times in two minutes without a second placement', async () => {
+  it('changes its leader ten times in two minutes without a second placement of any task', async () => {
     await ready();
-    await cluster.submit(service);
+    await cluster.submit(SERVICE_JOB);
     submitFor(120_000);
     const tokens: number[] = [];
     for (let round = 0; round < 10; round++) {
       const leader = cluster.leader()!;
       tokens.push(cluster.store.rows.get('live/claim/leader')!.modRevision);
       cluster.crash(leader);
-      await cluster.until(() => claimOf('leader') !== undefined && holderOf('leader') !== leader, 5000);
+      await cluster.until(() => leadershipRecordOf('leader') !== undefined && leaderOf('leader') !== leader, 5000);
       await cluster.advance(3000);
       cluster.start(leader);
       await cluster.advance(5000);
@@ -121,18 +122,18 @@
   });
 });
 
-describe('a leader that stands still in the middle of a decision, and goes on', () => {
+describe('a leader that freezes in the middle of a decision, and resumes', () => {
   const TRAPS: [where: string, trap: Trap][] = [
     ['before its transaction', { path: /^\/txn/, when: 'sending', forMs: 6000 }],
     ['after its transaction', { path: /^\/txn/, when: 'answered', forMs: 6000 }],
-    ['before a launch', { path: /^\/commands/, when: 'sending', forMs: 6000 }],
-    ['in an answer to a worker', { path: /^\/hello/, when: 'answering', forMs: 6000 }],
-    ['within a hold', { path: /^\/txn/, when: 'answered', forMs: 1500 }],
+    ['before a start command', { path: /^\/commands/, when: 'sending', forMs: 6000 }],
+    ['in an answer to a heartbeat', { path: /^\/hello/, when: 'answering', forMs: 6000 }],
+    ['for less than the TTL of its store lease', { path: /^\/txn/, when: 'answered', forMs: 1500 }],
   ];
   for (const [where, trap] of TRAPS) {
     it(`${where} places nothing twice`, async () => {
       await ready();
-      await cluster.submit(service);
+      await cluster.submit(SERVICE_JOB);
       submitFor(9000);
       cluster.freezeAt(cluster.leader()!, trap);
       await cluster.advance(16_000);
@@ -140,31 +141,31 @@
     });
   }
 
-  it('between the record of a rental and the call does not call any more, and its successor does', async () => {
+  it('between the record of a scale-out request and the call does not send the call any more, and its successor does', async () => {
     await ready({}, 2);
     const leader = cluster.leader()!;
-    // Only records of rentals are written by transactions that name one.
+    // Only records of scale-out requests are written by transactions that name one.
     const isRental = (body: unknown) => JSON.stringify(body).includes('live/hire/');
     cluster.freezeAt(leader, { path: /^\/txn/, when: 'answered', where: isRental, forMs: 6000 });
     await cluster.submit({ Ref: 'j-big', Shards: 12, Cpus: 8 }, others(leader)[0]);
     const recorded = () => [...cluster.store.rows.keys()].some((key) => key.startsWith('live/hire/'));
     await cluster.until(recorded, 10_000);
-    await cluster.until(() => claimOf('leader') !== undefined && holderOf('leader') !== leader, 8000);
+    await cluster.until(() => leadershipRecordOf('leader') !== undefined && leaderOf('leader') !== leader, 8000);
     const from = cluster.network.log.length;
     await cluster.advance(12_000);
     const rentals = cluster.network.log.slice(from).filter(({ path }) => path === '/rentals');
     assert.ok(rentals.length > 0);
-    assert.deepEqual([...new Set(rentals.map((call) => call.from))], [`n${holderOf('leader')}`]);
+    assert.deepEqual([...new Set(rentals.map((call) => call.from))], [`n${leaderOf('leader')}`]);
     const names = rentals.map(({ body }) => (body as { Hire: string }).Hire);
     assert.equal(new Set(names).size, names.length, 'nothing is rented twice');
   });
 });
 
-describe('a controller that stood still for longer than its hold', () => {
-  it('answers no worker before the store has confirmed its hold', async () => {
+describe('a controller that was frozen for longer than the TTL of its store lease', () => {
+  it('answers no worker before the store has confirmed its lease', async () => {
     await ready();
     const node = cluster.leader()!;
-    // The others end as well, so nobody takes the partition and the claim itself would still look good.
+    // The others end as well, so no node acquires the partition and the leadership record itself would still look valid.
     for (const other of others(node)) cluster.crash(other);
     await cluster.advance(3500);
     cluster.freeze(node, 4000);
@@ -180,7 +181,7 @@
 });
 
 describe('a successor', () => {
-  it('that freezes in the barrier leaves the role to another', async () => {
+  it('that freezes at the barrier leaves the role to another', async () => {
     await ready();
     submitFor(12_000);
     const leader = cluster.leader()!;
@@ -193,17 +194,17 @@
       forMs: 8000,
     });
     const [third] = others(leader, successor);
-    await cluster.until(() => holderOf('leader') === third, 12_000);
+    await cluster.until(() => leaderOf('leader') === third, 12_000);
     await cluster.advance(8000);
     await assertServes();
   });
 
-  it('decides nothing before its copy is complete up to its claim', async () => {
+  it('decides nothing before its replica is complete up to its acquisition', async () => {
     await ready();
     const leader = cluster.leader()!;
     const successor = Number(cluster.node(others(leader)[0]!).leadership.succession.successorOf('leader')!.slice(1));
     const { leadership, replica } = cluster.node(successor);
-    // The claim's answer comes long before the answer to the read that follows it.
+    // The answer to the acquisition comes long before the answer to the read that follows it.
     cluster.store.slowMs = 600;
     cluster.crash(leader);
     const decidedEarly: number[] = [];
@@ -221,36 +222,39 @@
     await assertServes();
   });
 
-  it('takes over though the store goes out between the end of the holder and the claim', async () => {
+  it('takes over although the store fails between the end of the leader and the acquisition', async () => {
     await ready();
-    await cluster.submit(service);
+    await cluster.submit(SERVICE_JOB);
     const leader = cluster.leader()!;
     cluster.crash(leader);
     await cluster.advance(2000);
     cluster.store.out = true;
     await cluster.advance(8000);
     cluster.store.endOutage();
-    await cluster.until(() => claimOf('leader') !== undefined && holderOf('leader') !== leader, 8000);
+    await cluster.until(() => leadershipRecordOf('leader') !== undefined && leaderOf('leader') !== leader, 8000);
     await assertServes();
   });
 });
 
 describe('a controller that is told to stop', () => {
-  it('hands its roles over at once, and the work of its machines goes on', async () => {
+  it('hands its roles over at once, and the tasks on its machines go on', async () => {
     await ready();
-    await cluster.submit(service);
+    await cluster.submit(SERVICE_JOB);
     submitFor(9000);
     const leader = cluster.leader()!;
     const running = NODES.map((n) => cluster.runs(`j-svc/${n}`).length);
     const toldAt = cluster.clock.now();
     const stopped = cluster.tellToStop(leader);
     await cluster.advance(5);
-    // Also of roles that it does not hold: it is nobody's successor any more.
+    // Also of roles that it does not lead: it is no node's successor any more.
     const other = others(leader).at(0)!;
     const named = NODES.map((node) => cluster.node(other).leadership.succession.successorOf(`part-${node}`));
     assert.ok(!named.includes(`n${leader}`));
     const roles = ['leader', `part-${leader}`];
-    await cluster.until(() => roles.every((role) => claimOf(role) !== undefined && holderOf(role) !== leader), 1500);
+    await cluster.until(
+      () => roles.every((role) => leadershipRecordOf(role) !== undefined && leaderOf(role) !== leader),
+      1500,
+    );
     assert.ok(since(toldAt) < 100, `${since(toldAt)} ms`);
     await cluster.advance(4000);
     await stopped;
@@ -262,7 +266,7 @@
     await assertServes();
   });
 
-  it('ends in time though the store does not answer', async () => {
+  it('ends in time although the store does not answer', async () => {
     await ready();
     const leader = cluster.leader()!;
     cluster.network.fault({ from: `n${leader}`, to: 'store:1', kind: 'lose' });
