--- a/packages/standby/src/settings.ts
+++ b/packages/standby/src/settings.ts
@@ -1,41 +1,62 @@
 /** The operators' settings of the warm standby, the `[standby]` table of the tuning file. */
 import * as v from 'valibot';
 
-/** Every field with its default. The names are those of the tuning file; times are in ms, sizes in bytes. */
-export const DEFAULT_STANDBY_SETTINGS = {
+export interface StandbySettings {
   /** Designated successors, the takeover barrier and planned handovers. */
-  enabled: false,
-  /** Successors follow the advisory state of the active controllers. Needs `enabled`. */
-  follow: false,
+  readonly enabled: boolean;
+  /** Successors follow the advisory state of the leaders. Needs `enabled`. */
+  readonly follow: boolean;
   /** Age from which a message of the stream is refused, and the stream is resynchronized. */
-  max_lag_ms: 2000,
+  readonly maxLagMs: number;
   /** Bytes a second that one controller sends to all its followers at most. */
-  stream_bytes_per_s: 65_536,
+  readonly streamBytesPerS: number;
   /** Bytes of one message of the stream at most. */
-  message_bytes: 32_768,
+  readonly messageBytes: number;
   /** Bytes sent but not acknowledged, beyond which changes are dropped in favour of a snapshot. */
-  unacknowledged_bytes: 131_072,
+  readonly unacknowledgedBytes: number;
   /** ms that a controller that is told to stop may take to hand its roles over. */
-  handover_ms: 3000,
+  readonly handoverMs: number;
   /** File to which spans of takeovers are appended as JSON lines; empty: no tracing. */
-  trace_file: '',
+  readonly traceFile: string;
+}
+
+export const DEFAULT_STANDBY_SETTINGS: StandbySettings = {
+  enabled: false,
+  follow: false,
+  maxLagMs: 2000,
+  streamBytesPerS: 65_536,
+  messageBytes: 32_768,
+  unacknowledgedBytes: 131_072,
+  handoverMs: 3000,
+  traceFile: '',
 };
 
 const milliseconds = v.pipe(v.number(), v.integer(), v.minValue(1));
 const bytes = v.pipe(v.number(), v.integer(), v.minValue(1024));
 
-export const StandbySettingsSchema = v.strictObject({
-  enabled: v.optional(v.boolean(), DEFAULT_STANDBY_SETTINGS.enabled),
-  follow: v.optional(v.boolean(), DEFAULT_STANDBY_SETTINGS.follow),
-  max_lag_ms: v.optional(milliseconds, DEFAULT_STANDBY_SETTINGS.max_lag_ms),
-  stream_bytes_per_s: v.optional(bytes, DEFAULT_STANDBY_SETTINGS.stream_bytes_per_s),
-  message_bytes: v.optional(bytes, DEFAULT_STANDBY_SETTINGS.message_bytes),
-  unacknowledged_bytes: v.optional(bytes, DEFAULT_STANDBY_SETTINGS.unacknowledged_bytes),
-  handover_ms: v.optional(milliseconds, DEFAULT_STANDBY_SETTINGS.handover_ms),
-  trace_file: v.optional(v.string(), DEFAULT_STANDBY_SETTINGS.trace_file),
-});
-
-export type StandbySettings = v.InferOutput<typeof StandbySettingsSchema>;
+/** The table under the names of the tuning file, every field optional; parsed, it is the settings. */
+export const StandbySettingsSchema = v.pipe(
+  v.strictObject({
+    enabled: v.optional(v.boolean(), DEFAULT_STANDBY_SETTINGS.enabled),
+    follow: v.optional(v.boolean(), DEFAULT_STANDBY_SETTINGS.follow),
+    max_lag_ms: v.optional(milliseconds, DEFAULT_STANDBY_SETTINGS.maxLagMs),
+    stream_bytes_per_s: v.optional(bytes, DEFAULT_STANDBY_SETTINGS.streamBytesPerS),
+    message_bytes: v.optional(bytes, DEFAULT_STANDBY_SETTINGS.messageBytes),
+    unacknowledged_bytes: v.optional(bytes, DEFAULT_STANDBY_SETTINGS.unacknowledgedBytes),
+    handover_ms: v.optional(milliseconds, DEFAULT_STANDBY_SETTINGS.handoverMs),
+    trace_file: v.optional(v.string(), DEFAULT_STANDBY_SETTINGS.traceFile),
+  }),
+  v.transform((table): StandbySettings => ({
+    enabled: table.enabled,
+    follow: table.follow,
+    maxLagMs: table.max_lag_ms,
+    streamBytesPerS: table.stream_bytes_per_s,
+    messageBytes: table.message_bytes,
+    unacknowledgedBytes: table.unacknowledged_bytes,
+    handoverMs: table.handover_ms,
+    traceFile: table.trace_file,
+  })),
+);
 
 /** What the settings must be consistent with. */
 export interface StandbyBounds {
@@ -45,17 +66,16 @@
   linkMessageBytes: number;
 }
 
-/** The first field that contradicts another or the bounds, as `field: reason`; undefined: none does. */
+/** The first field that contradicts another or the bounds, as `field: reason` with the field's name in the tuning file; undefined: none does. */
 export function findContradiction(settings: StandbySettings, bounds: StandbyBounds): string | undefined {
   if (settings.follow && !settings.enabled) return 'follow: needs enabled = true';
   // Operators know this wording, and a test pins it: a hold is a store lease.
-  if (settings.max_lag_ms > bounds.storeLeaseTtlMs)
+  if (settings.maxLagMs > bounds.storeLeaseTtlMs)
     return `max_lag_ms: must not exceed the life of a hold, ${bounds.storeLeaseTtlMs}`;
-  if (settings.message_bytes > bounds.linkMessageBytes)
+  if (settings.messageBytes > bounds.linkMessageBytes)
     return `message_bytes: must not exceed what a link takes, ${bounds.linkMessageBytes}`;
-  if (settings.unacknowledged_bytes < settings.message_bytes)
+  if (settings.unacknowledgedBytes < settings.messageBytes)
     return 'unacknowledged_bytes: must not be below message_bytes';
-  if (settings.stream_bytes_per_s < settings.message_bytes)
-    return 'stream_bytes_per_s: must not be below message_bytes';
+  if (settings.streamBytesPerS < settings.messageBytes) return 'stream_bytes_per_s: must not be below message_bytes';
   return undefined;
 }
--- a/packages/standby/test/settings.test.ts
+++ b/packages/standby/test/settings.test.ts
@@ -1,11 +1,26 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { DEFAULT_STANDBY_SETTINGS, findContradiction } from '../src/index.js';
+import * as v from 'valibot';
+import { DEFAULT_STANDBY_SETTINGS, StandbySettingsSchema, findContradiction } from '../src/index.js';
 
 const BOUNDS = { storeLeaseTtlMs: 3000, linkMessageBytes: 1_000_000 };
 const fault = (fields: object) => findContradiction({ ...DEFAULT_STANDBY_SETTINGS, ...fields }, BOUNDS);
 
 describe('the settings of the warm standby', () => {
+  it('are read under the names of the tuning file, with defaults for those left out', () => {
+    assert.deepEqual(v.parse(StandbySettingsSchema, {}), DEFAULT_STANDBY_SETTINGS);
+    const table = {
+      ...{ enabled: true, follow: true, max_lag_ms: 1, stream_bytes_per_s: 1024, message_bytes: 1025 },
+      ...{ unacknowledged_bytes: 1026, handover_ms: 2, trace_file: 'spans.jsonl' },
+    };
+    const settings = {
+      ...{ enabled: true, follow: true, maxLagMs: 1, streamBytesPerS: 1024, messageBytes: 1025 },
+      ...{ unacknowledgedBytes: 1026, handoverMs: 2, traceFile: 'spans.jsonl' },
+    };
+    assert.deepEqual(v.parse(StandbySettingsSchema, table), settings);
+    assert.throws(() => v.parse(StandbySettingsSchema, settings));
+  });
+
   it('are consistent by default, on and off', () => {
     assert.equal(fault({}), undefined);
     assert.equal(fault({ enabled: true, follow: true }), undefined);
@@ -13,9 +28,9 @@
 
   it('are rejected by the name of the field that contradicts another', () => {
     assert.match(fault({ follow: true })!, /^follow:/);
-    assert.match(fault({ max_lag_ms: 3001 })!, /^max_lag_ms:/);
-    assert.match(fault({ message_bytes: 1_000_001 })!, /^message_bytes:/);
-    assert.match(fault({ unacknowledged_bytes: 2000 })!, /^unacknowledged_bytes:/);
-    assert.match(fault({ stream_bytes_per_s: 2000 })!, /^stream_bytes_per_s:/);
+    assert.match(fault({ maxLagMs: 3001 })!, /^max_lag_ms:/);
+    assert.match(fault({ messageBytes: 1_000_001 })!, /^message_bytes:/);
+    assert.match(fault({ unacknowledgedBytes: 2000 })!, /^unacknowledged_bytes:/);
+    assert.match(fault({ streamBytesPerS: 2000 })!, /^stream_bytes_per_s:/);
   });
 });
--- a/src/config/settings-file-codec.ts
+++ b/src/config/settings-file-codec.ts
@@ -1,5 +1,5 @@
 /** The platform's settings (JSON) and the operators' (TOML) as they stand in the files, and their translation. */
-import { DEFAULT_STANDBY_SETTINGS, StandbySettingsSchema } from '@dewlatch/standby';
+import { StandbySettingsSchema } from '@dewlatch/standby';
 import * as v from 'valibot';
 import { DEFAULT_TUNING } from '../constants/scheduling.js';
 import type { ServiceLevelObjective, Settings, StoreLimits, StoreSettings, WorkerTimings } from '../domain/settings.js';
@@ -77,7 +77,7 @@
   check_s: v.optional(positive, DEFAULT_TUNING.check_s),
   moves_per_round: v.optional(v.pipe(v.number(), v.integer(), v.minValue(0)), DEFAULT_TUNING.moves_per_round),
   image_bonus: v.optional(share, DEFAULT_TUNING.image_bonus),
-  standby: v.optional(StandbySettingsSchema, DEFAULT_STANDBY_SETTINGS),
+  standby: v.optional(StandbySettingsSchema, {}),
 });
 
 export type SettingsFile = v.InferOutput<typeof SettingsFileSchema>;
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -246,7 +246,7 @@
         clock,
         log,
         send: (node, message) => this.send(node, message),
-        tracer: loadTracer(tuning.standby.trace_file, settings.node, clock, log),
+        tracer: loadTracer(tuning.standby.traceFile, settings.node, clock, log),
       });
       this.leadership.succession = this.standby;
     }
@@ -348,7 +348,7 @@
       log,
     );
     this.handover = new Handover({
-      limitMs: tuning.standby.handover_ms,
+      limitMs: tuning.standby.handoverMs,
       leadership: this.leadership,
       workerManager: this.workerManager,
       gossip: this.gossipSender,
--- a/src/leadership/advisory-stream.ts
+++ b/src/leadership/advisory-stream.ts
@@ -37,9 +37,9 @@
   constructor(private readonly dependencies: AdvisoryStreamDependencies) {
     const { node, incarnation, standby, advisoryLog, clock } = dependencies;
     const limits = {
-      bytesPerSecond: standby.stream_bytes_per_s,
-      messageBytes: standby.message_bytes,
-      unacknowledgedBytes: standby.unacknowledged_bytes,
+      bytesPerSecond: standby.streamBytesPerS,
+      messageBytes: standby.messageBytes,
+      unacknowledgedBytes: standby.unacknowledgedBytes,
       followerTimeoutMs: FOLLOWER_TIMEOUT_MS,
     };
     this.sender = new StreamSender({ node, incarnation, log: advisoryLog, limits, now: () => clock.now() });
@@ -73,7 +73,7 @@
     const { node: ownNode, incarnation, standby, clock } = this.dependencies;
     for (const node of nodes) {
       if (!this.followers.has(node)) {
-        const follower = new StreamFollower(ownNode, incarnation, standby.max_lag_ms, () => clock.now());
+        const follower = new StreamFollower(ownNode, incarnation, standby.maxLagMs, () => clock.now());
         this.followers.set(node, follower);
       }
       this.request(node);
