--- a/packages/standby/src/advisory-log.ts
+++ b/packages/standby/src/advisory-log.ts
@@ -17,7 +17,7 @@
   readonly removals: number;
 }
 
-export const DEFAULT_ADVISORY_LIMITS: AdvisoryLimits = { entries: 4096, removals: 1024 };
+const DEFAULT_ADVISORY_LIMITS: AdvisoryLimits = { entries: 4096, removals: 1024 };
 
 /** Key of an entry: its kind and name, separated by a space, which no kind contains. */
 export const advisoryKeyOf = (kind: AdvisoryKind, name: string): string => `${kind} ${name}`;
--- a/packages/standby/src/follow-throttle.ts
+++ b/packages/standby/src/follow-throttle.ts
@@ -17,7 +17,7 @@
 }
 
 /** On a twentieth of a core a request may take 100 ms; more than a quarter of a second is a queue. */
-export const DEFAULT_FOLLOW_THROTTLE_LIMITS: FollowThrottleLimits = {
+const DEFAULT_FOLLOW_THROTTLE_LIMITS: FollowThrottleLimits = {
   lateThresholdMs: 250,
   lateTicksToThrottle: 3,
   timelyTicksToRecover: 40,
--- a/packages/standby/src/index.ts
+++ b/packages/standby/src/index.ts
@@ -1,13 +1,28 @@
 /** Warm standby of controllers: who succeeds whom, what a successor follows, and when it may act. See docs/standby.md. */
-export * from './advisory-log.js';
-export * from './follow-throttle.js';
-export * from './outbound-calls.js';
-export * from './pause-guard.js';
-export * from './settings.js';
-export * from './stream-follower.js';
-export * from './stream-messages.js';
-export * from './stream-sender.js';
-export * from './succession.js';
-export * from './takeover-barrier.js';
-export * from './takeover-timeline.js';
-export * from './takeover-tracer.js';
+export { AdvisoryLog } from './advisory-log.js';
+export { FollowThrottle, type FollowStage } from './follow-throttle.js';
+export { maySend, stalenessGuardOf, type OutboundCall } from './outbound-calls.js';
+export { PauseGuard } from './pause-guard.js';
+export {
+  DEFAULT_STANDBY_SETTINGS,
+  StandbySettingsSchema,
+  findContradiction,
+  type StandbyBounds,
+  type StandbySettings,
+} from './settings.js';
+export { StreamFollower, type BatchOutcome } from './stream-follower.js';
+export {
+  ADVISORY_KINDS,
+  batchBytes,
+  type AdvisoryEntry,
+  type AdvisoryKind,
+  type FollowRequest,
+  type SentEntry,
+  type StreamBatch,
+  type StreamMessage,
+} from './stream-messages.js';
+export { StreamSender, type StreamLimits, type StreamStatus } from './stream-sender.js';
+export { designateSuccessor, type Candidate } from './succession.js';
+export { TakeoverBarrier, type BarrierOutcome, type BarrierReason } from './takeover-barrier.js';
+export { TakeoverTimeline, stepDurations, type TakeoverReport } from './takeover-timeline.js';
+export { NO_TRACER, type TakeoverTracer, type TracingModule } from './takeover-tracer.js';
--- a/packages/standby/src/takeover-barrier.ts
+++ b/packages/standby/src/takeover-barrier.ts
@@ -23,7 +23,7 @@
   readonly replicaRevision: number;
 }
 
-export const OPEN: BarrierOutcome = { kind: 'open' };
+const OPEN: BarrierOutcome = { kind: 'open' };
 
 const closed = (reason: BarrierReason): BarrierOutcome => ({ kind: 'closed', reason });
 
--- a/src/leadership/role-transactions.ts
+++ b/src/leadership/role-transactions.ts
@@ -54,7 +54,10 @@
     });
   }
 
-  /** `isRecordOwn`: the record must be under this process's lease; else there must be none, or a former incarnation's. */
+  /**
+   * `isRecordOwn`: the record must be under this process's lease; else there must be none, or a former incarnation's.
+   * `onWritten` runs in the same step in which the role stops being acquired, so no check finds it neither held nor on its way.
+   */
   private async writeRecord(role: string, isRecordOwn: boolean, onWritten: (revision: number) => void): Promise<void> {
     const { node, heldRoles, transactions } = this.dependencies;
     const leaseId = heldRoles.storeLeaseId;
--- a/src/leadership/store-lease-renewal.ts
+++ b/src/leadership/store-lease-renewal.ts
@@ -10,7 +10,7 @@
   client: StoreClient;
   heldRoles: HeldRoles;
   succession: () => SuccessionPolicy;
-  /** Called each time the store has confirmed the lease; the renewal is over when it is. */
+  /** Called in the same step in which the store has confirmed the lease; the renewal ends with it. */
   leaseConfirmed: () => Promise<void>;
   clock: Clock;
   log: Log;
