--- a/packages/standby/src/tracing.ts
+++ b/packages/standby/src/tracing.ts
@@ -1,6 +1,6 @@
 /**
- * Takeovers as OpenTelemetry traces, one a takeover across both nodes: the trace is named by the role and the former claim, which
- * both know, so nothing has to be sent. A module of its own, loaded only where tracing is on.
+ * Takeovers as OpenTelemetry traces, one a takeover across both nodes: the trace id is computed from the role and the former
+ * fencing token, which both know, so nothing has to be sent. A module of its own, loaded only where tracing is on.
  */
 import { createHash } from 'node:crypto';
 import { appendFileSync } from 'node:fs';
@@ -12,7 +12,7 @@
   type SpanExporter,
 } from '@opentelemetry/sdk-trace-base';
 import type { TakeoverReport, TakeoverStep } from './takeover-timeline.js';
-import type { RoleLoss, TakeoverTracer } from './takeover-tracer.js';
+import type { LeadershipLoss, TakeoverTracer } from './takeover-tracer.js';
 
 const TRACE_ID_DIGITS = 32;
 const SPAN_ID_DIGITS = 16;
@@ -57,7 +57,7 @@
 
 const toMilliseconds = ([seconds, nanoseconds]: HrTime): number => seconds * 1000 + nanoseconds / 1e6;
 
-/** The context under which both nodes put their spans of one takeover. */
+/** The parent context of both nodes' spans of one takeover. */
 function contextOf(role: string, formerFencingToken: number): Context {
   const digest = createHash('sha256').update(`${role} ${formerFencingToken}`).digest('hex');
   return trace.setSpanContext(ROOT_CONTEXT, {
@@ -68,13 +68,13 @@
   });
 }
 
-/** From which step to which each span of a takeover goes; the first begins with the last word of the former holder. */
+/** The steps between which each span lies; the first begins when the former leader was last heard from. */
 const SPANS: readonly { name: string; from: TakeoverStep | undefined; to: TakeoverStep }[] = [
   { name: 'detection', from: undefined, to: 'vacant' },
-  { name: 'claim', from: 'vacant', to: 'claimed' },
-  { name: 'records complete', from: 'claimed', to: 'records_complete' },
-  { name: 'first worker answered', from: 'claimed', to: 'worker_answered' },
-  { name: 'first decision', from: 'claimed', to: 'decided' },
+  { name: 'acquisition', from: 'vacant', to: 'acquired' },
+  { name: 'records complete', from: 'acquired', to: 'records_complete' },
+  { name: 'first worker answered', from: 'acquired', to: 'worker_answered' },
+  { name: 'first decision', from: 'acquired', to: 'decided' },
 ];
 
 class OpenTelemetryTracer implements TakeoverTracer {
@@ -90,31 +90,35 @@
     this.tracer = new BasicTracerProvider({ spanProcessors }).getTracer('dewlatch.standby');
   }
 
-  takenOver(report: TakeoverReport): void {
-    const { role, former, formerFencingToken, steps } = report;
+  takeoverFinished(report: TakeoverReport): void {
+    const { role, formerLeader, formerFencingToken, steps } = report;
     const vacantAt = steps.get('vacant')!;
-    const begin = Number.isFinite(report.lastHeardAt) ? report.lastHeardAt : vacantAt;
+    const begin = Number.isFinite(report.lastSeenAt) ? report.lastSeenAt : vacantAt;
     const end = Math.max(...steps.values());
-    const attributes = { role, former, formerFencingToken };
-    const whole = this.tracer.startSpan(
+    const attributes = { role, formerLeader, formerFencingToken };
+    const takeoverSpan = this.tracer.startSpan(
       'takeover',
       { startTime: this.wallOf(begin), attributes },
       contextOf(role, formerFencingToken),
     );
-    const inside = trace.setSpan(ROOT_CONTEXT, whole);
+    const takeoverContext = trace.setSpan(ROOT_CONTEXT, takeoverSpan);
     for (const { name, from, to } of SPANS) {
       const startAt = from === undefined ? begin : steps.get(from);
       const endAt = steps.get(to);
       if (startAt === undefined || endAt === undefined) continue;
-      this.tracer.startSpan(name, { startTime: this.wallOf(startAt) }, inside).end(this.wallOf(endAt));
+      this.tracer.startSpan(name, { startTime: this.wallOf(startAt) }, takeoverContext).end(this.wallOf(endAt));
     }
-    whole.end(this.wallOf(end));
+    takeoverSpan.end(this.wallOf(end));
   }
 
-  lost(loss: RoleLoss): void {
-    const { role, fencingToken, confirmedAt, noticedAt } = loss;
-    const startTime = this.wallOf(confirmedAt);
-    const span = this.tracer.startSpan('role lost', { startTime, attributes: { role } }, contextOf(role, fencingToken));
+  leadershipLost(loss: LeadershipLoss): void {
+    const { role, fencingToken, leaseConfirmedAt, noticedAt } = loss;
+    const startTime = this.wallOf(leaseConfirmedAt);
+    const span = this.tracer.startSpan(
+      'leadership lost',
+      { startTime, attributes: { role } },
+      contextOf(role, fencingToken),
+    );
     span.end(this.wallOf(noticedAt));
   }
 }
--- a/src/controller/standby-parts.ts
+++ b/src/controller/standby-parts.ts
@@ -16,7 +16,7 @@
 export function createStandby(environment: Environment, needs: StandbyNeeds): Standby | undefined {
   const { settings, tuning, clock, log } = environment;
   if (!tuning.standby.enabled) return undefined;
-  const tracer = loadTracer(tuning.standby.trace_file, settings.node, clock, log);
+  const tracer = loadTracer(tuning.standby.traceFile, settings.node, clock, log);
   const standby = new Standby({ ...environment, ...needs, standby: tuning.standby, tracer });
   needs.leadership.succession = standby;
   return standby;
@@ -28,4 +28,4 @@
   { workerManager }: WorkerParts,
   { sender }: GossipParts,
 ): Handover =>
-  new Handover({ limitMs: tuning.standby.handover_ms, leadership, workerManager, gossip: sender, clock, log });
+  new Handover({ limitMs: tuning.standby.handoverMs, leadership, workerManager, gossip: sender, clock, log });
