--- a/src/inventory/machine-inventory.ts
+++ b/src/inventory/machine-inventory.ts
@@ -103,7 +103,7 @@
       isSpot: worker.isSpot,
       agentEpoch: worker.agentEpoch,
       sequence: worker.sequence,
-      heardAt: worker.reportedAt,
+      heardAt: worker.lastHeartbeatAt,
       spotNoticeUntil: worker.spotNoticeUntil,
       isQuarantined: worker.isQuarantined(now),
       isBackingOff: now < worker.backoffUntil,
--- a/src/leadership/role-rebalancer.ts
+++ b/src/leadership/role-rebalancer.ts
@@ -15,7 +15,7 @@
 
 /** The workers that have reported to this node, with the steady ms. */
 export interface PartitionWorkers {
-  ofPartition(partition: number): Iterable<{ machineId: string; reportedAt: number }>;
+  ofPartition(partition: number): Iterable<{ machineId: string; lastHeartbeatAt: number }>;
 }
 
 export interface RoleRebalancerDependencies {
@@ -55,10 +55,10 @@
     const now = clock.now();
     const limit = silenceLimitMs(settings.cluster.workers);
     const known = [...workers.ofPartition(partition)];
-    const silent = known.filter((worker) => now - worker.reportedAt > limit);
+    const silent = known.filter((worker) => now - worker.lastHeartbeatAt > limit);
     if (silent.length < LEAST_SILENT_WORKERS || silent.length <= known.length * SELF_SUSPECT_SHARE) return false;
     const seenElsewhere = silent.filter((worker) =>
-      peerDirectory.hasReportedElsewhere(worker.machineId, worker.reportedAt),
+      peerDirectory.hasReportedElsewhere(worker.machineId, worker.lastHeartbeatAt),
     );
     return seenElsewhere.length * 2 > silent.length;
   }
--- a/src/workers/exit-recorder.ts
+++ b/src/workers/exit-recorder.ts
@@ -42,15 +42,15 @@
   constructor(private readonly dependencies: ExitRecorderDependencies) {}
 
   /** Frees a place; `proofNow` is asked again whenever the decision is tried, and gives the proof that it is taken on. */
-  record(machineId: string, role: string, free: PlacementRelease, proofNow: () => Proof | undefined): void {
-    const key = attemptKeyOf(free.placedTask);
+  record(machineId: string, role: string, release: PlacementRelease, proofNow: () => Proof | undefined): void {
+    const key = attemptKeyOf(release.placedTask);
     if (this.recording.has(key)) return;
     this.recording.add(key);
     const worker = this.dependencies.workers.get(machineId);
-    this.logExit(machineId, worker, free);
-    if (worker !== undefined) this.noteExit(worker, free);
-    this.noteDeath(free);
-    void this.commit(machineId, role, free, proofNow).finally(() => this.recording.delete(key));
+    this.logExit(machineId, worker, release);
+    if (worker !== undefined) this.updateWorker(worker, release);
+    this.reportDeath(release);
+    void this.commit(machineId, role, release, proofNow).finally(() => this.recording.delete(key));
   }
 
   private commit(
@@ -78,22 +78,22 @@
     );
   }
 
-  private noteExit(worker: Worker, { placedTask, ending, task }: PlacementRelease): void {
+  private updateWorker(worker: Worker, { placedTask, ending, task }: PlacementRelease): void {
     const { settings, stragglers, events, clock } = this.dependencies;
     const now = clock.now();
-    const began = worker.runningSince.get(attemptKeyOf(placedTask));
+    const startedAt = worker.runningSince.get(attemptKeyOf(placedTask));
     if (task !== undefined && (ending === 'done' || ending === 'failed'))
-      worker.noteExit(placedTask.jobId, ending, now);
+      worker.recordExit(placedTask.jobId, ending, now);
     if (task?.exitReason === 'insufficient_resources' || task?.exitReason === 'already_present') {
       worker.backoffUntil = now + settings.cluster.workers.heartbeatIntervalMs;
     }
-    if (ending === 'done' && began !== undefined) {
-      events.completed(placedTask, (now - began) / 1000);
-      stragglers.compareWithSiblings(worker, placedTask, now - began);
+    if (ending === 'done' && startedAt !== undefined) {
+      events.completed(placedTask, (now - startedAt) / 1000);
+      stragglers.compareWithSiblings(worker, placedTask, now - startedAt);
     }
   }
 
-  private noteDeath({ placedTask, ending }: PlacementRelease): void {
+  private reportDeath({ placedTask, ending }: PlacementRelease): void {
     const { clusterState, events } = this.dependencies;
     const isStopped =
       placedTask.placement.gracePeriodS !== null || clusterState.jobs.get(placedTask.jobId)?.record.state !== 'active';
@@ -104,7 +104,7 @@
     const { clock, log } = this.dependencies;
     const key = attemptKeyOf(placedTask);
     const now = clock.now();
-    const began = worker?.runningSince.get(key);
+    const startedAt = worker?.runningSince.get(key);
     const seconds = (ms: number | undefined) => (ms === undefined ? undefined : Math.round(ms / 100) / 10);
     log.debug(
       {
@@ -113,8 +113,8 @@
         attempt: placedTask.placement.attempt,
         proof: proof.kind,
         exitReason: task?.exitReason,
-        fetchedS: seconds(began === undefined ? undefined : began - (worker?.firstSeen.get(key) ?? began)),
-        ranS: seconds(began === undefined ? undefined : now - began),
+        fetchedS: seconds(startedAt === undefined ? undefined : startedAt - (worker?.firstSeen.get(key) ?? startedAt)),
+        ranS: seconds(startedAt === undefined ? undefined : now - startedAt),
       },
       'task over',
     );
--- a/src/workers/reconciliation.ts
+++ b/src/workers/reconciliation.ts
@@ -75,64 +75,65 @@
   rights: CommandRights,
 ): ReconciliationPlan {
   const plan: ReconciliationPlan = { commands: [], releases: [], needsNewToken: false };
-  for (const [name, task] of worker.tasks) {
-    const want = desired.get(name);
-    const placement = want?.placedTask.placement;
+  for (const [taskId, task] of worker.tasks) {
+    const desiredTask = desired.get(taskId);
+    const placement = desiredTask?.placedTask.placement;
     const isWanted =
-      want !== undefined && placement?.attempt === task.attempt && placement.agentEpoch === worker.agentEpoch;
-    if (isWanted) stopIfUnwanted(plan, name, task, want);
-    else removeStray(plan, worker, name, task, rights);
+      desiredTask !== undefined && placement?.attempt === task.attempt && placement.agentEpoch === worker.agentEpoch;
+    if (isWanted) stopIfUnwanted(plan, taskId, task, desiredTask);
+    else removeStray(plan, worker, taskId, task, rights);
   }
   const launches: WorkerCommand[] = [];
-  for (const [name, want] of desired) {
-    const free = findProof(worker, want, rights.fencingToken);
-    if (free !== undefined) plan.releases.push(free);
-    else if (isMissing(worker, name, want)) launchOrExclude(plan, launches, worker, name, want, rights);
+  for (const [taskId, desiredTask] of desired) {
+    const release = findProof(worker, desiredTask, rights.fencingToken);
+    if (release !== undefined) plan.releases.push(release);
+    else if (isMissing(worker, taskId, desiredTask))
+      launchOrExclude(plan, launches, worker, taskId, desiredTask, rights);
   }
   plan.commands.push(...launches);
   return plan;
 }
 
 /** A place of the worker's present session, of which its last report shows nothing. */
-function isMissing(worker: Worker, name: string, { placedTask: { placement } }: DesiredTask): boolean {
-  return placement.agentEpoch === worker.agentEpoch && worker.tasks.get(name)?.attempt !== placement.attempt;
+function isMissing(worker: Worker, taskId: string, { placedTask: { placement } }: DesiredTask): boolean {
+  return placement.agentEpoch === worker.agentEpoch && worker.tasks.get(taskId)?.attempt !== placement.attempt;
 }
 
 function stopIfUnwanted(
   plan: ReconciliationPlan,
-  name: string,
+  taskId: string,
   task: ReportedTask,
   { placedTask, isCancelled }: DesiredTask,
 ): void {
   const gracePeriodS = isCancelled ? 0 : placedTask.placement.gracePeriodS;
   if (task.state === 'exited' || gracePeriodS === null || (task.state === 'checkpointing' && gracePeriodS > 0)) return;
-  plan.commands.push({ kind: 'kill', taskId: name, attempt: task.attempt, gracePeriodS });
+  plan.commands.push({ kind: 'kill', taskId, attempt: task.attempt, gracePeriodS });
 }
 
 /** The ledger gives the task no place here: it is killed, and its exit forgotten. */
 function removeStray(
   plan: ReconciliationPlan,
   worker: Worker,
-  name: string,
+  taskId: string,
   task: ReportedTask,
   rights: CommandRights,
 ): void {
   if (!rights.knowsAllPlacements) return;
   if (task.state !== 'exited') {
-    plan.commands.push({ kind: 'kill', taskId: name, attempt: task.attempt, gracePeriodS: 0 });
+    plan.commands.push({ kind: 'kill', taskId, attempt: task.attempt, gracePeriodS: 0 });
     return;
   }
   if (!rights.isHeartbeatAnswer) return;
   // Late copies of a launch restart a forgotten task: first it must be certain that none is left.
-  if (worker.unansweredLaunches.has(`${name}#${task.attempt}`)) plan.needsNewToken = true;
-  else plan.commands.push({ kind: 'forget', taskId: name, attempt: task.attempt });
+  if (worker.unansweredLaunches.has(`${taskId}#${task.attempt}`)) plan.needsNewToken = true;
+  else plan.commands.push({ kind: 'forget', taskId, attempt: task.attempt });
 }
 
 function launchOrExclude(
   plan: ReconciliationPlan,
   launches: WorkerCommand[],
   worker: Worker,
-  name: string,
+  taskId: string,
   { placedTask, isCancelled }: DesiredTask,
   rights: CommandRights,
 ): void {
@@ -142,9 +143,9 @@
     return;
   }
   // Another attempt still there refuses this one (`in_use`): it is killed or forgotten first.
-  const present = worker.tasks.get(name);
+  const present = worker.tasks.get(taskId);
   const isClear = present === undefined || present.state === 'exited';
-  if (rights.canLaunch && isClear) launches.push({ kind: 'launch', taskId: name, attempt: placement.attempt });
+  if (rights.canLaunch && isClear) launches.push({ kind: 'launch', taskId, attempt: placement.attempt });
 }
 
 export const attemptKeyOfCommand = (command: WorkerCommand): string => `${command.taskId}#${command.attempt}`;
--- a/src/workers/straggler-detector.ts
+++ b/src/workers/straggler-detector.ts
@@ -20,17 +20,17 @@
   ) {}
 
   /** How long the finished tasks of a job ran on this node's machines. */
-  private readonly siblings = new Map<string, { count: number; meanMs: number }>();
+  private readonly finishedRunTimes = new Map<string, { count: number; meanMs: number }>();
 
   compareWithSiblings(worker: Worker, placedTask: PlacedTask, ranMs: number): void {
     // A task that goes on from a checkpoint has less left to run, and says nothing about others.
     if (placedTask.placement.attempt > 1) return;
-    const known = this.siblings.get(placedTask.jobId) ?? { count: 0, meanMs: 0 };
+    const known = this.finishedRunTimes.get(placedTask.jobId) ?? { count: 0, meanMs: 0 };
     if (known.count >= SIBLINGS_KNOWN && this.isHalfDone(placedTask.jobId)) {
-      worker.noteRunTimeRatio(attemptKeyOf(placedTask), ranMs / known.meanMs, this.clock.now());
+      worker.recordRunTimeRatio(attemptKeyOf(placedTask), ranMs / known.meanMs, this.clock.now());
     }
     const count = known.count + 1;
-    this.siblings.set(placedTask.jobId, { count, meanMs: known.meanMs + (ranMs - known.meanMs) / count });
+    this.finishedRunTimes.set(placedTask.jobId, { count, meanMs: known.meanMs + (ranMs - known.meanMs) / count });
   }
 
   /** The first to finish are the short ones: compared with them alone, the other half would all seem slow. */
@@ -44,28 +44,29 @@
     const now = this.clock.now();
     for (const [key, since] of worker.runningSince) {
       const jobId = key.slice(0, key.lastIndexOf('/'));
-      const known = this.siblings.get(jobId);
+      const known = this.finishedRunTimes.get(jobId);
       if (known === undefined || known.count < SIBLINGS_KNOWN || !key.endsWith('#1') || !this.isHalfDone(jobId))
         continue;
       if (now - since > STRAGGLER_FACTOR * known.meanMs)
-        worker.noteRunTimeRatio(key, (now - since) / known.meanMs, now);
+        worker.recordRunTimeRatio(key, (now - since) / known.meanMs, now);
     }
   }
 
   /** Starts anew elsewhere what would take longer to end on a slow machine; services move by their happiness only. */
   evictFromSlowMachines(workers: Iterable<Worker>, roleOf: (machineId: string) => string): void {
-    for (const jobId of this.siblings.keys()) if (!this.clusterState.jobs.has(jobId)) this.siblings.delete(jobId);
+    for (const jobId of this.finishedRunTimes.keys())
+      if (!this.clusterState.jobs.has(jobId)) this.finishedRunTimes.delete(jobId);
     if (!this.leadership.isInTouchWithStore) return;
     const now = this.clock.now();
-    for (const worker of workers) if (worker.isSlow(now)) this.relieveOne(worker, roleOf(worker.machineId), now);
+    for (const worker of workers) if (worker.isSlow(now)) this.evictSlowTasks(worker, roleOf(worker.machineId), now);
   }
 
-  private relieveOne(worker: Worker, role: string, now: number): void {
+  private evictSlowTasks(worker: Worker, role: string, now: number): void {
     for (const placedTask of [...this.clusterState.tasksOn(worker.machineId)]) {
       const spec = this.clusterState.jobs.get(placedTask.jobId)?.record.spec;
       const key = attemptKeyOf(placedTask);
       const since = worker.runningSince.get(key);
-      const mean = this.siblings.get(placedTask.jobId)?.meanMs ?? (spec?.estimatedRunS ?? 0) * 1000;
+      const mean = this.finishedRunTimes.get(placedTask.jobId)?.meanMs ?? (spec?.estimatedRunS ?? 0) * 1000;
       if (spec?.kind !== 'array' || placedTask.placement.gracePeriodS !== null || since === undefined) continue;
       if (now - since > EVICT_STRAGGLER_FACTOR * mean || worker.evictedAttempts.has(key)) continue;
       worker.evictedAttempts.add(key);
--- a/src/workers/worker-manager.ts
+++ b/src/workers/worker-manager.ts
@@ -41,7 +41,10 @@
 import type { Log } from '../logging/log.js';
 
 /** The session's lease is over, as this node knows by itself. */
-const leaseProof = (placedTask: PlacedTask): Proof => ({ kind: 'lease', agentEpoch: placedTask.placement.agentEpoch });
+const expiryProof = (placedTask: PlacedTask): Proof => ({
+  kind: 'lease',
+  agentEpoch: placedTask.placement.agentEpoch,
+});
 
 /** What an owner does for the workers of its partitions: answers reports, sends commands, records exits, proves leases over. */
 export class WorkerManager {
@@ -58,11 +61,11 @@
   private readonly exits: ExitRecorder;
   private readonly stragglers: StragglerDetector;
   /** Steady ms of the next push to each machine. */
-  private readonly pushes = new Map<string, number>();
-  private announcing = 0;
+  private readonly sendsDueAt = new Map<string, number>();
+  private announcementsInFlight = 0;
   private isDraining = false;
   private readonly tokenAnnouncedAt = new Map<string, number>();
-  private readonly raisedAt = new Map<string, number>();
+  private readonly advancedAt = new Map<string, number>();
 
   constructor(dependencies: WorkerManagerDependencies) {
     const { settings, leadership, replica, clusterState, transactions, http, clock, events, log } = dependencies;
@@ -84,11 +87,11 @@
   }
 
   isSilent(worker: Worker, now: number): boolean {
-    return now - worker.reportedAt > SILENT_HEARTBEATS * this.settings.cluster.workers.heartbeatIntervalMs;
+    return now - worker.lastHeartbeatAt > SILENT_HEARTBEATS * this.settings.cluster.workers.heartbeatIntervalMs;
   }
 
-  /** Answers a report; `door` is the node that passed it on, if one did. */
-  handleHeartbeat(workerStatus: WorkerStatus, door?: string): HeartbeatOutcome {
+  /** Answers a report; `forwardedBy` is the node that passed it on, if one did. */
+  handleHeartbeat(workerStatus: WorkerStatus, forwardedBy?: string): HeartbeatOutcome {
     // A late copy of a machine's that is gone: it must not bring the machine back to life.
     if (this.events.isTerminated(workerStatus.machineId))
       return { kind: 'redirected', node: undefined, canForward: false };
@@ -99,7 +102,7 @@
     // would be dropped, and would keep the worker here while its lease runs out.
     if (held === undefined || workerStatus.fencingToken > held.fencingToken)
       return this.redirect(workerStatus, role, now);
-    const worker = this.workers.get(workerStatus.machineId) ?? this.registerWorker(workerStatus, role);
+    const worker = this.workers.get(workerStatus.machineId) ?? this.addWorker(workerStatus, role);
     // A late copy was sent before the newest report that is known: its answer makes no lease any longer.
     if (worker.isLate(workerStatus)) return { kind: 'answered', fencingToken: held.fencingToken, commands: [] };
     const newSession = workerStatus.agentEpoch > worker.agentEpoch && worker.agentEpoch > 0;
@@ -112,20 +115,26 @@
     if (this.mustExpire(worker, workerStatus, held, desired, now))
       return { kind: 'unavailable', error: 'no new token' };
     this.events.workerAnswered(role);
-    worker.noteAnswer(workerStatus, held.fencingToken, door, heartbeatLateMs(this.settings.cluster.workers), now);
+    worker.recordAnswer(
+      workerStatus,
+      held.fencingToken,
+      forwardedBy,
+      heartbeatLateMs(this.settings.cluster.workers),
+      now,
+    );
     // A report that crossed a newer answer of `/commands` is no late copy: the worker waits for its answer.
     worker.applyStatus(workerStatus, now, true);
-    this.noteImages(worker);
+    this.recordImages(worker);
     this.events.heartbeatReceived(workerStatus);
     this.stragglers.checkRunning(worker);
-    const plan = reconcile(worker, desired, this.rights(held, true));
-    this.carryOut(worker, role, plan);
+    const plan = reconcile(worker, desired, this.rightsOf(held, true));
+    this.applyPlan(worker, role, plan);
     const commands = this.encodeAnswer(worker, plan.commands, workerStatus.sequence);
     return { kind: 'answered', fencingToken: held.fencingToken, commands };
   }
 
   /** A worker that is heard for the first time. */
-  private registerWorker(workerStatus: WorkerStatus, role: string): Worker {
+  private addWorker(workerStatus: WorkerStatus, role: string): Worker {
     const worker = new Worker(workerStatus.machineId);
     for (const image of this.events.knownImages(workerStatus.machineId)) worker.images.set(image, 0);
     this.workers.add(worker);
@@ -205,7 +214,7 @@
       return { kind: 'unavailable', error: 'not entitled' };
     // Copies of reports come late, by a lease and more: they are no sign of life, and nobody waits for their answer.
     if (this.events.isLate(workerStatus)) return { kind: 'redirected', node: partitionLeader, canForward: false };
-    const canForward = this.misroutedWorkers.note(
+    const canForward = this.misroutedWorkers.recordHeartbeat(
       workerStatus,
       this.clusterState.leadershipRecords.get(role)?.modRevision,
       now,
@@ -213,7 +222,7 @@
     return { kind: 'redirected', node: partitionLeader, canForward };
   }
 
-  private rights(held: HeldLeadership, isHeartbeatAnswer: boolean): CommandRights {
+  private rightsOf(held: HeldLeadership, isHeartbeatAnswer: boolean): CommandRights {
     // What the former owner freed, and its worker has forgotten, starts again unless it is known here.
     const knowsAllPlacements = this.replica.revision >= held.term.startRevision;
     return {
@@ -227,72 +236,72 @@
   private desiredOn(machineId: string): Map<string, DesiredTask> {
     const desired = new Map<string, DesiredTask>();
     for (const placedTask of this.clusterState.tasksOn(machineId))
-      desired.set(taskIdOfPlaced(placedTask), this.desiredAt(placedTask));
+      desired.set(taskIdOfPlaced(placedTask), this.desiredTaskOf(placedTask));
     return desired;
   }
 
-  private desiredAt(placedTask: PlacedTask): DesiredTask {
+  private desiredTaskOf(placedTask: PlacedTask): DesiredTask {
     const record = this.clusterState.jobs.get(placedTask.jobId)?.record;
     return { placedTask, isCancelled: record?.state === 'cancelled', isInGang: record?.spec.kind === 'gang' };
   }
 
-  private noteImages(worker: Worker): void {
+  private recordImages(worker: Worker): void {
     for (const [name, task] of worker.tasks) {
       if (task.state === 'fetching') continue;
       const jobId = parseTaskId(name)?.jobId;
       const spec = jobId === undefined ? undefined : this.clusterState.jobs.get(jobId)?.record.spec;
       if (spec === undefined || (task.state === 'exited' && task.exitReason !== 'done')) continue;
       if (worker.markImageNoted(`${name}#${task.attempt}`))
-        worker.noteImage(spec.image, spec.imageGb, this.events.cacheGb(worker.machineType));
+        worker.addImage(spec.image, spec.imageGb, this.events.cacheGb(worker.machineType));
     }
   }
 
-  private carryOut(worker: Worker, role: string, plan: ReconciliationPlan): void {
-    for (const free of plan.releases) this.recordExit(worker.machineId, role, free);
+  private applyPlan(worker: Worker, role: string, plan: ReconciliationPlan): void {
+    for (const release of plan.releases) this.recordExit(worker.machineId, role, release);
     if (plan.needsNewToken) this.advanceFencingToken(role);
   }
 
-  private recordExit(machineId: string, role: string, free: PlacementRelease): void {
-    this.exits.record(machineId, role, free, () => this.proofNow(machineId, role, free.placedTask));
+  private recordExit(machineId: string, role: string, release: PlacementRelease): void {
+    this.exits.record(machineId, role, release, () => this.currentProof(machineId, role, release.placedTask));
   }
 
   /** Raising costs a change and a report of every worker, so it is done rarely. */
   private advanceFencingToken(role: string): void {
     const now = this.clock.now();
-    if (now - (this.raisedAt.get(role) ?? -Infinity) < TOKEN_ADVANCE_PAUSE_MS || !this.leadership.isInTouchWithStore)
+    if (now - (this.advancedAt.get(role) ?? -Infinity) < TOKEN_ADVANCE_PAUSE_MS || !this.leadership.isInTouchWithStore)
       return;
-    this.raisedAt.set(role, now);
+    this.advancedAt.set(role, now);
     void this.leadership.advanceFencingToken(role);
   }
 
   /** The ledger of a machine has changed: tell its worker soon, without waiting for its next report. */
   pushCommands(machineId: string, gatherMs = PUSH_GATHER_MS): void {
     const due = this.clock.now() + gatherMs;
-    if ((this.pushes.get(machineId) ?? Infinity) <= due) return;
-    this.pushes.set(machineId, due);
+    if ((this.sendsDueAt.get(machineId) ?? Infinity) <= due) return;
+    this.sendsDueAt.set(machineId, due);
     void this.clock.sleep(gatherMs).then(() => {
       // A push that could not wait has been quicker, or stands in for this one.
-      if (this.pushes.get(machineId) !== due) return undefined;
-      this.pushes.delete(machineId);
-      return this.pushNow(machineId);
+      if (this.sendsDueAt.get(machineId) !== due) return undefined;
+      this.sendsDueAt.delete(machineId);
+      return this.sendNow(machineId);
     });
   }
 
-  private async pushNow(machineId: string): Promise<void> {
+  private async sendNow(machineId: string): Promise<void> {
     const role = this.roleOf(machineId);
     const held = this.leadership.confirmedLeadershipOf(role);
     const worker = this.workers.get(machineId);
     if (held === undefined || worker === undefined || worker.agentEpoch === 0 || this.isDraining) return;
-    if (worker.isPushing) {
-      worker.pushAgain = true;
+    if (worker.isSendingCommands) {
+      worker.mustSendAgain = true;
       return;
     }
     const desired = this.desiredOn(machineId);
-    const plan = reconcile(worker, desired, this.rights(held, false));
-    this.carryOut(worker, role, plan);
-    const commands = plan.commands.filter((command) => this.isForCommand(worker, command, desired));
+    const plan = reconcile(worker, desired, this.rightsOf(held, false));
+    this.applyPlan(worker, role, plan);
+    const commands = plan.commands.filter((command) => this.maySend(worker, command, desired));
     if (commands.length === 0) return;
-    worker.isPushing = true;
+    worker.isSendingCommands = true;
     const launches = commands.filter((command) => command.kind === 'launch').map(attemptKeyOfCommand);
     for (const key of launches) worker.unansweredLaunches.set(key, held.fencingToken);
     this.log.debug(
@@ -300,12 +309,12 @@
       'commands',
     );
     const result = await sendCommands(this.http, worker.endpoint, held.fencingToken, worker.agentEpoch, commands);
-    worker.isPushing = false;
+    worker.isSendingCommands = false;
     // The partition was lost and is back: what has been sent since is known of the new worker only, so this one judges nothing.
     if (this.workers.get(machineId) !== worker) return;
-    this.noteCommandResult(worker, role, launches, held.fencingToken, result);
-    if (worker.pushAgain) {
-      worker.pushAgain = false;
+    this.applyCommandResult(worker, role, launches, held.fencingToken, result);
+    if (worker.mustSendAgain) {
+      worker.mustSendAgain = false;
       this.pushCommands(machineId);
     }
   }
@@ -314,11 +323,11 @@
   async drain(withinMs: number): Promise<void> {
     this.isDraining = true;
     const until = this.clock.now() + withinMs;
-    const isBusy = () => [...this.workers.values()].some((worker) => worker.isPushing);
+    const isBusy = () => [...this.workers.values()].some((worker) => worker.isSendingCommands);
     while (isBusy() && this.clock.now() < until) await this.clock.sleep(DRAIN_CHECK_PERIOD_MS);
   }
 
-  private isForCommand(worker: Worker, command: WorkerCommand, desired: ReadonlyMap<string, DesiredTask>): boolean {
+  private maySend(worker: Worker, command: WorkerCommand, desired: ReadonlyMap<string, DesiredTask>): boolean {
     // A worker that reports by way of another node is behind a cut: commands would only hang, and may arrive late. One that
     // is silent may be dead, or can only answer.
     const isFar =
@@ -333,7 +342,7 @@
     return !worker.unansweredLaunches.has(key) && !worker.answeredLaunches.has(key);
   }
 
-  private noteCommandResult(
+  private applyCommandResult(
     worker: Worker,
     role: string,
     launches: readonly string[],
@@ -346,13 +355,13 @@
     }
     for (const key of launches)
       if (worker.unansweredLaunches.get(key) === fencingToken) worker.unansweredLaunches.delete(key);
-    if (result.kind === 'done') worker.noteCommandsReached();
+    if (result.kind === 'done') worker.recordCommandsDelivered();
     if (!('workerStatus' in result) || result.workerStatus?.machineId !== worker.machineId) return;
     if (!worker.applyStatus(result.workerStatus, this.clock.now(), false)) return;
-    this.noteImages(worker);
+    this.recordImages(worker);
     const held = this.leadership.leadershipOf(role);
     if (held === undefined) return;
-    this.carryOut(worker, role, reconcile(worker, this.desiredOn(worker.machineId), this.rights(held, false)));
+    this.applyPlan(worker, role, reconcile(worker, this.desiredOn(worker.machineId), this.rightsOf(held, false)));
   }
 
   private sweep(): void {
@@ -360,20 +369,20 @@
     this.misroutedWorkers.prune(now);
     for (const [machineId, at] of this.tokenAnnouncedAt)
       if (now - at > TOKEN_ANNOUNCE_AGAIN_MS) this.tokenAnnouncedAt.delete(machineId);
-    this.freeDeadLeases();
+    this.releaseExpiredLeases();
     this.stragglers.evictFromSlowMachines(this.workers.values(), (machineId) => this.roleOf(machineId));
     this.forgetSilent(now);
   }
 
-  private freeDeadLeases(): void {
+  private releaseExpiredLeases(): void {
     for (const machineId of [...this.clusterState.usedMachines()]) {
       const role = this.roleOf(machineId);
       const held = this.leadership.leadershipOf(role);
-      if (held === undefined || !this.isLeaseOver(machineId, held)) continue;
+      if (held === undefined || !this.isLeaseExpired(machineId, held)) continue;
       for (const placedTask of [...this.clusterState.tasksOn(machineId)]) {
         this.recordExit(machineId, role, {
           placedTask,
-          proof: leaseProof(placedTask),
+          proof: expiryProof(placedTask),
           ending: 'lost',
           task: undefined,
         });
@@ -383,12 +392,13 @@
 
   private forgetSilent(now: number): void {
     const silentMs = FORGET_WORKER_LEASES * this.settings.cluster.workers.workerLeaseMs;
-    for (const { machineId, heardAt } of [...this.workers.values()]) {
-      if (now - heardAt > silentMs && this.clusterState.taskCountOn(machineId) === 0) this.workers.forget(machineId);
+    for (const { machineId, lastContactAt } of [...this.workers.values()]) {
+      if (now - lastContactAt > silentMs && this.clusterState.taskCountOn(machineId) === 0)
+        this.workers.forget(machineId);
     }
   }
 
-  private isLeaseOver(machineId: string, held: HeldLeadership): boolean {
+  private isLeaseExpired(machineId: string, held: HeldLeadership): boolean {
     return this.leadership.isInTouchWithStore && this.clock.now() > this.workers.leaseOverAt(machineId, held);
   }
 
@@ -396,13 +406,14 @@
    * The proof that a place is free, by what is known at this very moment. A decision waits for its turn at the store, and what
    * proved it may not hold any more by then.
    */
-  private proofNow(machineId: string, role: string, placedTask: PlacedTask): Proof | undefined {
+  private currentProof(machineId: string, role: string, placedTask: PlacedTask): Proof | undefined {
     const held = this.leadership.leadershipOf(role);
     if (held === undefined) return undefined;
     const worker = this.workers.get(machineId);
-    const shown = worker === undefined ? undefined : findProof(worker, this.desiredAt(placedTask), held.fencingToken);
+    const shown =
+      worker === undefined ? undefined : findProof(worker, this.desiredTaskOf(placedTask), held.fencingToken);
     if (shown !== undefined) return shown.proof;
-    return this.isLeaseOver(machineId, held) ? leaseProof(placedTask) : undefined;
+    return this.isLeaseExpired(machineId, held) ? expiryProof(placedTask) : undefined;
   }
 
   /** Pushes the fence to workers that have not been heard since the takeover, so that old commands are refused. */
@@ -413,12 +424,15 @@
     // Those that don't answer must not keep the others from theirs.
     const now = this.clock.now();
     const most = Math.max(MAX_TOKEN_ANNOUNCEMENTS, this.clusterState.usedMachineCount * TOKEN_ANNOUNCEMENTS_SHARE);
-    if (this.announcing >= most || now - (this.tokenAnnouncedAt.get(machineId) ?? -Infinity) < TOKEN_ANNOUNCE_AGAIN_MS)
+    if (
+      this.announcementsInFlight >= most ||
+      now - (this.tokenAnnouncedAt.get(machineId) ?? -Infinity) < TOKEN_ANNOUNCE_AGAIN_MS
+    )
       return;
     this.tokenAnnouncedAt.set(machineId, now);
-    this.announcing++;
+    this.announcementsInFlight++;
     const result = await sendCommands(this.http, endpoint, held.fencingToken, agentEpoch, []);
-    this.announcing--;
+    this.announcementsInFlight--;
     const isSame = this.leadership.leadershipOf(this.roleOf(machineId))?.term === held.term;
     if (!isSame || !('workerStatus' in result) || result.workerStatus?.machineId !== machineId) return;
     const worker = this.workers.get(machineId) ?? new Worker(machineId);
--- a/src/workers/worker-registry.ts
+++ b/src/workers/worker-registry.ts
@@ -16,16 +16,16 @@
 import { partitionRole } from '../domain/role.js';
 
 /** The workers of one partition, for as long as one acquisition of its claim lasts. */
-interface PartitionKnowledge {
+interface PartitionWorkers {
   readonly workers: Map<string, Worker>;
   /** Steady ms of the last sign of life of any worker that has been forgotten since the acquisition. */
-  forgottenHeardAt: number;
+  forgottenContactAt: number;
 }
 
 /** The workers of all partitions that this process owns, by host. */
 export class WorkerRegistry {
   /** Ends with the acquisition itself: no other lifetime could get out of step with the time that proofs count from. */
-  private readonly byAcquisition = new WeakMap<LeadershipTerm, PartitionKnowledge>();
+  private readonly partitionsByTerm = new WeakMap<LeadershipTerm, PartitionWorkers>();
 
   constructor(
     private readonly leadership: RoleLeadership,
@@ -33,7 +33,7 @@
   ) {}
 
   get(machineId: string): Worker | undefined {
-    return this.knowledgeFor(machineId)?.workers.get(machineId);
+    return this.partitionOfMachine(machineId)?.workers.get(machineId);
   }
 
   has(machineId: string): boolean {
@@ -46,70 +46,70 @@
   }
 
   ofPartition(partition: number): Iterable<Worker> {
-    return this.knowledgeOfPartition(partition)?.workers.values() ?? [];
+    return this.partitionAt(partition)?.workers.values() ?? [];
   }
 
   get size(): number {
     let size = 0;
     for (let partition = 0; partition < this.leadership.partitionCount; partition++) {
-      size += this.knowledgeOfPartition(partition)?.workers.size ?? 0;
+      size += this.partitionAt(partition)?.workers.size ?? 0;
     }
     return size;
   }
 
   /** Takes in a worker that is heard for the first time. Its partition must be owned. */
   add(worker: Worker): void {
-    this.knowledgeFor(worker.machineId)?.workers.set(worker.machineId, worker);
+    this.partitionOfMachine(worker.machineId)?.workers.set(worker.machineId, worker);
   }
 
   /** The machine is gone for good, and nothing on it needs a proof any more. */
   remove(machineId: string): void {
-    this.knowledgeFor(machineId)?.workers.delete(machineId);
+    this.partitionOfMachine(machineId)?.workers.delete(machineId);
   }
 
   /** Forgets a worker that has been silent for long; its last sign of life still bounds the leases of the unknown ones. */
   forget(machineId: string): void {
-    const knowledge = this.knowledgeFor(machineId);
+    const knowledge = this.partitionOfMachine(machineId);
     const worker = knowledge?.workers.get(machineId);
     if (knowledge === undefined || worker === undefined) return;
     knowledge.workers.delete(machineId);
-    knowledge.forgottenHeardAt = Math.max(knowledge.forgottenHeardAt, lastAnswerable(worker));
+    knowledge.forgottenContactAt = Math.max(knowledge.forgottenContactAt, lastAnswerableAt(worker));
   }
 
   /** Steady ms after which the lease of a machine's session is certainly over, if nobody answers it again. */
   leaseOverAt(machineId: string, held: HeldLeadership): number {
-    const knowledge = this.knowledgeOf(held.term);
+    const knowledge = this.partitionInTerm(held.term);
     const worker = knowledge?.workers.get(machineId);
-    const known = worker === undefined ? (knowledge?.forgottenHeardAt ?? -Infinity) : lastAnswerable(worker);
+    const known = worker === undefined ? (knowledge?.forgottenContactAt ?? -Infinity) : lastAnswerableAt(worker);
     // A worker that has shown this token drops what former owners answer.
     const hasSeenToken = worker !== undefined && worker.fencingToken >= held.fencingToken;
-    const last = hasSeenToken ? known : Math.max(known, this.othersAnsweredUntil(held.term));
+    const last = hasSeenToken ? known : Math.max(known, this.formerLeadersAnsweredUntil(held.term));
     return leaseOverAt(last, this.timings.workerLeaseMs);
   }
 
   /** Steady ms from which on nobody else can have answered a worker that has not shown this node's token yet. */
-  private othersAnsweredUntil(term: LeadershipTerm): number {
+  private formerLeadersAnsweredUntil(term: LeadershipTerm): number {
     // A former owner's copy can have been complete until its hold ended, even if only its renewals were lost; and what it was
     // told by this node since then would have shown it the new claim.
     return term.at + Math.max(REPLICA_FRESH_MS, degradedServingMs(this.timings));
   }
 
-  private knowledgeFor(machineId: string): PartitionKnowledge | undefined {
-    return this.knowledgeOfPartition(this.leadership.partitionOf(machineId));
+  private partitionOfMachine(machineId: string): PartitionWorkers | undefined {
+    return this.partitionAt(this.leadership.partitionOf(machineId));
   }
 
-  private knowledgeOfPartition(partition: number): PartitionKnowledge | undefined {
-    return this.knowledgeOf(this.leadership.termOf(partitionRole(partition)));
+  private partitionAt(partition: number): PartitionWorkers | undefined {
+    return this.partitionInTerm(this.leadership.termOf(partitionRole(partition)));
   }
 
-  private knowledgeOf(term: LeadershipTerm | undefined): PartitionKnowledge | undefined {
+  private partitionInTerm(term: LeadershipTerm | undefined): PartitionWorkers | undefined {
     if (term === undefined) return undefined;
-    const known = this.byAcquisition.get(term);
+    const known = this.partitionsByTerm.get(term);
     if (known !== undefined) return known;
-    const knowledge = { workers: new Map<string, Worker>(), forgottenHeardAt: -Infinity };
-    this.byAcquisition.set(term, knowledge);
+    const knowledge = { workers: new Map<string, Worker>(), forgottenContactAt: -Infinity };
+    this.partitionsByTerm.set(term, knowledge);
     return knowledge;
   }
 }
 
-const lastAnswerable = (worker: Worker): number => Math.max(worker.answeredAt, worker.heardAt);
+const lastAnswerableAt = (worker: Worker): number => Math.max(worker.answeredAt, worker.lastContactAt);
--- a/src/workers/worker.ts
+++ b/src/workers/worker.ts
@@ -20,18 +20,18 @@
   agentEpoch = 0;
   sequence = -1;
   /** The newest report by `/hello`; answers of `/commands` may have brought newer ones. */
-  private lastHeartbeat = { agentEpoch: 0, sequence: -1 };
+  private answeredHeartbeat = { agentEpoch: 0, sequence: -1 };
   /** Highest fence that the worker has shown. */
   fencingToken = 0;
   /** Steady ms of the receipt of the last report that was answered with 200. */
   answeredAt = -Infinity;
   /** Steady ms when anything was last heard. */
-  heardAt = -Infinity;
+  lastContactAt = -Infinity;
   /**
    * Steady ms of its last report by itself; until it has sent one, when it was first heard. Answers of commands don't
    * count: a machine that can only answer loses its lease, and all that is sent there with it.
    */
-  reportedAt = -Infinity;
+  lastHeartbeatAt = -Infinity;
   /** Steady ms when the cloud takes the machine away. */
   spotNoticeUntil: number | null = null;
   /** Launches whose arrival is open: sent by /commands without an answer, with the fence they bore. */
@@ -49,8 +49,8 @@
   /** It waited in vain for the answer to the report before its last one. */
   private hasMissedAnswer = false;
   /** Launches in an answer on its way: a command push leaves them alone. */
-  isPushing = false;
-  pushAgain = false;
+  isSendingCommands = false;
+  mustSendAgain = false;
 
   /** Jobs whose tasks failed here in a row without a success in between. */
   private readonly failures = new Map<string, { count: number; at: number; until: number }>();
@@ -78,7 +78,7 @@
 
   /** A copy of a report that was answered before, or one of a session that is over. */
   isLate(workerStatus: WorkerStatus): boolean {
-    return workerStatus.agentEpoch < this.agentEpoch || !isNewerThan(workerStatus, this.lastHeartbeat);
+    return workerStatus.agentEpoch < this.agentEpoch || !isNewerThan(workerStatus, this.answeredHeartbeat);
   }
 
   private isNewer(workerStatus: WorkerStatus): boolean {
@@ -88,7 +88,7 @@
   /** Takes a report in. False: an older one, which changes nothing. */
   applyStatus(workerStatus: WorkerStatus, now: number, isHello: boolean): boolean {
     if (!this.isNewer(workerStatus)) return false;
-    const first = this.sequence < 0;
+    const isFirst = this.sequence < 0;
     if (workerStatus.agentEpoch > this.agentEpoch) {
       this.unansweredLaunches.clear();
       this.answeredLaunches.clear();
@@ -101,9 +101,9 @@
     this.isSpot = workerStatus.isSpot;
     this.fencingToken = Math.max(this.fencingToken, workerStatus.fencingToken);
     this.tasks = workerStatus.tasks;
-    this.heardAt = now;
-    if (first) this.reportedAt = now;
-    this.noteTimes(now, first);
+    this.lastContactAt = now;
+    if (isFirst) this.lastHeartbeatAt = now;
+    this.recordRunTimes(now, isFirst);
     this.spotNoticeUntil = workerStatus.spotNoticeS === null ? null : now + workerStatus.spotNoticeS * 1000;
     for (const [key, fencingToken] of this.unansweredLaunches)
       if (fencingToken < this.fencingToken) this.unansweredLaunches.delete(key);
@@ -117,29 +117,29 @@
    * that waits in vain tries other nodes first. So a machine whose reports arrive, but which no answer reaches, is told
    * from a healthy one by its next report at the earliest.
    */
-  noteAnswer(
+  recordAnswer(
     workerStatus: WorkerStatus,
     fencingToken: number,
-    door: string | undefined,
+    forwardedBy: string | undefined,
     lateMs: number,
     now: number,
   ): void {
-    this.lastHeartbeat = { agentEpoch: workerStatus.agentEpoch, sequence: workerStatus.sequence };
-    this.reportedAt = now;
+    this.answeredHeartbeat = { agentEpoch: workerStatus.agentEpoch, sequence: workerStatus.sequence };
+    this.lastHeartbeatAt = now;
     this.firstFencingToken ??= fencingToken;
     if (this.confirmedAt === -Infinity) this.confirmedAt = now;
-    const inTime = now - this.answeredAt <= lateMs;
-    const showsMore = workerStatus.fencingToken > this.fencingToken;
+    const isInTime = now - this.answeredAt <= lateMs;
+    const showsNewToken = workerStatus.fencingToken > this.fencingToken;
     if (this.answeredAt > -Infinity) {
-      this.hasMissedAnswer = !showsMore && !(inTime && door === this.forwardedBy);
+      this.hasMissedAnswer = !showsNewToken && !(isInTime && forwardedBy === this.forwardedBy);
       if (!this.hasMissedAnswer) this.confirmedAt = this.answeredAt;
     }
-    this.forwardedBy = door;
+    this.forwardedBy = forwardedBy;
     this.answeredAt = now;
   }
 
   /** Orders reached it, by whatever way. */
-  noteCommandsReached(): void {
+  recordCommandsDelivered(): void {
     this.hasMissedAnswer = false;
   }
 
@@ -153,13 +153,13 @@
     return this.hasMissedAnswer && now > leaseOverAt(this.confirmedAt, leaseMs);
   }
 
-  private noteTimes(now: number, first: boolean): void {
+  private recordRunTimes(now: number, isFirst: boolean): void {
     const present = new Set<string>();
     for (const [name, task] of this.tasks) {
       const key = `${name}#${task.attempt}`;
       present.add(key);
       if (!this.firstSeen.has(key)) this.firstSeen.set(key, now);
-      if (task.state === 'running' && first) this.alreadyRunning.add(key);
+      if (task.state === 'running' && isFirst) this.alreadyRunning.add(key);
       if (task.state === 'running' && !this.alreadyRunning.has(key) && !this.runningSince.has(key)) {
         this.runningSince.set(key, now);
       }
@@ -183,7 +183,7 @@
   }
 
   /** An image was used here; the least recently used ones make room, as in the machine's own cache. */
-  noteImage(image: string, sizeGb: number, cacheGb: number): void {
+  addImage(image: string, sizeGb: number, cacheGb: number): void {
     this.images.delete(image);
     this.images.set(image, sizeGb);
     let total = 0;
@@ -195,7 +195,7 @@
     }
   }
 
-  noteExit(jobId: string, ending: 'done' | 'failed', now: number): void {
+  recordExit(jobId: string, ending: 'done' | 'failed', now: number): void {
     if (ending === 'done') {
       this.failures.clear();
       this.quarantinedUntil = -Infinity;
@@ -211,23 +211,23 @@
     if (this.failures.size >= QUARANTINE_ERRORS) this.quarantinedUntil = now + QUARANTINE_MS;
   }
 
-  /** Jobs that are to look elsewhere first; of a sick machine, all that make it so. */
+  /** Jobs that are to look elsewhere first; of a isQuarantined machine, all that make it so. */
   failedJobs(now: number): string[] {
-    const sick = this.isQuarantined(now);
-    return [...this.failures].filter(([, { until }]) => sick || now < until).map(([job]) => job);
+    const isQuarantined = this.isQuarantined(now);
+    return [...this.failures].filter(([, { until }]) => isQuarantined || now < until).map(([job]) => job);
   }
 
   /** A task took, or has taken so far, that many times the mean of its siblings; each attempt counts once. */
-  noteRunTimeRatio(key: string, ratio: number, now: number): void {
+  recordRunTimeRatio(key: string, ratio: number, now: number): void {
     if (this.stragglers.has(key)) return;
     this.stragglers.add(key);
     this.runTimeRatios.push(ratio);
     if (this.runTimeRatios.length > SLOW_MACHINE_TASKS) this.runTimeRatios.shift();
     // One task that ran as long as others do speaks for the machine: jobs vary, a slow machine slows all.
-    const all =
+    const areAllSlow =
       this.runTimeRatios.length === SLOW_MACHINE_TASKS &&
       this.runTimeRatios.every((each) => each > SLOW_MACHINE_FACTOR);
-    if (all) this.slowUntil = now + SLOW_MACHINE_MS;
+    if (areAllSlow) this.slowUntil = now + SLOW_MACHINE_MS;
   }
 
   /** Slow for a while: then it gets another chance, since nothing else would show that it has recovered. */
--- a/test/workers/heartbeats.test.ts
+++ b/test/workers/heartbeats.test.ts
@@ -62,13 +62,13 @@
     const workerStatus = decodeWorkerStatus(cluster.workers.get('i-000000')!.report())!;
     known.applyStatus({ ...workerStatus, sequence: workerStatus.sequence + 5 }, 100, false);
     assert.equal(known.isLate(workerStatus), false);
-    known.noteAnswer(workerStatus, 1, undefined, 2250, 100);
+    known.recordAnswer(workerStatus, 1, undefined, 2250, 100);
     assert.equal(known.isLate(workerStatus), true);
     for (let n = 1; n <= 5; n++) {
       // Every report crosses a command's answer; the worker is with this node and in time all the same.
       const next = { ...workerStatus, sequence: workerStatus.sequence + n, fencingToken: 1 };
       assert.equal(known.isLate(next), false);
-      known.noteAnswer(next, 1, undefined, 2250, 100 + n * 1000);
+      known.recordAnswer(next, 1, undefined, 2250, 100 + n * 1000);
       known.applyStatus({ ...next, sequence: next.sequence + 50 }, 100 + n * 1000, false);
       assert.equal(known.isReached, true);
     }
--- a/test/workers/worker-registry.test.ts
+++ b/test/workers/worker-registry.test.ts
@@ -25,7 +25,7 @@
 
 function workerHeardAt(ms: number): Worker {
   const worker = new Worker(HOST);
-  worker.heardAt = ms;
+  worker.lastContactAt = ms;
   return worker;
 }
 
