--- a/src/workers/exit-recorder.ts
+++ b/src/workers/exit-recorder.ts
@@ -81,11 +81,11 @@
   private updateWorker(worker: Worker, { placedTask, ending, task }: PlacementRelease): void {
     const { settings, stragglers, events, clock } = this.dependencies;
     const now = clock.now();
-    const startedAt = worker.runningSince.get(attemptKeyOf(placedTask));
+    const startedAt = worker.runTimes.runningSince.get(attemptKeyOf(placedTask));
     if (task !== undefined && (ending === 'done' || ending === 'failed'))
-      worker.recordExit(placedTask.jobId, ending, now);
+      worker.health.recordExit(placedTask.jobId, ending, now);
     if (task?.exitReason === 'insufficient_resources' || task?.exitReason === 'already_present') {
-      worker.backoffUntil = now + settings.cluster.workers.heartbeatIntervalMs;
+      worker.health.backoffUntil = now + settings.cluster.workers.heartbeatIntervalMs;
     }
     if (ending === 'done' && startedAt !== undefined) {
       events.completed(placedTask, (now - startedAt) / 1000);
@@ -104,7 +104,7 @@
     const { clock, log } = this.dependencies;
     const key = attemptKeyOf(placedTask);
     const now = clock.now();
-    const startedAt = worker?.runningSince.get(key);
+    const startedAt = worker?.runTimes.runningSince.get(key);
     const seconds = (ms: number | undefined) => (ms === undefined ? undefined : Math.round(ms / 100) / 10);
     log.debug(
       {
@@ -113,7 +113,9 @@
         attempt: placedTask.placement.attempt,
         proof: proof.kind,
         exitReason: task?.exitReason,
-        fetchedS: seconds(startedAt === undefined ? undefined : startedAt - (worker?.firstSeen.get(key) ?? startedAt)),
+        fetchedS: seconds(
+          startedAt === undefined ? undefined : startedAt - (worker?.runTimes.firstSeen(key) ?? startedAt),
+        ),
         ranS: seconds(startedAt === undefined ? undefined : now - startedAt),
       },
       'task over',
--- a/src/workers/reconciliation.ts
+++ b/src/workers/reconciliation.ts
@@ -125,7 +125,7 @@
   }
   if (!rights.isHeartbeatAnswer) return;
   // Late copies of a launch restart a forgotten task: first it must be certain that none is left.
-  if (worker.unansweredLaunches.has(`${taskId}#${task.attempt}`)) plan.needsNewToken = true;
+  if (worker.launches.isUnanswered(`${taskId}#${task.attempt}`)) plan.needsNewToken = true;
   else plan.commands.push({ kind: 'forget', taskId, attempt: task.attempt });
 }
 
@@ -139,7 +139,7 @@
 ): void {
   const { placement } = placedTask;
   if (isCancelled || placement.gracePeriodS !== null) {
-    if (worker.unansweredLaunches.has(attemptKeyOf(placedTask))) plan.needsNewToken = true;
+    if (worker.launches.isUnanswered(attemptKeyOf(placedTask))) plan.needsNewToken = true;
     return;
   }
   // Another attempt still there refuses this one (`in_use`): it is killed or forgotten first.
--- a/src/workers/straggler-detector.ts
+++ b/src/workers/straggler-detector.ts
@@ -27,7 +27,7 @@
     if (placedTask.placement.attempt > 1) return;
     const known = this.finishedRunTimes.get(placedTask.jobId) ?? { count: 0, meanMs: 0 };
     if (known.count >= SIBLINGS_KNOWN && this.isHalfDone(placedTask.jobId)) {
-      worker.recordRunTimeRatio(attemptKeyOf(placedTask), ranMs / known.meanMs, this.clock.now());
+      worker.slowness.recordRunTimeRatio(attemptKeyOf(placedTask), ranMs / known.meanMs, this.clock.now());
     }
     const count = known.count + 1;
     this.finishedRunTimes.set(placedTask.jobId, { count, meanMs: known.meanMs + (ranMs - known.meanMs) / count });
@@ -42,13 +42,13 @@
   /** Tasks that run far longer than their finished siblings show that their machine is slow, before they end. */
   checkRunning(worker: Worker): void {
     const now = this.clock.now();
-    for (const [key, since] of worker.runningSince) {
+    for (const [key, since] of worker.runTimes.runningSince) {
       const jobId = key.slice(0, key.lastIndexOf('/'));
       const known = this.finishedRunTimes.get(jobId);
       if (known === undefined || known.count < SIBLINGS_KNOWN || !key.endsWith('#1') || !this.isHalfDone(jobId))
         continue;
       if (now - since > STRAGGLER_FACTOR * known.meanMs)
-        worker.recordRunTimeRatio(key, (now - since) / known.meanMs, now);
+        worker.slowness.recordRunTimeRatio(key, (now - since) / known.meanMs, now);
     }
   }
 
@@ -65,11 +65,11 @@
     for (const placedTask of [...this.clusterState.tasksOn(worker.machineId)]) {
       const spec = this.clusterState.jobs.get(placedTask.jobId)?.record.spec;
       const key = attemptKeyOf(placedTask);
-      const since = worker.runningSince.get(key);
+      const since = worker.runTimes.runningSince.get(key);
       const mean = this.finishedRunTimes.get(placedTask.jobId)?.meanMs ?? (spec?.estimatedRunS ?? 0) * 1000;
       if (spec?.kind !== 'array' || placedTask.placement.gracePeriodS !== null || since === undefined) continue;
-      if (now - since > EVICT_STRAGGLER_FACTOR * mean || worker.evictedAttempts.has(key)) continue;
-      worker.evictedAttempts.add(key);
+      if (now - since > EVICT_STRAGGLER_FACTOR * mean || worker.slowness.isEvicted(key)) continue;
+      worker.slowness.markEvicted(key);
       this.log.info({ taskId: taskIdOfPlaced(placedTask), machine: worker.machineId }, 'taken off a slow machine');
       const gracePeriodS = spec.checkpointIntervalS > 0 ? spec.checkpointS : 0;
       void this.transactions.commit('relieve', Priority.background, (draft) => {
--- a/src/workers/worker-manager.ts
+++ b/src/workers/worker-manager.ts
@@ -115,13 +115,13 @@
     if (this.mustExpire(worker, workerStatus, held, desired, now))
       return { kind: 'unavailable', error: 'no new token' };
     this.events.workerAnswered(role);
-    worker.recordAnswer(
-      workerStatus,
-      held.fencingToken,
+    worker.recordAnswer({
+      status: workerStatus,
+      fencingToken: held.fencingToken,
       forwardedBy,
-      heartbeatLateMs(this.settings.cluster.workers),
+      lateMs: heartbeatLateMs(this.settings.cluster.workers),
       now,
-    );
+    });
     // A report that crossed a newer answer of `/commands` is no late copy: the worker waits for its answer.
     worker.applyStatus(workerStatus, now, true);
     this.recordImages(worker);
@@ -136,7 +136,7 @@
   /** A worker that is heard for the first time. */
   private addWorker(workerStatus: WorkerStatus, role: string): Worker {
     const worker = new Worker(workerStatus.machineId);
-    for (const image of this.events.knownImages(workerStatus.machineId)) worker.images.set(image, 0);
+    worker.imageCache.addKnown(this.events.knownImages(workerStatus.machineId));
     this.workers.add(worker);
     this.log.debug(
       {
@@ -160,7 +160,7 @@
       if (bytes > MAX_COMMANDS_BYTES) break;
       encoded.push(wire);
       if (command.kind !== 'launch') continue;
-      worker.answeredLaunches.set(attemptKeyOfCommand(command), sequence);
+      worker.launches.recordInAnswer(attemptKeyOfCommand(command), sequence);
       this.log.debug(
         { machine: worker.machineId, taskIndex: command.taskId, attempt: command.attempt },
         'launch in answer',
@@ -182,7 +182,7 @@
     now: number,
   ): boolean {
     const isOpen = ([name, { placedTask, isCancelled }]: [string, DesiredTask]) => {
-      const fencingToken = worker.unansweredLaunches.get(attemptKeyOf(placedTask));
+      const fencingToken = worker.launches.unansweredToken(attemptKeyOf(placedTask));
       const there = workerStatus.tasks.get(name)?.attempt === placedTask.placement.attempt;
       return (
         isCancelled &&
@@ -193,17 +193,17 @@
     };
     // Nearly always no launch is open, and nothing is looked through.
     const any =
-      worker.unansweredLaunches.size > 0 && workerStatus.agentEpoch === worker.agentEpoch && [...desired].some(isOpen);
+      worker.launches.hasUnanswered && workerStatus.agentEpoch === worker.agentEpoch && [...desired].some(isOpen);
     if (!any) {
-      worker.cancelledLaunchOpenSince = undefined;
+      worker.launches.cancelledSince = undefined;
       return false;
     }
-    worker.cancelledLaunchOpenSince ??= now;
+    worker.launches.cancelledSince ??= now;
     // With the store a new token is a moment away, and goes out with the next answer.
     if (this.leadership.isInTouchWithStore) return false;
     const { workers } = this.settings.cluster;
     return (
-      now - worker.cancelledLaunchOpenSince >=
+      now - worker.launches.cancelledSince >=
       degradedServingMs(workers) - leaseOverAt(0, workers.workerLeaseMs) - 2 * REPLICA_FRESH_MS
     );
   }
@@ -251,8 +251,8 @@
       const jobId = parseTaskId(name)?.jobId;
       const spec = jobId === undefined ? undefined : this.clusterState.jobs.get(jobId)?.record.spec;
       if (spec === undefined || (task.state === 'exited' && task.exitReason !== 'done')) continue;
-      if (worker.markImageNoted(`${name}#${task.attempt}`))
-        worker.addImage(spec.image, spec.imageGb, this.events.cacheGb(worker.machineType));
+      if (worker.imageCache.markRecorded(`${name}#${task.attempt}`))
+        worker.imageCache.add(spec.image, spec.imageGb, this.events.cacheGb(worker.machineType));
     }
   }
 
@@ -303,7 +303,7 @@
     if (commands.length === 0) return;
     worker.isSendingCommands = true;
     const launches = commands.filter((command) => command.kind === 'launch').map(attemptKeyOfCommand);
-    for (const key of launches) worker.unansweredLaunches.set(key, held.fencingToken);
+    for (const key of launches) worker.launches.recordSent(key, held.fencingToken);
     this.log.debug(
       { machine: machineId, commands: commands.map((o) => `${o.kind} ${attemptKeyOfCommand(o)}`) },
       'commands',
@@ -333,13 +333,13 @@
     const isFar =
       !this.leadership.isInTouchWithStore ||
       this.isSilent(worker, this.clock.now()) ||
-      worker.forwardedBy !== undefined;
+      worker.reachability.forwardedBy !== undefined;
     // The kill of a cancelled task is final, so it may come whenever it can, by whatever copy knows of it.
     if (command.kind === 'kill') return !isFar || desired.get(command.taskId)?.isCancelled === true;
     if (command.kind !== 'launch' || isFar) return false;
     // A launch whose arrival is open is repeated by the next report's answer, not by another command.
     const key = attemptKeyOfCommand(command);
-    return !worker.unansweredLaunches.has(key) && !worker.answeredLaunches.has(key);
+    return !worker.launches.has(key);
   }
 
   private applyCommandResult(
@@ -353,9 +353,8 @@
       this.log.info({ machine: worker.machineId, launches }, 'commands without an answer');
       return;
     }
-    for (const key of launches)
-      if (worker.unansweredLaunches.get(key) === fencingToken) worker.unansweredLaunches.delete(key);
-    if (result.kind === 'done') worker.recordCommandsDelivered();
+    for (const key of launches) worker.launches.settle(key, fencingToken);
+    if (result.kind === 'done') worker.reachability.recordCommandsDelivered();
     if (!('workerStatus' in result) || result.workerStatus?.machineId !== worker.machineId) return;
     if (!worker.applyStatus(result.workerStatus, this.clock.now(), false)) return;
     this.recordImages(worker);
--- a/src/workers/worker-registry.ts
+++ b/src/workers/worker-registry.ts
@@ -112,4 +112,4 @@
   }
 }
 
-const lastAnswerableAt = (worker: Worker): number => Math.max(worker.answeredAt, worker.lastContactAt);
+const lastAnswerableAt = (worker: Worker): number => Math.max(worker.reachability.answeredAt, worker.lastContactAt);
--- a/src/workers/worker-wire-codec.ts
+++ b/src/workers/worker-wire-codec.ts
@@ -49,11 +49,12 @@
   tasks: Map<string, ReportedTask>;
 }
 
+/** What orders the statuses of a worker. */
+export type StatusVersion = Pick<WorkerStatus, 'agentEpoch' | 'sequence'>;
+
 /** The status with the larger agent epoch and sequence is the newer one. */
-export const isNewerThan = (
-  a: Pick<WorkerStatus, 'agentEpoch' | 'sequence'>,
-  b: Pick<WorkerStatus, 'agentEpoch' | 'sequence'>,
-): boolean => a.agentEpoch > b.agentEpoch || (a.agentEpoch === b.agentEpoch && a.sequence > b.sequence);
+export const isNewerThan = (a: StatusVersion, b: StatusVersion): boolean =>
+  a.agentEpoch > b.agentEpoch || (a.agentEpoch === b.agentEpoch && a.sequence > b.sequence);
 
 const STATE_OF_PHASE = new Map<string, ReportedTaskState>([
   ['fetching', 'fetching'],
--- a/test/workers/heartbeats.test.ts
+++ b/test/workers/heartbeats.test.ts
@@ -62,13 +62,13 @@
     const workerStatus = decodeWorkerStatus(cluster.workers.get('i-000000')!.report())!;
     known.applyStatus({ ...workerStatus, sequence: workerStatus.sequence + 5 }, 100, false);
     assert.equal(known.isLate(workerStatus), false);
-    known.recordAnswer(workerStatus, 1, undefined, 2250, 100);
+    known.recordAnswer({ status: workerStatus, fencingToken: 1, forwardedBy: undefined, lateMs: 2250, now: 100 });
     assert.equal(known.isLate(workerStatus), true);
     for (let n = 1; n <= 5; n++) {
       // Every report crosses a command's answer; the worker is with this node and in time all the same.
       const next = { ...workerStatus, sequence: workerStatus.sequence + n, fencingToken: 1 };
       assert.equal(known.isLate(next), false);
-      known.recordAnswer(next, 1, undefined, 2250, 100 + n * 1000);
+      known.recordAnswer({ status: next, fencingToken: 1, forwardedBy: undefined, lateMs: 2250, now: 100 + n * 1000 });
       known.applyStatus({ ...next, sequence: next.sequence + 50 }, 100 + n * 1000, false);
       assert.equal(known.isReached, true);
     }
@@ -86,7 +86,7 @@
       );
     known.applyStatus({ ...workerStatus, sequence: 1, tasks: running('j-1/0') }, 1000, true);
     known.applyStatus({ ...workerStatus, sequence: 2, tasks: running('j-1/0', 'j-1/1') }, 2000, true);
-    assert.deepEqual([...known.runningSince], [['j-1/1#1', 2000]]);
+    assert.deepEqual([...known.runTimes.runningSince], [['j-1/1#1', 2000]]);
   });
 });
 
