--- a/src/workers/cancellation-enforcer.ts
+++ b/src/workers/cancellation-enforcer.ts
@@ -40,7 +40,9 @@
       this.sentAt.set(machineId, now);
       this.inFlightCount++;
       this.log.info({ machine: machineId, tasks: commands.length }, 'tasks of withdrawn jobs stopped for their owner');
-      void sendCommands(this.http, endpoint, fencingToken, agentEpoch, commands).finally(() => this.inFlightCount--);
+      void sendCommands(this.http, endpoint, { fencingToken, agentEpoch, commands }).finally(
+        () => this.inFlightCount--,
+      );
     }
   }
 
--- a/src/workers/command-client.ts
+++ b/src/workers/command-client.ts
@@ -1,6 +1,11 @@
 import { COMMAND_TIMEOUT_MS, CONNECT_TIMEOUT_MS } from '../constants/workers.js';
 import { NoResponseError, type HttpClient } from '../net/http-client.js';
-import { decodeWorkerStatus, encodeCommand, type WorkerCommand, type WorkerStatus } from './worker-wire-codec.js';
+import {
+  decodeWorkerStatus,
+  type DirectCommands,
+  encodeDirectCommands,
+  type WorkerStatus,
+} from './worker-wire-codec.js';
 
 export type CommandResult =
   | { kind: 'done'; workerStatus: WorkerStatus | undefined }
@@ -15,13 +20,10 @@
 export async function sendCommands(
   http: HttpClient,
   endpoint: string,
-  fencingToken: number,
-  agentEpoch: number,
-  commands: WorkerCommand[],
+  commands: DirectCommands,
 ): Promise<CommandResult> {
   try {
-    const body = { Fence: fencingToken, Tenure: agentEpoch, Orders: commands.map(encodeCommand) };
-    const reply = await http.call(endpoint, 'POST', '/commands', body, {
+    const reply = await http.call(endpoint, 'POST', '/commands', encodeDirectCommands(commands), {
       timeoutMs: COMMAND_TIMEOUT_MS,
       connectMs: CONNECT_TIMEOUT_MS,
     });
--- /dev/null
+++ b/src/workers/fencing-token-sender.ts
@@ -0,0 +1,75 @@
+import { MAX_TOKEN_ANNOUNCEMENTS, TOKEN_ANNOUNCE_AGAIN_MS, TOKEN_ANNOUNCEMENTS_SHARE } from '../constants/workers.js';
+import { partitionRole } from '../domain/role.js';
+import type { LeadershipTerm, RoleLeadership } from '../leadership/role-leadership.js';
+import type { Clock } from '../net/clock.js';
+import type { HttpClient } from '../net/http-client.js';
+import type { ClusterState } from '../records/cluster-state.js';
+import { type CommandResult, sendCommands } from './command-client.js';
+import type { CommandSender } from './command-sender.js';
+import type { WorkerRegistry } from './worker-registry.js';
+import { Worker } from './worker.js';
+
+export interface FencingTokenSenderDependencies {
+  leadership: RoleLeadership;
+  clusterState: ClusterState;
+  workers: WorkerRegistry;
+  commandSender: CommandSender;
+  http: HttpClient;
+  clock: Clock;
+}
+
+/** Where a worker that has sent no heartbeat yet is to be told the token. */
+export interface AnnouncementTarget {
+  machineId: string;
+  endpoint: string;
+  /** The newest one that is known of the machine; 0: none is. */
+  agentEpoch: number;
+}
+
+/** Sends the fencing token to workers without contact since the takeover, so that old commands are refused. */
+export class FencingTokenSender {
+  private inFlightCount = 0;
+  /** Steady ms, by machine. */
+  private readonly sentAt = new Map<string, number>();
+
+  constructor(private readonly dependencies: FencingTokenSenderDependencies) {}
+
+  async send({ machineId, endpoint, agentEpoch }: AnnouncementTarget): Promise<void> {
+    const { leadership, workers, http } = this.dependencies;
+    const held = leadership.confirmedLeadershipOf(partitionRole(leadership.partitionOf(machineId)));
+    if (held === undefined || workers.has(machineId) || !this.reserveTurn(machineId)) return;
+    this.inFlightCount++;
+    const result = await sendCommands(http, endpoint, { fencingToken: held.fencingToken, agentEpoch, commands: [] });
+    this.inFlightCount--;
+    this.applyResult(machineId, held.term, result);
+  }
+
+  /** Forgets announcements that may be repeated. */
+  prune(now: number): void {
+    for (const [machineId, at] of this.sentAt) if (now - at > TOKEN_ANNOUNCE_AGAIN_MS) this.sentAt.delete(machineId);
+  }
+
+  /**
+   * The next look comes soon, and most workers send a heartbeat before their turn. Those that don't answer must not keep the
+   * others from theirs.
+   */
+  private reserveTurn(machineId: string): boolean {
+    const { clusterState, clock } = this.dependencies;
+    const now = clock.now();
+    const maxInFlight = Math.max(MAX_TOKEN_ANNOUNCEMENTS, clusterState.usedMachineCount * TOKEN_ANNOUNCEMENTS_SHARE);
+    if (this.inFlightCount >= maxInFlight) return false;
+    if (now - (this.sentAt.get(machineId) ?? -Infinity) < TOKEN_ANNOUNCE_AGAIN_MS) return false;
+    this.sentAt.set(machineId, now);
+    return true;
+  }
+
+  private applyResult(machineId: string, term: LeadershipTerm, result: CommandResult): void {
+    const { leadership, workers, commandSender, clock } = this.dependencies;
+    const isSameTerm = leadership.leadershipOf(partitionRole(leadership.partitionOf(machineId)))?.term === term;
+    if (!isSameTerm || !('workerStatus' in result) || result.workerStatus?.machineId !== machineId) return;
+    const worker = workers.get(machineId) ?? new Worker(machineId);
+    if (!worker.applyStatus(result.workerStatus, clock.now(), false)) return;
+    workers.add(worker);
+    commandSender.schedule(machineId);
+  }
+}
--- /dev/null
+++ b/src/workers/heartbeat-handler.ts
@@ -0,0 +1,135 @@
+import { MAX_COMMANDS_BYTES } from '../constants/workers.js';
+import { partitionRole } from '../domain/role.js';
+import type { Settings } from '../domain/settings.js';
+import { heartbeatLateMs } from '../domain/worker-deadlines.js';
+import type { HeldLeadership, RoleLeadership } from '../leadership/role-leadership.js';
+import type { Log } from '../logging/log.js';
+import type { Clock } from '../net/clock.js';
+import type { ClusterState } from '../records/cluster-state.js';
+import type { CancelledLaunchGuard } from './cancelled-launch-guard.js';
+import { desiredTasksOn } from './desired-tasks.js';
+import type { MisroutedWorkers } from './misrouted-workers.js';
+import { attemptKeyOfCommand, type DesiredTask } from './reconciliation.js';
+import type { StragglerDetector } from './straggler-detector.js';
+import type { HeartbeatOutcome, WorkerManagerEvents } from './worker-manager-dependencies.js';
+import type { WorkerReconciler } from './worker-reconciler.js';
+import type { WorkerRegistry } from './worker-registry.js';
+import { encodeCommand, type WireCommand, type WorkerCommand, type WorkerStatus } from './worker-wire-codec.js';
+import { Worker } from './worker.js';
+
+export interface HeartbeatHandlerDependencies {
+  settings: Settings;
+  leadership: RoleLeadership;
+  clusterState: ClusterState;
+  workers: WorkerRegistry;
+  misroutedWorkers: MisroutedWorkers;
+  reconciler: WorkerReconciler;
+  stragglers: StragglerDetector;
+  cancelledLaunchGuard: CancelledLaunchGuard;
+  events: WorkerManagerEvents;
+  clock: Clock;
+  log: Log;
+}
+
+/** A heartbeat of a worker whose partition is led here. */
+interface OwnHeartbeat {
+  workerStatus: WorkerStatus;
+  forwardedBy: string | undefined;
+  role: string;
+  held: HeldLeadership;
+}
+
+/** Decides what a heartbeat is answered: commands and a renewed lease, a redirect, or a refusal. */
+export class HeartbeatHandler {
+  constructor(private readonly dependencies: HeartbeatHandlerDependencies) {}
+
+  /** `forwardedBy` is the node that forwarded the heartbeat, if one did. */
+  handle(workerStatus: WorkerStatus, forwardedBy: string | undefined): HeartbeatOutcome {
+    const { leadership, events } = this.dependencies;
+    const { machineId } = workerStatus;
+    // A late copy of a terminated machine's: it must not bring the machine back.
+    if (events.isTerminated(machineId)) return { kind: 'redirected', node: undefined, canForward: false };
+    const role = partitionRole(leadership.partitionOf(machineId));
+    const held = leadership.servingLeadershipOf(role);
+    // A worker that has seen a higher token has a new leader, of which a node without store and peers knows nothing. Its 200
+    // would be dropped, and would keep the worker here while its lease runs out.
+    if (held === undefined || workerStatus.fencingToken > held.fencingToken) return this.redirect(workerStatus, role);
+    return this.handleOwn({ workerStatus, forwardedBy, role, held });
+  }
+
+  private handleOwn(heartbeat: OwnHeartbeat): HeartbeatOutcome {
+    const { clusterState, workers, cancelledLaunchGuard, log } = this.dependencies;
+    const { workerStatus, role, held } = heartbeat;
+    const { machineId, agentEpoch } = workerStatus;
+    const worker = workers.get(machineId) ?? this.register(workerStatus, role);
+    // A late copy was sent before the newest heartbeat that is known: its answer makes no lease any longer.
+    if (worker.isLate(workerStatus)) return { kind: 'answered', fencingToken: held.fencingToken, commands: [] };
+    if (agentEpoch > worker.agentEpoch && worker.agentEpoch > 0) {
+      log.info({ machine: machineId, agentEpoch }, 'worker began a new session');
+    }
+    const desired = desiredTasksOn(clusterState, machineId);
+    if (cancelledLaunchGuard.mustLetLeaseExpire({ worker, workerStatus, held, desired })) {
+      return { kind: 'unavailable', error: 'no new token' };
+    }
+    return this.answer(worker, heartbeat, desired);
+  }
+
+  private answer(worker: Worker, heartbeat: OwnHeartbeat, desired: Map<string, DesiredTask>): HeartbeatOutcome {
+    const { settings, reconciler, stragglers, events, clock } = this.dependencies;
+    const { workerStatus, forwardedBy, role, held } = heartbeat;
+    const { fencingToken } = held;
+    const now = clock.now();
+    events.workerAnswered(role);
+    const lateMs = heartbeatLateMs(settings.cluster.workers);
+    worker.recordAnswer({ status: workerStatus, fencingToken, forwardedBy, lateMs, now });
+    // A heartbeat that crossed a newer answer to commands is no late copy: the worker waits for its answer.
+    worker.applyStatus(workerStatus, now, true);
+    reconciler.recordImages(worker);
+    events.heartbeatReceived(workerStatus);
+    stragglers.checkRunning(worker);
+    const commands = reconciler.reconcile(worker, { role, held, desired, isHeartbeatAnswer: true });
+    return { kind: 'answered', fencingToken, commands: this.encodeCommands(worker, commands, workerStatus.sequence) };
+  }
+
+  /** First contact with a worker in this term. */
+  private register(workerStatus: WorkerStatus, role: string): Worker {
+    const { workers, events, log } = this.dependencies;
+    const { machineId, agentEpoch, machineType } = workerStatus;
+    const worker = new Worker(machineId);
+    worker.imageCache.addKnown(events.knownImages(machineId));
+    workers.add(worker);
+    log.debug({ machine: machineId, role, agentEpoch, machineType }, 'worker heard');
+    return worker;
+  }
+
+  /** As many commands as an answer holds; the rest goes with the next one. */
+  private encodeCommands(worker: Worker, commands: readonly WorkerCommand[], sequence: number): WireCommand[] {
+    const encoded: WireCommand[] = [];
+    let bytes = 0;
+    for (const command of commands) {
+      const wireCommand = encodeCommand(command);
+      bytes += JSON.stringify(wireCommand).length + 1;
+      if (bytes > MAX_COMMANDS_BYTES) break;
+      encoded.push(wireCommand);
+      if (command.kind === 'launch') this.recordLaunch(worker, command, sequence);
+    }
+    return encoded;
+  }
+
+  private recordLaunch(worker: Worker, command: WorkerCommand, sequence: number): void {
+    const { taskId, attempt } = command;
+    worker.launches.recordInAnswer(attemptKeyOfCommand(command), sequence);
+    this.dependencies.log.debug({ machine: worker.machineId, taskIndex: taskId, attempt }, 'launch in answer');
+  }
+
+  private redirect(workerStatus: WorkerStatus, role: string): HeartbeatOutcome {
+    const { settings, leadership, clusterState, misroutedWorkers, events, clock } = this.dependencies;
+    const node = leadership.leaderOf(role);
+    if (node === undefined || node === settings.node) return { kind: 'unavailable', error: 'not entitled' };
+    // Copies of heartbeats come late, by a lease and more: they are no sign of life, and nobody waits for their answer.
+    if (events.isLate(workerStatus)) return { kind: 'redirected', node, canForward: false };
+    const leaderToken = clusterState.leadershipRecords.get(role)?.modRevision;
+    const canForward = misroutedWorkers.recordHeartbeat(workerStatus, leaderToken, clock.now());
+    return { kind: 'redirected', node, canForward };
+  }
+}
--- a/src/workers/reconciliation.ts
+++ b/src/workers/reconciliation.ts
@@ -71,7 +71,7 @@
 /** Compares what the ledger wants on a machine with what its worker reports. Pure, and level-triggered. */
 export function reconcile(
   worker: Worker,
-  desired: Map<string, DesiredTask>,
+  desired: ReadonlyMap<string, DesiredTask>,
   rights: CommandRights,
 ): ReconciliationPlan {
   const plan: ReconciliationPlan = { commands: [], releases: [], needsNewToken: false };
--- a/src/workers/token-announcer.ts
+++ b/src/workers/token-announcer.ts
@@ -32,7 +32,7 @@
       let agentEpoch = 0;
       for (const placedTask of clusterState.tasksOn(machineId))
         agentEpoch = Math.max(agentEpoch, placedTask.placement.agentEpoch);
-      void workerManager.announceToken(machineId, endpoint, agentEpoch);
+      void workerManager.announceToken({ machineId, endpoint, agentEpoch });
     }
   }
 
--- a/src/workers/worker-wire-codec.ts
+++ b/src/workers/worker-wire-codec.ts
@@ -122,11 +122,18 @@
 });
 
 /** Commands sent to a worker directly. */
-export const encodeDirectCommands = (
-  fencingToken: number,
-  agentEpoch: number,
-  commands: readonly WorkerCommand[],
-): unknown => ({ Fence: fencingToken, Tenure: agentEpoch, Orders: commands.map(encodeCommand) });
+export interface DirectCommands {
+  fencingToken: number;
+  /** They are refused under another one. */
+  agentEpoch: number;
+  commands: readonly WorkerCommand[];
+}
+
+export const encodeDirectCommands = ({ fencingToken, agentEpoch, commands }: DirectCommands): unknown => ({
+  Fence: fencingToken,
+  Tenure: agentEpoch,
+  Orders: commands.map(encodeCommand),
+});
 
 /** The answer to a heartbeat: the leader's fencing token and commands. */
 export const encodeHeartbeatAnswer = (fencingToken: number, commands: readonly WireCommand[]): unknown => ({
--- a/src/workers/worker.ts
+++ b/src/workers/worker.ts
@@ -25,10 +25,6 @@
   lastContactAt = -Infinity;
   /** Steady ms when the cloud takes the machine away. */
   spotNoticeUntil: number | null = null;
-  /** Commands are on their way to it: until they are answered, no others are sent. */
-  isSendingCommands = false;
-  /** More was to be sent in between. */
-  mustSendAgain = false;
 
   readonly reachability = new WorkerReachability();
   readonly launches = new PendingLaunches();
--- a/test/clients-and-settings.test.ts
+++ b/test/clients-and-settings.test.ts
@@ -91,7 +91,8 @@
   });
 
   it('to commands say whether these may still be executed', async () => {
-    const send = (reply: Reply | NoResponseError) => sendCommands(answering(reply), 'x:1', 1, 1, []);
+    const send = (reply: Reply | NoResponseError) =>
+      sendCommands(answering(reply), 'x:1', { fencingToken: 1, agentEpoch: 1, commands: [] });
     assert.equal((await send({ status: 200, body: {} })).kind, 'done');
     assert.equal((await send({ status: 409, body: {} })).kind, 'refused');
     assert.equal((await send(new NoResponseError('refused', false))).kind, 'unsent');
