--- a/src/scheduling/eviction-marker.ts
+++ b/src/scheduling/eviction-marker.ts
@@ -2,7 +2,7 @@
 import type { ClusterState, PlacedTask } from '../records/cluster-state.js';
 import { markForStop } from '../records/placement-mutations.js';
 import type { JobSpec } from '../domain/job.js';
-import { attemptKeyOf } from '../workers/reconciliation.js';
+import { attemptKeyOf } from '../workers/attempt-key.js';
 import { CLUSTER_LEADER_ROLE } from '../domain/role.js';
 import type { RoleLeadership } from '../leadership/role-leadership.js';
 import type { Clock } from '../net/clock.js';
--- a/src/workers/attempt-run-times.ts
+++ b/src/workers/attempt-run-times.ts
@@ -1,3 +1,4 @@
+import { attemptKeyFrom } from './attempt-key.js';
 import { retainKeys } from './retain-keys.js';
 import type { ReportedTask } from './worker-wire-codec.js';
 
@@ -22,7 +23,7 @@
   update(tasks: ReadonlyMap<string, ReportedTask>, now: number, isFirstContact: boolean): Set<string> {
     const present = new Set<string>();
     for (const [taskId, task] of tasks) {
-      const key = `${taskId}#${task.attempt}`;
+      const key = attemptKeyFrom(taskId, task.attempt);
       present.add(key);
       if (!this.seenSince.has(key)) this.seenSince.set(key, now);
       if (task.state === 'running') this.recordRunning(key, now, isFirstContact);
--- a/src/workers/cancelled-launch-guard.ts
+++ b/src/workers/cancelled-launch-guard.ts
@@ -3,7 +3,8 @@
 import { leaseOverAt } from '../domain/worker-deadlines.js';
 import { degradedServingMs, type HeldLeadership, type RoleLeadership } from '../leadership/role-leadership.js';
 import type { Clock } from '../net/clock.js';
-import { attemptKeyOf, type DesiredTask } from './reconciliation.js';
+import { attemptKeyOf } from './attempt-key.js';
+import type { DesiredTask } from './reconciliation.js';
 import type { Worker } from './worker.js';
 import type { WorkerStatus } from './worker-wire-codec.js';
 
--- a/src/workers/desired-tasks.ts
+++ b/src/workers/desired-tasks.ts
@@ -1,5 +1,6 @@
 import type { ClusterState, PlacedTask } from '../records/cluster-state.js';
-import { type DesiredTask, taskIdOfPlaced } from './reconciliation.js';
+import { taskIdOfPlaced } from './attempt-key.js';
+import type { DesiredTask } from './reconciliation.js';
 
 /** What the recorded placement of a task asks of the worker there. */
 export function desiredTaskOf(clusterState: ClusterState, placedTask: PlacedTask): DesiredTask {
--- a/src/workers/reconciliation.ts
+++ b/src/workers/reconciliation.ts
@@ -1,8 +1,8 @@
 import type { PlacedTask } from '../records/cluster-state.js';
-import { taskIdOf } from '../domain/task.js';
 import type { TaskEnding } from '../records/placement-mutations.js';
 import type { Proof } from '../records/placement-rules.js';
 import type { WorkerCommand, ReportedTask } from './worker-wire-codec.js';
+import { attemptKeyFrom, attemptKeyOf, taskIdOfPlaced } from './attempt-key.js';
 import type { Worker } from './worker.js';
 
 export interface DesiredTask {
@@ -125,7 +125,7 @@
   }
   if (!rights.isHeartbeatAnswer) return;
   // Late copies of a launch restart a forgotten task: first it must be certain that none is left.
-  if (worker.launches.isUnanswered(`${taskId}#${task.attempt}`)) plan.needsNewToken = true;
+  if (worker.launches.isUnanswered(attemptKeyFrom(taskId, task.attempt))) plan.needsNewToken = true;
   else plan.commands.push({ kind: 'forget', taskId, attempt: task.attempt });
 }
 
@@ -147,9 +147,3 @@
   const isClear = present === undefined || present.state === 'exited';
   if (rights.canLaunch && isClear) launches.push({ kind: 'launch', taskId, attempt: placement.attempt });
 }
-
-export const attemptKeyOfCommand = (command: WorkerCommand): string => `${command.taskId}#${command.attempt}`;
-/** One start of a shard, as orders and workers name it. */
-export const attemptKeyOf = (placedTask: PlacedTask): string =>
-  `${taskIdOfPlaced(placedTask)}#${placedTask.placement.attempt}`;
-export const taskIdOfPlaced = (placedTask: PlacedTask): string => taskIdOf(placedTask.jobId, placedTask.taskIndex);
--- a/src/workers/straggler-detector.ts
+++ b/src/workers/straggler-detector.ts
@@ -4,7 +4,7 @@
 import type { Clock } from '../net/clock.js';
 import { Priority } from '../net/token-bucket.js';
 import type { TransactionBatcher } from '../store/transaction-batcher.js';
-import { attemptKeyOf, taskIdOfPlaced } from './reconciliation.js';
+import { attemptKeyOf, taskIdOfPlaced } from './attempt-key.js';
 import type { Worker } from './worker.js';
 import type { RoleLeadership } from '../leadership/role-leadership.js';
 import type { Log } from '../logging/log.js';
--- a/src/workers/worker-reconciler.ts
+++ b/src/workers/worker-reconciler.ts
@@ -1,3 +1,4 @@
+import { attemptKeyFrom } from './attempt-key.js';
 import type { HeldLeadership, RoleLeadership } from '../leadership/role-leadership.js';
 import type { ClusterState } from '../records/cluster-state.js';
 import type { Replica } from '../store/replica.js';
@@ -48,7 +49,7 @@
       const jobId = parseTaskId(taskId)?.jobId;
       const spec = jobId === undefined ? undefined : clusterState.jobs.get(jobId)?.record.spec;
       if (spec === undefined || (task.state === 'exited' && task.exitReason !== 'done')) continue;
-      if (!worker.imageCache.markRecorded(`${taskId}#${task.attempt}`)) continue;
+      if (!worker.imageCache.markRecorded(attemptKeyFrom(taskId, task.attempt))) continue;
       worker.imageCache.add(spec.image, spec.imageGb, cacheGb(worker.machineType));
     }
   }
