--- a/src/workers/worker.ts
+++ b/src/workers/worker.ts
@@ -68,11 +68,6 @@
     this.reachability.recordAnswer(answered, this.fencingToken);
   }
 
-  /** Is it certain that a launch of this attempt, absent from the last status, won't come any more? */
-  isAbsenceFinal(attemptKey: string, fencingToken: number): boolean {
-    return this.fencingToken === fencingToken && !this.launches.has(attemptKey);
-  }
-
   // What the inventory and the role rebalancer read of a worker.
 
   /** Steady ms of its last heartbeat; until it has sent one, of the first contact. */
