--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -338,15 +338,15 @@
       heartbeats: this.reports,
       send: (node, message) => this.send(node, message),
     });
-    this.cancellationEnforcer = new CancellationEnforcer(
-      this.leadership,
-      this.clusterState,
-      this.inventory,
-      this.peerDirectory,
+    this.cancellationEnforcer = new CancellationEnforcer({
+      leadership: this.leadership,
+      clusterState: this.clusterState,
+      inventory: this.inventory,
+      peerDirectory: this.peerDirectory,
       http,
       clock,
       log,
-    );
+    });
     this.handover = new Handover({
       limitMs: tuning.standby.handover_ms,
       leadership: this.leadership,
--- a/src/workers/cancellation-enforcer.ts
+++ b/src/workers/cancellation-enforcer.ts
@@ -1,6 +1,6 @@
 import { MAX_TOKEN_ANNOUNCEMENTS, TOKEN_ANNOUNCE_AGAIN_MS } from '../constants/workers.js';
-import type { ClusterState } from '../records/cluster-state.js';
-import { taskIdOf } from '../domain/task.js';
+import type { ClusterState, JobView } from '../records/cluster-state.js';
+import { type ActivePlacement, taskIdOf } from '../domain/task.js';
 import { sendCommands } from './command-client.js';
 import type { WorkerCommand } from './worker-wire-codec.js';
 import { partitionRole } from '../domain/role.js';
@@ -9,71 +9,96 @@
 import type { HttpClient } from '../net/http-client.js';
 import type { Log } from '../logging/log.js';
 
+export interface CancellationEnforcerDependencies {
+  leadership: RoleLeadership;
+  clusterState: ClusterState;
+  inventory: { get(machineId: string): { endpoint: string } | undefined };
+  peerDirectory: { isWithoutStore(node: string): boolean };
+  http: HttpClient;
+  clock: Clock;
+  log: Log;
+}
+
+/** Kills for one machine. */
+interface KillBatch {
+  /** The token of the machine's leader. */
+  fencingToken: number;
+  agentEpoch: number;
+  commands: WorkerCommand[];
+}
+
 /**
- * Stops what is remaining of withdrawn jobs on machines whose owner is without the store, and so may not know of the withdrawal,
+ * Kills what remains of cancelled jobs on machines whose leader is without the store, and so may not know of the cancellation,
  * also while this node is, and can't tell.
- * A withdrawal is final, and a worker takes orders from any node under its owner's token: nothing of the owner's is decided
- * here, and it learns of the exits by the next report. That the tasks go in time does not rest on this; it only stops them
- * sooner.
+ * A cancellation is final, and a worker takes commands from any node under its leader's token: nothing of the leader's is
+ * decided here, and it learns of the exits by the next heartbeat. That the tasks go in time does not rest on this; it only
+ * stops them sooner.
  */
 export class CancellationEnforcer {
+  /** Steady ms, by machine. */
   private readonly sentAt = new Map<string, number>();
   private inFlightCount = 0;
 
-  constructor(
-    private readonly leadership: RoleLeadership,
-    private readonly clusterState: ClusterState,
-    private readonly inventory: { get(machineId: string): { endpoint: string } | undefined },
-    private readonly peerDirectory: { isWithoutStore(node: string): boolean },
-    private readonly http: HttpClient,
-    private readonly clock: Clock,
-    private readonly log: Log,
-  ) {}
+  constructor(private readonly dependencies: CancellationEnforcerDependencies) {}
 
+  /** Sends kills to each such machine, again after a pause as long as tasks remain there. */
   sweep(): void {
-    const now = this.clock.now();
+    const now = this.dependencies.clock.now();
     for (const [machineId, at] of this.sentAt) if (now - at > TOKEN_ANNOUNCE_AGAIN_MS) this.sentAt.delete(machineId);
-    for (const [machineId, { fencingToken, agentEpoch, commands }] of this.remainingTasks()) {
-      const endpoint = this.inventory.get(machineId)?.endpoint;
-      if (endpoint === undefined || this.sentAt.has(machineId) || this.inFlightCount >= MAX_TOKEN_ANNOUNCEMENTS)
-        continue;
-      this.sentAt.set(machineId, now);
-      this.inFlightCount++;
-      this.log.info({ machine: machineId, tasks: commands.length }, 'tasks of withdrawn jobs stopped for their owner');
-      void sendCommands(this.http, endpoint, { fencingToken, agentEpoch, commands }).finally(
-        () => this.inFlightCount--,
-      );
-    }
+    for (const [machineId, batch] of this.remainingTasks()) this.send(machineId, batch, now);
+  }
+
+  private send(machineId: string, batch: KillBatch, now: number): void {
+    const { inventory, http, log } = this.dependencies;
+    const endpoint = inventory.get(machineId)?.endpoint;
+    if (endpoint === undefined || this.sentAt.has(machineId) || this.inFlightCount >= MAX_TOKEN_ANNOUNCEMENTS) return;
+    this.sentAt.set(machineId, now);
+    this.inFlightCount++;
+    log.info({ machine: machineId, tasks: batch.commands.length }, 'tasks of withdrawn jobs stopped for their owner');
+    void sendCommands(http, endpoint, batch).finally(() => this.inFlightCount--);
   }
 
-  /** By machine; the places of one machine have one session, or the older ones are over. */
-  private remainingTasks(): Map<string, { fencingToken: number; agentEpoch: number; commands: WorkerCommand[] }> {
-    const remaining = new Map<string, { fencingToken: number; agentEpoch: number; commands: WorkerCommand[] }>();
-    for (const view of this.clusterState.jobs.values()) {
-      if (view.record.state !== 'cancelled' || view.placed === 0) continue;
-      for (const [taskIndex, placement] of view.knownPlacements()) {
-        if (placement.kind !== 'placed') continue;
-        const role = partitionRole(this.leadership.partitionOf(placement.machineId));
-        const leader = this.clusterState.leadershipRecords.get(role);
-        if (leader === undefined || this.leadership.leadershipOf(role) !== undefined) continue;
-        // An owner that is only busy, or whose partition others will take over, needs no help.
-        if (this.leadership.isInTouchWithStore && !this.peerDirectory.isWithoutStore(leader.record.node)) continue;
-        let batch = remaining.get(placement.machineId);
-        if (batch === undefined || batch.agentEpoch < placement.agentEpoch) {
-          remaining.set(
-            placement.machineId,
-            (batch = { fencingToken: leader.modRevision, agentEpoch: placement.agentEpoch, commands: [] }),
-          );
-        }
-        if (batch.agentEpoch !== placement.agentEpoch) continue;
-        batch.commands.push({
-          kind: 'kill',
-          taskId: taskIdOf(view.jobId, taskIndex),
-          attempt: placement.attempt,
-          gracePeriodS: 0,
-        });
-      }
+  /** By machine. */
+  private remainingTasks(): Map<string, KillBatch> {
+    const remaining = new Map<string, KillBatch>();
+    for (const view of this.dependencies.clusterState.jobs.values()) {
+      if (view.record.state === 'cancelled' && view.placed > 0) this.addTasksOf(view, remaining);
     }
     return remaining;
   }
+
+  private addTasksOf(view: JobView, remaining: Map<string, KillBatch>): void {
+    for (const [taskIndex, placement] of view.knownPlacements()) {
+      if (placement.kind !== 'placed') continue;
+      const fencingToken = this.tokenToKillUnder(placement.machineId);
+      if (fencingToken === undefined) continue;
+      const batch = batchFor(remaining, placement, fencingToken);
+      const taskId = taskIdOf(view.jobId, taskIndex);
+      batch?.commands.push({ kind: 'kill', taskId, attempt: placement.attempt, gracePeriodS: 0 });
+    }
+  }
+
+  /** The token of the machine's leader; undefined: it needs no help, or there is none. */
+  private tokenToKillUnder(machineId: string): number | undefined {
+    const { leadership, clusterState, peerDirectory } = this.dependencies;
+    const role = partitionRole(leadership.partitionOf(machineId));
+    const leader = clusterState.leadershipRecords.get(role);
+    if (leader === undefined || leadership.leadershipOf(role) !== undefined) return undefined;
+    // A leader that is only busy, or whose partition others will take over, needs no help.
+    if (leadership.isInTouchWithStore && !peerDirectory.isWithoutStore(leader.record.node)) return undefined;
+    return leader.modRevision;
+  }
+}
+
+/** The placements of one machine have one agent epoch, or the older ones are over. undefined: it is such an older one. */
+function batchFor(
+  batches: Map<string, KillBatch>,
+  { machineId, agentEpoch }: ActivePlacement,
+  fencingToken: number,
+): KillBatch | undefined {
+  const known = batches.get(machineId);
+  if (known !== undefined && known.agentEpoch >= agentEpoch) return known.agentEpoch === agentEpoch ? known : undefined;
+  const batch: KillBatch = { fencingToken, agentEpoch, commands: [] };
+  batches.set(machineId, batch);
+  return batch;
 }
--- a/src/workers/straggler-detector.ts
+++ b/src/workers/straggler-detector.ts
@@ -1,4 +1,5 @@
 import { EVICT_STRAGGLER_FACTOR, SIBLINGS_KNOWN, STRAGGLER_FACTOR } from '../constants/workers.js';
+import type { JobSpec } from '../domain/job.js';
 import type { ClusterState, PlacedTask } from '../records/cluster-state.js';
 import { markForStop } from '../records/placement-mutations.js';
 import type { Clock } from '../net/clock.js';
@@ -9,80 +10,103 @@
 import type { RoleLeadership } from '../leadership/role-leadership.js';
 import type { Log } from '../logging/log.js';
 
-/** Tells slow machines by tasks that run far longer than their siblings, and takes batch work off them. */
+export interface StragglerDetectorDependencies {
+  leadership: RoleLeadership;
+  clusterState: ClusterState;
+  transactions: TransactionBatcher;
+  clock: Clock;
+  log: Log;
+}
+
+/** Run times of the finished tasks of a job. */
+interface FinishedRunTimes {
+  count: number;
+  meanMs: number;
+}
+
+/** Tells slow machines by tasks that run far longer than their siblings, and evicts batch tasks from them. */
 export class StragglerDetector {
-  constructor(
-    private readonly leadership: RoleLeadership,
-    private readonly clusterState: ClusterState,
-    private readonly transactions: TransactionBatcher,
-    private readonly clock: Clock,
-    private readonly log: Log,
-  ) {}
+  /** How long the finished tasks of a job ran on this node's machines, by job id. */
+  private readonly finishedRunTimes = new Map<string, FinishedRunTimes>();
 
-  /** How long the finished tasks of a job ran on this node's machines. */
-  private readonly finishedRunTimes = new Map<string, { count: number; meanMs: number }>();
+  constructor(private readonly dependencies: StragglerDetectorDependencies) {}
 
+  /** Compares a finished task, and takes its run time into the mean of its job. */
   compareWithSiblings(worker: Worker, placedTask: PlacedTask, ranMs: number): void {
     // A task that goes on from a checkpoint has less left to run, and says nothing about others.
     if (placedTask.placement.attempt > 1) return;
-    const known = this.finishedRunTimes.get(placedTask.jobId) ?? { count: 0, meanMs: 0 };
-    if (known.count >= SIBLINGS_KNOWN && this.isHalfDone(placedTask.jobId)) {
-      worker.slowness.recordRunTimeRatio(attemptKeyOf(placedTask), ranMs / known.meanMs, this.clock.now());
+    const { jobId } = placedTask;
+    const siblings = this.finishedRunTimes.get(jobId) ?? { count: 0, meanMs: 0 };
+    if (this.isComparable(jobId, siblings)) {
+      const now = this.dependencies.clock.now();
+      worker.slowness.recordRunTimeRatio(attemptKeyOf(placedTask), ranMs / siblings.meanMs, now);
     }
-    const count = known.count + 1;
-    this.finishedRunTimes.set(placedTask.jobId, { count, meanMs: known.meanMs + (ranMs - known.meanMs) / count });
-  }
-
-  /** The first to finish are the short ones: compared with them alone, the other half would all seem slow. */
-  private isHalfDone(jobId: string): boolean {
-    const view = this.clusterState.jobs.get(jobId);
-    return view !== undefined && view.done * 2 >= view.record.spec.taskCount;
+    const count = siblings.count + 1;
+    this.finishedRunTimes.set(jobId, { count, meanMs: siblings.meanMs + (ranMs - siblings.meanMs) / count });
   }
 
   /** Tasks that run far longer than their finished siblings show that their machine is slow, before they end. */
   checkRunning(worker: Worker): void {
-    const now = this.clock.now();
-    for (const [key, since] of worker.runTimes.runningSince) {
-      const jobId = key.slice(0, key.lastIndexOf('/'));
-      const known = this.finishedRunTimes.get(jobId);
-      if (known === undefined || known.count < SIBLINGS_KNOWN || !key.endsWith('#1') || !this.isHalfDone(jobId))
-        continue;
-      if (now - since > STRAGGLER_FACTOR * known.meanMs)
-        worker.slowness.recordRunTimeRatio(key, (now - since) / known.meanMs, now);
+    const now = this.dependencies.clock.now();
+    for (const [attemptKey, startedAt] of worker.runTimes.runningSince) {
+      const jobId = attemptKey.slice(0, attemptKey.lastIndexOf('/'));
+      const siblings = this.finishedRunTimes.get(jobId);
+      const isFirstAttempt = attemptKey.endsWith('#1');
+      if (siblings === undefined || !isFirstAttempt || !this.isComparable(jobId, siblings)) continue;
+      const ranMs = now - startedAt;
+      if (ranMs <= STRAGGLER_FACTOR * siblings.meanMs) continue;
+      worker.slowness.recordRunTimeRatio(attemptKey, ranMs / siblings.meanMs, now);
     }
   }
 
   /** Starts anew elsewhere what would take longer to end on a slow machine; services move by their happiness only. */
   evictFromSlowMachines(workers: Iterable<Worker>, roleOf: (machineId: string) => string): void {
-    for (const jobId of this.finishedRunTimes.keys())
-      if (!this.clusterState.jobs.has(jobId)) this.finishedRunTimes.delete(jobId);
-    if (!this.leadership.isInTouchWithStore) return;
-    const now = this.clock.now();
-    for (const worker of workers) if (worker.isSlow(now)) this.evictSlowTasks(worker, roleOf(worker.machineId), now);
+    const { leadership, clusterState, clock } = this.dependencies;
+    for (const jobId of this.finishedRunTimes.keys()) {
+      if (!clusterState.jobs.has(jobId)) this.finishedRunTimes.delete(jobId);
+    }
+    if (!leadership.isInTouchWithStore) return;
+    const now = clock.now();
+    for (const worker of workers) {
+      if (worker.isSlow(now)) this.evictSlowTasks(worker, roleOf(worker.machineId), now);
+    }
+  }
+
+  /** The first to finish are the short ones: compared with them alone, the other half would all seem slow. */
+  private isComparable(jobId: string, { count }: FinishedRunTimes): boolean {
+    if (count < SIBLINGS_KNOWN) return false;
+    const view = this.dependencies.clusterState.jobs.get(jobId);
+    return view !== undefined && view.done * 2 >= view.record.spec.taskCount;
   }
 
   private evictSlowTasks(worker: Worker, role: string, now: number): void {
-    for (const placedTask of [...this.clusterState.tasksOn(worker.machineId)]) {
-      const spec = this.clusterState.jobs.get(placedTask.jobId)?.record.spec;
-      const key = attemptKeyOf(placedTask);
-      const since = worker.runTimes.runningSince.get(key);
-      const mean = this.finishedRunTimes.get(placedTask.jobId)?.meanMs ?? (spec?.estimatedRunS ?? 0) * 1000;
-      if (spec?.kind !== 'array' || placedTask.placement.gracePeriodS !== null || since === undefined) continue;
-      if (now - since > EVICT_STRAGGLER_FACTOR * mean || worker.slowness.isEvicted(key)) continue;
-      worker.slowness.markEvicted(key);
-      this.log.info({ taskId: taskIdOfPlaced(placedTask), machine: worker.machineId }, 'taken off a slow machine');
-      const gracePeriodS = spec.checkpointIntervalS > 0 ? spec.checkpointS : 0;
-      void this.transactions.commit('relieve', Priority.background, (draft) => {
-        if (!this.leadership.requireLeadership(draft, role)) return false;
-        return markForStop(
-          draft,
-          placedTask.jobId,
-          placedTask.taskIndex,
-          worker.machineId,
-          placedTask.placement.attempt,
-          gracePeriodS,
-        );
-      });
+    const { clusterState } = this.dependencies;
+    for (const placedTask of [...clusterState.tasksOn(worker.machineId)]) {
+      const spec = clusterState.jobs.get(placedTask.jobId)?.record.spec;
+      if (spec?.kind !== 'array' || placedTask.placement.gracePeriodS !== null) continue;
+      if (this.isWorthEvicting(worker, placedTask, spec, now)) this.evict(worker, placedTask, spec, role);
     }
   }
+
+  /** Was the task seen to start, and will it end elsewhere sooner than here? */
+  private isWorthEvicting(worker: Worker, placedTask: PlacedTask, spec: JobSpec, now: number): boolean {
+    const attemptKey = attemptKeyOf(placedTask);
+    const startedAt = worker.runTimes.runningSince.get(attemptKey);
+    if (startedAt === undefined || worker.slowness.isEvicted(attemptKey)) return false;
+    const expectedMs = this.finishedRunTimes.get(placedTask.jobId)?.meanMs ?? spec.estimatedRunS * 1000;
+    return now - startedAt <= EVICT_STRAGGLER_FACTOR * expectedMs;
+  }
+
+  private evict(worker: Worker, placedTask: PlacedTask, spec: JobSpec, role: string): void {
+    const { leadership, transactions, log } = this.dependencies;
+    const { machineId } = worker;
+    const { jobId, taskIndex, placement } = placedTask;
+    worker.slowness.markEvicted(attemptKeyOf(placedTask));
+    log.info({ taskId: taskIdOfPlaced(placedTask), machine: machineId }, 'taken off a slow machine');
+    const gracePeriodS = spec.checkpointIntervalS > 0 ? spec.checkpointS : 0;
+    void transactions.commit('relieve', Priority.background, (draft) => {
+      if (!leadership.requireLeadership(draft, role)) return false;
+      return markForStop(draft, jobId, taskIndex, machineId, placement.attempt, gracePeriodS);
+    });
+  }
 }
--- a/src/workers/worker-manager.ts
+++ b/src/workers/worker-manager.ts
@@ -28,10 +28,10 @@
   private readonly tokenSender: FencingTokenSender;
 
   constructor(private readonly dependencies: WorkerManagerDependencies) {
-    const { settings, leadership, clusterState, transactions, clock, events, log } = dependencies;
+    const { settings, leadership, clock, events } = dependencies;
     const timings = settings.cluster.workers;
     const workers = new WorkerRegistry(leadership, timings);
-    const stragglers = new StragglerDetector(leadership, clusterState, transactions, clock, log);
+    const stragglers = new StragglerDetector(dependencies);
     const exits = new ExitRecorder({ ...dependencies, workers, stragglers });
     const releaser = new PlacementReleaser({ ...dependencies, workers, exits });
     const tokenAdvancer = new FencingTokenAdvancer({ leadership, clock });
