--- a/src/workers/command-client.ts
+++ b/src/workers/command-client.ts
@@ -1,5 +1,5 @@
 import { COMMAND_TIMEOUT_MS, CONNECT_TIMEOUT_MS } from '../constants/workers.js';
-import { NoResponseError, type HttpClient } from '../net/http-client.js';
+import { NoResponseError, type HttpClient, type Reply } from '../net/http-client.js';
 import {
   decodeWorkerStatus,
   type DirectCommands,
@@ -7,16 +7,17 @@
   type WorkerStatus,
 } from './worker-wire-codec.js';
 
+/** What became of commands; `workerStatus` is undefined where the answer held none that can be read. */
 export type CommandResult =
   | { kind: 'done'; workerStatus: WorkerStatus | undefined }
-  /** Nothing executed: a higher fence or another session. */
+  /** Nothing was executed: the worker has seen a higher fencing token, or is in another agent epoch. */
   | { kind: 'refused'; workerStatus: WorkerStatus | undefined }
-  /** Never reached the worker. */
+  /** They never reached the worker, or it could not read them. */
   | { kind: 'unsent' }
-  /** May have been executed, or may be at any time while fence and session still match. */
+  /** They may have been executed, or may be at any time while fencing token and agent epoch still match. */
   | { kind: 'unknown' };
 
-/** Commands sent to a worker directly, for speed; they never renew a lease. */
+/** Sends commands to a worker directly, for speed; they never renew a lease. Failures are results, nothing is thrown. */
 export async function sendCommands(
   http: HttpClient,
   endpoint: string,
@@ -27,10 +28,21 @@
       timeoutMs: COMMAND_TIMEOUT_MS,
       connectMs: CONNECT_TIMEOUT_MS,
     });
-    if (reply.status === 200) return { kind: 'done', workerStatus: decodeWorkerStatus(reply.body) };
-    if (reply.status === 409) return { kind: 'refused', workerStatus: decodeWorkerStatus(reply.body) };
-    return reply.status === 400 ? { kind: 'unsent' } : { kind: 'unknown' };
+    return resultOf(reply);
   } catch (error) {
     return error instanceof NoResponseError && !error.wasSent ? { kind: 'unsent' } : { kind: 'unknown' };
   }
 }
+
+function resultOf({ status, body }: Reply): CommandResult {
+  switch (status) {
+    case 200:
+      return { kind: 'done', workerStatus: decodeWorkerStatus(body) };
+    case 409:
+      return { kind: 'refused', workerStatus: decodeWorkerStatus(body) };
+    case 400:
+      return { kind: 'unsent' };
+    default:
+      return { kind: 'unknown' };
+  }
+}
--- a/src/workers/exit-recorder.ts
+++ b/src/workers/exit-recorder.ts
@@ -1,4 +1,3 @@
-/** Records in the ledger that places are free, and draws from each exit what it tells of its machine. */
 import type { Settings } from '../domain/settings.js';
 import type { ClusterState, PlacedTask } from '../records/cluster-state.js';
 import { releasePlacement } from '../records/placement-mutations.js';
@@ -17,7 +16,7 @@
 
 /** Whom an exit is told to. */
 export interface ExitListener {
-  /** A task has run to its end. */
+  /** A task has run to its end, in `ranS` seconds. */
   completed(placedTask: PlacedTask, ranS: number): void;
   /** A task died unfinished: an unhealthy check. */
   died(placedTask: PlacedTask): void;
@@ -36,46 +35,51 @@
   log: Log;
 }
 
+/** Records the release of placements in the store, and draws from each exit what it tells of its machine. */
 export class ExitRecorder {
-  /** Attempts whose end is handed to the ledger and not yet recorded, also on machines that this node has never heard. */
+  /** Keys of attempts whose end waits to be recorded, also on machines that this node has had no contact with. */
   private readonly recording = new Set<string>();
 
   constructor(private readonly dependencies: ExitRecorderDependencies) {}
 
-  /** Frees a place; `proofNow` is asked again whenever the decision is tried, and gives the proof that it is taken on. */
-  record(machineId: string, role: string, release: PlacementRelease, proofNow: () => Proof | undefined): void {
-    const key = attemptKeyOf(release.placedTask);
-    if (this.recording.has(key)) return;
-    this.recording.add(key);
+  /**
+   * Releases a placement, once at a time for each attempt. `currentProof` is asked again whenever the transaction is tried, and
+   * gives the proof that it is made on; undefined: nothing proves it any more, and nothing is recorded.
+   */
+  record(machineId: string, role: string, release: PlacementRelease, currentProof: () => Proof | undefined): void {
+    const attemptKey = attemptKeyOf(release.placedTask);
+    if (this.recording.has(attemptKey)) return;
+    this.recording.add(attemptKey);
     const worker = this.dependencies.workers.get(machineId);
     this.logExit(machineId, worker, release);
     if (worker !== undefined) this.updateWorker(worker, release);
     this.reportDeath(release);
-    void this.commit(machineId, role, release, proofNow).finally(() => this.recording.delete(key));
+    void this.commit(machineId, role, release, currentProof).finally(() => this.recording.delete(attemptKey));
   }
 
   private commit(
     machineId: string,
     role: string,
     { placedTask, ending }: PlacementRelease,
-    proofNow: () => Proof | undefined,
+    currentProof: () => Proof | undefined,
   ) {
     const { leadership, clusterState, transactions, accounting } = this.dependencies;
+    const { jobId, taskIndex } = placedTask;
     const term = leadership.termOf(role);
-    const spec = clusterState.jobs.get(placedTask.jobId)?.record.spec;
+    const spec = clusterState.jobs.get(jobId)?.record.spec;
     return transactions.commit(
       'free',
       exitPriority(spec),
       (draft) => {
-        // What another owner has placed here in between, this proof does not speak of.
+        // What another leader has placed here in between, this proof does not speak of.
         if (!leadership.requireLeadership(draft, role) || leadership.termOf(role) !== term) return false;
-        // Nor of a later stay on the same machine, after a change without an answer has freed the place already.
-        const proof = proofNow();
+        // Nor of a later placement on the same machine, after a transaction without an answer has released this one already.
+        const proof = currentProof();
         if (proof === undefined) return false;
-        return releasePlacement(draft, accounting, placedTask.jobId, placedTask.taskIndex, machineId, proof, ending);
+        return releasePlacement(draft, accounting, jobId, taskIndex, machineId, proof, ending);
       },
       undefined,
-      clusterState.batchingHintFor(placedTask.jobId, placedTask.taskIndex, accounting.teamChangedByExit(spec)),
+      clusterState.batchingHintFor(jobId, taskIndex, accounting.teamChangedByExit(spec)),
     );
   }
 
@@ -83,30 +87,27 @@
     const { settings, stragglers, events, clock } = this.dependencies;
     const now = clock.now();
     const startedAt = worker.runTimes.runningSince.get(attemptKeyOf(placedTask));
-    if (task !== undefined && (ending === 'done' || ending === 'failed'))
-      worker.health.recordExit(placedTask.jobId, ending, now);
+    if (task !== undefined && ending !== 'lost') worker.health.recordExit(placedTask.jobId, ending, now);
     if (task?.exitReason === 'insufficient_resources' || task?.exitReason === 'already_present') {
       worker.health.backoffUntil = now + settings.cluster.workers.heartbeatIntervalMs;
     }
-    if (ending === 'done' && startedAt !== undefined) {
-      events.completed(placedTask, (now - startedAt) / 1000);
-      stragglers.compareWithSiblings(worker, placedTask, now - startedAt);
-    }
+    if (ending !== 'done' || startedAt === undefined) return;
+    events.completed(placedTask, (now - startedAt) / 1000);
+    stragglers.compareWithSiblings(worker, placedTask, now - startedAt);
   }
 
   private reportDeath({ placedTask, ending }: PlacementRelease): void {
     const { clusterState, events } = this.dependencies;
-    const isStopped =
-      placedTask.placement.gracePeriodS !== null || clusterState.jobs.get(placedTask.jobId)?.record.state !== 'active';
-    if (ending !== 'done' && !isStopped) events.died(placedTask);
+    const isActive = clusterState.jobs.get(placedTask.jobId)?.record.state === 'active';
+    const wasToBeStopped = placedTask.placement.gracePeriodS !== null || !isActive;
+    if (ending !== 'done' && !wasToBeStopped) events.died(placedTask);
   }
 
   private logExit(machineId: string, worker: Worker | undefined, { placedTask, proof, task }: PlacementRelease): void {
     const { clock, log } = this.dependencies;
-    const key = attemptKeyOf(placedTask);
-    const now = clock.now();
-    const startedAt = worker?.runTimes.runningSince.get(key);
-    const seconds = (ms: number | undefined) => (ms === undefined ? undefined : Math.round(ms / 100) / 10);
+    const attemptKey = attemptKeyOf(placedTask);
+    const startedAt = worker?.runTimes.runningSince.get(attemptKey);
+    const firstSeenAt = worker?.runTimes.firstSeen(attemptKey);
     log.debug(
       {
         machine: machineId,
@@ -114,12 +115,15 @@
         attempt: placedTask.placement.attempt,
         proof: proof.kind,
         exitReason: task?.exitReason,
-        fetchedS: seconds(
-          startedAt === undefined ? undefined : startedAt - (worker?.runTimes.firstSeen(key) ?? startedAt),
-        ),
-        ranS: seconds(startedAt === undefined ? undefined : now - startedAt),
+        fetchedS: secondsBetween(firstSeenAt ?? startedAt, startedAt),
+        ranS: secondsBetween(startedAt, clock.now()),
       },
       'task over',
     );
   }
 }
+
+/** Rounded to tenths; undefined: one of the moments is not known. */
+function secondsBetween(fromMs: number | undefined, toMs: number | undefined): number | undefined {
+  return fromMs === undefined || toMs === undefined ? undefined : Math.round((toMs - fromMs) / 100) / 10;
+}
--- a/src/workers/misrouted-workers.ts
+++ b/src/workers/misrouted-workers.ts
@@ -1,29 +1,32 @@
-/**
- * Workers that report to this node although another one owns them: evidence for the others that they live, and a sign that they
- * can't reach their owner.
- */
 import { MISROUTED_HEARTBEAT_VALID_MS } from '../constants/gossip.js';
 import { REDIRECT_AGAIN_MS } from '../constants/workers.js';
 import type { WorkerStatus } from './worker-wire-codec.js';
 
+/**
+ * Workers that send their heartbeats to this node although another one leads their partition: evidence for the others that they
+ * are up, and a sign that they can't reach their leader. All times are steady ms.
+ */
 export class MisroutedWorkers {
-  /** Steady ms of the last report of each. */
+  /** By machine. */
   private readonly lastHeartbeatAt = new Map<string, number>();
-  /** Steady ms since when each is taken for cut off from its owner. */
+  /** Since when each is taken to be cut off from its leader. */
   private readonly cutOffSince = new Map<string, number>();
 
   has(machineId: string): boolean {
     return this.lastHeartbeatAt.has(machineId);
   }
 
-  /** Each of them, with the steady ms of its last report. */
+  /** Each machine, with the time of its last heartbeat here. */
   entries(): IterableIterator<[string, number]> {
     return this.lastHeartbeatAt.entries();
   }
 
-  /** Takes a report in. True: its worker can't get to its owner, so that the report is better passed on. */
+  /**
+   * Takes a heartbeat in; `leaderToken` is the present leader's fencing token, if there is one. True: its worker can't get to
+   * its leader, so that the heartbeat is better forwarded.
+   */
   recordHeartbeat(workerStatus: WorkerStatus, leaderToken: number | undefined, now: number): boolean {
-    const isCutOff = this.isCutOff(workerStatus, leaderToken, now);
+    const isCutOff = this.updateCutOff(workerStatus, leaderToken, now);
     this.lastHeartbeatAt.set(workerStatus.machineId, now);
     return isCutOff;
   }
@@ -38,10 +41,11 @@
   }
 
   /**
-   * A worker that shows the present owner's token has been with it, and is here because it can't get there. Now and then
-   * it is sent home all the same, so that it does not stay once the way is open again.
+   * A worker that shows the present leader's token has been with it, and is here because it can't get there. Now and then it
+   * is redirected all the same, so that it does not stay once the way is open again.
    */
-  private isCutOff({ machineId, fencingToken }: WorkerStatus, leaderToken: number | undefined, now: number): boolean {
+  private updateCutOff(workerStatus: WorkerStatus, leaderToken: number | undefined, now: number): boolean {
+    const { machineId, fencingToken } = workerStatus;
     const wasServed = fencingToken === leaderToken;
     if (!wasServed && !this.has(machineId)) return false;
     const since = this.cutOffSince.get(machineId) ?? now;
--- a/src/workers/worker-manager-dependencies.ts
+++ b/src/workers/worker-manager-dependencies.ts
@@ -1,3 +1,4 @@
+/** What the manager of a controller's workers needs, asks of its surroundings, and answers. */
 import type { Settings } from '../domain/settings.js';
 import type { ClusterState } from '../records/cluster-state.js';
 import type { TeamAccounting } from '../records/team-accounting.js';
@@ -10,7 +11,7 @@
 import type { ExitListener } from './exit-recorder.js';
 import type { Log } from '../logging/log.js';
 
-/** What the manager of a controller's workers needs, asks of its surroundings, and answers. */
+/** What a heartbeat is answered. */
 export type HeartbeatOutcome =
   /** The answer renews the worker's lease. */
   | { kind: 'answered'; fencingToken: number; commands: readonly WireCommand[] }
@@ -19,19 +20,20 @@
    * its heartbeat is better forwarded.
    */
   | { kind: 'redirected'; node: string | undefined; canForward: boolean }
+  /** This node must not renew the lease, and knows of nobody who may. */
   | { kind: 'unavailable'; error: string };
 
-/** What an owner asks of its surroundings, and where it tells of checks and exits. */
+/** What the manager asks of its surroundings, and where it tells of health checks and exits. */
 export interface WorkerManagerEvents extends ExitListener {
   /** A worker of the role's partition is being answered. */
   workerAnswered(role: string): void;
-  /** A report was heard: one check of each service task on the machine. */
+  /** A heartbeat came: one health check of each service task on the machine. */
   heartbeatReceived(workerStatus: WorkerStatus): void;
-  /** Has the cloud confirmed that the machine is gone? */
+  /** Has the cloud confirmed that the machine is terminated? */
   isTerminated(machineId: string): boolean;
-  /** Is a report of that session and Tick older than what anybody is known to have heard of the machine? */
+  /** Is the status no newer than the newest one that anybody is known to have received of the machine? */
   isLate(workerStatus: WorkerStatus): boolean;
-  /** Images that the machine's last owner knew to be there. */
+  /** Images that the former leader of the machine's partition knew to be there. */
   knownImages(machineId: string): readonly string[];
   /** GB of images that a machine of the type keeps. */
   cacheGb(machineType: string): number;
