--- a/src/workers/heartbeat-service.ts
+++ b/src/workers/heartbeat-service.ts
@@ -1,32 +1,34 @@
-/** Answers workers' reports, also those that one node passes on to another. */
 import type { HttpAnswer } from '../net/http-answer.js';
 import type { ForwardedHeartbeat, ForwardedHeartbeatAnswer } from '../gossip/messages.js';
 import type { HeartbeatForwarder } from '../gossip/heartbeat-forwarder.js';
 import { decodeWorkerStatus, encodeRedirect, encodeHeartbeatAnswer } from './worker-wire-codec.js';
 import type { Log } from '../logging/log.js';
 import type { WorkerManager } from './worker-manager.js';
-import { HeartbeatOutcome } from './worker-manager-dependencies.js';
+import type { HeartbeatOutcome } from './worker-manager-dependencies.js';
 
 export interface HeartbeatServiceDependencies {
   node: string;
   workerManager: WorkerManager;
   heartbeatForwarder: HeartbeatForwarder;
   log: Log;
-  /** A worker came here that another node owns: the others wait for that before they take it for dead. */
+  /** First heartbeat of a worker that another node leads: the others wait for that before they take it to be dead. */
   onMisrouted: () => void;
 }
 
+/** Answers workers' heartbeats over HTTP, also those that one node forwards to another. */
 export class HeartbeatService {
   constructor(private readonly dependencies: HeartbeatServiceDependencies) {}
 
-  /** Answers a report that a worker has sent to this node. */
+  /** Answers a heartbeat that a worker has sent to this node; 400: the body is no status. */
   answer(body: unknown): HttpAnswer | Promise<HttpAnswer> {
     const { workerManager, onMisrouted } = this.dependencies;
     const workerStatus = decodeWorkerStatus(body);
     if (workerStatus === undefined) return { status: 400, body: { error: 'not a report' } };
-    const wasMisrouted = workerManager.misroutedWorkers.has(workerStatus.machineId);
+    const { misroutedWorkers } = workerManager;
+    const { machineId } = workerStatus;
+    const wasMisrouted = misroutedWorkers.has(machineId);
     const outcome = workerManager.handleHeartbeat(workerStatus);
-    if (!wasMisrouted && workerManager.misroutedWorkers.has(workerStatus.machineId)) onMisrouted();
+    if (!wasMisrouted && misroutedWorkers.has(machineId)) onMisrouted();
     // It has been redirected before and is back: it can't get to its leader, but this node may.
     if (outcome.kind === 'redirected' && outcome.canForward && outcome.node !== undefined) {
       return this.forward(outcome.node, body);
@@ -34,14 +36,15 @@
     return encodeOutcome(outcome);
   }
 
+  /** The leader's own answer; a redirect if it can't be had in time. */
   private async forward(leader: string, body: unknown): Promise<HttpAnswer> {
     const answer = await this.dependencies.heartbeatForwarder.forward(leader, body);
-    const commands = answer?.status === 200 ? parseJson(answer.body) : undefined;
-    if (commands === undefined) return encodeOutcome({ kind: 'redirected', node: leader, canForward: false });
-    return { status: 200, body: commands };
+    const leaderAnswer = answer?.status === 200 ? parseJson(answer.body) : undefined;
+    if (leaderAnswer === undefined) return encodeOutcome({ kind: 'redirected', node: leader, canForward: false });
+    return { status: 200, body: leaderAnswer };
   }
 
-  /** Answers a report that another node has passed on; undefined: it can't be read. */
+  /** Answers a heartbeat that another node has forwarded; undefined: it can't be read. */
   answerRelayed({ node: sender, id, status: text }: ForwardedHeartbeat): ForwardedHeartbeatAnswer | undefined {
     const { node, workerManager, log } = this.dependencies;
     const workerStatus = decodeWorkerStatus(parseJson(text));
--- a/src/workers/worker-registry.ts
+++ b/src/workers/worker-registry.ts
@@ -1,8 +1,3 @@
-/**
- * What this process knows of the workers of its partitions, and how far back that knowledge reaches. Both begin together, with
- * the acquisition of a partition's claim, and end together: that nothing is known of a worker proves nothing, unless it is
- * also known since when every answer to it would have been noted here.
- */
 import { REPLICA_FRESH_MS } from '../constants/leadership.js';
 import type { WorkerTimings } from '../domain/settings.js';
 import { leaseOverAt } from '../domain/worker-deadlines.js';
@@ -15,16 +10,20 @@
 } from '../leadership/role-leadership.js';
 import { partitionRole } from '../domain/role.js';
 
-/** The workers of one partition, for as long as one acquisition of its claim lasts. */
+/** The workers of one partition, for as long as one term of its leadership lasts. */
 interface PartitionWorkers {
   readonly workers: Map<string, Worker>;
-  /** Steady ms of the last sign of life of any worker that has been forgotten since the acquisition. */
+  /** Steady ms of the last contact with any worker that has been forgotten since the term began. */
   forgottenContactAt: number;
 }
 
-/** The workers of all partitions that this process owns, by host. */
+/**
+ * The workers of all partitions that this process leads, and how far back its knowledge of them reaches. Both begin together,
+ * with the term of a partition's leadership, and end together: that nothing is known of a worker proves nothing, unless it is
+ * also known since when every answer to it would have been recorded here.
+ */
 export class WorkerRegistry {
-  /** Ends with the acquisition itself: no other lifetime could get out of step with the time that proofs count from. */
+  /** Ends with the term itself: no other lifetime could get out of step with the time that proofs count from. */
   private readonly partitionsByTerm = new WeakMap<LeadershipTerm, PartitionWorkers>();
 
   constructor(
@@ -32,6 +31,7 @@
     private readonly timings: WorkerTimings,
   ) {}
 
+  /** undefined: there was no contact with it in this term, or its partition is not led here. */
   get(machineId: string): Worker | undefined {
     return this.partitionOfMachine(machineId)?.workers.get(machineId);
   }
@@ -40,7 +40,7 @@
     return this.get(machineId) !== undefined;
   }
 
-  /** All workers heard, of one partition after the other. */
+  /** All workers with whom there was contact, one partition after the other. */
   *values(): Generator<Worker> {
     for (let partition = 0; partition < this.leadership.partitionCount; partition++) yield* this.ofPartition(partition);
   }
@@ -57,31 +57,31 @@
     return size;
   }
 
-  /** Takes in a worker that is heard for the first time. Its partition must be owned. */
+  /** Takes in a worker at the first contact. Without a term of its partition's leadership it is not kept. */
   add(worker: Worker): void {
     this.partitionOfMachine(worker.machineId)?.workers.set(worker.machineId, worker);
   }
 
-  /** The machine is gone for good, and nothing on it needs a proof any more. */
+  /** The machine is terminated, and nothing on it needs a proof any more. */
   remove(machineId: string): void {
     this.partitionOfMachine(machineId)?.workers.delete(machineId);
   }
 
-  /** Forgets a worker that has been silent for long; its last sign of life still bounds the leases of the unknown ones. */
+  /** Forgets a worker that has been silent for long; its last contact still bounds the leases of the unknown ones. */
   forget(machineId: string): void {
-    const knowledge = this.partitionOfMachine(machineId);
-    const worker = knowledge?.workers.get(machineId);
-    if (knowledge === undefined || worker === undefined) return;
-    knowledge.workers.delete(machineId);
-    knowledge.forgottenContactAt = Math.max(knowledge.forgottenContactAt, lastAnswerableAt(worker));
+    const partition = this.partitionOfMachine(machineId);
+    const worker = partition?.workers.get(machineId);
+    if (partition === undefined || worker === undefined) return;
+    partition.workers.delete(machineId);
+    partition.forgottenContactAt = Math.max(partition.forgottenContactAt, lastAnswerableAt(worker));
   }
 
-  /** Steady ms after which the lease of a machine's session is certainly over, if nobody answers it again. */
+  /** Steady ms after which the lease of a machine's agent epoch has certainly expired, if nobody answers it again. */
   leaseOverAt(machineId: string, held: HeldLeadership): number {
-    const knowledge = this.partitionInTerm(held.term);
-    const worker = knowledge?.workers.get(machineId);
-    const known = worker === undefined ? (knowledge?.forgottenContactAt ?? -Infinity) : lastAnswerableAt(worker);
-    // A worker that has shown this token drops what former owners answer.
+    const partition = this.partitionInTerm(held.term);
+    const worker = partition?.workers.get(machineId);
+    const known = worker === undefined ? (partition?.forgottenContactAt ?? -Infinity) : lastAnswerableAt(worker);
+    // A worker that has shown this token drops what former leaders answer.
     const hasSeenToken = worker !== undefined && worker.fencingToken >= held.fencingToken;
     const last = hasSeenToken ? known : Math.max(known, this.formerLeadersAnsweredUntil(held.term));
     return leaseOverAt(last, this.timings.workerLeaseMs);
@@ -89,8 +89,8 @@
 
   /** Steady ms from which on nobody else can have answered a worker that has not shown this node's token yet. */
   private formerLeadersAnsweredUntil(term: LeadershipTerm): number {
-    // A former owner's copy can have been complete until its hold ended, even if only its renewals were lost; and what it was
-    // told by this node since then would have shown it the new claim.
+    // A former leader's replica can have been complete until its store lease ended, even if only its renewals were lost; and
+    // what it was told by this node since then would have shown it the new leadership record.
     return term.at + Math.max(REPLICA_FRESH_MS, degradedServingMs(this.timings));
   }
 
@@ -106,10 +106,11 @@
     if (term === undefined) return undefined;
     const known = this.partitionsByTerm.get(term);
     if (known !== undefined) return known;
-    const knowledge = { workers: new Map<string, Worker>(), forgottenContactAt: -Infinity };
-    this.partitionsByTerm.set(term, knowledge);
-    return knowledge;
+    const partition = { workers: new Map<string, Worker>(), forgottenContactAt: -Infinity };
+    this.partitionsByTerm.set(term, partition);
+    return partition;
   }
 }
 
+/** Steady ms of the receipt of the last status that this node can have answered. */
 const lastAnswerableAt = (worker: Worker): number => Math.max(worker.reachability.answeredAt, worker.lastContactAt);
--- a/src/workers/worker-wire-codec.ts
+++ b/src/workers/worker-wire-codec.ts
@@ -1,4 +1,7 @@
-/** What workers and controllers send each other, in the wire form, and its translation. */
+/**
+ * What workers and controllers send each other: the wire form, read and written here only, and the types that the program
+ * works with. Sizes of texts are in characters.
+ */
 import * as v from 'valibot';
 import type { MachineIdentity } from '../domain/machine-state.js';
 
@@ -29,13 +32,13 @@
 
 export type ReportedTaskState = 'fetching' | 'waiting' | 'running' | 'checkpointing' | 'exited';
 
-/** A task as its worker sees it. */
+/** A task as its worker shows it. */
 export interface ReportedTask {
   attempt: number;
   state: ReportedTaskState;
   /** Of an exited task. Reasons that this program does not know stay as the worker names them. */
   exitReason: string | null;
-  /** Its progress was saved when it was stopped. */
+  /** It wrote a checkpoint when it was stopped. */
   isCheckpointed: boolean;
 }
 
@@ -78,7 +81,7 @@
   const tasks = new Map<string, ReportedTask>();
   for (const { Shard: taskId, Try: attempt, Phase, Cause, Saved } of wireTasks) {
     const known = tasks.get(taskId);
-    // Should a worker list two attempts of a task, the one that is not over counts.
+    // Should a worker list two attempts of a task, the one that has not exited counts.
     if (known !== undefined && known.state !== 'exited') continue;
     // A state that we don't know still occupies the machine.
     const state = STATE_OF_PHASE.get(Phase) ?? 'running';
@@ -87,7 +90,7 @@
   return tasks;
 }
 
-/** undefined: not a worker's status. */
+/** undefined: the body is not a worker's status. */
 export function decodeWorkerStatus(body: unknown): WorkerStatus | undefined {
   const result = v.safeParse(WireStatusSchema, body);
   if (!result.success) return undefined;
@@ -112,6 +115,7 @@
   | { kind: 'kill'; taskId: string; attempt: number; gracePeriodS: number }
   | { kind: 'forget'; taskId: string; attempt: number };
 
+/** A command in the wire form. */
 export type WireCommand = object;
 
 export const encodeCommand = (command: WorkerCommand): WireCommand => ({
@@ -121,10 +125,11 @@
   ...(command.kind === 'kill' ? { WindDownS: command.gracePeriodS } : {}),
 });
 
-/** Commands sent to a worker directly. */
+/** Commands sent to a worker directly, not in the answer to a heartbeat. */
 export interface DirectCommands {
+  /** They are refused by a worker that has seen a higher one. */
   fencingToken: number;
-  /** They are refused under another one. */
+  /** They are refused by a worker in another one. */
   agentEpoch: number;
   commands: readonly WorkerCommand[];
 }
@@ -141,5 +146,5 @@
   Orders: commands,
 });
 
-/** The answer to a heartbeat that another node should have got; undefined: nobody is known to. */
+/** The answer to a heartbeat that is for another node; undefined: the partition has no known leader. */
 export const encodeRedirect = (node: string | undefined): unknown => (node === undefined ? {} : { Steward: node });
