--- a/src/workers/cancellation-enforcer.ts
+++ b/src/workers/cancellation-enforcer.ts
@@ -54,7 +54,7 @@
     if (endpoint === undefined || this.sentAt.has(machineId) || this.inFlightCount >= MAX_TOKEN_ANNOUNCEMENTS) return;
     this.sentAt.set(machineId, now);
     this.inFlightCount++;
-    log.info({ machine: machineId, tasks: batch.commands.length }, 'tasks of withdrawn jobs stopped for their owner');
+    log.info({ machineId, taskCount: batch.commands.length }, 'killing tasks of cancelled jobs for their leader');
     void sendCommands(http, endpoint, batch).finally(() => this.inFlightCount--);
   }
 
--- a/src/workers/command-sender.ts
+++ b/src/workers/command-sender.ts
@@ -91,7 +91,7 @@
     const launches = commands.filter((command) => command.kind === 'launch').map(attemptKeyOfCommand);
     for (const attemptKey of launches) worker.launches.recordSent(attemptKey, fencingToken);
     const described = commands.map((command) => `${command.kind} ${attemptKeyOfCommand(command)}`);
-    log.debug({ machine: machineId, commands: described }, 'commands');
+    log.debug({ machineId, commands: described }, 'sending commands');
     const result = await sendCommands(http, endpoint, { fencingToken, agentEpoch, commands });
     this.sending.delete(worker);
     const isWantedAgain = this.sendAgain.delete(worker);
@@ -135,7 +135,7 @@
   private applyResult(worker: Worker, { role, fencingToken, launches }: SentCommands, result: CommandResult): void {
     const { leadership, clusterState, reconciler, clock, log } = this.dependencies;
     if (result.kind === 'unknown') {
-      log.info({ machine: worker.machineId, launches }, 'commands without an answer');
+      log.info({ machineId: worker.machineId, launches }, 'commands unanswered');
       return;
     }
     for (const attemptKey of launches) worker.launches.settle(attemptKey, fencingToken);
--- a/src/workers/exit-recorder.ts
+++ b/src/workers/exit-recorder.ts
@@ -68,7 +68,7 @@
     const term = leadership.termOf(role);
     const spec = clusterState.jobs.get(jobId)?.record.spec;
     return transactions.commit(
-      'free',
+      'release placement',
       exitPriority(spec),
       (draft) => {
         // What another leader has placed here in between, this proof does not speak of.
@@ -110,7 +110,7 @@
     const firstSeenAt = worker?.runTimes.firstSeen(attemptKey);
     log.debug(
       {
-        machine: machineId,
+        machineId,
         taskId: taskIdOfPlaced(placedTask),
         attempt: placedTask.placement.attempt,
         proof: proof.kind,
@@ -118,7 +118,7 @@
         fetchedS: secondsBetween(firstSeenAt ?? startedAt, startedAt),
         ranS: secondsBetween(startedAt, clock.now()),
       },
-      'task over',
+      'task exited',
     );
   }
 }
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -66,7 +66,7 @@
     // A late copy was sent before the newest heartbeat that is known: its answer makes no lease any longer.
     if (worker.isLate(workerStatus)) return { kind: 'answered', fencingToken: held.fencingToken, commands: [] };
     if (agentEpoch > worker.agentEpoch && worker.agentEpoch > 0) {
-      log.info({ machine: machineId, agentEpoch }, 'worker began a new session');
+      log.info({ machineId, agentEpoch }, 'agent epoch advanced');
     }
     const desired = desiredTasksOn(clusterState, machineId);
     if (cancelledLaunchGuard.mustLetLeaseExpire({ worker, workerStatus, held, desired })) {
@@ -99,7 +99,7 @@
     const worker = new Worker(machineId);
     worker.imageCache.addKnown(events.knownImages(machineId));
     workers.add(worker);
-    log.debug({ machine: machineId, role, agentEpoch, machineType }, 'worker heard');
+    log.debug({ machineId, role, agentEpoch, machineType }, 'worker registered');
     return worker;
   }
 
@@ -118,9 +118,10 @@
   }
 
   private recordLaunch(worker: Worker, command: WorkerCommand, sequence: number): void {
-    const { taskId, attempt } = command;
     worker.launches.recordInAnswer(attemptKeyOfCommand(command), sequence);
-    this.dependencies.log.debug({ machine: worker.machineId, taskIndex: taskId, attempt }, 'launch in answer');
+    const { machineId } = worker;
+    const { taskId, attempt } = command;
+    this.dependencies.log.debug({ machineId, taskId, attempt }, 'launch added to heartbeat answer');
   }
 
   private redirect(workerStatus: WorkerStatus, role: string): HeartbeatOutcome {
--- a/src/workers/heartbeat-service.ts
+++ b/src/workers/heartbeat-service.ts
@@ -49,7 +49,7 @@
     const { node, workerManager, log } = this.dependencies;
     const workerStatus = decodeWorkerStatus(parseJson(text));
     if (workerStatus === undefined) {
-      log.warn({ from: sender }, 'relayed report can not be read');
+      log.warn({ sender }, 'forwarded heartbeat rejected');
       return undefined;
     }
     const { status, body } = encodeOutcome(workerManager.handleHeartbeat(workerStatus, sender));
--- a/src/workers/straggler-detector.ts
+++ b/src/workers/straggler-detector.ts
@@ -102,9 +102,9 @@
     const { machineId } = worker;
     const { jobId, taskIndex, placement } = placedTask;
     worker.slowness.markEvicted(attemptKeyOf(placedTask));
-    log.info({ taskId: taskIdOfPlaced(placedTask), machine: machineId }, 'taken off a slow machine');
+    log.info({ taskId: taskIdOfPlaced(placedTask), machineId }, 'task evicted from slow machine');
     const gracePeriodS = spec.checkpointIntervalS > 0 ? spec.checkpointS : 0;
-    void transactions.commit('relieve', Priority.background, (draft) => {
+    void transactions.commit('evict straggler', Priority.background, (draft) => {
       if (!leadership.requireLeadership(draft, role)) return false;
       return markForStop(draft, jobId, taskIndex, machineId, placement.attempt, gracePeriodS);
     });
