--- a/test/workers/exit-recorder.test.ts
+++ b/test/workers/exit-recorder.test.ts
@@ -12,37 +12,45 @@
 import { Worker } from '../../src/workers/worker.js';
 import { encodeJobRecord } from '../../src/records/record-codecs.js';
 
-const FENCE = 7;
-const HOST = 'i-000001';
+const FENCING_TOKEN = 7;
+const MACHINE_ID = 'i-000001';
 const GANG = specOf({ Ref: 'j-000001', Shape: 'ensemble', Shards: 2 });
 const placedTask: PlacedTask = {
   jobId: GANG.id,
   taskIndex: 0,
-  placement: { kind: 'placed', attempt: 1, failures: 0, machineId: HOST, agentEpoch: 1, gracePeriodS: null, zone: 'a' },
+  placement: {
+    kind: 'placed',
+    attempt: 1,
+    failures: 0,
+    machineId: MACHINE_ID,
+    agentEpoch: 1,
+    gracePeriodS: null,
+    zone: 'a',
+  },
 };
 const desired: DesiredTask = { placedTask, isCancelled: false, isInGang: true };
 
-const reportOf = (sequence: number, shards: object[]): WorkerStatus =>
+const statusOf = (sequence: number, wireTasks: object[]): WorkerStatus =>
   decodeWorkerStatus({
-    Host: HOST,
+    Host: MACHINE_ID,
     Endpoint: 'e',
     Flavor: 'c8',
     Site: 'a',
     Tenure: 1,
     Tick: sequence,
-    Fence: FENCE,
-    Shards: shards,
+    Fence: FENCING_TOKEN,
+    Shards: wireTasks,
   })!;
 
-/** The ledger: the gang's first member is placed, its second one waits on another machine. */
-function draftOfLedger(): TransactionDraft {
+/** Recorded: the gang's first member is placed, and its second one on another machine. */
+function draftOfPlacements(): TransactionDraft {
   const rows = new Map<string, unknown>([
     [jobKey(GANG.id), encodeJobRecord({ spec: GANG, state: 'active', submittedAtMs: 0, tasksPerChunk: 2 })],
     [
       placementChunkKey(GANG.id, 0),
       {
         s: [
-          [1, 0, HOST, 1, -1, 'a'],
+          [1, 0, MACHINE_ID, 1, -1, 'a'],
           [1, 0, 'i-000002', 1, -1, 'a'],
         ],
       },
@@ -51,7 +59,7 @@
   return new TransactionDraft((key) => ({ value: rows.get(key), modRevision: 3 }));
 }
 
-/** Hands the exit of the gang's first member to the ledger; returns the decision that waits for its turn. */
+/** Records the exit of the gang's first member; returns the decision that waits for its turn at the store. */
 function recordExit(worker: Worker): Mutation {
   let decide: Mutation = () => false;
   const recorder = new ExitRecorder({
@@ -70,25 +78,30 @@
     clock: new FakeClock(),
     log: noLog,
   } as unknown as ExitRecorderDependencies);
-  recorder.record(HOST, 'part-0', findProof(worker, desired, FENCE)!, () => findProof(worker, desired, FENCE)?.proof);
+  recorder.record(
+    MACHINE_ID,
+    'part-0',
+    findProof(worker, desired, FENCING_TOKEN)!,
+    () => findProof(worker, desired, FENCING_TOKEN)?.proof,
+  );
   return decide;
 }
 
 describe('the exit of a gang member that waits for its turn at the store', () => {
   const exited = { Shard: `${GANG.id}/0`, Try: 1, Phase: 'exited', Cause: 'no_room' };
 
-  it('frees its place as long as its worker shows it', () => {
-    const worker = new Worker(HOST);
-    worker.applyStatus(reportOf(1, [exited]), 0, true);
-    assert.equal(recordExit(worker)(draftOfLedger()), true);
+  it('releases its placement as long as its worker shows it', () => {
+    const worker = new Worker(MACHINE_ID);
+    worker.applyStatus(statusOf(1, [exited]), 0, true);
+    assert.equal(recordExit(worker)(draftOfPlacements()), true);
   });
 
-  // The store may have carried a first try out and lost the answer; the member may be placed there once more since.
-  it('does not free its next stay on the same machine under the same attempt', () => {
-    const worker = new Worker(HOST);
-    worker.applyStatus(reportOf(1, [exited]), 0, true);
+  // The store may have applied a first try and lost the answer; the member may be placed there once more since.
+  it('does not release its next placement on the same machine under the same attempt', () => {
+    const worker = new Worker(MACHINE_ID);
+    worker.applyStatus(statusOf(1, [exited]), 0, true);
     const decide = recordExit(worker);
-    worker.applyStatus(reportOf(2, [{ Shard: `${GANG.id}/0`, Try: 1, Phase: 'waiting' }]), 0, true);
-    assert.equal(decide(draftOfLedger()), false);
+    worker.applyStatus(statusOf(2, [{ Shard: `${GANG.id}/0`, Try: 1, Phase: 'waiting' }]), 0, true);
+    assert.equal(decide(draftOfPlacements()), false);
   });
 });
--- a/test/workers/heartbeats.test.ts
+++ b/test/workers/heartbeats.test.ts
@@ -18,8 +18,8 @@
 }
 
 const service = { Ref: 'j-svc', Shape: 'service', Rank: 'prod', GuessS: 0, Shards: 1 };
-const where = (name: string) => cluster.runs(name).at(-1)!.machineId;
-const ownerOf = (machineId: string) =>
+const machineOf = (name: string) => cluster.runs(name).at(-1)!.machineId;
+const leaderOf = (machineId: string) =>
   Number(cluster.node(0).leadership.leaderOf(cluster.node(0).workerManager.roleOf(machineId))!.slice(1));
 const isOpen = (node: number, machineId: string) => {
   const machine = cluster.node(node).inventory.get(machineId);
@@ -30,7 +30,7 @@
   it('gets no new work, and its service comes up elsewhere once its lease has run out', async () => {
     await ready(3, 4);
     await cluster.submit(service);
-    const machineId = where('j-svc/0');
+    const machineId = machineOf('j-svc/0');
     cluster.remember();
     const since = cluster.clock.now();
     cluster.deaf.add(machineId);
@@ -50,57 +50,57 @@
     await cluster.advance(2000);
     cluster.deaf.delete('i-000000');
     await cluster.advance(7000);
-    assert.ok(isOpen(ownerOf('i-000000'), 'i-000000'));
+    assert.ok(isOpen(leaderOf('i-000000'), 'i-000000'));
     assert.deepEqual(cluster.cloud.returned, []);
   });
 });
 
-describe('a report that crosses a newer answer of a command', () => {
+describe('a heartbeat that crosses a newer answer to a command', () => {
   it('is no late copy, and its worker counts as reached', async () => {
     await ready(1, 1);
-    const known = new Worker('i-000000');
+    const worker = new Worker('i-000000');
     const workerStatus = decodeWorkerStatus(cluster.workers.get('i-000000')!.report())!;
-    known.applyStatus({ ...workerStatus, sequence: workerStatus.sequence + 5 }, 100, false);
-    assert.equal(known.isLate(workerStatus), false);
-    known.recordAnswer({ status: workerStatus, fencingToken: 1, forwardedBy: undefined, lateMs: 2250, now: 100 });
-    assert.equal(known.isLate(workerStatus), true);
+    worker.applyStatus({ ...workerStatus, sequence: workerStatus.sequence + 5 }, 100, false);
+    assert.equal(worker.isLate(workerStatus), false);
+    worker.recordAnswer({ status: workerStatus, fencingToken: 1, forwardedBy: undefined, lateMs: 2250, now: 100 });
+    assert.equal(worker.isLate(workerStatus), true);
     for (let n = 1; n <= 5; n++) {
-      // Every report crosses a command's answer; the worker is with this node and in time all the same.
+      // Every heartbeat crosses a command's answer; the worker is with this node and in time all the same.
       const next = { ...workerStatus, sequence: workerStatus.sequence + n, fencingToken: 1 };
-      assert.equal(known.isLate(next), false);
-      known.recordAnswer({ status: next, fencingToken: 1, forwardedBy: undefined, lateMs: 2250, now: 100 + n * 1000 });
-      known.applyStatus({ ...next, sequence: next.sequence + 50 }, 100 + n * 1000, false);
-      assert.equal(known.isReached, true);
+      assert.equal(worker.isLate(next), false);
+      worker.recordAnswer({ status: next, fencingToken: 1, forwardedBy: undefined, lateMs: 2250, now: 100 + n * 1000 });
+      worker.applyStatus({ ...next, sequence: next.sequence + 50 }, 100 + n * 1000, false);
+      assert.equal(worker.isReached, true);
     }
   });
 });
 
-describe('a new owner', () => {
-  it('judges no run that it has not seen start: the rest of it would make all later ones seem long', async () => {
+describe('a new leader', () => {
+  it('measures no run that it has not seen start: the rest of it would make all later ones seem long', async () => {
     await ready(1, 1);
-    const known = new Worker('i-000000');
+    const worker = new Worker('i-000000');
     const workerStatus = decodeWorkerStatus(cluster.workers.get('i-000000')!.report())!;
     const running = (...names: string[]) =>
       new Map(
         names.map((name) => [name, { attempt: 1, state: 'running' as const, exitReason: null, isCheckpointed: false }]),
       );
-    known.applyStatus({ ...workerStatus, sequence: 1, tasks: running('j-1/0') }, 1000, true);
-    known.applyStatus({ ...workerStatus, sequence: 2, tasks: running('j-1/0', 'j-1/1') }, 2000, true);
-    assert.deepEqual([...known.runTimes.runningSince], [['j-1/1#1', 2000]]);
+    worker.applyStatus({ ...workerStatus, sequence: 1, tasks: running('j-1/0') }, 1000, true);
+    worker.applyStatus({ ...workerStatus, sequence: 2, tasks: running('j-1/0', 'j-1/1') }, 2000, true);
+    assert.deepEqual([...worker.runTimes.runningSince], [['j-1/1#1', 2000]]);
   });
 });
 
-describe('a late copy of a report', () => {
-  it('is no sign of life: the machine is given back as soon as without it', async () => {
+describe('a late copy of a heartbeat', () => {
+  it('does not show that the machine is up: it is scaled in as soon as without it', async () => {
     await ready(3, 4);
     await cluster.submit(service);
-    const machineId = where('j-svc/0');
+    const machineId = machineOf('j-svc/0');
     const copy = cluster.workers.get(machineId)!.report();
     await cluster.advance(2000);
     cluster.remember();
     cluster.cut.add(machineId);
     for (let second = 0; second < 12; second++) {
-      // Wherever it comes: at its owner, and at nodes that would take it for a worker cut off from its owner.
+      // Wherever it comes: at its leader, and at nodes that would take it for a worker cut off from its leader.
       for (const node of [0, 1, 2]) void cluster.node(node).answerHeartbeat(JSON.parse(JSON.stringify(copy)));
       await cluster.advance(1000);
     }
@@ -109,7 +109,7 @@
     assert.equal(cluster.overlaps('j-svc/0'), 0);
   });
 
-  it('does not bring a machine back that is gone', async () => {
+  it('does not bring a terminated machine back', async () => {
     await ready(3, 3);
     const copy = cluster.workers.get('i-000001')!.report();
     cluster.cut.add('i-000001');
@@ -122,7 +122,7 @@
     }
   });
 
-  it('heard first by a node that has just started opens no machine to new work', async () => {
+  it('received first by a node that has just started opens no machine to new work', async () => {
     await ready(1, 2);
     const copy = cluster.workers.get('i-000000')!.report();
     cluster.cut.add('i-000000');
@@ -137,7 +137,7 @@
 });
 
 describe('a node cut off from store and peers, but not from its workers', () => {
-  it('sends them to the new owner as soon as they show its token, and no task dies', async () => {
+  it('redirects them to the new leader as soon as they show its token, and no task dies', async () => {
     await ready(3, 6);
     for (let n = 0; n < 6; n++) await cluster.submit({ ...service, Ref: `j-svc${n}` });
     cluster.network.fault({ from: 'n0', to: 'store:1', kind: 'lose' });
@@ -177,25 +177,25 @@
 });
 
 describe('a zone that is cut off', () => {
-  it('keeps its machines, its tasks start elsewhere when the leases are over, and its machines are used again', async () => {
+  it('keeps its machines, its tasks start elsewhere when the leases expire, and its machines are used again', async () => {
     await ready(3, 9);
     const inZone = [...cluster.workers.values()].filter((worker) => worker.options.zone === 'b');
     await cluster.submit({ ...service, Shards: 4, Spread: true });
     for (const { options } of inZone) cluster.cut.add(options.machineId);
     await cluster.advance(14_000);
     const cutOff = [0, 1, 2, 3].filter((n) => cluster.runs(`j-svc/${n}`).length > 1);
-    for (const n of cutOff) assert.notEqual(cluster.workers.get(where(`j-svc/${n}`))!.options.zone, 'b');
+    for (const n of cutOff) assert.notEqual(cluster.workers.get(machineOf(`j-svc/${n}`))!.options.zone, 'b');
     assert.ok(cutOff.length > 0);
     for (let n = 0; n < 4; n++) assert.equal(cluster.overlaps(`j-svc/${n}`), 0);
     assert.deepEqual(cluster.cloud.returned, []);
     for (const { options } of inZone) cluster.cut.delete(options.machineId);
     await cluster.advance(5000);
-    for (const { options } of inZone) assert.ok(isOpen(ownerOf(options.machineId), options.machineId));
+    for (const { options } of inZone) assert.ok(isOpen(leaderOf(options.machineId), options.machineId));
   });
 });
 
 describe('nodes that do not hear each other', () => {
-  it('place work on the machines of all as long as their owners hold their claims', async () => {
+  it('place work on the machines of all as long as their leaders keep their leadership', async () => {
     await ready(3, 6);
     for (const from of [0, 1, 2]) for (const to of [0, 1, 2]) cluster.parted.add(`n${from}>n${to}`);
     await cluster.advance(20_000);
@@ -203,7 +203,7 @@
       for (const machineId of cluster.workers.keys()) assert.ok(isOpen(node, machineId), `${machineId} at n${node}`);
     }
     await cluster.submit({ ...service, Shards: 6, Spread: true });
-    const machineIds = new Set([0, 1, 2, 3, 4, 5].map((n) => where(`j-svc/${n}`)));
+    const machineIds = new Set([0, 1, 2, 3, 4, 5].map((n) => machineOf(`j-svc/${n}`)));
     assert.equal(machineIds.size, 6);
   });
 });
--- a/test/workers/worker-registry.test.ts
+++ b/test/workers/worker-registry.test.ts
@@ -14,52 +14,52 @@
   gangPeerTimeoutMs: 4000,
   cancelDeadlineMs: 36_000,
 };
-const HOST = 'i-000001';
+const MACHINE_ID = 'i-000001';
 
-/** A registry over one partition, whose acquisition tests replace. */
+/** A registry over one partition, whose leadership term tests replace. */
 function registryOver(term: LeadershipTerm) {
-  const owned: { term: LeadershipTerm | undefined } = { term };
-  const leadership = { partitionCount: 1, partitionOf: () => 0, termOf: () => owned.term } as unknown as RoleLeadership;
-  return { owned, registry: new WorkerRegistry(leadership, TIMINGS) };
+  const led: { term: LeadershipTerm | undefined } = { term };
+  const leadership = { partitionCount: 1, partitionOf: () => 0, termOf: () => led.term } as unknown as RoleLeadership;
+  return { led, registry: new WorkerRegistry(leadership, TIMINGS) };
 }
 
-function workerHeardAt(ms: number): Worker {
-  const worker = new Worker(HOST);
+function workerWithContactAt(ms: number): Worker {
+  const worker = new Worker(MACHINE_ID);
   worker.lastContactAt = ms;
   return worker;
 }
 
 describe('what is known of the workers of a partition', () => {
-  it('ends with the acquisition of its claim, and leases then count from the next one', () => {
-    const { owned, registry } = registryOver({ startRevision: 5, at: 1000 });
-    registry.add(workerHeardAt(500_000));
-    owned.term = { startRevision: 9, at: 600_000 };
-    assert.equal(registry.has(HOST), false);
+  it('ends with the leadership term, and leases then count from the next one', () => {
+    const { led, registry } = registryOver({ startRevision: 5, at: 1000 });
+    registry.add(workerWithContactAt(500_000));
+    led.term = { startRevision: 9, at: 600_000 };
+    assert.equal(registry.has(MACHINE_ID), false);
     assert.equal(registry.size, 0);
-    assert.ok(registry.leaseOverAt(HOST, { fencingToken: 9, term: owned.term }) > 600_000 + LEASE_MS);
+    assert.ok(registry.leaseOverAt(MACHINE_ID, { fencingToken: 9, term: led.term }) > 600_000 + LEASE_MS);
   });
 
-  it('outlives a raised token, which begins no new acquisition', () => {
+  it('outlives an advanced token, which begins no new term', () => {
     const term = { startRevision: 5, at: 1000 };
     const { registry } = registryOver(term);
-    registry.add(workerHeardAt(500_000));
-    const raised = { fencingToken: 12, term };
-    assert.equal(registry.leaseOverAt(HOST, raised), leaseOverAt(500_000, LEASE_MS));
+    registry.add(workerWithContactAt(500_000));
+    const advanced = { fencingToken: 12, term };
+    assert.equal(registry.leaseOverAt(MACHINE_ID, advanced), leaseOverAt(500_000, LEASE_MS));
   });
 
   it('proves no lease over by having been forgotten', () => {
     const term = { startRevision: 5, at: 1000 };
     const { registry } = registryOver(term);
-    registry.add(workerHeardAt(500_000));
-    registry.forget(HOST);
-    assert.equal(registry.has(HOST), false);
-    assert.equal(registry.leaseOverAt(HOST, { fencingToken: 5, term }), leaseOverAt(500_000, LEASE_MS));
+    registry.add(workerWithContactAt(500_000));
+    registry.forget(MACHINE_ID);
+    assert.equal(registry.has(MACHINE_ID), false);
+    assert.equal(registry.leaseOverAt(MACHINE_ID, { fencingToken: 5, term }), leaseOverAt(500_000, LEASE_MS));
   });
 
-  it('takes nothing in for a partition that is not owned', () => {
-    const { owned, registry } = registryOver({ startRevision: 5, at: 1000 });
-    owned.term = undefined;
-    registry.add(workerHeardAt(500_000));
+  it('keeps no worker of a partition that is not led', () => {
+    const { led, registry } = registryOver({ startRevision: 5, at: 1000 });
+    led.term = undefined;
+    registry.add(workerWithContactAt(500_000));
     assert.deepEqual([...registry.values()], []);
   });
 });
