--- a/src/workers/cancellation-enforcer.ts
+++ b/src/workers/cancellation-enforcer.ts
@@ -1,9 +1,9 @@
 import { MAX_TOKEN_ANNOUNCEMENTS, TOKEN_ANNOUNCE_AGAIN_MS } from '../constants/workers.js';
 import type { ClusterState, JobView } from '../records/cluster-state.js';
 import { type ActivePlacement, taskIdOf } from '../domain/task.js';
+import { machineRole } from './machine-role.js';
 import { sendCommands } from './command-client.js';
 import type { WorkerCommand } from './worker-wire-codec.js';
-import { partitionRole } from '../domain/role.js';
 import type { RoleLeadership } from '../leadership/role-leadership.js';
 import type { Clock } from '../net/clock.js';
 import type { HttpClient } from '../net/http-client.js';
@@ -81,7 +81,7 @@
   /** The token of the machine's leader; undefined: it needs no help, or there is none. */
   private tokenToKillUnder(machineId: string): number | undefined {
     const { leadership, clusterState, peerDirectory } = this.dependencies;
-    const role = partitionRole(leadership.partitionOf(machineId));
+    const role = machineRole(leadership, machineId);
     const leader = clusterState.leadershipRecords.get(role);
     if (leader === undefined || leadership.leadershipOf(role) !== undefined) return undefined;
     // A leader that is only busy, or whose partition others will take over, needs no help.
--- a/src/workers/command-client.ts
+++ b/src/workers/command-client.ts
@@ -34,6 +34,18 @@
   }
 }
 
+/** The status that the worker answered with; undefined: there is none, or it is another machine's. */
+export function statusIn(result: CommandResult, machineId: string): WorkerStatus | undefined {
+  switch (result.kind) {
+    case 'done':
+    case 'refused':
+      return result.workerStatus?.machineId === machineId ? result.workerStatus : undefined;
+    case 'unsent':
+    case 'unknown':
+      return undefined;
+  }
+}
+
 function resultOf({ status, body }: Reply): CommandResult {
   switch (status) {
     case 200:
--- a/src/workers/command-sender.ts
+++ b/src/workers/command-sender.ts
@@ -1,13 +1,13 @@
 import { DRAIN_CHECK_PERIOD_MS } from '../constants/leadership.js';
 import { PUSH_GATHER_MS, SILENT_HEARTBEATS } from '../constants/workers.js';
-import { partitionRole } from '../domain/role.js';
 import type { WorkerTimings } from '../domain/settings.js';
 import type { HeldLeadership, RoleLeadership } from '../leadership/role-leadership.js';
 import type { Log } from '../logging/log.js';
 import type { Clock } from '../net/clock.js';
 import type { HttpClient } from '../net/http-client.js';
 import type { ClusterState } from '../records/cluster-state.js';
-import { type CommandResult, sendCommands } from './command-client.js';
+import { machineRole } from './machine-role.js';
+import { type CommandResult, sendCommands, statusIn } from './command-client.js';
 import { desiredTasksOn } from './desired-tasks.js';
 import { attemptKeyOfCommand } from './attempt-key.js';
 import type { DesiredTask } from './reconciliation.js';
@@ -75,7 +75,7 @@
 
   private async send(machineId: string): Promise<void> {
     const { leadership, workers, http, log } = this.dependencies;
-    const role = partitionRole(leadership.partitionOf(machineId));
+    const role = machineRole(leadership, machineId);
     const held = leadership.confirmedLeadershipOf(role);
     const worker = workers.get(machineId);
     if (held === undefined || worker === undefined || worker.agentEpoch === 0 || this.isDraining) return;
@@ -140,8 +140,8 @@
     }
     for (const attemptKey of launches) worker.launches.settle(attemptKey, fencingToken);
     if (result.kind === 'done') worker.reachability.recordCommandsDelivered();
-    if (result.kind === 'unsent' || result.workerStatus?.machineId !== worker.machineId) return;
-    if (!worker.applyStatus(result.workerStatus, clock.now(), false)) return;
+    const workerStatus = statusIn(result, worker.machineId);
+    if (workerStatus === undefined || !worker.applyStatus(workerStatus, clock.now(), false)) return;
     reconciler.recordImages(worker);
     const held = leadership.leadershipOf(role);
     if (held === undefined) return;
--- a/src/workers/fencing-token-sender.ts
+++ b/src/workers/fencing-token-sender.ts
@@ -1,10 +1,10 @@
 import { MAX_TOKEN_ANNOUNCEMENTS, TOKEN_ANNOUNCE_AGAIN_MS, TOKEN_ANNOUNCEMENTS_SHARE } from '../constants/workers.js';
-import { partitionRole } from '../domain/role.js';
 import type { LeadershipTerm, RoleLeadership } from '../leadership/role-leadership.js';
 import type { Clock } from '../net/clock.js';
 import type { HttpClient } from '../net/http-client.js';
 import type { ClusterState } from '../records/cluster-state.js';
-import { type CommandResult, sendCommands } from './command-client.js';
+import { machineRole } from './machine-role.js';
+import { type CommandResult, sendCommands, statusIn } from './command-client.js';
 import type { CommandSender } from './command-sender.js';
 import type { WorkerRegistry } from './worker-registry.js';
 import { Worker } from './worker.js';
@@ -36,7 +36,7 @@
 
   async send({ machineId, endpoint, agentEpoch }: AnnouncementTarget): Promise<void> {
     const { leadership, workers, http } = this.dependencies;
-    const held = leadership.confirmedLeadershipOf(partitionRole(leadership.partitionOf(machineId)));
+    const held = leadership.confirmedLeadershipOf(machineRole(leadership, machineId));
     if (held === undefined || workers.has(machineId) || !this.reserveTurn(machineId)) return;
     this.inFlightCount++;
     const result = await sendCommands(http, endpoint, { fencingToken: held.fencingToken, agentEpoch, commands: [] });
@@ -65,10 +65,11 @@
 
   private applyResult(machineId: string, term: LeadershipTerm, result: CommandResult): void {
     const { leadership, workers, commandSender, clock } = this.dependencies;
-    const isSameTerm = leadership.leadershipOf(partitionRole(leadership.partitionOf(machineId)))?.term === term;
-    if (!isSameTerm || !('workerStatus' in result) || result.workerStatus?.machineId !== machineId) return;
+    const isSameTerm = leadership.leadershipOf(machineRole(leadership, machineId))?.term === term;
+    const workerStatus = statusIn(result, machineId);
+    if (!isSameTerm || workerStatus === undefined) return;
     const worker = workers.get(machineId) ?? new Worker(machineId);
-    if (!worker.applyStatus(result.workerStatus, clock.now(), false)) return;
+    if (!worker.applyStatus(workerStatus, clock.now(), false)) return;
     workers.add(worker);
     commandSender.schedule(machineId);
   }
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -1,11 +1,11 @@
 import { MAX_COMMANDS_BYTES } from '../constants/workers.js';
-import { partitionRole } from '../domain/role.js';
 import type { Settings } from '../domain/settings.js';
 import { heartbeatLateMs } from '../domain/worker-deadlines.js';
 import type { HeldLeadership, RoleLeadership } from '../leadership/role-leadership.js';
 import type { Log } from '../logging/log.js';
 import type { Clock } from '../net/clock.js';
 import type { ClusterState } from '../records/cluster-state.js';
+import { machineRole } from './machine-role.js';
 import type { CancelledLaunchGuard } from './cancelled-launch-guard.js';
 import { desiredTasksOn } from './desired-tasks.js';
 import type { MisroutedWorkers } from './misrouted-workers.js';
@@ -50,7 +50,7 @@
     const { machineId } = workerStatus;
     // A late copy of a terminated machine's: it must not bring the machine back.
     if (events.isTerminated(machineId)) return { kind: 'redirected', node: undefined, canForward: false };
-    const role = partitionRole(leadership.partitionOf(machineId));
+    const role = machineRole(leadership, machineId);
     const held = leadership.servingLeadershipOf(role);
     // A worker that has seen a higher token has a new leader, of which a node without store and peers knows nothing. Its 200
     // would be dropped, and would keep the worker here while its lease runs out.
--- a/src/workers/placement-releaser.ts
+++ b/src/workers/placement-releaser.ts
@@ -2,11 +2,11 @@
 import type { Clock } from '../net/clock.js';
 import type { ClusterState, PlacedTask } from '../records/cluster-state.js';
 import type { Proof } from '../records/placement-rules.js';
+import { machineRole } from './machine-role.js';
 import { desiredTaskOf } from './desired-tasks.js';
 import type { ExitRecorder } from './exit-recorder.js';
 import { findProof, type PlacementRelease } from './reconciliation.js';
 import type { WorkerRegistry } from './worker-registry.js';
-import { partitionRole } from '../domain/role.js';
 
 export interface PlacementReleaserDependencies {
   leadership: RoleLeadership;
@@ -30,7 +30,7 @@
   releaseExpired(): void {
     const { leadership, clusterState } = this.dependencies;
     for (const machineId of [...clusterState.usedMachines()]) {
-      const role = partitionRole(leadership.partitionOf(machineId));
+      const role = machineRole(leadership, machineId);
       const held = leadership.leadershipOf(role);
       if (held !== undefined && this.isLeaseExpired(machineId, held)) this.releaseAll(machineId, role);
     }
--- a/src/workers/worker-manager.ts
+++ b/src/workers/worker-manager.ts
@@ -1,5 +1,5 @@
 import { FORGET_WORKER_LEASES, SWEEP_MS } from '../constants/workers.js';
-import { partitionRole } from '../domain/role.js';
+import { machineRole } from './machine-role.js';
 import { CancelledLaunchGuard } from './cancelled-launch-guard.js';
 import { CommandSender } from './command-sender.js';
 import { ExitRecorder } from './exit-recorder.js';
@@ -56,7 +56,7 @@
 
   /** The role whose leader serves the machine. */
   roleOf(machineId: string): string {
-    return partitionRole(this.dependencies.leadership.partitionOf(machineId));
+    return machineRole(this.dependencies.leadership, machineId);
   }
 
   /** Decides the answer to a heartbeat; `forwardedBy` is the node that forwarded it, if one did. */
