--- a/src/controller/worker-parts.ts
+++ b/src/controller/worker-parts.ts
@@ -54,14 +54,8 @@
     log,
     onMisrouted: hooks.onMisrouted,
   });
-  const cancellationEnforcer = new CancellationEnforcer(
-    leadership,
-    clusterState,
-    inventory,
-    peerDirectory,
-    http,
-    clock,
-    log,
-  );
+  const cancellationEnforcer = new CancellationEnforcer({
+    ...{ leadership, clusterState, inventory, peerDirectory, http, clock, log },
+  });
   return { workerManager, inventory, happiness, heartbeatForwarder, heartbeats, cancellationEnforcer };
 }
--- a/src/leadership/role-rebalancer.ts
+++ b/src/leadership/role-rebalancer.ts
@@ -13,9 +13,9 @@
 import type { PeerDirectory } from '../gossip/peer-directory.js';
 import type { Clock } from '../net/clock.js';
 
-/** The workers that have sent heartbeats to this node; `reportedAt`: steady ms of the last one. */
+/** The workers that have sent heartbeats to this node; `lastHeartbeatAt`: steady ms of the last one. */
 export interface PartitionWorkers {
-  ofPartition(partition: number): Iterable<{ machineId: string; reportedAt: number }>;
+  ofPartition(partition: number): Iterable<{ machineId: string; lastHeartbeatAt: number }>;
 }
 
 export interface RoleRebalancerDependencies {
@@ -59,10 +59,10 @@
     const now = clock.now();
     const limitMs = silenceLimitMs(settings.cluster.workers);
     const known = [...workers.ofPartition(partition)];
-    const silent = known.filter((worker) => now - worker.reportedAt > limitMs);
+    const silent = known.filter((worker) => now - worker.lastHeartbeatAt > limitMs);
     if (silent.length < LEAST_SILENT_WORKERS || silent.length <= known.length * SELF_SUSPECT_SHARE) return false;
     const seenElsewhere = silent.filter((worker) =>
-      peerDirectory.hasReportedElsewhere(worker.machineId, worker.reportedAt),
+      peerDirectory.hasReportedElsewhere(worker.machineId, worker.lastHeartbeatAt),
     );
     return seenElsewhere.length * 2 > silent.length;
   }
--- a/src/workers/worker-wire-codec.ts
+++ b/src/workers/worker-wire-codec.ts
@@ -1,4 +1,7 @@
-/** What workers and controllers send each other, in the wire form, and its translation. */
+/**
+ * What workers and controllers send each other: the wire form, read and written here only, and the types that the program
+ * works with. Sizes of texts are in characters.
+ */
 import * as v from 'valibot';
 import type { MachineIdentity } from '../domain/machine-state.js';
 
@@ -29,13 +32,13 @@
 
 export type ReportedTaskState = 'fetching' | 'waiting' | 'running' | 'checkpointing' | 'exited';
 
-/** A task as its worker sees it. */
+/** A task as its worker shows it. */
 export interface ReportedTask {
   attempt: number;
   state: ReportedTaskState;
   /** Of an exited task. Reasons that this program does not know stay as the worker names them. */
   exitReason: string | null;
-  /** Its progress was saved when it was stopped. */
+  /** It wrote a checkpoint when it was stopped. */
   isCheckpointed: boolean;
 }
 
@@ -49,11 +52,12 @@
   tasks: Map<string, ReportedTask>;
 }
 
+/** What orders the statuses of a worker. */
+export type StatusVersion = Pick<WorkerStatus, 'agentEpoch' | 'sequence'>;
+
 /** The status with the larger agent epoch and sequence is the newer one. */
-export const isNewerThan = (
-  a: Pick<WorkerStatus, 'agentEpoch' | 'sequence'>,
-  b: Pick<WorkerStatus, 'agentEpoch' | 'sequence'>,
-): boolean => a.agentEpoch > b.agentEpoch || (a.agentEpoch === b.agentEpoch && a.sequence > b.sequence);
+export const isNewerThan = (a: StatusVersion, b: StatusVersion): boolean =>
+  a.agentEpoch > b.agentEpoch || (a.agentEpoch === b.agentEpoch && a.sequence > b.sequence);
 
 const STATE_OF_PHASE = new Map<string, ReportedTaskState>([
   ['fetching', 'fetching'],
@@ -77,7 +81,7 @@
   const tasks = new Map<string, ReportedTask>();
   for (const { Shard: taskId, Try: attempt, Phase, Cause, Saved } of wireTasks) {
     const known = tasks.get(taskId);
-    // Should a worker list two attempts of a task, the one that is not over counts.
+    // Should a worker list two attempts of a task, the one that has not exited counts.
     if (known !== undefined && known.state !== 'exited') continue;
     // A state that we don't know still occupies the machine.
     const state = STATE_OF_PHASE.get(Phase) ?? 'running';
@@ -86,7 +90,7 @@
   return tasks;
 }
 
-/** undefined: not a worker's status. */
+/** undefined: the body is not a worker's status. */
 export function decodeWorkerStatus(body: unknown): WorkerStatus | undefined {
   const result = v.safeParse(WireStatusSchema, body);
   if (!result.success) return undefined;
@@ -111,6 +115,7 @@
   | { kind: 'kill'; taskId: string; attempt: number; gracePeriodS: number }
   | { kind: 'forget'; taskId: string; attempt: number };
 
+/** A command in the wire form. */
 export type WireCommand = object;
 
 export const encodeCommand = (command: WorkerCommand): WireCommand => ({
@@ -120,12 +125,20 @@
   ...(command.kind === 'kill' ? { WindDownS: command.gracePeriodS } : {}),
 });
 
-/** Commands sent to a worker directly. */
-export const encodeDirectCommands = (
-  fencingToken: number,
-  agentEpoch: number,
-  commands: readonly WorkerCommand[],
-): unknown => ({ Fence: fencingToken, Tenure: agentEpoch, Orders: commands.map(encodeCommand) });
+/** Commands sent to a worker directly, not in the answer to a heartbeat. */
+export interface DirectCommands {
+  /** They are refused by a worker that has seen a higher one. */
+  fencingToken: number;
+  /** They are refused by a worker in another one. */
+  agentEpoch: number;
+  commands: readonly WorkerCommand[];
+}
+
+export const encodeDirectCommands = ({ fencingToken, agentEpoch, commands }: DirectCommands): unknown => ({
+  Fence: fencingToken,
+  Tenure: agentEpoch,
+  Orders: commands.map(encodeCommand),
+});
 
 /** The answer to a heartbeat: the leader's fencing token and commands. */
 export const encodeHeartbeatAnswer = (fencingToken: number, commands: readonly WireCommand[]): unknown => ({
@@ -133,5 +146,5 @@
   Orders: commands,
 });
 
-/** The answer to a heartbeat that another node should have got; undefined: nobody is known to. */
+/** The answer to a heartbeat that is for another node; undefined: the partition has no known leader. */
 export const encodeRedirect = (node: string | undefined): unknown => (node === undefined ? {} : { Steward: node });
