--- a/src/gossip/peer-links.ts
+++ b/src/gossip/peer-links.ts
@@ -5,7 +5,8 @@
 import type { Log } from '../logging/log.js';
 import type { Clock } from '../net/clock.js';
 import { FrameDecoder, encodeFrame } from './frames.js';
-import { decodeMessage, encodeMessage, type Gossip, type Message } from './messages.js';
+import { decodeMessage, encodeMessage } from './message-codec.js';
+import type { Gossip, Message } from './messages.js';
 import { isStreamMessage } from './stream-codec.js';
 
 /** Links to the other controllers: each node connects to each peer and sends there; answers come by the peer's own link. */
--- a/test/gossip/gossip-format.test.ts
+++ b/test/gossip/gossip-format.test.ts
@@ -4,13 +4,8 @@
  */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import {
-  decodeMessage,
-  encodeMessage,
-  type Gossip,
-  type MachineUpdate,
-  type Message,
-} from '../../src/gossip/messages.js';
+import { decodeMessage, encodeMessage } from '../../src/gossip/message-codec.js';
+import type { Gossip, MachineUpdate, Message } from '../../src/gossip/messages.js';
 
 const FLAGGED: MachineUpdate = {
   machineId: 'i-000001',
--- a/test/gossip/message-encoding.test.ts
+++ b/test/gossip/message-encoding.test.ts
@@ -1,6 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { decodeMessage, encodeMessage, type Gossip, type Message } from '../../src/gossip/messages.js';
+import { decodeMessage, encodeMessage } from '../../src/gossip/message-codec.js';
+import type { Gossip, Message } from '../../src/gossip/messages.js';
 
 const gossip: Gossip = {
   node: 'n0',
--- a/test/leadership/standby-stream.test.ts
+++ b/test/leadership/standby-stream.test.ts
@@ -2,7 +2,8 @@
 import { afterEach, describe, it } from 'node:test';
 import { Cluster } from '../../testing/cluster.js';
 import type { ClusterOptions } from '../../testing/fixtures.js';
-import { decodeMessage, encodeMessage, type Message } from '../../src/gossip/messages.js';
+import { decodeMessage, encodeMessage } from '../../src/gossip/message-codec.js';
+import type { Message } from '../../src/gossip/messages.js';
 
 let cluster: Cluster;
 afterEach(() => cluster.stop());
--- a/test/program/startup-snapshot.test.ts
+++ b/test/program/startup-snapshot.test.ts
@@ -7,7 +7,7 @@
 import { after, before, describe, it } from 'node:test';
 import { parse } from 'smol-toml';
 import { FrameDecoder } from '../../src/gossip/frames.js';
-import { decodeMessage } from '../../src/gossip/messages.js';
+import { decodeMessage } from '../../src/gossip/message-codec.js';
 
 const MAX_MESSAGE_BYTES = 1 << 20;
 /** Nothing listens there: the controller has neither store nor cloud. */
--- a/test/records/record-formats.test.ts
+++ b/test/records/record-formats.test.ts
@@ -22,7 +22,7 @@
   decodeTeamUsage,
 } from '../../src/records/record-codecs.js';
 import { jsonLength } from '../../src/store/json-size.js';
-import { decodeMessage, encodeMessage } from '../../src/gossip/messages.js';
+import { decodeMessage, encodeMessage } from '../../src/gossip/message-codec.js';
 import { Cluster } from '../../testing/cluster.js';
 import { jobOf } from '../../testing/fixtures.js';
 
--- a/testing/program-version.ts
+++ b/testing/program-version.ts
@@ -4,7 +4,8 @@
 import type { Clock } from '../src/net/clock.js';
 import type { HttpClient } from '../src/net/http-client.js';
 import { Controller } from '../src/controller/controller.js';
-import { decodeMessage, encodeMessage, type Message } from '../src/gossip/messages.js';
+import { decodeMessage, encodeMessage } from '../src/gossip/message-codec.js';
+import type { Message } from '../src/gossip/messages.js';
 import { noLog } from './fixtures.js';
 
 /** A message between controllers, in the form of the version that sends or receives it. */
