--- a/src/controller/peer-message-router.ts
+++ b/src/controller/peer-message-router.ts
@@ -23,18 +23,27 @@
 
   receive(message: Message): void {
     const { exchange, heartbeatForwarder, broadcast, replicaFreshness, standby } = this.dependencies;
-    if ('gossip' in message) exchange.receive(message.gossip);
-    else if ('relayAnswer' in message) heartbeatForwarder.settle(message.relayAnswer);
-    else if ('news' in message) broadcast.receive(message.news);
-    else if ('ask' in message) replicaFreshness.answerDeltaRequest(message.ask);
-    else if ('delta' in message) replicaFreshness.applyDelta(message.delta);
-    else if ('stream' in message) standby?.receive(message.stream);
-    else this.answerForwarded(message.relay);
+    switch (message.kind) {
+      case 'gossip':
+        return exchange.receive(message.payload);
+      case 'forwarded_heartbeat':
+        return this.answerForwarded(message.payload);
+      case 'forwarded_heartbeat_answer':
+        return heartbeatForwarder.settle(message.payload);
+      case 'record_delta':
+        return broadcast.receive(message.payload);
+      case 'delta_request':
+        return replicaFreshness.answerDeltaRequest(message.payload);
+      case 'replica_delta':
+        return replicaFreshness.applyDelta(message.payload);
+      case 'standby_stream':
+        return standby?.receive(message.payload);
+    }
   }
 
   private answerForwarded(heartbeat: ForwardedHeartbeat): void {
     const { heartbeats, send } = this.dependencies;
-    const relayAnswer = heartbeats.answerRelayed(heartbeat);
-    if (relayAnswer !== undefined) send(heartbeat.node, { relayAnswer });
+    const answer = heartbeats.answerRelayed(heartbeat);
+    if (answer !== undefined) send(heartbeat.node, { kind: 'forwarded_heartbeat_answer', payload: answer });
   }
 }
--- a/src/gossip/gossip-sender.ts
+++ b/src/gossip/gossip-sender.ts
@@ -27,6 +27,6 @@
 
   sendNow(): void {
     const { peers, compose, send } = this.dependencies;
-    for (const node of peers) send(node, { gossip: compose(node) });
+    for (const node of peers) send(node, { kind: 'gossip', payload: compose(node) });
   }
 }
--- a/src/gossip/heartbeat-forwarder.ts
+++ b/src/gossip/heartbeat-forwarder.ts
@@ -23,10 +23,10 @@
   /** The owner's answer, or undefined when it can't be had in time. */
   async forward(partitionLeader: string, report: unknown): Promise<ForwardedHeartbeatAnswer | undefined> {
     const id = this.nextId++;
-    const relay: ForwardedHeartbeat = { node: this.node, id, status: JSON.stringify(report) };
+    const payload: ForwardedHeartbeat = { node: this.node, id, status: JSON.stringify(report) };
     const done = new AbortController();
     const answered = new Promise<ForwardedHeartbeatAnswer | undefined>((resolve) => this.open.set(id, resolve));
-    if (!this.send(partitionLeader, { relay })) {
+    if (!this.send(partitionLeader, { kind: 'forwarded_heartbeat', payload })) {
       this.open.delete(id);
       return undefined;
     }
--- a/src/gossip/message-codec.ts
+++ b/src/gossip/message-codec.ts
@@ -1,5 +1,10 @@
+/**
+ * The encoding of messages between controllers: an Avro envelope with one optional field for each kind. Controllers of two versions
+ * run side by side during a deployment, so these bytes must not change: Avro's binary form depends on the order and types of the
+ * fields, not on their names.
+ */
 import avro from 'avsc';
-import { record } from './avro-record.js';
+import { arrayOf, nullable, record } from './avro-record.js';
 import type {
   DeltaRequest,
   ForwardedHeartbeat,
@@ -11,156 +16,137 @@
 } from './messages.js';
 import { decodeStreamMessage, encodeStreamMessage, isStreamMessage } from './stream-codec.js';
 
-const gossipSchema: avro.Schema = {
-  type: 'record',
-  name: 'Gossip',
-  fields: [
-    { name: 'node', type: 'string' },
-    { name: 'upMs', type: 'double' },
-    { name: 'freshAgeMs', type: 'double' },
-    { name: 'isWithoutStore', type: 'boolean' },
-    { name: 'clock', type: 'double' },
-    {
-      name: 'echo',
-      type: [
-        'null',
-        {
-          type: 'record',
-          name: 'Echo',
-          fields: [
-            { name: 'incarnation', type: 'long' },
-            { name: 'clock', type: 'double' },
-          ],
-        },
-      ],
-    },
-    { name: 'isLoaded', type: 'boolean' },
-    { name: 'version', type: 'long' },
-    { name: 'reachablePeers', type: { type: 'array', items: 'string' } },
-    { name: 'incarnation', type: 'long' },
-    { name: 'messageNumber', type: 'long' },
-    { name: 'isSnapshot', type: 'boolean' },
-    { name: 'wantsSnapshot', type: 'boolean' },
-    {
-      name: 'machines',
-      type: {
-        type: 'array',
-        items: {
-          type: 'record',
-          name: 'MachineUpdate',
-          fields: [
-            { name: 'machineId', type: 'string' },
-            { name: 'number', type: 'long' },
-            { name: 'endpoint', type: 'string' },
-            { name: 'machineType', type: 'string' },
-            { name: 'zone', type: 'string' },
-            { name: 'isSpot', type: 'boolean' },
-            { name: 'agentEpoch', type: 'long' },
-            { name: 'sequence', type: 'long' },
-            { name: 'heardAgeMs', type: 'double' },
-            { name: 'knownAgeMs', type: 'double' },
-            { name: 'spotNoticeMs', type: ['null', 'double'] },
-            { name: 'isQuarantined', type: 'boolean' },
-            { name: 'isBackingOff', type: 'boolean' },
-            { name: 'isUnreached', type: 'boolean' },
-            { name: 'isSlow', type: 'boolean' },
-            { name: 'isMute', type: 'boolean' },
-            { name: 'images', type: { type: 'array', items: 'string' } },
-            { name: 'failedJobs', type: { type: 'array', items: 'string' } },
-            { name: 'partitionLeader', type: 'string' },
-          ],
-        },
-      },
-    },
-    {
-      name: 'unchanged',
-      type: {
-        type: 'record',
-        name: 'UnchangedMachines',
-        fields: [
-          { name: 'numbers', type: { type: 'array', items: 'long' } },
-          { name: 'heardAgesMs', type: { type: 'array', items: 'long' } },
-          { name: 'sequences', type: { type: 'array', items: 'long' } },
-        ],
-      },
-    },
-    {
-      name: 'misroutedHeartbeats',
-      type: {
-        type: 'array',
-        items: {
-          type: 'record',
-          name: 'MisroutedHeartbeat',
-          fields: [
-            { name: 'machineId', type: 'string' },
-            { name: 'ageMs', type: 'double' },
-          ],
-        },
-      },
-    },
-    { name: 'avoidedRoles', type: { type: 'array', items: 'string' } },
-    { name: 'terminated', type: { type: 'array', items: 'string' } },
-  ],
-};
+const machineUpdate = record('MachineUpdate', {
+  machineId: 'string',
+  number: 'long',
+  endpoint: 'string',
+  machineType: 'string',
+  zone: 'string',
+  isSpot: 'boolean',
+  agentEpoch: 'long',
+  sequence: 'long',
+  heardAgeMs: 'double',
+  knownAgeMs: 'double',
+  spotNoticeMs: nullable('double'),
+  isQuarantined: 'boolean',
+  isBackingOff: 'boolean',
+  isUnreached: 'boolean',
+  isSlow: 'boolean',
+  isMute: 'boolean',
+  images: arrayOf('string'),
+  failedJobs: arrayOf('string'),
+  partitionLeader: 'string',
+});
+
+const gossip = record('Gossip', {
+  node: 'string',
+  upMs: 'double',
+  freshAgeMs: 'double',
+  isWithoutStore: 'boolean',
+  clock: 'double',
+  echo: nullable(record('Echo', { incarnation: 'long', clock: 'double' })),
+  isLoaded: 'boolean',
+  version: 'long',
+  reachablePeers: arrayOf('string'),
+  incarnation: 'long',
+  messageNumber: 'long',
+  isSnapshot: 'boolean',
+  wantsSnapshot: 'boolean',
+  machines: arrayOf(machineUpdate),
+  unchanged: record('UnchangedMachines', {
+    numbers: arrayOf('long'),
+    heardAgesMs: arrayOf('long'),
+    sequences: arrayOf('long'),
+  }),
+  misroutedHeartbeats: arrayOf(record('MisroutedHeartbeat', { machineId: 'string', ageMs: 'double' })),
+  avoidedRoles: arrayOf('string'),
+  terminated: arrayOf('string'),
+});
 
-const change = record('RecordChange', { key: 'string', value: ['null', 'string'], modRevision: 'long' });
+const recordChange = record('RecordChange', { key: 'string', value: nullable('string'), modRevision: 'long' });
+
+const replicaDelta = record('Delta', {
+  node: 'string',
+  incarnation: 'long',
+  version: 'long',
+  from: 'long',
+  after: 'long',
+  last: 'long',
+  isComplete: 'boolean',
+  upTo: 'long',
+  // Avro defines a named type once: the record delta, which comes first in the envelope, does so.
+  changes: arrayOf('RecordChange'),
+});
+
+/** The envelope's fields in the order of the wire; exactly one of them is set. */
+interface Envelope {
+  gossip: Gossip | null;
+  relay: ForwardedHeartbeat | null;
+  relayAnswer: ForwardedHeartbeatAnswer | null;
+  news: RecordDelta | null;
+  ask: DeltaRequest | null;
+  delta: ReplicaDelta | null;
+}
 
-/** Exactly one of them is there. */
-const kinds: Record<string, avro.Schema> = {
-  gossip: gossipSchema,
+const envelopeFields: Record<keyof Envelope, avro.Schema> = {
+  gossip,
   relay: record('ForwardedHeartbeat', { node: 'string', id: 'long', status: 'string' }),
   relayAnswer: record('RelayAnswer', { node: 'string', id: 'long', status: 'int', body: 'string' }),
-  news: record('News', { changes: { type: 'array', items: change } }),
+  news: record('News', { changes: arrayOf(recordChange) }),
   ask: record('Ask', { node: 'string', from: 'long', after: 'long' }),
-  delta: record('Delta', {
-    ...{
-      node: 'string',
-      incarnation: 'long',
-      version: 'long',
-      from: 'long',
-      after: 'long',
-      last: 'long',
-      isComplete: 'boolean',
-    },
-    upTo: 'long',
-    changes: { type: 'array', items: 'RecordChange' },
-  }),
+  delta: replicaDelta,
 };
 
-const envelope = avro.Type.forSchema({
+const envelopeType = avro.Type.forSchema({
   type: 'record',
   name: 'Envelope',
   namespace: 'dewlatch.mesh.v3',
-  fields: Object.entries(kinds).map(([name, schema]) => ({ name, type: ['null', schema], default: null })),
-} as avro.Schema);
+  fields: Object.entries(envelopeFields).map(([name, schema]) => ({ name, type: nullable(schema), default: null })),
+});
 
-const encoded = new WeakMap<Message, Buffer>();
+/** Fields left out are null by default. */
+function toEnvelope(message: Exclude<Message, { kind: 'standby_stream' }>): Partial<Envelope> {
+  switch (message.kind) {
+    case 'gossip':
+      return { gossip: message.payload };
+    case 'forwarded_heartbeat':
+      return { relay: message.payload };
+    case 'forwarded_heartbeat_answer':
+      return { relayAnswer: message.payload };
+    case 'record_delta':
+      return { news: message.payload };
+    case 'delta_request':
+      return { ask: message.payload };
+    case 'replica_delta':
+      return { delta: message.payload };
+  }
+}
 
-/** What goes to several peers is encoded once. */
+function fromEnvelope({ gossip, relay, relayAnswer, news, ask, delta }: Envelope): Message {
+  if (gossip !== null) return { kind: 'gossip', payload: gossip };
+  if (relay !== null) return { kind: 'forwarded_heartbeat', payload: relay };
+  if (relayAnswer !== null) return { kind: 'forwarded_heartbeat_answer', payload: relayAnswer };
+  if (news !== null) return { kind: 'record_delta', payload: news };
+  if (ask !== null) return { kind: 'delta_request', payload: ask };
+  if (delta !== null) return { kind: 'replica_delta', payload: delta };
+  throw new Error('empty message');
+}
+
+/** A message that goes to several peers is encoded once. */
+const encodedMessages = new WeakMap<Message, Buffer>();
+
+/** Encodes a message, which must not change afterwards: its bytes are kept for the next peer. */
 export function encodeMessage(message: Message): Buffer {
-  let bytes = encoded.get(message);
-  if (bytes !== undefined) return bytes;
-  bytes = 'stream' in message ? encodeStreamMessage(message.stream) : envelope.toBuffer(message);
-  encoded.set(message, bytes);
+  const known = encodedMessages.get(message);
+  if (known !== undefined) return known;
+  const isStream = message.kind === 'standby_stream';
+  const bytes = isStream ? encodeStreamMessage(message.payload) : envelopeType.toBuffer(toEnvelope(message));
+  encodedMessages.set(message, bytes);
   return bytes;
 }
 
-/** Throws when the bytes are not a message. */
+/** Decodes a message; throws when the bytes are none. */
 export function decodeMessage(bytes: Buffer): Message {
-  if (isStreamMessage(bytes)) return { stream: decodeStreamMessage(bytes) };
-  const raw = envelope.fromBuffer(bytes) as {
-    gossip: Gossip | null;
-    relay: ForwardedHeartbeat | null;
-    relayAnswer: ForwardedHeartbeatAnswer | null;
-    news: RecordDelta | null;
-    ask: DeltaRequest | null;
-    delta: ReplicaDelta | null;
-  };
-  if (raw.gossip !== null) return { gossip: raw.gossip };
-  if (raw.relay !== null) return { relay: raw.relay };
-  if (raw.relayAnswer !== null) return { relayAnswer: raw.relayAnswer };
-  if (raw.news !== null) return { news: raw.news };
-  if (raw.ask !== null) return { ask: raw.ask };
-  if (raw.delta !== null) return { delta: raw.delta };
-  throw new Error('empty message');
+  if (isStreamMessage(bytes)) return { kind: 'standby_stream', payload: decodeStreamMessage(bytes) };
+  return fromEnvelope(envelopeType.fromBuffer(bytes) as Envelope);
 }
--- a/src/gossip/messages.ts
+++ b/src/gossip/messages.ts
@@ -1,86 +1,115 @@
+/**
+ * The messages that controllers send each other. Plain types: how they are encoded is the message codec's concern. Instants never
+ * travel, since the clocks of two nodes are unrelated: the messages carry ages in ms, which each side converts.
+ */
 import type { StreamMessage } from '@dewlatch/standby';
 import type { SerializedChange } from '../store/replica.js';
 import type { MachineState } from '../domain/machine-state.js';
 
-/** What each controller tells the others every second. */
+/** The periodic state of one controller, sent to each of its peers. */
 export interface Gossip {
+  /** The sender. */
   node: string;
-  /** ms since the node read the store for the first time; 0: not yet. */
+  /** ms since the sender first read the store; 0: not yet. */
   upMs: number;
-  /** ms since the store last confirmed the node's copy; the sender's clock. */
+  /** ms since the store last confirmed the sender's replica, on the sender's clock. */
   freshAgeMs: number;
-  /** The store refuses, or doesn't answer, this node. */
+  /** The store refuses the sender's requests, or doesn't answer them. */
   isWithoutStore: boolean;
-  /** The sender's steady clock, ms, and the receiver's as it last told it, with the life that told it. */
+  /** The sender's monotonic clock, ms. */
   clock: number;
+  /** The receiver's monotonic clock as the sender last received it, ms, with the incarnation that it came from; null: never. */
   echo: { incarnation: number; clock: number } | null;
   /** The sender's process has read the store. */
   isLoaded: boolean;
-  /** How many changes the sender's copy has taken in. */
+  /** How many changes the sender's replica has applied. */
   version: number;
-  /** Nodes that the sender hears just now: what they own need not be passed on to it. */
+  /** Peers that the sender currently receives gossip from: their machines need not be relayed to it. */
   reachablePeers: string[];
-  /** Tells the sender's process from its former lives; messages to one peer are counted. */
+  /** Tells the sender's process from its earlier ones. */
   incarnation: number;
+  /** Counts the messages of this incarnation to this receiver. */
   messageNumber: number;
-  /** Nothing that was told before is needed to understand this. */
+  /** The machine updates are complete: no earlier message is needed to understand them. */
   isSnapshot: boolean;
-  /** The sender has missed something that the receiver told it, and wants to be told all. */
+  /** The sender has missed a message of the receiver's, and asks for a snapshot. */
   wantsSnapshot: boolean;
-  /** What has changed. */
+  /** Machines whose state has changed since the last message. */
   machines: MachineUpdate[];
-  /** Machines of the sender's of which nothing has changed since it was told, but that they were heard. */
-  unchanged: { numbers: number[]; heardAgesMs: number[]; sequences: number[] };
-  /** Workers that asked, here or at a node heard of, though another node owns them. */
-  misroutedHeartbeats: { machineId: string; ageMs: number }[];
-  /** Roles that the node does not want for now, since the workers can't reach it. */
+  /** The sender's machines that have sent heartbeats but are otherwise unchanged: three columns of one length. */
+  unchanged: UnchangedMachineColumns;
+  /** Heartbeats received, here or at a node whose gossip was received, by nodes that do not lead the worker's partition. */
+  misroutedHeartbeats: MisroutedHeartbeat[];
+  /** Roles that the sender does not want for now, since their workers can't reach it. */
   avoidedRoles: string[];
-  /** Machines that the cloud has lately confirmed gone. */
+  /** Machines that the cloud has lately confirmed terminated. */
   terminated: string[];
 }
 
+/** What a partition's leader knows of one of its machines. */
 export interface MachineUpdate extends MachineState {
-  /** By which the sender speaks of it from now on; -1: not at all. */
+  /** The short number by which the sender refers to the machine in later messages; -1: it does not. */
   number: number;
+  /** ms since the machine's last heartbeat. */
   heardAgeMs: number;
-  /** ms since the machine's owner said this; 0 from the owner itself. */
+  /** ms since the partition's leader stated this; 0 from the leader itself. */
   knownAgeMs: number;
-  /** ms until the cloud takes it, or null. */
+  /** ms until the cloud takes the spot machine away; null: no notice was given. */
   spotNoticeMs: number | null;
 }
 
-/** A worker's report that came to a node which does not own it, on behalf of a worker that can't reach its owner. */
+/** Column by column: the same index in each array is the same machine. */
+export interface UnchangedMachineColumns {
+  /** As the sender assigned them in the machine's last full update. */
+  numbers: number[];
+  /** ms since each machine's last heartbeat, rounded. */
+  heardAgesMs: number[];
+  /** Of each machine's last heartbeat. */
+  sequences: number[];
+}
+
+/** A worker that sent its heartbeat to a node which does not lead its partition. */
+export interface MisroutedHeartbeat {
+  machineId: string;
+  /** ms since the heartbeat. */
+  ageMs: number;
+}
+
+/** A worker's heartbeat passed on to the leader of its partition, on behalf of a worker that can't reach the leader itself. */
 export interface ForwardedHeartbeat {
+  /** The node that forwards it, and gets the answer. */
   node: string;
+  /** Pairs the answer with the request. */
   id: number;
-  /** The report, JSON as the worker sent it. */
+  /** The heartbeat, JSON as the worker sent it. */
   status: string;
 }
 
-/** The owner's answer to a relayed report. */
+/** The leader's answer to a forwarded heartbeat. */
 export interface ForwardedHeartbeatAnswer {
   node: string;
   id: number;
+  /** HTTP status for the worker. */
   status: number;
   /** JSON for the worker. */
   body: string;
 }
 
-/** Records as a transaction of the sender's has just left them in the store: known sooner than by a watch. */
+/** Records as a transaction of the sender's has just left them in the store: they arrive sooner than by a watch. */
 export interface RecordDelta {
   changes: SerializedChange[];
 }
 
-/** Asks for all that has changed since the sender's copy was complete, when the store can't be asked. */
+/** Asks for every change since the sender's replica was complete, when the store can't be asked. */
 export interface DeltaRequest {
   node: string;
-  /** The revision up to which the sender's copy is complete. */
+  /** The revision up to which the sender's replica is complete. */
   from: number;
-  /** The revision up to which it has been told what the receiver holds since: more than one message may be needed. */
+  /** The revision up to which it already has the receiver's changes since: one answer may need several messages. */
   after: number;
 }
 
-/** What the sender's copy holds since the revision that was asked for. */
+/** What the sender's replica holds since the revision that was asked for. */
 export interface ReplicaDelta {
   node: string;
   incarnation: number;
@@ -89,19 +118,20 @@
   after: number;
   /** The revision of the last change. */
   last: number;
-  /** False: there is more after `last`. */
+  /** False: there are more changes after `last`. */
   isComplete: boolean;
-  /** With all of it, a copy that was complete up to `from` is complete up to here. */
+  /** With all the changes, a replica that was complete up to `from` is complete up to here. */
   upTo: number;
   changes: SerializedChange[];
 }
 
+/** Every message between controllers, told apart by its kind. */
 export type Message =
-  | { gossip: Gossip }
-  | { relay: ForwardedHeartbeat }
-  | { relayAnswer: ForwardedHeartbeatAnswer }
-  | { news: RecordDelta }
-  | { ask: DeltaRequest }
-  | { delta: ReplicaDelta }
-  /** Only to peers that have said in the store that they read it. */
-  | { stream: StreamMessage };
+  | { kind: 'gossip'; payload: Gossip }
+  | { kind: 'forwarded_heartbeat'; payload: ForwardedHeartbeat }
+  | { kind: 'forwarded_heartbeat_answer'; payload: ForwardedHeartbeatAnswer }
+  | { kind: 'record_delta'; payload: RecordDelta }
+  | { kind: 'delta_request'; payload: DeltaRequest }
+  | { kind: 'replica_delta'; payload: ReplicaDelta }
+  /** Only to peers whose record in the store says that they understand it. */
+  | { kind: 'standby_stream'; payload: StreamMessage };
--- a/src/gossip/peer-links.ts
+++ b/src/gossip/peer-links.ts
@@ -97,7 +97,8 @@
           socket.destroy();
           break;
         }
-        if (!socket.connecting) socket.write(encodeFrame(encodeMessage({ gossip: this.compose(node) })));
+        if (!socket.connecting)
+          socket.write(encodeFrame(encodeMessage({ kind: 'gossip', payload: this.compose(node) })));
         await this.clock.sleep(socket.connecting ? GOSSIP_PERIOD_MS / 10 : GOSSIP_PERIOD_MS, either);
       }
       clearTimeout(connecting);
--- a/src/gossip/record-broadcast.ts
+++ b/src/gossip/record-broadcast.ts
@@ -41,7 +41,8 @@
     const { peers, send } = this.dependencies;
     // What was collected has gone along with a withdrawal.
     if (this.pending.length === 0) return;
-    const message: Message = { news: { changes: this.pending.splice(0).map(serializeChange) } };
+    const changes = this.pending.splice(0).map(serializeChange);
+    const message: Message = { kind: 'record_delta', payload: { changes } };
     for (const peer of peers) send(peer, message);
   }
 
--- a/src/gossip/replica-freshness.ts
+++ b/src/gossip/replica-freshness.ts
@@ -70,7 +70,7 @@
   private requestDelta(node: string): void {
     const { revision } = this.replica;
     this.pendingDeltas.delete(node);
-    this.send(node, { ask: { node: this.node, from: revision, after: revision } });
+    this.send(node, { kind: 'delta_request', payload: { node: this.node, from: revision, after: revision } });
   }
 
   /** Tells a peer what this copy holds since the peer's was complete. */
@@ -79,7 +79,16 @@
     const { version } = this.replica;
     const upTo = this.replica.completeFrom(from);
     const told = this.replica.changesSince(after, DELTA_BYTES);
-    this.send(node, { delta: { node: this.node, incarnation: this.incarnation, version, from, after, upTo, ...told } });
+    const payload: ReplicaDelta = {
+      node: this.node,
+      incarnation: this.incarnation,
+      version,
+      from,
+      after,
+      upTo,
+      ...told,
+    };
+    this.send(node, { kind: 'replica_delta', payload });
   }
 
   applyDelta({ node, incarnation, version, from, after, last, isComplete, upTo, changes }: ReplicaDelta): void {
@@ -94,7 +103,7 @@
       this.merged.set(node, { incarnation, version });
     } else if (last > after) {
       this.pendingDeltas.set(node, { incarnation, version, after: last });
-      this.send(node, { ask: { node: this.node, from, after: last } });
+      this.send(node, { kind: 'delta_request', payload: { node: this.node, from, after: last } });
     }
   }
 
--- a/src/leadership/standby.ts
+++ b/src/leadership/standby.ts
@@ -51,7 +51,7 @@
   leader: { readonly memory: LeaderMemory };
   clock: Clock;
   log: Log;
-  send: (node: string, message: { stream: StreamMessage }) => void;
+  send: (node: string, message: { kind: 'standby_stream'; payload: StreamMessage }) => void;
   tracer: TakeoverTracer;
 }
 
@@ -262,7 +262,7 @@
 
   private push(): void {
     for (const [node, batches] of this.sender.compose())
-      for (const batch of batches) this.dependencies.send(node, { stream: { batch } });
+      for (const batch of batches) this.dependencies.send(node, { kind: 'standby_stream', payload: { batch } });
   }
 
   /** The nodes that this one should be ready to succeed. */
@@ -288,7 +288,7 @@
   private ask(node: string): void {
     const follower = this.followers.get(node);
     if (follower === undefined || !this.canRead(node)) return;
-    this.dependencies.send(node, { stream: { follow: follower.request() } });
+    this.dependencies.send(node, { kind: 'standby_stream', payload: { follow: follower.request() } });
   }
 
   /** The very process that is heard from the node has said in the store that it reads the stream. */
--- a/test/api/submissions.test.ts
+++ b/test/api/submissions.test.ts
@@ -202,7 +202,7 @@
       { key: 'live/job/j-old', value: null, modRevision: modRevision + 1000 },
       { key: 'live/job/j-new', value: '{"spec":', modRevision: modRevision + 1000 },
     ];
-    assert.doesNotThrow(() => node.receive({ news: { changes } }));
+    assert.doesNotThrow(() => node.receive({ kind: 'record_delta', payload: { changes } }));
     assert.notEqual(node.replica.get('live/job/j-old').value, undefined, 'no half of it is believed');
     const asked = cluster.network.log.length;
     await cluster.advance(10);
@@ -214,9 +214,11 @@
   it('that relays no report is left unanswered and ends nothing', async () => {
     await ready({ nodes: 2 });
     for (const status of ['{', '7', 'null', '{"Host":"i-000000"}']) {
-      assert.doesNotThrow(() => cluster.node(1).receive({ relay: { node: 'n0', id: 1, status } }));
+      const payload = { node: 'n0', id: 1, status };
+      assert.doesNotThrow(() => cluster.node(1).receive({ kind: 'forwarded_heartbeat', payload }));
     }
-    cluster.node(1).receive({ relayAnswer: { node: 'n0', id: 99, status: 200, body: '{' } });
+    const answer = { node: 'n0', id: 99, status: 200, body: '{' };
+    cluster.node(1).receive({ kind: 'forwarded_heartbeat_answer', payload: answer });
     assert.equal((await cluster.submit({ Ref: 'j-after' }, 1)).status, 201);
   });
 
--- a/test/gossip/gossip-format.test.ts
+++ b/test/gossip/gossip-format.test.ts
@@ -82,78 +82,79 @@
 const ENCODED: readonly [name: string, message: Message, hex: string][] = [
   [
     'gossip with everything set',
-    { gossip: FULL },
+    { kind: 'gossip', payload: FULL },
     '02046e3000000000004ced400000000000d06240010000000000c9ed4002d0e6c3b5c69c0d00000000808aed40015404046e31046e320096c5f88cd58d062201010210692d303030303031d8041a692d3030303030313a393030300463380c7a6f6e652d610106e0c50800000000000029400000000000406f4002000000000052dc400101010101040a696d672d310a696d672d320002106a2d30303030303100046e320004020400043c500004e807b009000210692d3030303030330000000000c0524000020c706172742d31000210692d303030303034000000000000',
   ],
   [
     'gossip with nothing to tell',
-    { gossip: QUIET },
+    { kind: 'gossip', payload: QUIET },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610006e0c50800000000000029400000000000406f400000000000000000046e32000000000000000000000000',
   ],
   [
     'gossip of a machine that is only sick',
-    { gossip: { ...QUIET, machines: [{ ...PLAIN, isQuarantined: true }] } },
+    { kind: 'gossip', payload: { ...QUIET, machines: [{ ...PLAIN, isQuarantined: true }] } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610006e0c50800000000000029400000000000406f400001000000000000046e32000000000000000000000000',
   ],
   [
     'gossip of a machine that is only cooling',
-    { gossip: { ...QUIET, machines: [{ ...PLAIN, isBackingOff: true }] } },
+    { kind: 'gossip', payload: { ...QUIET, machines: [{ ...PLAIN, isBackingOff: true }] } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610006e0c50800000000000029400000000000406f400000010000000000046e32000000000000000000000000',
   ],
   [
     'gossip of a machine that is only unreached',
-    { gossip: { ...QUIET, machines: [{ ...PLAIN, isUnreached: true }] } },
+    { kind: 'gossip', payload: { ...QUIET, machines: [{ ...PLAIN, isUnreached: true }] } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610006e0c50800000000000029400000000000406f400000000100000000046e32000000000000000000000000',
   ],
   [
     'gossip of a machine that is only slow',
-    { gossip: { ...QUIET, machines: [{ ...PLAIN, isSlow: true }] } },
+    { kind: 'gossip', payload: { ...QUIET, machines: [{ ...PLAIN, isSlow: true }] } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610006e0c50800000000000029400000000000406f400000000001000000046e32000000000000000000000000',
   ],
   [
     'gossip of a machine that is only mute',
-    { gossip: { ...QUIET, machines: [{ ...PLAIN, isMute: true }] } },
+    { kind: 'gossip', payload: { ...QUIET, machines: [{ ...PLAIN, isMute: true }] } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610006e0c50800000000000029400000000000406f400000000000010000046e32000000000000000000000000',
   ],
   [
     'gossip of a machine that is only reclaimable',
-    { gossip: { ...QUIET, machines: [{ ...PLAIN, isSpot: true }] } },
+    { kind: 'gossip', payload: { ...QUIET, machines: [{ ...PLAIN, isSpot: true }] } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610106e0c50800000000000029400000000000406f400000000000000000046e32000000000000000000000000',
   ],
   [
     'gossip with only the flag withoutStore',
-    { gossip: { ...QUIET, machines: [], isWithoutStore: true } },
+    { kind: 'gossip', payload: { ...QUIET, machines: [], isWithoutStore: true } },
     '02046e3000000000004ced400000000000d06240010000000000c9ed400000540096c5f88cd58d06220000000000000000000000000000',
   ],
   [
     'gossip with only the flag loaded',
-    { gossip: { ...QUIET, machines: [], isLoaded: true } },
+    { kind: 'gossip', payload: { ...QUIET, machines: [], isLoaded: true } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400001540096c5f88cd58d06220000000000000000000000000000',
   ],
   [
     'gossip with only the flag whole',
-    { gossip: { ...QUIET, machines: [], isSnapshot: true } },
+    { kind: 'gossip', payload: { ...QUIET, machines: [], isSnapshot: true } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d06220100000000000000000000000000',
   ],
   [
     'gossip with only the flag wants',
-    { gossip: { ...QUIET, machines: [], wantsSnapshot: true } },
+    { kind: 'gossip', payload: { ...QUIET, machines: [], wantsSnapshot: true } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d06220001000000000000000000000000',
   ],
   [
     'relay',
-    { relay: { node: 'n1', id: 300, status: '{"Host":"i-000001"}' } },
+    { kind: 'forwarded_heartbeat', payload: { node: 'n1', id: 300, status: '{"Host":"i-000001"}' } },
     '0002046e31d804267b22486f7374223a22692d303030303031227d00000000',
   ],
   [
     'answer to a relay',
-    { relayAnswer: { node: 'n2', id: 300, status: 421, body: '{"Steward":"n0"}' } },
+    { kind: 'forwarded_heartbeat_answer', payload: { node: 'n2', id: 300, status: 421, body: '{"Steward":"n0"}' } },
     '000002046e32d804ca06207b2253746577617264223a226e30227d000000',
   ],
   [
     'news',
     {
-      news: {
+      kind: 'record_delta',
+      payload: {
         changes: [
           { key: 'live/team/red', value: '{"cpus":4}', modRevision: 99 },
           { key: 'live/job/j-1', value: null, modRevision: 100 },
@@ -162,11 +163,12 @@
     },
     '00000002041a6c6976652f7465616d2f72656402147b2263707573223a347dc601186c6976652f6a6f622f6a2d3100c801000000',
   ],
-  ['ask', { ask: { node: 'n1', from: 1000, after: 2000 } }, '0000000002046e31d00fa01f00'],
+  ['ask', { kind: 'delta_request', payload: { node: 'n1', from: 1000, after: 2000 } }, '0000000002046e31d00fa01f00'],
   [
     'delta with more to come',
     {
-      delta: {
+      kind: 'replica_delta',
+      payload: {
         node: 'n2',
         incarnation: 13428899909963,
         version: 42,
@@ -186,7 +188,8 @@
   [
     'empty delta that ends',
     {
-      delta: {
+      kind: 'replica_delta',
+      payload: {
         node: 'n2',
         incarnation: 1,
         version: 42,
@@ -203,7 +206,8 @@
   [
     'follow request of the standby stream',
     {
-      stream: {
+      kind: 'standby_stream',
+      payload: {
         follow: {
           node: 'n1',
           incarnation: 13428899909963,
@@ -218,7 +222,8 @@
   [
     'snapshot batch of the standby stream, with every kind of entry',
     {
-      stream: {
+      kind: 'standby_stream',
+      payload: {
         batch: {
           node: 'n0',
           incarnation: 29077790030248,
@@ -243,7 +248,8 @@
   [
     'empty batch of the standby stream',
     {
-      stream: {
+      kind: 'standby_stream',
+      payload: {
         batch: {
           node: 'n0',
           incarnation: 1,
--- a/test/gossip/message-encoding.test.ts
+++ b/test/gossip/message-encoding.test.ts
@@ -50,15 +50,24 @@
 const ENCODED: [name: string, message: Message, hex: string][] = [
   [
     'gossip',
-    { gossip },
+    { kind: 'gossip', payload: gossip },
     '02046e30000000000000f03f000000000000004000000000000000084002080000000000001440010c02046e31000e1001000206692d310006653a310463380261010204000000000000084000000000000000000000000100000206696d670000046e30000202000204000206000206692d32000000000000224000020c706172742d31000206692d33000000000000',
   ],
-  ['relay', { relay: { node: 'n0', id: 1, status: '{}' } }, '0002046e3002047b7d00000000'],
-  ['relayed answer', { relayAnswer: { node: 'n0', id: 1, status: 200, body: '{}' } }, '000002046e30029003047b7d000000'],
+  [
+    'relay',
+    { kind: 'forwarded_heartbeat', payload: { node: 'n0', id: 1, status: '{}' } },
+    '0002046e3002047b7d00000000',
+  ],
+  [
+    'relayed answer',
+    { kind: 'forwarded_heartbeat_answer', payload: { node: 'n0', id: 1, status: 200, body: '{}' } },
+    '000002046e30029003047b7d000000',
+  ],
   [
     'news',
     {
-      news: {
+      kind: 'record_delta',
+      payload: {
         changes: [
           { key: 'live/a', value: '1', modRevision: 2 },
           { key: 'live/b', value: null, modRevision: 3 },
@@ -67,11 +76,12 @@
     },
     '00000002040c6c6976652f61020231040c6c6976652f620006000000',
   ],
-  ['ask', { ask: { node: 'n0', from: 1, after: 2 } }, '0000000002046e30020400'],
+  ['ask', { kind: 'delta_request', payload: { node: 'n0', from: 1, after: 2 } }, '0000000002046e30020400'],
   [
     'delta',
     {
-      delta: {
+      kind: 'replica_delta',
+      payload: {
         node: 'n0',
         incarnation: 1,
         version: 2,
--- a/test/gossip/replica-freshness.test.ts
+++ b/test/gossip/replica-freshness.test.ts
@@ -34,8 +34,8 @@
   mine.applyGossip(gossip({ version: from.version }));
   for (let message = carry.shift(); message !== undefined; message = carry.shift()) {
     assert.ok(++told < 1000, 'it comes to an end');
-    if ('ask' in message) peers.answerDeltaRequest(message.ask);
-    else if ('delta' in message) mine.applyDelta(message.delta);
+    if (message.kind === 'delta_request') peers.answerDeltaRequest(message.payload);
+    else if (message.kind === 'replica_delta') mine.applyDelta(message.payload);
     between(message);
   }
   return told / 2;
@@ -102,8 +102,8 @@
     });
     mine.completeTo(9);
     for (const message of held) {
-      if ('delta' in message)
-        new ReplicaFreshness('n0', ['n1'], 5, mine, clock, () => undefined).applyDelta(message.delta);
+      if (message.kind === 'replica_delta')
+        new ReplicaFreshness('n0', ['n1'], 5, mine, clock, () => undefined).applyDelta(message.payload);
     }
     assert.equal(held.length, 1);
     assert.equal(mine.get('live/job/a').value, undefined);
@@ -116,7 +116,7 @@
     for (let modRevision = 1; modRevision < 30; modRevision++) peer.apply(set(`job/${modRevision}`, modRevision));
     peer.completeTo(30);
     bringUp(mine, peer, (message) => {
-      if ('delta' in message && message.delta.after > 0) peer.applyFromPeer(set('job/late', 31));
+      if (message.kind === 'replica_delta' && message.payload.after > 0) peer.applyFromPeer(set('job/late', 31));
     });
     assert.equal(mine.revision, 0);
     bringUp(mine, peer);
--- a/test/leadership/standby-stream.test.ts
+++ b/test/leadership/standby-stream.test.ts
@@ -13,7 +13,7 @@
 const OFFER = 'c8 a false';
 /** ms by which a date may be wrong that came by the stream: the lag that it accepts. */
 const MAX_LAG_MS = 2000;
-const isStream = (message: Message) => 'stream' in message;
+const isStream = (message: Message) => message.kind === 'standby_stream';
 
 async function ready(options: ClusterOptions = {}): Promise<void> {
   cluster = new Cluster({ nodes: 3, teams: [{ name: 'red' }], standby: ON, ...options });
@@ -154,12 +154,14 @@
       entries: [entry],
     };
     const follow = { node: 'n1', incarnation: 4, clock: 5.5, followedIncarnation: 1, upTo: 3 };
-    for (const stream of [{ batch }, { follow }]) {
-      const bytes = encodeMessage({ stream });
-      assert.deepEqual(JSON.parse(JSON.stringify(decodeMessage(bytes))), { stream });
+    for (const payload of [{ batch }, { follow }]) {
+      const message: Message = { kind: 'standby_stream', payload };
+      const bytes = encodeMessage(message);
+      assert.deepEqual(JSON.parse(JSON.stringify(decodeMessage(bytes))), message);
       assert.equal(bytes[0], 0xff);
     }
-    assert.notEqual(encodeMessage({ relay: { node: 'n0', id: 1, status: '' } })[0], 0xff);
+    const heartbeat: Message = { kind: 'forwarded_heartbeat', payload: { node: 'n0', id: 1, status: '' } };
+    assert.notEqual(encodeMessage(heartbeat)[0], 0xff);
     assert.throws(() => decodeMessage(Buffer.from([0xff, 1, 2, 3])));
   });
 });
--- a/test/program/startup-snapshot.test.ts
+++ b/test/program/startup-snapshot.test.ts
@@ -23,7 +23,7 @@
     socket.on('error', () => socket.destroy());
     socket.on('data', (bytes) => {
       for (const message of frames.push(bytes).map(decodeMessage))
-        if ('gossip' in message) hear(message.gossip.incarnation);
+        if (message.kind === 'gossip') hear(message.payload.incarnation);
     });
   });
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
--- a/test/scenarios/combined-faults-workers.test.ts
+++ b/test/scenarios/combined-faults-workers.test.ts
@@ -290,8 +290,8 @@
         assert.notEqual(cluster.node(owner).leadership.leadershipOf(`part-${owner}`), undefined);
       }
       for (const node of [0, 1, 2]) void cluster.node(node).answerHeartbeat(copy);
-      const relay = { node: `n${(owner + 1) % 3}`, id: 1, status: JSON.stringify(copy) };
-      cluster.node(owner).receive({ relay });
+      const payload = { node: `n${(owner + 1) % 3}`, id: 1, status: JSON.stringify(copy) };
+      cluster.node(owner).receive({ kind: 'forwarded_heartbeat', payload });
       await cluster.advance(5000);
       assert.equal(cluster.runs('j-svc2/0').length, 0, 'the team is at its limit');
       cluster.cut.delete(machineId);
--- a/test/scenarios/large-clusters.test.ts
+++ b/test/scenarios/large-clusters.test.ts
@@ -128,7 +128,7 @@
     for (let turn = 0; turn < 40; turn++) {
       const own = describeOwnMachines(turn * 1000, all);
       const gossip = asGossip(sentUpdates.compose('n1', own, others, turn * 1000));
-      assert.ok(encodeMessage({ gossip }).length < MAX_GOSSIP_BYTES);
+      assert.ok(encodeMessage({ kind: 'gossip', payload: gossip }).length < MAX_GOSSIP_BYTES);
       const { machines, gap } = heard.take(gossip);
       assert.equal(gap, false);
       for (const { machineId } of machines) (machineId.startsWith('i-other') ? passedOn : known).add(machineId);
--- a/testing/program-version.ts
+++ b/testing/program-version.ts
@@ -80,7 +80,7 @@
   }
 
   composeGossip(to: string): OpaqueMessage {
-    return { gossip: this.controller.composeGossip(to) };
+    return { kind: 'gossip', payload: this.controller.composeGossip(to) } satisfies Message;
   }
 
   receive(message: OpaqueMessage): void {
