--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -379,7 +379,7 @@
       this.log,
       (node) => this.composeGossip(node),
       (message) => this.receive(message),
-      (node) => this.sentUpdates.renew(node),
+      (node) => this.sentUpdates.requireSnapshot(node),
     );
     this.send = (node, message) => peerLinks.send(node, message);
     await Promise.all([peerLinks.run(signal), this.runDuties(signal)]);
--- a/src/gossip/gossip-exchange.ts
+++ b/src/gossip/gossip-exchange.ts
@@ -88,8 +88,8 @@
     if (this.loadedAt === undefined && replica.isLoaded) this.loadedAt = now;
     return {
       node: settings.node,
-      upMs: this.loadedAt === undefined ? 0 : now - this.loadedAt,
-      freshAgeMs: Math.min(now - replica.freshAt, 1e12),
+      uptimeMs: this.loadedAt === undefined ? 0 : now - this.loadedAt,
+      replicaAgeMs: Math.min(now - replica.freshAt, 1e12),
       isWithoutStore: this.dependencies.isWithoutStore(),
       reachablePeers: peerDirectory.reachablePeers(),
       ...replicaFreshness.describe(to),
@@ -98,10 +98,10 @@
       misroutedHeartbeats: [
         ...[...misroutedWorkers.entries()].map(([machineId, at]) => ({ machineId, ageMs: now - at })),
         // After a restart hundreds knock: what the peer hears itself is not passed on to it.
-        ...(this.unheardBy(to).size > 0 ? peerDirectory.misroutedHeartbeatsHeard() : []),
+        ...(this.unheardBy(to).size > 0 ? peerDirectory.recentMisroutedHeartbeats() : []),
       ],
       avoidedRoles: leadership.avoidedRoles(),
-      terminated: inventory.recentlyTerminated(),
+      terminatedMachines: inventory.recentlyTerminated(),
     };
   }
 
@@ -127,7 +127,7 @@
   private unheardBy(peer: string): Set<string> {
     const { settings, peerDirectory } = this.dependencies;
     const nodes = settings.peers.map(({ node }) => node);
-    return new Set(nodes.filter((node) => node !== peer && !peerDirectory.hears(peer, node)));
+    return new Set(nodes.filter((node) => node !== peer && !peerDirectory.isReachableFrom(peer, node)));
   }
 
   /** Of others' machines only what a peer can't hear itself: all from everybody to everybody would grow with both. */
@@ -143,16 +143,16 @@
     const { clock, peerDirectory, replicaFreshness, inventory, sentUpdates } = this.dependencies;
     peerDirectory.applyGossip(gossip);
     replicaFreshness.applyGossip(gossip);
-    for (const machineId of gossip.terminated) inventory.markTerminated(machineId);
+    for (const machineId of gossip.terminatedMachines) inventory.markTerminated(machineId);
     const now = clock.now();
-    if (gossip.wantsSnapshot) sentUpdates.renew(gossip.node);
-    const { machines, unchanged, gap } = this.receivedUpdates.take(gossip);
-    if (gap) this.noteGap(gossip.node);
+    if (gossip.wantsSnapshot) sentUpdates.requireSnapshot(gossip.node);
+    const { machines, unchanged, hasGap } = this.receivedUpdates.apply(gossip);
+    if (hasGap) this.noteGap(gossip.node);
     if (gossip.isSnapshot) this.missed.delete(gossip.node);
-    for (const machine of machines) inventory.applyPeerReport(decodeMachine(machine, now), now - machine.knownAgeMs);
-    for (const { machine, heardAgeMs, sequence } of unchanged) {
-      if (inventory.refreshPeerReport(machine.machineId, gossip.node, now - heardAgeMs, sequence, now)) continue;
-      inventory.applyPeerReport(decodeMachine({ ...machine, heardAgeMs, sequence, spotNoticeMs: null }, now), now);
+    for (const machine of machines) inventory.applyPeerReport(decodeMachine(machine, now), now - machine.stateAgeMs);
+    for (const { machine, heartbeatAgeMs, sequence } of unchanged) {
+      if (inventory.refreshPeerReport(machine.machineId, gossip.node, now - heartbeatAgeMs, sequence, now)) continue;
+      inventory.applyPeerReport(decodeMachine({ ...machine, heartbeatAgeMs, sequence, spotNoticeMs: null }, now), now);
     }
   }
 
@@ -173,13 +173,13 @@
 ): MachineUpdate => ({
   ...rest,
   number: -1,
-  heardAgeMs: now - heardAt,
-  knownAgeMs: now - knownAt,
+  heartbeatAgeMs: now - heardAt,
+  stateAgeMs: now - knownAt,
   spotNoticeMs: spotNoticeUntil === null ? null : spotNoticeUntil - now,
 });
 
-const decodeMachine = ({ heardAgeMs, spotNoticeMs, ...rest }: MachineUpdate, now: number): MachineInfo => ({
+const decodeMachine = ({ heartbeatAgeMs, spotNoticeMs, ...rest }: MachineUpdate, now: number): MachineInfo => ({
   ...rest,
-  heardAt: now - heardAgeMs,
+  heardAt: now - heartbeatAgeMs,
   spotNoticeUntil: spotNoticeMs === null ? null : now + spotNoticeMs,
 });
--- a/src/gossip/machine-updates.ts
+++ b/src/gossip/machine-updates.ts
@@ -61,7 +61,7 @@
   constructor(private readonly incarnation: number) {}
 
   /** The peer has missed something, or may have: next time it is told all. */
-  renew(peer: string): void {
+  requireSnapshot(peer: string): void {
     this.peers.get(peer)?.told.clear();
   }
 
@@ -79,7 +79,7 @@
     const changed: MachineUpdate[] = [];
     // What finds no room is told next time: a peer closes the link on a message that is larger than it takes.
     let room = MACHINES_IN_GOSSIP_BYTES;
-    const unchanged: Told['unchanged'] = { numbers: [], heardAgesMs: [], sequences: [] };
+    const unchanged: Told['unchanged'] = { numbers: [], heartbeatAgesMs: [], sequences: [] };
     for (const { news, lasting } of machines) {
       const { machineId } = news;
       let number = this.numbers.get(machineId);
@@ -87,7 +87,7 @@
       // A notice runs down all the time.
       if (known.told.get(machineId) === lasting && news.spotNoticeMs === null) {
         unchanged.numbers.push(number);
-        unchanged.heardAgesMs.push(Math.round(news.heardAgeMs + age));
+        unchanged.heartbeatAgesMs.push(Math.round(news.heartbeatAgeMs + age));
         unchanged.sequences.push(news.sequence);
         continue;
       }
@@ -95,7 +95,7 @@
       if (room < 0) continue;
       known.told.set(machineId, lasting);
       const spotNoticeMs = news.spotNoticeMs === null ? null : news.spotNoticeMs - age;
-      changed.push({ ...news, number, heardAgeMs: news.heardAgeMs + age, knownAgeMs: age, spotNoticeMs });
+      changed.push({ ...news, number, heartbeatAgeMs: news.heartbeatAgeMs + age, stateAgeMs: age, spotNoticeMs });
     }
     known.messageNumber++;
     changed.push(...somePassedOn(passedOn, room, known.messageNumber));
@@ -128,7 +128,7 @@
 /** A machine of which nothing is new but these. */
 export interface UnchangedMachine {
   machine: MachineUpdate;
-  heardAgeMs: number;
+  heartbeatAgeMs: number;
   sequence: number;
 }
 
@@ -140,20 +140,20 @@
   >();
 
   /**
-   * The machines that a message speaks of: those told in full, and those of which no more than the times is new. `gap`: the
+   * The machines that a message speaks of: those told in full, and those of which no more than the times is new. `hasGap`: the
    * message builds on something that never came.
    */
-  take({ node, incarnation, messageNumber, isSnapshot, machines, unchanged }: Gossip): {
+  apply({ node, incarnation, messageNumber, isSnapshot, machines, unchanged }: Gossip): {
     machines: MachineUpdate[];
     unchanged: UnchangedMachine[];
-    gap: boolean;
+    hasGap: boolean;
   } {
     let sender = this.senders.get(node);
     // A message of a former life, or one that a newer has overtaken, says nothing that is not known better.
     if (sender?.incarnation === incarnation && messageNumber <= sender.messageNumber)
-      return { machines: [], unchanged: [], gap: false };
-    const gap = !isSnapshot && (sender?.incarnation !== incarnation || messageNumber !== sender.messageNumber + 1);
-    if (sender === undefined || isSnapshot || gap)
+      return { machines: [], unchanged: [], hasGap: false };
+    const hasGap = !isSnapshot && (sender?.incarnation !== incarnation || messageNumber !== sender.messageNumber + 1);
+    if (sender === undefined || isSnapshot || hasGap)
       this.senders.set(node, (sender = { incarnation, messageNumber, machines: new Map() }));
     sender.messageNumber = messageNumber;
     const still: UnchangedMachine[] = [];
@@ -161,8 +161,8 @@
     for (const [at, number] of unchanged.numbers.entries()) {
       const machine = sender.machines.get(number);
       if (machine !== undefined)
-        still.push({ machine, heardAgeMs: unchanged.heardAgesMs[at]!, sequence: unchanged.sequences[at]! });
+        still.push({ machine, heartbeatAgeMs: unchanged.heartbeatAgesMs[at]!, sequence: unchanged.sequences[at]! });
     }
-    return { machines, unchanged: still, gap };
+    return { machines, unchanged: still, hasGap };
   }
 }
--- a/src/gossip/message-codec.ts
+++ b/src/gossip/message-codec.ts
@@ -25,8 +25,8 @@
   isSpot: 'boolean',
   agentEpoch: 'long',
   sequence: 'long',
-  heardAgeMs: 'double',
-  knownAgeMs: 'double',
+  heartbeatAgeMs: 'double',
+  stateAgeMs: 'double',
   spotNoticeMs: nullable('double'),
   isQuarantined: 'boolean',
   isBackingOff: 'boolean',
@@ -40,11 +40,11 @@
 
 const gossip = record('Gossip', {
   node: 'string',
-  upMs: 'double',
-  freshAgeMs: 'double',
+  uptimeMs: 'double',
+  replicaAgeMs: 'double',
   isWithoutStore: 'boolean',
-  clock: 'double',
-  echo: nullable(record('Echo', { incarnation: 'long', clock: 'double' })),
+  clockMs: 'double',
+  echo: nullable(record('Echo', { incarnation: 'long', clockMs: 'double' })),
   isLoaded: 'boolean',
   version: 'long',
   reachablePeers: arrayOf('string'),
@@ -55,12 +55,12 @@
   machines: arrayOf(machineUpdate),
   unchanged: record('UnchangedMachines', {
     numbers: arrayOf('long'),
-    heardAgesMs: arrayOf('long'),
+    heartbeatAgesMs: arrayOf('long'),
     sequences: arrayOf('long'),
   }),
   misroutedHeartbeats: arrayOf(record('MisroutedHeartbeat', { machineId: 'string', ageMs: 'double' })),
   avoidedRoles: arrayOf('string'),
-  terminated: arrayOf('string'),
+  terminatedMachines: arrayOf('string'),
 });
 
 const recordChange = record('RecordChange', { key: 'string', value: nullable('string'), modRevision: 'long' });
@@ -69,11 +69,11 @@
   node: 'string',
   incarnation: 'long',
   version: 'long',
-  from: 'long',
-  after: 'long',
-  last: 'long',
+  fromRevision: 'long',
+  afterRevision: 'long',
+  lastRevision: 'long',
   isComplete: 'boolean',
-  upTo: 'long',
+  completeRevision: 'long',
   // Avro defines a named type once: the record delta, which comes first in the envelope, does so.
   changes: arrayOf('RecordChange'),
 });
@@ -93,7 +93,7 @@
   relay: record('ForwardedHeartbeat', { node: 'string', id: 'long', status: 'string' }),
   relayAnswer: record('RelayAnswer', { node: 'string', id: 'long', status: 'int', body: 'string' }),
   news: record('News', { changes: arrayOf(recordChange) }),
-  ask: record('Ask', { node: 'string', from: 'long', after: 'long' }),
+  ask: record('Ask', { node: 'string', fromRevision: 'long', afterRevision: 'long' }),
   delta: replicaDelta,
 };
 
--- a/src/gossip/messages.ts
+++ b/src/gossip/messages.ts
@@ -11,15 +11,15 @@
   /** The sender. */
   node: string;
   /** ms since the sender first read the store; 0: not yet. */
-  upMs: number;
+  uptimeMs: number;
   /** ms since the store last confirmed the sender's replica, on the sender's clock. */
-  freshAgeMs: number;
+  replicaAgeMs: number;
   /** The store refuses the sender's requests, or doesn't answer them. */
   isWithoutStore: boolean;
   /** The sender's monotonic clock, ms. */
-  clock: number;
+  clockMs: number;
   /** The receiver's monotonic clock as the sender last received it, ms, with the incarnation that it came from; null: never. */
-  echo: { incarnation: number; clock: number } | null;
+  echo: { incarnation: number; clockMs: number } | null;
   /** The sender's process has read the store. */
   isLoaded: boolean;
   /** How many changes the sender's replica has applied. */
@@ -43,7 +43,7 @@
   /** Roles that the sender does not want for now, since their workers can't reach it. */
   avoidedRoles: string[];
   /** Machines that the cloud has lately confirmed terminated. */
-  terminated: string[];
+  terminatedMachines: string[];
 }
 
 /** What a partition's leader knows of one of its machines. */
@@ -51,9 +51,9 @@
   /** The short number by which the sender refers to the machine in later messages; -1: it does not. */
   number: number;
   /** ms since the machine's last heartbeat. */
-  heardAgeMs: number;
+  heartbeatAgeMs: number;
   /** ms since the partition's leader stated this; 0 from the leader itself. */
-  knownAgeMs: number;
+  stateAgeMs: number;
   /** ms until the cloud takes the spot machine away; null: no notice was given. */
   spotNoticeMs: number | null;
 }
@@ -63,7 +63,7 @@
   /** As the sender assigned them in the machine's last full update. */
   numbers: number[];
   /** ms since each machine's last heartbeat, rounded. */
-  heardAgesMs: number[];
+  heartbeatAgesMs: number[];
   /** Of each machine's last heartbeat. */
   sequences: number[];
 }
@@ -104,9 +104,9 @@
 export interface DeltaRequest {
   node: string;
   /** The revision up to which the sender's replica is complete. */
-  from: number;
+  fromRevision: number;
   /** The revision up to which it already has the receiver's changes since: one answer may need several messages. */
-  after: number;
+  afterRevision: number;
 }
 
 /** What the sender's replica holds since the revision that was asked for. */
@@ -114,14 +114,14 @@
   node: string;
   incarnation: number;
   version: number;
-  from: number;
-  after: number;
+  fromRevision: number;
+  afterRevision: number;
   /** The revision of the last change. */
-  last: number;
+  lastRevision: number;
   /** False: there are more changes after `last`. */
   isComplete: boolean;
   /** With all the changes, a replica that was complete up to `from` is complete up to here. */
-  upTo: number;
+  completeRevision: number;
   changes: SerializedChange[];
 }
 
--- a/src/gossip/peer-directory.ts
+++ b/src/gossip/peer-directory.ts
@@ -30,7 +30,7 @@
         Math.max(this.misroutedHeartbeats.get(machineId) ?? -Infinity, now - ageMs),
       );
     }
-    this.states.set(gossip.node, { heardAt: now, freshAt: now - gossip.freshAgeMs, gossip });
+    this.states.set(gossip.node, { heardAt: now, freshAt: now - gossip.replicaAgeMs, gossip });
   }
 
   private freshState(node: string): PeerState | undefined {
@@ -44,12 +44,12 @@
   }
 
   /** All other nodes have been heard just now. */
-  get hearsAll(): boolean {
+  get reachesAllPeers(): boolean {
     return this.reachablePeers().length === this.nodes.length;
   }
 
   /** Does that peer say that it hears the other node itself? */
-  hears(peer: string, other: string): boolean {
+  isReachableFrom(peer: string, other: string): boolean {
     return this.freshState(peer)?.gossip.reachablePeers.includes(other) === true;
   }
 
@@ -70,7 +70,7 @@
 
   /** ms since the peer came up, 0 if it is not heard. */
   uptimeMs(node: string): number {
-    return this.freshState(node)?.gossip.upMs ?? 0;
+    return this.freshState(node)?.gossip.uptimeMs ?? 0;
   }
 
   /**
@@ -83,7 +83,7 @@
   }
 
   /** Knocks heard of, to be passed on. */
-  *misroutedHeartbeatsHeard(): Iterable<{ machineId: string; ageMs: number }> {
+  *recentMisroutedHeartbeats(): Iterable<{ machineId: string; ageMs: number }> {
     const now = this.clock.now();
     for (const [machineId, at] of this.misroutedHeartbeats) {
       if (now - at < MISROUTED_HEARTBEAT_VALID_MS) yield { machineId, ageMs: now - at };
--- a/src/gossip/replica-freshness.ts
+++ b/src/gossip/replica-freshness.ts
@@ -20,11 +20,11 @@
  * not read the store speaks for nobody: its former life may have confirmed what no other copy holds.
  */
 export class ReplicaFreshness {
-  /** The clocks of the peers, as they last told them, to be echoed. */
-  private readonly clocks = new Map<string, { incarnation: number; clock: number }>();
+  /** The clocks of the peers as last received, to be echoed. */
+  private readonly peerClocks = new Map<string, { incarnation: number; clockMs: number }>();
   private readonly merged = new Map<string, Version>();
   /** What is being told in several messages, and up to which revision it has been. */
-  private readonly pendingDeltas = new Map<string, Version & { after: number }>();
+  private readonly pendingDeltas = new Map<string, Version & { afterRevision: number }>();
   /** Steady ms as of which this copy held all that the peer's held. */
   private readonly coveredAt: Map<string, number>;
   /** Steady ms as of which some peer had a complete copy from the store, all of which ours holds. */
@@ -43,25 +43,25 @@
   }
 
   /** What gossip to a peer says of this node's copy. */
-  describe(peer: string): Pick<Gossip, 'clock' | 'echo' | 'isLoaded' | 'version'> {
+  describe(peer: string): Pick<Gossip, 'clockMs' | 'echo' | 'isLoaded' | 'version'> {
     return {
-      clock: this.clock.now(),
-      echo: this.clocks.get(peer) ?? null,
+      clockMs: this.clock.now(),
+      echo: this.peerClocks.get(peer) ?? null,
       isLoaded: this.replica.isLoaded,
       version: this.replica.version,
     };
   }
 
-  applyGossip({ node, incarnation, version, isLoaded, clock, echo, freshAgeMs }: Gossip): void {
+  applyGossip({ node, incarnation, version, isLoaded, clockMs, echo, replicaAgeMs }: Gossip): void {
     if (!this.coveredAt.has(node)) return;
-    this.clocks.set(node, { incarnation, clock });
+    this.peerClocks.set(node, { incarnation, clockMs });
     if (!isLoaded) return;
     const merged = this.merged.get(node);
     if (merged?.incarnation === incarnation && merged.version === version) {
       // Said by the peer no earlier than this.
       if (echo?.incarnation !== this.incarnation) return;
-      this.coveredAt.set(node, Math.max(this.coveredAt.get(node)!, echo.clock));
-      this.copiedAt = Math.max(this.copiedAt, echo.clock - freshAgeMs * (1 + CLOCK_DRIFT));
+      this.coveredAt.set(node, Math.max(this.coveredAt.get(node)!, echo.clockMs));
+      this.copiedAt = Math.max(this.copiedAt, echo.clockMs - replicaAgeMs * (1 + CLOCK_DRIFT));
     } else if (this.replica.isLoaded && this.clock.now() - this.replica.freshAt >= REPLICA_FRESH_MS) {
       this.requestDelta(node);
     }
@@ -70,40 +70,60 @@
   private requestDelta(node: string): void {
     const { revision } = this.replica;
     this.pendingDeltas.delete(node);
-    this.send(node, { kind: 'delta_request', payload: { node: this.node, from: revision, after: revision } });
+    this.send(node, {
+      kind: 'delta_request',
+      payload: { node: this.node, fromRevision: revision, afterRevision: revision },
+    });
   }
 
   /** Tells a peer what this copy holds since the peer's was complete. */
-  answerDeltaRequest({ node, from, after }: DeltaRequest): void {
+  answerDeltaRequest({ node, fromRevision, afterRevision }: DeltaRequest): void {
     if (!this.replica.isLoaded) return;
     const { version } = this.replica;
-    const upTo = this.replica.completeFrom(from);
-    const told = this.replica.changesSince(after, DELTA_BYTES);
+    const completeRevision = this.replica.completeFrom(fromRevision);
+    const { last: lastRevision, isComplete, changes } = this.replica.changesSince(afterRevision, DELTA_BYTES);
     const payload: ReplicaDelta = {
       node: this.node,
       incarnation: this.incarnation,
       version,
-      from,
-      after,
-      upTo,
-      ...told,
+      fromRevision,
+      afterRevision,
+      completeRevision,
+      lastRevision,
+      isComplete,
+      changes,
     };
     this.send(node, { kind: 'replica_delta', payload });
   }
 
-  applyDelta({ node, incarnation, version, from, after, last, isComplete, upTo, changes }: ReplicaDelta): void {
-    if (!this.coveredAt.has(node) || !this.replica.isLoaded || from > this.replica.revision) return;
+  applyDelta({
+    node,
+    incarnation,
+    version,
+    fromRevision,
+    afterRevision,
+    lastRevision,
+    isComplete,
+    completeRevision,
+    changes,
+  }: ReplicaDelta): void {
+    if (!this.coveredAt.has(node) || !this.replica.isLoaded || fromRevision > this.replica.revision) return;
     this.replica.applyAllFromPeer(deserializeChanges(changes));
     // Only of one and the same state of the peer's copy do several messages make a whole.
-    const begun = after === from ? { incarnation, version, after } : this.pendingDeltas.get(node);
-    if (begun?.incarnation !== incarnation || begun.version !== version || begun.after !== after) return;
+    const begun =
+      afterRevision === fromRevision ? { incarnation, version, afterRevision } : this.pendingDeltas.get(node);
+    if (begun?.incarnation !== incarnation || begun.version !== version || begun.afterRevision !== afterRevision)
+      return;
     if (isComplete) {
       this.pendingDeltas.delete(node);
-      this.replica.completeTo(upTo);
+      this.replica.completeTo(completeRevision);
       this.merged.set(node, { incarnation, version });
-    } else if (last > after) {
-      this.pendingDeltas.set(node, { incarnation, version, after: last });
-      this.send(node, { kind: 'delta_request', payload: { node: this.node, from, after: last } });
+    } else if (lastRevision > afterRevision) {
+      this.pendingDeltas.set(node, { incarnation, version, afterRevision: lastRevision });
+      this.send(node, {
+        kind: 'delta_request',
+        payload: { node: this.node, fromRevision, afterRevision: lastRevision },
+      });
     }
   }
 
--- a/test/gossip/gossip-format.test.ts
+++ b/test/gossip/gossip-format.test.ts
@@ -16,8 +16,8 @@
   isSpot: true,
   agentEpoch: 3,
   sequence: 70_000,
-  heardAgeMs: 12.5,
-  knownAgeMs: 250,
+  heartbeatAgeMs: 12.5,
+  stateAgeMs: 250,
   spotNoticeMs: 29_000,
   isQuarantined: true,
   isBackingOff: true,
@@ -45,11 +45,11 @@
 
 const FULL: Gossip = {
   node: 'n0',
-  upMs: 60_000,
-  freshAgeMs: 150.5,
+  uptimeMs: 60_000,
+  replicaAgeMs: 150.5,
   isWithoutStore: true,
-  clock: 61_000,
-  echo: { incarnation: 29077790030248, clock: 60_500 },
+  clockMs: 61_000,
+  echo: { incarnation: 29077790030248, clockMs: 60_500 },
   isLoaded: true,
   version: 42,
   reachablePeers: ['n1', 'n2'],
@@ -58,10 +58,10 @@
   isSnapshot: true,
   wantsSnapshot: true,
   machines: [FLAGGED],
-  unchanged: { numbers: [1, 2], heardAgesMs: [30, 40], sequences: [500, 600] },
+  unchanged: { numbers: [1, 2], heartbeatAgesMs: [30, 40], sequences: [500, 600] },
   misroutedHeartbeats: [{ machineId: 'i-000003', ageMs: 75 }],
   avoidedRoles: ['part-1'],
-  terminated: ['i-000004'],
+  terminatedMachines: ['i-000004'],
 };
 
 const QUIET: Gossip = {
@@ -73,10 +73,10 @@
   isSnapshot: false,
   wantsSnapshot: false,
   machines: [PLAIN],
-  unchanged: { numbers: [], heardAgesMs: [], sequences: [] },
+  unchanged: { numbers: [], heartbeatAgesMs: [], sequences: [] },
   misroutedHeartbeats: [],
   avoidedRoles: [],
-  terminated: [],
+  terminatedMachines: [],
 };
 
 const ENCODED: readonly [name: string, message: Message, hex: string][] = [
@@ -163,7 +163,11 @@
     },
     '00000002041a6c6976652f7465616d2f72656402147b2263707573223a347dc601186c6976652f6a6f622f6a2d3100c801000000',
   ],
-  ['ask', { kind: 'delta_request', payload: { node: 'n1', from: 1000, after: 2000 } }, '0000000002046e31d00fa01f00'],
+  [
+    'ask',
+    { kind: 'delta_request', payload: { node: 'n1', fromRevision: 1000, afterRevision: 2000 } },
+    '0000000002046e31d00fa01f00',
+  ],
   [
     'delta with more to come',
     {
@@ -172,11 +176,11 @@
         node: 'n2',
         incarnation: 13428899909963,
         version: 42,
-        from: 1000,
-        after: 2000,
-        last: 3000,
+        fromRevision: 1000,
+        afterRevision: 2000,
+        lastRevision: 3000,
         isComplete: false,
-        upTo: 4000,
+        completeRevision: 4000,
         changes: [
           { key: 'live/team/red', value: '{"cpus":4}', modRevision: 3000 },
           { key: 'live/job/j-1', value: null, modRevision: 2999 },
@@ -193,11 +197,11 @@
         node: 'n2',
         incarnation: 1,
         version: 42,
-        from: 1000,
-        after: 2000,
-        last: 2000,
+        fromRevision: 1000,
+        afterRevision: 2000,
+        lastRevision: 2000,
         isComplete: true,
-        upTo: 4000,
+        completeRevision: 4000,
         changes: [],
       },
     },
--- a/test/gossip/message-encoding.test.ts
+++ b/test/gossip/message-encoding.test.ts
@@ -5,11 +5,11 @@
 
 const gossip: Gossip = {
   node: 'n0',
-  upMs: 1,
-  freshAgeMs: 2,
+  uptimeMs: 1,
+  replicaAgeMs: 2,
   isWithoutStore: false,
-  clock: 3,
-  echo: { incarnation: 4, clock: 5 },
+  clockMs: 3,
+  echo: { incarnation: 4, clockMs: 5 },
   isLoaded: true,
   version: 6,
   reachablePeers: ['n1'],
@@ -27,8 +27,8 @@
       isSpot: true,
       agentEpoch: 1,
       sequence: 2,
-      heardAgeMs: 3,
-      knownAgeMs: 0,
+      heartbeatAgeMs: 3,
+      stateAgeMs: 0,
       spotNoticeMs: null,
       isQuarantined: false,
       isBackingOff: false,
@@ -40,10 +40,10 @@
       partitionLeader: 'n0',
     },
   ],
-  unchanged: { numbers: [1], heardAgesMs: [2], sequences: [3] },
+  unchanged: { numbers: [1], heartbeatAgesMs: [2], sequences: [3] },
   misroutedHeartbeats: [{ machineId: 'i-2', ageMs: 9 }],
   avoidedRoles: ['part-1'],
-  terminated: ['i-3'],
+  terminatedMachines: ['i-3'],
 };
 
 /** Controllers of two versions run side by side while a deployment is renewed: renaming a field must not move a byte. */
@@ -76,7 +76,11 @@
     },
     '00000002040c6c6976652f61020231040c6c6976652f620006000000',
   ],
-  ['ask', { kind: 'delta_request', payload: { node: 'n0', from: 1, after: 2 } }, '0000000002046e30020400'],
+  [
+    'ask',
+    { kind: 'delta_request', payload: { node: 'n0', fromRevision: 1, afterRevision: 2 } },
+    '0000000002046e30020400',
+  ],
   [
     'delta',
     {
@@ -85,11 +89,11 @@
         node: 'n0',
         incarnation: 1,
         version: 2,
-        from: 3,
-        after: 4,
-        last: 5,
+        fromRevision: 3,
+        afterRevision: 4,
+        lastRevision: 5,
         isComplete: true,
-        upTo: 6,
+        completeRevision: 6,
         changes: [{ key: 'live/a', value: '1', modRevision: 2 }],
       },
     },
--- a/test/gossip/replica-freshness.test.ts
+++ b/test/gossip/replica-freshness.test.ts
@@ -47,8 +47,8 @@
     incarnation: 7,
     version: 0,
     isLoaded: true,
-    clock: 1,
-    freshAgeMs: 0,
+    clockMs: 1,
+    replicaAgeMs: 0,
     echo: null,
     ...fields,
   }) as Gossip;
@@ -97,8 +97,8 @@
     const held: Message[] = [];
     new ReplicaFreshness('n1', ['n0'], 7, peer, clock, (_, message) => held.push(message)).answerDeltaRequest({
       node: 'n0',
-      from: 0,
-      after: 0,
+      fromRevision: 0,
+      afterRevision: 0,
     });
     mine.completeTo(9);
     for (const message of held) {
@@ -116,7 +116,8 @@
     for (let modRevision = 1; modRevision < 30; modRevision++) peer.apply(set(`job/${modRevision}`, modRevision));
     peer.completeTo(30);
     bringUp(mine, peer, (message) => {
-      if (message.kind === 'replica_delta' && message.payload.after > 0) peer.applyFromPeer(set('job/late', 31));
+      if (message.kind === 'replica_delta' && message.payload.afterRevision > 0)
+        peer.applyFromPeer(set('job/late', 31));
     });
     assert.equal(mine.revision, 0);
     bringUp(mine, peer);
@@ -132,20 +133,20 @@
       node: 'n1',
       incarnation: 7,
       version: 0,
-      from: 0,
-      after: 0,
-      last: 0,
+      fromRevision: 0,
+      afterRevision: 0,
+      lastRevision: 0,
       isComplete: true,
-      upTo: 0,
+      completeRevision: 0,
       changes: [],
     });
 
   it('counts from the moment of our own clock that it echoes, however late it comes', () => {
     const replicaFreshness = ready();
     merge(replicaFreshness);
-    replicaFreshness.applyGossip(gossip({ echo: { incarnation: 5, clock: 400 } }));
+    replicaFreshness.applyGossip(gossip({ echo: { incarnation: 5, clockMs: 400 } }));
     assert.equal(replicaFreshness.completeAsOf(), 400);
-    replicaFreshness.applyGossip(gossip({ echo: { incarnation: 5, clock: 300 } }));
+    replicaFreshness.applyGossip(gossip({ echo: { incarnation: 5, clockMs: 300 } }));
     assert.equal(replicaFreshness.completeAsOf(), 400);
   });
 
@@ -153,10 +154,10 @@
     const replicaFreshness = ready();
     merge(replicaFreshness);
     replicaFreshness.applyGossip(gossip({}));
-    replicaFreshness.applyGossip(gossip({ echo: { incarnation: 4, clock: 400 } }));
-    replicaFreshness.applyGossip(gossip({ echo: { incarnation: 5, clock: 400 }, isLoaded: false }));
-    replicaFreshness.applyGossip(gossip({ echo: { incarnation: 5, clock: 400 }, version: 1 }));
-    replicaFreshness.applyGossip(gossip({ echo: { incarnation: 5, clock: 400 }, incarnation: 8 }));
+    replicaFreshness.applyGossip(gossip({ echo: { incarnation: 4, clockMs: 400 } }));
+    replicaFreshness.applyGossip(gossip({ echo: { incarnation: 5, clockMs: 400 }, isLoaded: false }));
+    replicaFreshness.applyGossip(gossip({ echo: { incarnation: 5, clockMs: 400 }, version: 1 }));
+    replicaFreshness.applyGossip(gossip({ echo: { incarnation: 5, clockMs: 400 }, incarnation: 8 }));
     assert.equal(replicaFreshness.completeAsOf(), -Infinity);
   });
 });
--- a/test/scenarios/large-clusters.test.ts
+++ b/test/scenarios/large-clusters.test.ts
@@ -47,8 +47,8 @@
     sequence: 5,
   },
   ...{
-    heardAgeMs: 100,
-    knownAgeMs: 0,
+    heartbeatAgeMs: 100,
+    stateAgeMs: 0,
     spotNoticeMs: null,
     isQuarantined: false,
     isBackingOff: false,
@@ -62,18 +62,18 @@
 const asGossip = (told: ReturnType<SentMachineUpdates['compose']>): Gossip => ({
   ...{
     node: 'n0',
-    upMs: 1,
-    freshAgeMs: 1,
+    uptimeMs: 1,
+    replicaAgeMs: 1,
     isWithoutStore: false,
     reachablePeers: [],
-    clock: 0,
+    clockMs: 0,
     echo: null,
     isLoaded: true,
     version: 0,
     wantsSnapshot: false,
     misroutedHeartbeats: [],
     avoidedRoles: [],
-    terminated: [],
+    terminatedMachines: [],
   },
   ...told,
 });
@@ -85,35 +85,35 @@
     const sentUpdates = new SentMachineUpdates(1);
     const heard = new ReceivedMachineUpdates();
     assert.equal(
-      heard.take(asGossip(sentUpdates.compose('n1', describeOwnMachines(0, many), [], 0))).machines.length,
+      heard.apply(asGossip(sentUpdates.compose('n1', describeOwnMachines(0, many), [], 0))).machines.length,
       300,
     );
-    const later = many.map((each, n) => ({ ...each, sequence: 9, heardAgeMs: 40, isBackingOff: n === 7 }));
+    const later = many.map((each, n) => ({ ...each, sequence: 9, heartbeatAgeMs: 40, isBackingOff: n === 7 }));
     const told = sentUpdates.compose('n1', describeOwnMachines(1000, later), [], 1010);
     assert.deepEqual(
       told.machines.map(({ machineId }) => machineId),
       ['i-7'],
     );
-    const { machines, unchanged, gap } = heard.take(asGossip(told));
-    assert.equal(gap, false);
+    const { machines, unchanged, hasGap } = heard.apply(asGossip(told));
+    assert.equal(hasGap, false);
     assert.equal(machines.length + unchanged.length, 300);
     const other = unchanged.find(({ machine }) => machine.machineId === 'i-8')!;
-    assert.deepEqual([other.sequence, other.heardAgeMs], [9, 50]);
+    assert.deepEqual([other.sequence, other.heartbeatAgeMs], [9, 50]);
   });
 
   it('is told whole again to a peer that has missed some, which believes nothing built on it until then', () => {
     const sentUpdates = new SentMachineUpdates(1);
     const heard = new ReceivedMachineUpdates();
-    heard.take(asGossip(sentUpdates.compose('n1', describeOwnMachines(0, many), [], 0)));
+    heard.apply(asGossip(sentUpdates.compose('n1', describeOwnMachines(0, many), [], 0)));
     // Lost: machine 3 has begun a new session.
     const now = many.map((each, n) => (n === 3 ? { ...each, agentEpoch: 2 } : each));
     sentUpdates.compose('n1', describeOwnMachines(1000, now), [], 1000);
-    const after = heard.take(asGossip(sentUpdates.compose('n1', describeOwnMachines(2000, now), [], 2000)));
-    assert.equal(after.gap, true);
+    const after = heard.apply(asGossip(sentUpdates.compose('n1', describeOwnMachines(2000, now), [], 2000)));
+    assert.equal(after.hasGap, true);
     assert.equal(after.machines.length + after.unchanged.length, 0);
-    sentUpdates.renew('n1');
-    const whole = heard.take(asGossip(sentUpdates.compose('n1', describeOwnMachines(3000, now), [], 3000)));
-    assert.equal(whole.gap, false);
+    sentUpdates.requireSnapshot('n1');
+    const whole = heard.apply(asGossip(sentUpdates.compose('n1', describeOwnMachines(3000, now), [], 3000)));
+    assert.equal(whole.hasGap, false);
     assert.equal(whole.machines.find(({ machineId }) => machineId === 'i-3')!.agentEpoch, 2);
   });
 
@@ -129,8 +129,8 @@
       const own = describeOwnMachines(turn * 1000, all);
       const gossip = asGossip(sentUpdates.compose('n1', own, others, turn * 1000));
       assert.ok(encodeMessage({ kind: 'gossip', payload: gossip }).length < MAX_GOSSIP_BYTES);
-      const { machines, gap } = heard.take(gossip);
-      assert.equal(gap, false);
+      const { machines, hasGap } = heard.apply(gossip);
+      assert.equal(hasGap, false);
       for (const { machineId } of machines) (machineId.startsWith('i-other') ? passedOn : known).add(machineId);
     }
     assert.equal(known.size, 6000);
@@ -142,11 +142,11 @@
     const heard = new ReceivedMachineUpdates();
     const first = asGossip(sentUpdates.compose('n1', describeOwnMachines(0, many), [], 0));
     const second = asGossip(sentUpdates.compose('n1', describeOwnMachines(1000, many), [], 1000));
-    heard.take(first);
-    heard.take(second);
-    assert.equal(heard.take(first).machines.length, 0);
+    heard.apply(first);
+    heard.apply(second);
+    assert.equal(heard.apply(first).machines.length, 0);
     const restarted = new SentMachineUpdates(2);
-    assert.equal(heard.take(asGossip(restarted.compose('n1', describeOwnMachines(0, many), [], 0))).gap, false);
+    assert.equal(heard.apply(asGossip(restarted.compose('n1', describeOwnMachines(0, many), [], 0))).hasGap, false);
   });
 
   it('goes on between controllers when one message was lost', async () => {
