--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -136,14 +136,10 @@
       periodMs * BATCH_GATHER_SHARE,
     );
     this.peerDirectory = new PeerDirectory(peerNodes, clock, () => this.replica.freshAt);
-    this.replicaFreshness = new ReplicaFreshness(
-      settings.node,
-      peerNodes,
-      incarnation,
-      this.replica,
-      clock,
-      (node, message) => this.send(node, message),
-    );
+    const { node } = settings;
+    const send = (to: string, message: Message): boolean => this.send(to, message);
+    const replica = this.replica;
+    this.replicaFreshness = new ReplicaFreshness({ node, peers: peerNodes, incarnation, replica, clock, send });
     this.broadcast = new RecordBroadcast({
       peers: peerNodes,
       replica: this.replica,
@@ -169,9 +165,7 @@
       log,
     });
     this.health = new NodeHealth(this.replica, this.leadership, this.client, this.peerDirectory);
-    this.heartbeatForwarder = new HeartbeatForwarder(settings.node, incarnation, clock, (node, message) =>
-      this.send(node, message),
-    );
+    this.heartbeatForwarder = new HeartbeatForwarder({ node, firstRequestId: incarnation, clock, send });
     this.happiness = new Happiness(tuning.happinessWindowMs);
     const healthChecks = new HealthChecks({ clusterState: this.clusterState, happiness: this.happiness, clock });
     const accounting = new TeamAccounting({
--- a/src/gossip/frames.ts
+++ b/src/gossip/frames.ts
@@ -1,31 +1,51 @@
-/** Cuts a byte stream into messages with a length of four bytes before each. */
+/** Framing of messages on a byte stream: each is preceded by its length, an unsigned 32-bit integer in big-endian order. */
+
+const LENGTH_BYTES = 4;
+
+/** A frame announces more bytes than the receiver takes; the connection can't be used further. */
+export class FrameTooLargeError extends Error {
+  readonly code = 'FRAME_TOO_LARGE';
+
+  constructor(
+    readonly frameBytes: number,
+    readonly maxBytes: number,
+  ) {
+    super(`decoding a frame of ${frameBytes} bytes: at most ${maxBytes} are allowed`);
+    this.name = 'FrameTooLargeError';
+  }
+}
+
+/** Cuts a byte stream into messages. */
 export class FrameDecoder {
-  private parts: Buffer[] = [];
-  private size = 0;
+  private chunks: Buffer[] = [];
+  private bufferedBytes = 0;
 
+  /** `maxBytes` bounds one message, its length prefix not counted. */
   constructor(private readonly maxBytes: number) {}
 
-  /** Throws when a message is longer than allowed. */
-  push(part: Buffer): Buffer[] {
-    this.parts.push(part);
-    this.size += part.length;
+  /** Returns the messages that the chunk completes; throws FrameTooLargeError when one is longer than allowed. */
+  push(chunk: Buffer): Buffer[] {
+    this.chunks.push(chunk);
+    this.bufferedBytes += chunk.length;
     const messages: Buffer[] = [];
-    while (this.size >= 4) {
-      const all = this.parts.length === 1 ? this.parts[0]! : Buffer.concat(this.parts);
-      this.parts = [all];
-      const length = all.readUInt32BE(0);
-      if (length > this.maxBytes) throw new Error(`message of ${length} bytes`);
-      if (all.length < 4 + length) break;
-      messages.push(all.subarray(4, 4 + length));
-      this.parts = [all.subarray(4 + length)];
-      this.size -= 4 + length;
+    while (this.bufferedBytes >= LENGTH_BYTES) {
+      const buffered = this.chunks.length === 1 ? this.chunks[0]! : Buffer.concat(this.chunks);
+      this.chunks = [buffered];
+      const messageBytes = buffered.readUInt32BE(0);
+      if (messageBytes > this.maxBytes) throw new FrameTooLargeError(messageBytes, this.maxBytes);
+      const frameBytes = LENGTH_BYTES + messageBytes;
+      if (buffered.length < frameBytes) break;
+      messages.push(buffered.subarray(LENGTH_BYTES, frameBytes));
+      this.chunks = [buffered.subarray(frameBytes)];
+      this.bufferedBytes -= frameBytes;
     }
     return messages;
   }
 }
 
+/** Puts the length before a message. */
 export function encodeFrame(message: Buffer): Buffer {
-  const head = Buffer.alloc(4);
-  head.writeUInt32BE(message.length, 0);
-  return Buffer.concat([head, message]);
+  const prefix = Buffer.alloc(LENGTH_BYTES);
+  prefix.writeUInt32BE(message.length, 0);
+  return Buffer.concat([prefix, message]);
 }
--- a/src/gossip/message-codec.ts
+++ b/src/gossip/message-codec.ts
@@ -14,6 +14,7 @@
   RecordDelta,
   ReplicaDelta,
 } from './messages.js';
+import { MessageDecodeError } from './message-decode-error.js';
 import { decodeStreamMessage, encodeStreamMessage, isStreamMessage } from './stream-codec.js';
 
 const machineUpdate = record('MachineUpdate', {
@@ -129,7 +130,7 @@
   if (news !== null) return { kind: 'record_delta', payload: news };
   if (ask !== null) return { kind: 'delta_request', payload: ask };
   if (delta !== null) return { kind: 'replica_delta', payload: delta };
-  throw new Error('empty message');
+  throw new MessageDecodeError('peer message', 'its envelope is empty');
 }
 
 /** A message that goes to several peers is encoded once. */
--- a/src/gossip/record-broadcast.ts
+++ b/src/gossip/record-broadcast.ts
@@ -1,14 +1,15 @@
-/** Tells the peers which records this node's transactions have changed, and takes in what theirs have changed. */
+/** Sends the peers the records that this node's transactions have changed, and applies those of the peers' transactions. */
 import { DELTA_GATHER_MS } from '../constants/gossip.js';
 import { isStoredCancellation } from '../records/record-codecs.js';
 import { LIVE } from '../records/record-keys.js';
 import type { Change } from '../store/store-wire-codec.js';
 import type { TransactionBatcher } from '../store/transaction-batcher.js';
-import { deserializeChanges, type Replica, serializeChange } from '../store/replica.js';
+import { deserializeChanges, type Replica, serializeChange, type SerializedChange } from '../store/replica.js';
 import type { Message, RecordDelta } from './messages.js';
 import type { Clock } from '../net/clock.js';
 import type { Log } from '../logging/log.js';
 
+/** What RecordBroadcast works with. */
 export interface RecordBroadcastDependencies {
   peers: readonly string[];
   replica: Replica;
@@ -18,49 +19,55 @@
   send: (node: string, message: Message) => void;
 }
 
+/** Spreads committed changes between the controllers sooner than their watches of the store would. */
 export class RecordBroadcast {
-  /** Changes that the peers have not been told yet. */
-  private readonly pending: Change[] = [];
+  /** Changes that have not been sent yet. */
+  private readonly pendingChanges: Change[] = [];
 
   constructor(private readonly dependencies: RecordBroadcastDependencies) {}
 
   /**
-   * Collects changes for a moment, and tells the peers of them together. A withdrawal goes out at once, before its user is
-   * answered: until its owner hears of it, a task that was placed just before may still be launched.
+   * Sends committed changes, collected for DELTA_GATHER_MS. A cancellation goes out at once, before its user gets an answer: until
+   * the partition's leader has it, a task that was placed just before may still be launched.
    */
   announce(changes: readonly Change[]): void {
     const { peers, clock } = this.dependencies;
     if (peers.length === 0 || changes.length === 0) return;
-    const isScheduled = this.pending.length > 0;
-    this.pending.push(...changes);
+    const isScheduled = this.pendingChanges.length > 0;
+    this.pendingChanges.push(...changes);
     if (changes.some(({ key, value }) => isStoredCancellation(key, value))) this.flush();
     else if (!isScheduled) void clock.sleep(DELTA_GATHER_MS).then(() => this.flush());
   }
 
   private flush(): void {
     const { peers, send } = this.dependencies;
-    // What was collected has gone along with a withdrawal.
-    if (this.pending.length === 0) return;
-    const changes = this.pending.splice(0).map(serializeChange);
+    // The scheduled flush finds nothing when a cancellation has taken the collected changes along.
+    if (this.pendingChanges.length === 0) return;
+    const changes = this.pendingChanges.splice(0).map(serializeChange);
     const message: Message = { kind: 'record_delta', payload: { changes } };
     for (const peer of peers) send(peer, message);
   }
 
-  /** Takes in what a peer's transactions have changed. */
-  receive({ changes }: RecordDelta): void {
-    const { replica, transactions, log } = this.dependencies;
-    let read: Change[];
-    try {
-      // All or nothing: a transaction's changes belong together.
-      read = deserializeChanges(changes);
-    } catch (error) {
-      log.warn({ error: String(error) }, 'news of a peer can not be read');
+  /** Applies what a peer's transaction has changed; all of it or, if any of it can't be decoded, nothing. */
+  receive({ changes: serialized }: RecordDelta): void {
+    const { replica, transactions } = this.dependencies;
+    const changes = this.decode(serialized);
+    if (changes === undefined) {
       void replica.refresh();
       return;
     }
-    for (const change of read) {
+    for (const change of changes) {
       if (change.key.startsWith(LIVE)) replica.applyFromPeer(change);
       else transactions.remember(change.key, change);
     }
   }
+
+  private decode(serialized: SerializedChange[]): Change[] | undefined {
+    try {
+      return deserializeChanges(serialized);
+    } catch (error) {
+      this.dependencies.log.warn({ error: String(error) }, 'record delta rejected');
+      return undefined;
+    }
+  }
 }
--- a/src/gossip/stream-codec.ts
+++ b/src/gossip/stream-codec.ts
@@ -5,6 +5,7 @@
 import avro from 'avsc';
 import { ADVISORY_KINDS, type FollowRequest, type StreamBatch, type StreamMessage } from '@dewlatch/standby';
 import { arrayOf, nullable, record } from './avro-record.js';
+import { MessageDecodeError } from './message-decode-error.js';
 
 /** The first byte of every stream message. Other messages begin with 0 or 2, the branches of the envelope's first field. */
 const STREAM_PREFIX_BYTE = 0xff;
@@ -66,5 +67,5 @@
   };
   if (envelope.follow !== null) return { follow: envelope.follow };
   if (envelope.batch !== null) return { batch: envelope.batch };
-  throw new Error('empty message');
+  throw new MessageDecodeError('stream message', 'its envelope is empty');
 }
--- a/test/gossip/replica-freshness.test.ts
+++ b/test/gossip/replica-freshness.test.ts
@@ -25,12 +25,21 @@
 });
 const drop = (key: string, modRevision: number) => ({ key: `live/${key}`, value: undefined, modRevision });
 
+/** Of one of the nodes n0 and n1, whose only peer is the other. */
+const freshnessOf = (
+  node: 'n0' | 'n1',
+  incarnation: number,
+  replica: Replica,
+  send: (node: string, message: Message) => void,
+): ReplicaFreshness =>
+  new ReplicaFreshness({ node, peers: [node === 'n0' ? 'n1' : 'n0'], incarnation, replica, clock, send });
+
 /** Links two copies as nodes do, and lets the first bring its own up from the second; counts the messages that tell of records. */
 function bringUp(to: Replica, from: Replica, between: (message: Message) => void = () => undefined): number {
   let told = 0;
   const carry: Message[] = [];
-  const mine = new ReplicaFreshness('n0', ['n1'], 5, to, clock, (_, message) => carry.push(message));
-  const peers = new ReplicaFreshness('n1', ['n0'], 7, from, clock, (_, message) => carry.push(message));
+  const mine = freshnessOf('n0', 5, to, (_, message) => carry.push(message));
+  const peers = freshnessOf('n1', 7, from, (_, message) => carry.push(message));
   mine.applyGossip(gossip({ version: from.version }));
   for (let message = carry.shift(); message !== undefined; message = carry.shift()) {
     assert.ok(++told < 1000, 'it comes to an end');
@@ -95,15 +104,14 @@
     peer.apply(set('job/a', 3));
     peer.completeTo(3);
     const held: Message[] = [];
-    new ReplicaFreshness('n1', ['n0'], 7, peer, clock, (_, message) => held.push(message)).answerDeltaRequest({
+    freshnessOf('n1', 7, peer, (_, message) => held.push(message)).answerDeltaRequest({
       node: 'n0',
       fromRevision: 0,
       afterRevision: 0,
     });
     mine.completeTo(9);
     for (const message of held) {
-      if (message.kind === 'replica_delta')
-        new ReplicaFreshness('n0', ['n1'], 5, mine, clock, () => undefined).applyDelta(message.payload);
+      if (message.kind === 'replica_delta') freshnessOf('n0', 5, mine, () => undefined).applyDelta(message.payload);
     }
     assert.equal(held.length, 1);
     assert.equal(mine.get('live/job/a').value, undefined);
@@ -127,7 +135,7 @@
 });
 
 describe('the word of a peer', () => {
-  const ready = () => new ReplicaFreshness('n0', ['n1'], 5, copy(), clock, () => undefined);
+  const ready = () => freshnessOf('n0', 5, copy(), () => undefined);
   const merge = (replicaFreshness: ReplicaFreshness) =>
     replicaFreshness.applyDelta({
       node: 'n1',
