--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -29,7 +29,7 @@
 import { ReplicaFreshness } from '../gossip/replica-freshness.js';
 import { HeartbeatForwarder } from '../gossip/heartbeat-forwarder.js';
 import { PeerDirectory } from '../gossip/peer-directory.js';
-import { SentMachineUpdates } from '../gossip/machine-updates.js';
+import { SentMachineUpdates } from '../gossip/sent-machine-updates.js';
 import { Happiness } from '../scheduling/decisions/happiness.js';
 import { StoreClient } from '../store/store-client.js';
 import { TransactionBatcher } from '../store/transaction-batcher.js';
--- a/src/gossip/gossip-exchange.ts
+++ b/src/gossip/gossip-exchange.ts
@@ -4,12 +4,8 @@
 import type { ReplicaFreshness } from './replica-freshness.js';
 import type { Gossip, MachineUpdate } from './messages.js';
 import type { PeerDirectory } from './peer-directory.js';
-import {
-  ReceivedMachineUpdates,
-  describeOwnMachines,
-  type OwnMachines,
-  type SentMachineUpdates,
-} from './machine-updates.js';
+import { ReceivedMachineUpdates } from './received-machine-updates.js';
+import { describeOwnMachines, type OwnMachines, type SentMachineUpdates } from './sent-machine-updates.js';
 import type { Clock } from '../net/clock.js';
 import type { Replica } from '../store/replica.js';
 import type { Log } from '../logging/log.js';
