--- a/src/net/http-client.ts
+++ b/src/net/http-client.ts
@@ -1,97 +1,159 @@
-import { Agent, request } from 'node:http';
+/** JSON over HTTP/1.1 as the program needs it: every wait has a limit, and a failure says whether the request may have had an effect. */
+import { Agent, request, type ClientRequest, type IncomingMessage } from 'node:http';
+import { parseAddress } from './address.js';
 
+/** A response of any status. */
 export interface Reply {
   status: number;
+  /** Decoded from JSON; undefined: the response had no body. */
   body: unknown;
 }
 
-/** No usable answer. `sent` tells whether the request may have reached the other side, and may yet be carried out. */
+/** No usable response. `wasSent`: the request may have reached the other side, and may yet be carried out. */
 export class NoResponseError extends Error {
+  readonly code = 'NO_RESPONSE';
+
   constructor(
     message: string,
     readonly wasSent: boolean,
+    options?: ErrorOptions,
   ) {
-    super(message);
+    super(message, options);
   }
 }
 
+/** Limits of one call. */
 export interface CallOptions {
+  /** For the whole call. */
   timeoutMs: number;
+  /** For the connection alone; as long as the whole call if left out. */
   connectMs?: number;
+  /** Aborts the call, which then fails with NoResponseError. */
   signal?: AbortSignal;
 }
 
-/** The outside world as dewlatch sees it: JSON over HTTP/1.1. Tests put a fake network here. */
+/** The outside world as the program sees it; tests put a fake network here. */
 export interface HttpClient {
+  /** `address` is 'host:port'; `body` is sent as JSON, undefined: no body. Fails with NoResponseError only. */
   call(address: string, method: string, path: string, body: unknown, options: CallOptions): Promise<Reply>;
 }
 
-/** Calls over Node's `http`, with kept connections, a bound on sockets and a limit on every wait. */
+/** Idle connections kept to each address. */
+const MAX_FREE_SOCKETS = 4;
+
+/** Connections to one address at most. */
+const MAX_SOCKETS_PER_ADDRESS = 64;
+
+/** Calls over Node's `http`, with kept connections and a limit on sockets. */
 export class NodeHttpClient implements HttpClient {
   private readonly agent: Agent;
 
+  /** `maxSockets`: to all addresses together. */
   constructor(maxSockets: number) {
-    this.agent = new Agent({ keepAlive: true, maxSockets: 64, maxTotalSockets: maxSockets, maxFreeSockets: 4 });
+    this.agent = new Agent({
+      keepAlive: true,
+      maxSockets: MAX_SOCKETS_PER_ADDRESS,
+      maxTotalSockets: maxSockets,
+      maxFreeSockets: MAX_FREE_SOCKETS,
+    });
   }
 
+  /** Closes all connections. */
   close(): void {
     this.agent.destroy();
   }
 
+  // One parameter above the limit: every client and stand-in of the tests implements this signature, and each call needs all five.
   call(address: string, method: string, path: string, body: unknown, options: CallOptions): Promise<Reply> {
-    const colon = address.lastIndexOf(':');
     const payload = body === undefined ? undefined : JSON.stringify(body);
+    const headers = payload === undefined ? {} : jsonHeaders(payload);
     return new Promise<Reply>((resolve, reject) => {
-      let sent = false;
-      const req = request({
-        agent: this.agent,
-        host: address.slice(0, colon),
-        port: Number(address.slice(colon + 1)),
-        method,
-        path,
-        headers:
-          payload === undefined
-            ? {}
-            : { 'Content-Type': 'application/json', 'Content-Length': Buffer.byteLength(payload) },
-      });
-      const fail = (why: string) => {
-        clearTimeout(whole);
-        clearTimeout(connecting);
-        options.signal?.removeEventListener('abort', onAbort);
-        reject(new NoResponseError(`${method} ${address}${path}: ${why}`, sent));
-        req.destroy();
-      };
-      const onAbort = () => fail('aborted');
-      const whole = setTimeout(() => fail('timeout'), options.timeoutMs);
-      // A connection attempt that is given up does not complete later, so `sent` stays false until connected.
-      const connecting = setTimeout(() => {
-        if (!sent) fail('connect timeout');
-      }, options.connectMs ?? options.timeoutMs);
-      if (options.signal?.aborted) return fail('aborted');
-      options.signal?.addEventListener('abort', onAbort);
-      req.on('socket', (socket) => {
-        if (socket.connecting) socket.once('connect', () => (sent = true));
-        else sent = true;
-      });
-      req.on('error', (error) => fail(error.message));
-      req.on('response', (res) => {
-        const parts: Buffer[] = [];
-        res.on('data', (part: Buffer) => parts.push(part));
-        res.on('error', (error) => fail(error.message));
-        res.on('aborted', () => fail('cut short'));
-        res.on('end', () => {
-          clearTimeout(whole);
-          clearTimeout(connecting);
-          options.signal?.removeEventListener('abort', onAbort);
-          const raw = Buffer.concat(parts).toString('utf8');
-          try {
-            resolve({ status: res.statusCode ?? 0, body: raw === '' ? undefined : JSON.parse(raw) });
-          } catch {
-            reject(new NoResponseError(`${method} ${path}: answer is not JSON`, true));
-          }
-        });
-      });
-      req.end(payload);
+      const clientRequest = request({ agent: this.agent, ...parseAddress(address), method, path, headers });
+      const description = `${method} ${address}${path}`;
+      new PendingCall({ request: clientRequest, description, options, resolve, reject }).start(payload);
+    });
+  }
+}
+
+const jsonHeaders = (payload: string): Record<string, string | number> => ({
+  'Content-Type': 'application/json',
+  'Content-Length': Buffer.byteLength(payload),
+});
+
+interface PendingCallDependencies {
+  request: ClientRequest;
+  /** Names the call in errors. */
+  description: string;
+  options: CallOptions;
+  resolve: (reply: Reply) => void;
+  reject: (error: NoResponseError) => void;
+}
+
+/** One request from its start to its response or failure. */
+class PendingCall {
+  private wasSent = false;
+  private readonly callTimer: NodeJS.Timeout;
+  private readonly connectTimer: NodeJS.Timeout;
+  private readonly onAbort = (): void => this.fail('aborted');
+
+  constructor(private readonly dependencies: PendingCallDependencies) {
+    const { timeoutMs, connectMs } = dependencies.options;
+    this.callTimer = setTimeout(() => this.fail('timeout'), timeoutMs);
+    // A connection attempt that is given up does not complete later, so `wasSent` stays false until connected.
+    this.connectTimer = setTimeout(() => {
+      if (!this.wasSent) this.fail('connect timeout');
+    }, connectMs ?? timeoutMs);
+  }
+
+  start(payload: string | undefined): void {
+    const { request: clientRequest, options } = this.dependencies;
+    if (options.signal?.aborted) {
+      this.fail('aborted');
+      return;
+    }
+    options.signal?.addEventListener('abort', this.onAbort);
+    clientRequest.on('socket', (socket) => {
+      if (socket.connecting) socket.once('connect', () => this.markSent());
+      else this.markSent();
     });
+    clientRequest.on('error', (error) => this.fail(error.message, error));
+    clientRequest.on('response', (response) => this.readResponse(response));
+    clientRequest.end(payload);
+  }
+
+  private markSent(): void {
+    this.wasSent = true;
+  }
+
+  private readResponse(response: IncomingMessage): void {
+    const chunks: Buffer[] = [];
+    response.on('data', (chunk: Buffer) => chunks.push(chunk));
+    response.on('error', (error) => this.fail(error.message, error));
+    response.on('aborted', () => this.fail('response incomplete'));
+    response.on('end', () => this.complete(response.statusCode ?? 0, Buffer.concat(chunks).toString('utf8')));
+  }
+
+  private complete(status: number, text: string): void {
+    const { description, resolve, reject } = this.dependencies;
+    this.release();
+    try {
+      resolve({ status, body: text === '' ? undefined : JSON.parse(text) });
+    } catch (error) {
+      reject(new NoResponseError(`${description}: response is not JSON`, true, { cause: error }));
+    }
+  }
+
+  private fail(reason: string, cause?: Error): void {
+    const { request: clientRequest, description, reject } = this.dependencies;
+    this.release();
+    reject(new NoResponseError(`${description}: ${reason}`, this.wasSent, { cause }));
+    clientRequest.destroy();
+  }
+
+  /** Ends whatever would keep the process or the caller's signal busy. */
+  private release(): void {
+    clearTimeout(this.callTimer);
+    clearTimeout(this.connectTimer);
+    this.dependencies.options.signal?.removeEventListener('abort', this.onAbort);
   }
 }
