--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -19,12 +19,13 @@
 import { recordSizer } from '../records/record-sizer.js';
 import { TeamAccounting } from '../records/team-accounting.js';
 import { LIVE } from '../records/record-keys.js';
+import { parseAddress } from '../net/address.js';
 import type { Clock } from '../net/clock.js';
 import type { HttpClient } from '../net/http-client.js';
 import { Random } from '../net/random.js';
 import { FormatUpgrade } from '../records/format-upgrade.js';
 import { runPeriodically } from '../net/periodic.js';
-import { PeerLinks, splitAddress } from '../gossip/peer-links.js';
+import { PeerLinks } from '../gossip/peer-links.js';
 import type { Gossip, Message } from '../gossip/messages.js';
 import { ReplicaFreshness } from '../gossip/replica-freshness.js';
 import { HeartbeatForwarder } from '../gossip/heartbeat-forwarder.js';
@@ -364,17 +365,17 @@
       this.log,
       Math.floor(this.settings.cluster.sockets * HTTP_SERVER_SOCKET_SHARE),
     );
-    const [machineId, port] = splitAddress(this.settings.apiAddress);
-    await server.listen(machineId, port, signal);
+    const { host, port } = parseAddress(this.settings.apiAddress);
+    await server.listen(host, port, signal);
     this.log.info({ bind: this.settings.apiAddress }, 'listening');
-    const peerLinks = new PeerLinks(
-      this.settings,
-      this.clock,
-      this.log,
-      (node) => this.composeGossip(node),
-      (message) => this.receive(message),
-      (node) => this.sentUpdates.requireSnapshot(node),
-    );
+    const peerLinks = new PeerLinks({
+      settings: this.settings,
+      clock: this.clock,
+      log: this.log,
+      compose: (node) => this.composeGossip(node),
+      receive: (message) => this.receive(message),
+      onConnected: (node) => this.sentUpdates.requireSnapshot(node),
+    });
     this.send = (node, message) => peerLinks.send(node, message);
     await Promise.all([peerLinks.run(signal), this.runDuties(signal)]);
   }
--- /dev/null
+++ b/src/gossip/peer-server.ts
@@ -0,0 +1,78 @@
+/** Listens for the connections of the other controllers, and decodes what they send. */
+import { createServer, type Socket } from 'node:net';
+import { MAX_GOSSIP_BYTES, PEER_LINK_IDLE_MS } from '../constants/gossip.js';
+import type { Log } from '../logging/log.js';
+import { parseAddress } from '../net/address.js';
+import { FrameDecoder } from './frames.js';
+import { decodeMessage } from './message-codec.js';
+import type { Message } from './messages.js';
+import { isStreamMessage } from './stream-codec.js';
+
+/** Connections that the server accepts for each peer: old ones may not be closed yet when a peer connects again. */
+const CONNECTIONS_PER_PEER = 4;
+
+/** What PeerServer works with. */
+export interface PeerServerDependencies {
+  /** 'host:port' to listen on. */
+  address: string;
+  peerCount: number;
+  log: Log;
+  receive: (message: Message) => void;
+}
+
+/** The receiving side of the connections between controllers. */
+export class PeerServer {
+  private readonly sockets = new Set<Socket>();
+
+  constructor(private readonly dependencies: PeerServerDependencies) {}
+
+  /** Listens until the signal fires, which also closes all connections. */
+  listen(signal: AbortSignal): void {
+    const { address, peerCount, log } = this.dependencies;
+    const server = createServer((socket) => this.accept(socket));
+    server.maxConnections = peerCount * CONNECTIONS_PER_PEER;
+    server.on('error', (error) => log.error({ error: String(error) }, 'gossip server failed'));
+    const { host, port } = parseAddress(address);
+    server.listen(port, host);
+    signal.addEventListener('abort', () => {
+      server.close();
+      for (const socket of this.sockets) socket.destroy();
+    });
+  }
+
+  private accept(socket: Socket): void {
+    this.sockets.add(socket);
+    const frames = new FrameDecoder(MAX_GOSSIP_BYTES);
+    socket.setTimeout(PEER_LINK_IDLE_MS, () => socket.destroy());
+    socket.on('error', () => socket.destroy());
+    socket.on('close', () => this.sockets.delete(socket));
+    socket.on('data', (chunk) => this.readChunk(socket, frames, chunk));
+  }
+
+  /** A message that can't be decoded ends the connection: what follows it on the stream may be misread as well. */
+  private readChunk(socket: Socket, frames: FrameDecoder, chunk: Buffer): void {
+    try {
+      for (const bytes of frames.push(chunk)) this.receiveBytes(bytes);
+    } catch (error) {
+      this.dependencies.log.info({ from: socket.remoteAddress, error: String(error) }, 'peer message rejected');
+      socket.destroy();
+    }
+  }
+
+  /** A message of the standby's stream that can't be decoded is skipped: its receiver finds the gap and asks for it again. */
+  private receiveBytes(bytes: Buffer): void {
+    const { log, receive } = this.dependencies;
+    if (!isStreamMessage(bytes)) {
+      receive(decodeMessage(bytes));
+      return;
+    }
+    let message: Message;
+    try {
+      message = decodeMessage(bytes);
+    } catch (error) {
+      log.info({ bytes: bytes.length, error: String(error) }, 'stream message rejected');
+      return;
+    }
+    receive(message);
+  }
+}
