--- a/src/gossip/peer-directory.ts
+++ b/src/gossip/peer-directory.ts
@@ -1,111 +1,115 @@
+/** The other controllers' last gossip, and what follows from it. All times are monotonic ms of this node's clock. */
 import { REPLICA_FRESH_MS } from '../constants/leadership.js';
 import { GOSSIP_SOON_MS, MISROUTED_HEARTBEAT_VALID_MS, PEER_LAG_MS, PEER_STATE_VALID_MS } from '../constants/gossip.js';
 import type { Clock } from '../net/clock.js';
-import type { Gossip } from './messages.js';
+import type { Gossip, MisroutedHeartbeat } from './messages.js';
+import { MisroutedHeartbeats } from './misrouted-heartbeats.js';
 
 interface PeerState {
-  heardAt: number;
-  /** Steady ms, this node's clock, as of which the peer knew the store's records. */
-  freshAt: number;
+  receivedAt: number;
+  /** As of when the peer's replica was confirmed by the store. */
+  replicaFreshAt: number;
   gossip: Gossip;
 }
 
-/** What the other controllers last said, and what follows from it. */
+/** Answers questions about the peers. Gossip older than PEER_STATE_VALID_MS counts as none: its sender is not reachable. */
 export class PeerDirectory {
   private readonly states = new Map<string, PeerState>();
-  private readonly misroutedHeartbeats = new Map<string, number>();
+  private readonly misroutedHeartbeats = new MisroutedHeartbeats();
 
+  /** `nodes`: the other controllers. `ownFreshAt`: as of when this node's own replica was confirmed by the store. */
   constructor(
     private readonly nodes: readonly string[],
     private readonly clock: Clock,
     private readonly ownFreshAt: () => number,
   ) {}
 
+  /** Stores a peer's gossip; that of an unknown node is ignored. */
   applyGossip(gossip: Gossip): void {
     if (!this.nodes.includes(gossip.node)) return;
     const now = this.clock.now();
-    for (const { machineId, ageMs } of gossip.misroutedHeartbeats) {
-      this.misroutedHeartbeats.set(
-        machineId,
-        Math.max(this.misroutedHeartbeats.get(machineId) ?? -Infinity, now - ageMs),
-      );
-    }
-    this.states.set(gossip.node, { heardAt: now, freshAt: now - gossip.replicaAgeMs, gossip });
+    this.misroutedHeartbeats.apply(gossip.misroutedHeartbeats, now);
+    this.states.set(gossip.node, { receivedAt: now, replicaFreshAt: now - gossip.replicaAgeMs, gossip });
   }
 
-  private freshState(node: string): PeerState | undefined {
-    const word = this.states.get(node);
-    return word !== undefined && this.clock.now() - word.heardAt < PEER_STATE_VALID_MS ? word : undefined;
+  private validStateOf(node: string): PeerState | undefined {
+    const state = this.states.get(node);
+    return state !== undefined && this.clock.now() - state.receivedAt < PEER_STATE_VALID_MS ? state : undefined;
   }
 
-  /** The nodes heard just now. */
+  /** The peers whose gossip arrives. */
   reachablePeers(): string[] {
-    return this.nodes.filter((node) => this.freshState(node) !== undefined);
+    return this.nodes.filter((node) => this.validStateOf(node) !== undefined);
   }
 
-  /** All other nodes have been heard just now. */
+  /** Gossip of all peers arrives. */
   get reachesAllPeers(): boolean {
     return this.reachablePeers().length === this.nodes.length;
   }
 
-  /** Does that peer say that it hears the other node itself? */
+  /** Whether the peer states that gossip of the other node arrives at it. */
   isReachableFrom(peer: string, other: string): boolean {
-    return this.freshState(peer)?.gossip.reachablePeers.includes(other) === true;
+    return this.validStateOf(peer)?.gossip.reachablePeers.includes(other) === true;
   }
 
+  /** Whether the peer has lately read the store. */
   reachesStore(node: string): boolean {
-    const word = this.freshState(node);
-    return word !== undefined && this.clock.now() - word.freshAt < REPLICA_FRESH_MS * 2;
+    const state = this.validStateOf(node);
+    return state !== undefined && this.clock.now() - state.replicaFreshAt < REPLICA_FRESH_MS * 2;
   }
 
-  /** The peer's process, told from its former ones; undefined: it is not heard. */
+  /** The peer's process, told from its earlier ones; undefined: the peer is not reachable. */
   incarnationOf(node: string): number | undefined {
-    return this.freshState(node)?.gossip.incarnation;
+    return this.validStateOf(node)?.gossip.incarnation;
   }
 
-  /** Steady ms when the peer was last heard. */
+  /** When the peer's last gossip arrived; -Infinity: never. */
   lastHeardAt(node: string): number {
-    return this.states.get(node)?.heardAt ?? -Infinity;
+    return this.states.get(node)?.receivedAt ?? -Infinity;
   }
 
-  /** ms since the peer came up, 0 if it is not heard. */
+  /** ms since the peer first read the store; 0 if it is not reachable. */
   uptimeMs(node: string): number {
-    return this.freshState(node)?.gossip.uptimeMs ?? 0;
+    return this.validStateOf(node)?.gossip.uptimeMs ?? 0;
   }
 
   /**
-   * Did the worker lately ask at a node that does not own it, after its owner had last heard it? Then it lives. A knock
-   * that was relayed is no more than the report that the owner heard by it.
+   * Whether the worker lately sent a heartbeat to a node that does not lead its partition, after its leader last got one at `heardAt`:
+   * then it is alive. A misrouted heartbeat that was forwarded is no evidence beyond the heartbeat that the leader got by it, hence the
+   * margin.
    */
   hasReportedElsewhere(machineId: string, heardAt: number): boolean {
-    const at = this.misroutedHeartbeats.get(machineId) ?? -Infinity;
-    return this.clock.now() - at < MISROUTED_HEARTBEAT_VALID_MS && at > heardAt + GOSSIP_SOON_MS;
+    const sentAt = this.misroutedHeartbeats.lastSentAtOf(machineId);
+    return this.clock.now() - sentAt < MISROUTED_HEARTBEAT_VALID_MS && sentAt > heardAt + GOSSIP_SOON_MS;
   }
 
-  /** Knocks heard of, to be passed on. */
-  *recentMisroutedHeartbeats(): Iterable<{ machineId: string; ageMs: number }> {
-    const now = this.clock.now();
-    for (const [machineId, at] of this.misroutedHeartbeats) {
-      if (now - at < MISROUTED_HEARTBEAT_VALID_MS) yield { machineId, ageMs: now - at };
-      else this.misroutedHeartbeats.delete(machineId);
-    }
+  /** The misrouted heartbeats that peers have stated, to be relayed. */
+  recentMisroutedHeartbeats(): Iterable<MisroutedHeartbeat> {
+    return this.misroutedHeartbeats.recent(this.clock.now());
   }
 
-  /** A peer is in touch with the store while this node is not. In an outage all lose touch within a heartbeat. */
+  /**
+   * Whether a peer reads the store while this node does not. In an outage of the store all nodes lose it within a heartbeat of each
+   * other, so a smaller lead proves nothing.
+   */
   isAnyWithStore(): boolean {
-    const mine = this.ownFreshAt();
-    return this.nodes.some((node) => this.reachesStore(node) && this.freshState(node)!.freshAt > mine + PEER_LAG_MS);
+    const ownFreshAt = this.ownFreshAt();
+    return this.nodes.some(
+      (node) => this.reachesStore(node) && this.validStateOf(node)!.replicaFreshAt > ownFreshAt + PEER_LAG_MS,
+    );
   }
 
+  /** Whether the peer is reachable and does not want the role. */
   avoidsRole(node: string, role: string): boolean {
-    return this.freshState(node)?.gossip.avoidedRoles.includes(role) === true;
+    return this.validStateOf(node)?.gossip.avoidedRoles.includes(role) === true;
   }
 
-  /** The peer is up, and says that the store refuses or doesn't answer it. */
+  /** Whether the peer is reachable and states that the store refuses it or doesn't answer it. */
   isWithoutStore(node: string): boolean {
-    return this.freshState(node)?.gossip.isWithoutStore === true;
+    return this.validStateOf(node)?.gossip.isWithoutStore === true;
   }
 
+  /** Whether any peer is without the store, or there are no peers to ask. */
   isAnyWithoutStore(): boolean {
     return this.nodes.length === 0 || this.nodes.some((node) => this.isWithoutStore(node));
   }
