--- a/src/domain/machine-state.ts
+++ b/src/domain/machine-state.ts
@@ -1,37 +1,53 @@
-/** What is said of a machine whatever the speaker's clock: shared by reports, gossip and placement. */
+/** What is known of a machine, whichever node states it: shared by heartbeats, gossip and placement. */
 
-/** How a machine presents itself, in each of its reports. */
+/** How a machine identifies itself in each of its heartbeats. */
 export interface MachineIdentity {
   machineId: string;
+  /** 'host:port' where its agent takes commands. */
   endpoint: string;
+  /** The name of its type in the cloud's catalogue. */
   machineType: string;
   zone: string;
   isSpot: boolean;
-  /** The worker's session: it grows with each lease that runs out. */
+  /** The epoch of the machine's agent: it grows with each lease that expires. */
   agentEpoch: number;
-  /** The sequence number of the newest report heard: older ones are late copies. */
+  /** The sequence number of the newest heartbeat received: those with older numbers are late copies. */
   sequence: number;
 }
 
-/** What the owner of a machine's partition says of it. */
+/** What the leader of a machine's partition states of it. */
 export interface MachineState extends MachineIdentity {
+  /** Tasks of several jobs have failed on it. */
   isQuarantined: boolean;
+  /** It refused a start, and gets no other one for a while. */
   isBackingOff: boolean;
-  /** Nothing shows that answers reach it. */
+  /** Nothing shows that responses reach it. */
   isUnreached: boolean;
+  /** Its tasks run longer than they do elsewhere. */
   isSlow: boolean;
-  /** Its reports arrive, but answers have not reached it for a lease. */
+  /** Its heartbeats arrive, but responses have not reached it for a lease. */
   isMute: boolean;
+  /** Images in its cache. */
   images: string[];
+  /** Ids of the jobs whose tasks have lately failed on it. */
   failedJobs: string[];
-  /** The node that says so, as the owner of the machine's partition. */
+  /** The node that states this, as the leader of the machine's partition. */
   partitionLeader: string;
 }
 
-/** A machine as every node may know it: from its own workers' reports or from the owner's gossip. */
+/** A machine as each node may know it: from its own workers' heartbeats or from the leader's gossip. */
 export interface MachineInfo extends MachineState {
-  /** Steady ms, this node's clock. */
+  /** When its last heartbeat arrived, monotonic ms of this node's clock. */
   heardAt: number;
-  /** Steady ms when the cloud takes it away, or null. */
+  /** When the cloud takes the spot machine away, monotonic ms of this node's clock; null: no notice was given. */
   spotNoticeUntil: number | null;
 }
+
+/** A machine of which its leader has stated no more than the last heartbeat. */
+export interface MachineRefresh {
+  machineId: string;
+  partitionLeader: string;
+  /** Monotonic ms of this node's clock. */
+  heardAt: number;
+  sequence: number;
+}
--- a/src/gossip/gossip-exchange.ts
+++ b/src/gossip/gossip-exchange.ts
@@ -1,6 +1,6 @@
 /** Composes this node's periodic gossip to each peer, and applies the peers' gossip to this node's parts. */
 import { GOSSIP_VIEW_MS } from '../constants/gossip.js';
-import type { MachineInfo } from '../domain/machine-state.js';
+import type { MachineInfo, MachineRefresh } from '../domain/machine-state.js';
 import { partitionRole } from '../domain/role.js';
 import type { Settings } from '../domain/settings.js';
 import type { Log } from '../logging/log.js';
@@ -44,7 +44,7 @@
   markTerminated(machineId: string): void;
   applyPeerReport(machine: MachineInfo, knownAt: number): void;
   /** False: what the leader stated of the machine before is not known here. */
-  refreshPeerReport(machineId: string, leader: string, heardAt: number, sequence: number, now: number): boolean;
+  refreshPeerReport(refresh: MachineRefresh, now: number): boolean;
 }
 
 /** What GossipExchange works with. */
@@ -158,8 +158,9 @@
       inventory.applyPeerReport(fromMachineUpdate(machine, now), now - machine.stateAgeMs);
     }
     for (const { machine, heartbeatAgeMs, sequence } of unchanged) {
-      const heardAt = now - heartbeatAgeMs;
-      if (inventory.refreshPeerReport(machine.machineId, gossip.node, heardAt, sequence, now)) continue;
+      const { machineId } = machine;
+      const refresh = { machineId, partitionLeader: gossip.node, heardAt: now - heartbeatAgeMs, sequence };
+      if (inventory.refreshPeerReport(refresh, now)) continue;
       const current = { ...machine, heartbeatAgeMs, sequence, spotNoticeMs: null };
       inventory.applyPeerReport(fromMachineUpdate(current, now), now);
     }
--- a/src/inventory/machine-inventory.ts
+++ b/src/inventory/machine-inventory.ts
@@ -1,261 +1,164 @@
-import {
-  FAULTY_JOB_LEAST,
-  FAULTY_JOB_SHARE,
-  INVENTORY_VIEW_MS,
-  FORGET_MACHINE_MS,
-  MISROUTED_WORKERS_KEPT,
-  TERMINATED_MACHINES_KEPT,
-} from '../constants/inventory.js';
+/** All machines that are known to be up, from their workers' heartbeats and from the peers' gossip. */
+import { INVENTORY_VIEW_MS } from '../constants/inventory.js';
 import { GOSSIP_STALE_MS } from '../constants/gossip.js';
-import { QUARANTINE_ERRORS, SILENT_HEARTBEATS } from '../constants/workers.js';
+import type { MachineInfo, MachineRefresh } from '../domain/machine-state.js';
+import type { MachineType } from '../domain/machine-type.js';
 import type { Settings } from '../domain/settings.js';
-import type { HeldLeadership, RoleLeadership } from '../leadership/role-leadership.js';
-import { partitionRole } from '../domain/role.js';
-import type { WorkerManager } from '../workers/worker-manager.js';
-import type { MachineInfo } from '../domain/machine-state.js';
-import { isNewerThan, type WorkerStatus } from '../workers/worker-wire-codec.js';
-import type { Worker } from '../workers/worker.js';
+import type { RoleLeadership } from '../leadership/role-leadership.js';
 import type { Clock } from '../net/clock.js';
-import { MachineType } from '../domain/machine-type.js';
+import type { WorkerManager } from '../workers/worker-manager.js';
+import type { WorkerStatus } from '../workers/worker-wire-codec.js';
+import { clearQuarantineOfFaultyJobs } from './faulty-jobs.js';
+import { LateHeartbeats } from './late-heartbeats.js';
+import { MachineAvailability, type UnavailableReason } from './machine-availability.js';
+import { ownLeadershipOver } from './machine-leadership.js';
+import { OwnMachines } from './own-machines.js';
+import { PeerMachineReports } from './peer-machine-reports.js';
+import { TerminatedMachines } from './terminated-machines.js';
+
+/** The machines as they were at one instant. */
+interface InventoryView {
+  /** Monotonic ms. */
+  at: number;
+  /** How many workers and peer reports it was made from: a machine that came or went makes it outdated at once. */
+  workerCount: number;
+  reportCount: number;
+  all: Map<string, MachineInfo>;
+  open: MachineInfo[];
+}
 
-/** All machines that are known to be up, and the catalogue of their types. */
+/** This node's knowledge of machines and machine types. All times are monotonic ms of this node. */
 export class MachineInventory {
-  private readonly reportedByPeers = new Map<string, MachineInfo>();
-  catalog = new Map<string, MachineType>();
-  /** Machines that are being given back: no new work. */
+  /** The machine types by name, as the records have them. */
+  readonly catalog = new Map<string, MachineType>();
+  /** Machines that are being returned to the cloud: no new tasks. */
   readonly scalingIn = new Set<string>();
+  /** Machines that the cloud has confirmed terminated. */
+  readonly terminated = new TerminatedMachines();
+  private readonly peerReports = new PeerMachineReports();
+  private readonly lateHeartbeats = new LateHeartbeats();
+  private readonly own: OwnMachines;
+  private readonly availability: MachineAvailability;
+  private cachedView: InventoryView = { at: -Infinity, workerCount: 0, reportCount: 0, all: new Map(), open: [] };
 
   constructor(
-    private readonly settings: Settings,
+    settings: Settings,
     private readonly leadership: RoleLeadership,
     private readonly workerManager: WorkerManager,
     private readonly clock: Clock,
-  ) {}
-
-  /** Steady ms as of which the owner of each machine said what is told of it. */
-  private readonly knownAt = new Map<string, number>();
+  ) {
+    const { peerReports, catalog, scalingIn } = this;
+    this.own = new OwnMachines({ settings, leadership, workers: workerManager.workers, peerReports, clock });
+    this.availability = new MachineAvailability({ settings, leadership, peerReports, catalog, scalingIn, clock });
+  }
 
-  /** Does somebody who would know say just now what he knows of the machine? Old news prove nothing. */
+  /** Whether the leader of the machine's partition, this node or one whose gossip arrives, has lately stated what it knows of it. */
   isCurrent(machineId: string): boolean {
-    if (this.leadershipFor(machineId) !== undefined) return true;
-    return this.clock.now() - (this.knownAt.get(machineId) ?? -Infinity) < GOSSIP_STALE_MS;
+    if (ownLeadershipOver(this.leadership, machineId) !== undefined) return true;
+    return this.clock.now() - this.peerReports.statedAtOf(machineId) < GOSSIP_STALE_MS;
   }
 
-  /** What a peer says of a machine, by itself or on behalf of the owner, as of `knownAt`. */
+  /** Stores what a peer states of a machine, as its partition's leader or relayed, as of `knownAt`. */
   applyPeerReport(machine: MachineInfo, knownAt: number): void {
-    if (this.terminated.has(machine.machineId) || (this.knownAt.get(machine.machineId) ?? -Infinity) >= knownAt) return;
-    this.knownAt.set(machine.machineId, knownAt);
-    this.reportedByPeers.set(machine.machineId, machine);
+    if (!this.terminated.has(machine.machineId)) this.peerReports.apply(machine, knownAt);
   }
 
-  /** The owner says that nothing is new but when it heard the machine. False: what it said before is not known here. */
-  refreshPeerReport(
-    machineId: string,
-    partitionLeader: string,
-    heardAt: number,
-    sequence: number,
-    now: number,
-  ): boolean {
-    const machine = this.reportedByPeers.get(machineId);
-    if (this.terminated.has(machineId)) return true;
-    if (machine?.partitionLeader !== partitionLeader || machine.spotNoticeUntil !== null) return false;
-    machine.heardAt = heardAt;
-    machine.sequence = sequence;
-    this.knownAt.set(machineId, now);
-    return true;
+  /** Stores a newer heartbeat of an otherwise unchanged machine. False: what its leader stated before is not known here. */
+  refreshPeerReport(refresh: MachineRefresh, now: number): boolean {
+    return this.terminated.has(refresh.machineId) || this.peerReports.refresh(refresh, now);
   }
 
-  /** What others have said lately, to be passed on: a cut between two nodes is got round by way of the third. */
+  /** What peers have lately stated, to be relayed: the third node is the way round a network partition between two. */
   *recentPeerReports(
-    wanted: (partitionLeader: string) => boolean,
+    isWanted: (partitionLeader: string) => boolean,
   ): Iterable<{ machine: MachineInfo; knownAt: number }> {
-    for (const [machineId, machine] of this.reportedByPeers) {
-      const knownAt = this.knownAt.get(machineId)!;
-      const recentlyTerminated = this.clock.now() - knownAt < GOSSIP_STALE_MS;
-      if (recentlyTerminated && wanted(machine.partitionLeader) && !this.workerManager.workers.has(machineId))
-        yield { machine, knownAt };
-    }
-  }
-
-  /** The machines of this node's own partitions. */
-  ownMachines(): MachineInfo[] {
-    const list = [...this.workerManager.workers.values()].map((worker) => this.describe(worker));
-    // What a former owner said of machines that have not reported since: they count as heard when this node took over.
-    for (const machine of this.reportedByPeers.values()) {
-      const held = this.leadershipFor(machine.machineId);
-      if (held === undefined || this.workerManager.workers.has(machine.machineId)) continue;
-      list.push({ ...machine, heardAt: Math.max(machine.heardAt, held.term.at), partitionLeader: this.settings.node });
+    for (const report of this.peerReports.recent(this.clock.now())) {
+      const { machineId, partitionLeader } = report.machine;
+      if (isWanted(partitionLeader) && !this.workerManager.workers.has(machineId)) yield report;
     }
-    return list;
   }
 
-  private leadershipFor(machineId: string): HeldLeadership | undefined {
-    return this.leadership.leadershipOf(partitionRole(this.leadership.partitionOf(machineId)));
+  /** What peers have stated of the machine. */
+  peerReportOf(machineId: string): MachineInfo | undefined {
+    return this.peerReports.machines.get(machineId);
   }
 
-  private describe(worker: Worker): MachineInfo {
-    const now = this.clock.now();
-    return {
-      machineId: worker.machineId,
-      endpoint: worker.endpoint,
-      machineType: worker.machineType,
-      zone: worker.zone,
-      isSpot: worker.isSpot,
-      agentEpoch: worker.agentEpoch,
-      sequence: worker.sequence,
-      heardAt: worker.reportedAt,
-      spotNoticeUntil: worker.spotNoticeUntil,
-      isQuarantined: worker.isQuarantined(now),
-      isBackingOff: now < worker.backoffUntil,
-      isUnreached: !worker.isReached,
-      isSlow: worker.isSlow(now),
-      isMute: worker.hasExpiredDespiteHeartbeats(now, this.settings.cluster.workers.workerLeaseMs),
-      images: [...worker.images.keys()],
-      failedJobs: worker.failedJobs(now),
-      partitionLeader: this.settings.node,
-    };
+  /** The machines of the partitions led here. */
+  ownMachines(): MachineInfo[] {
+    return this.own.list();
   }
 
   agentEpochOf(machineId: string): number | undefined {
-    return (this.workerManager.workers.get(machineId) ?? this.reportedByPeers.get(machineId))?.agentEpoch;
+    return (this.workerManager.workers.get(machineId) ?? this.peerReportOf(machineId))?.agentEpoch;
   }
 
+  /** One machine, as of this instant. */
   get(machineId: string): MachineInfo | undefined {
-    const worker = this.workerManager.workers.get(machineId);
-    return worker === undefined ? this.reportedByPeers.get(machineId) : this.describe(worker);
+    return this.own.get(machineId) ?? this.peerReportOf(machineId);
   }
 
-  /** Every machine, this node's own view first; the same for all who ask within a moment. */
+  /** Every machine, this node's own view first; the same for all callers within INVENTORY_VIEW_MS. */
   machines(): ReadonlyMap<string, MachineInfo> {
     return this.view().all;
   }
 
-  /** The machines that new work may go to. */
+  /** The machines that new tasks may be placed on. */
   openMachines(): MachineInfo[] {
     const { open } = this.view();
     return this.scalingIn.size === 0 ? [...open] : open.filter(({ machineId }) => !this.scalingIn.has(machineId));
   }
 
-  private cachedView: {
-    at: number;
-    workers: number;
-    told: number;
-    all: Map<string, MachineInfo>;
-    open: MachineInfo[];
-  } = {
-    at: -Infinity,
-    workers: 0,
-    told: 0,
-    all: new Map(),
-    open: [],
-  };
-
-  /** Describing hundreds of machines anew for each duty that looks at them would cost more than what they do with it. */
-  private view() {
+  /** Describing hundreds of machines for each caller would cost more than what the callers do with them. */
+  private view(): InventoryView {
     const now = this.clock.now();
-    const workers = this.workerManager.workers.size;
-    const told = this.reportedByPeers.size;
+    const workerCount = this.workerManager.workers.size;
+    const reportCount = this.peerReports.machines.size;
     const last = this.cachedView;
-    if (now - last.at < INVENTORY_VIEW_MS && last.workers === workers && last.told === told) return last;
-    const all = new Map(this.reportedByPeers);
+    const isSameCount = last.workerCount === workerCount && last.reportCount === reportCount;
+    if (now - last.at < INVENTORY_VIEW_MS && isSameCount) return last;
+    const all = new Map(this.peerReports.machines);
     for (const machine of this.ownMachines()) all.set(machine.machineId, machine);
-    this.clearQuarantineOfFaultyJobs(all);
+    clearQuarantineOfFaultyJobs(all);
     const open = [...all.values()].filter((machine) => this.isOpen(machine));
-    this.cachedView = { at: now, workers, told, all, open };
+    this.cachedView = { at: now, workerCount, reportCount, all, open };
     return this.cachedView;
   }
 
-  /** A job that fails on many machines was submitted with a mistake: no machine is sick for its failures. */
-  private clearQuarantineOfFaultyJobs(machines: Map<string, MachineInfo>): void {
-    const counts = new Map<string, number>();
-    for (const { failedJobs } of machines.values()) {
-      for (const job of failedJobs) counts.set(job, (counts.get(job) ?? 0) + 1);
-    }
-    const many = Math.max(FAULTY_JOB_LEAST, Math.ceil(machines.size * FAULTY_JOB_SHARE));
-    for (const [machineId, machine] of machines) {
-      if (!machine.isQuarantined) continue;
-      const against = machine.failedJobs.filter((job) => counts.get(job)! < many);
-      if (against.length < QUARANTINE_ERRORS) machines.set(machineId, { ...machine, isQuarantined: false });
-    }
+  /** Whether new tasks may be placed on the machine. */
+  isOpen(machine: MachineInfo): boolean {
+    return this.whyClosed(machine) === undefined;
   }
 
-  peerReportOf(machineId: string): MachineInfo | undefined {
-    return this.reportedByPeers.get(machineId);
+  /** Why no new tasks may be placed on the machine; undefined: they may. */
+  whyClosed(machine: MachineInfo): UnavailableReason | undefined {
+    return this.availability.unavailableReasonOf(machine);
   }
 
-  /** The newest report that a stranger has seen here, for telling late copies. */
-  private readonly lastSeenHere = new Map<string, { agentEpoch: number; sequence: number }>();
+  /** Whether heartbeats of the machine are missing that should have been known here by now. */
+  isSilent(machine: MachineInfo): boolean {
+    return this.availability.isSilent(machine);
+  }
 
-  /** Is the report no newer than what this node, or by its word the owner, has heard? Remembers it if it is. */
+  /** Whether a heartbeat that came to this node, although another one leads the partition, is a late copy. */
   isLate(workerStatus: WorkerStatus): boolean {
-    const older = (known: { agentEpoch: number; sequence: number } | undefined) =>
-      known !== undefined && !isNewerThan(workerStatus, known);
-    if (older(this.reportedByPeers.get(workerStatus.machineId)) || older(this.lastSeenHere.get(workerStatus.machineId)))
-      return true;
-    this.lastSeenHere.delete(workerStatus.machineId);
-    this.lastSeenHere.set(workerStatus.machineId, {
-      agentEpoch: workerStatus.agentEpoch,
-      sequence: workerStatus.sequence,
-    });
-    if (this.lastSeenHere.size > MISROUTED_WORKERS_KEPT)
-      this.lastSeenHere.delete(this.lastSeenHere.keys().next().value!);
-    return false;
+    return this.lateHeartbeats.isLate(workerStatus, this.peerReportOf(workerStatus.machineId));
   }
 
-  /** Forgets machines that nobody speaks of any more. */
+  /** Forgets machines that no peer has stated anything of for long. */
   prune(): void {
-    const now = this.clock.now();
-    for (const [machineId, at] of this.knownAt) {
-      if (now - at < FORGET_MACHINE_MS) continue;
-      this.reportedByPeers.delete(machineId);
-      this.knownAt.delete(machineId);
-    }
+    this.peerReports.prune(this.clock.now());
   }
 
-  /** Machines that the cloud has confirmed gone; names never come back. */
-  readonly terminated = new Map<string, number>();
-
+  /** The cloud has confirmed the machine terminated: forgets it for good. */
   markTerminated(machineId: string): void {
     if (this.terminated.has(machineId)) return;
-    this.terminated.set(machineId, this.clock.now());
-    if (this.terminated.size > TERMINATED_MACHINES_KEPT) this.terminated.delete(this.terminated.keys().next().value!);
-    this.reportedByPeers.delete(machineId);
-    this.knownAt.delete(machineId);
+    this.terminated.add(machineId, this.clock.now());
+    this.peerReports.remove(machineId);
     this.workerManager.workers.remove(machineId);
   }
 
-  /** What other nodes should forget as well. */
+  /** Terminated machines that other nodes may not have learned of yet. */
   recentlyTerminated(): string[] {
-    const now = this.clock.now();
-    return [...this.terminated].filter(([, at]) => now - at < FORGET_MACHINE_MS).map(([machineId]) => machineId);
-  }
-
-  isSilent(machine: MachineInfo): boolean {
-    const allowed = SILENT_HEARTBEATS * this.settings.cluster.workers.heartbeatIntervalMs;
-    const now = this.clock.now();
-    if (this.leadershipFor(machine.machineId) !== undefined) return now - machine.heardAt > allowed;
-    const knownAt = this.knownAt.get(machine.machineId) ?? -Infinity;
-    const partitionLeader = this.leadership.leaderOf(partitionRole(this.leadership.partitionOf(machine.machineId)));
-    // No word of an owner that still holds its claim: nodes don't hear each other, which says nothing of its machines.
-    if (now - knownAt > GOSSIP_STALE_MS && partitionLeader === machine.partitionLeader)
-      return knownAt - machine.heardAt > allowed;
-    return now - machine.heardAt > allowed + GOSSIP_STALE_MS / 2;
-  }
-
-  /** May new work go there? */
-  isOpen(machine: MachineInfo): boolean {
-    return this.whyClosed(machine) === undefined;
-  }
-
-  /** Why no new work may go there. */
-  whyClosed(machine: MachineInfo): string | undefined {
-    if (!this.catalog.has(machine.machineType)) return 'unknown type';
-    if (machine.spotNoticeUntil !== null) return 'warned';
-    if (machine.isQuarantined) return 'sick';
-    if (machine.isSlow) return 'slow';
-    if (machine.isUnreached) return 'unreached';
-    if (machine.isBackingOff) return 'cooling';
-    if (this.scalingIn.has(machine.machineId)) return 'leaving';
-    return this.isSilent(machine) ? 'silent' : undefined;
+    return this.terminated.recent(this.clock.now());
   }
 }
--- /dev/null
+++ b/src/inventory/own-machines.ts
@@ -0,0 +1,66 @@
+/** The machines of the partitions that this node leads. */
+import type { MachineInfo } from '../domain/machine-state.js';
+import type { Settings } from '../domain/settings.js';
+import type { Clock } from '../net/clock.js';
+import type { Worker } from '../workers/worker.js';
+import type { WorkerRegistry } from '../workers/worker-registry.js';
+import { ownLeadershipOver, type PartitionLeadership } from './machine-leadership.js';
+import type { PeerMachineReports } from './peer-machine-reports.js';
+
+/** What OwnMachines works with. */
+export interface OwnMachinesDependencies {
+  settings: Settings;
+  leadership: PartitionLeadership;
+  workers: WorkerRegistry;
+  peerReports: PeerMachineReports;
+  clock: Clock;
+}
+
+/** Describes the machines led here, from their workers' heartbeats or, until those arrive, from the former leader's gossip. */
+export class OwnMachines {
+  constructor(private readonly dependencies: OwnMachinesDependencies) {}
+
+  /** The machine by its worker's heartbeats; undefined: none has arrived here. */
+  get(machineId: string): MachineInfo | undefined {
+    const worker = this.dependencies.workers.get(machineId);
+    return worker === undefined ? undefined : this.describe(worker);
+  }
+
+  /** All of them, those with heartbeats first. */
+  list(): MachineInfo[] {
+    const { settings, leadership, workers, peerReports } = this.dependencies;
+    const machines = [...workers.values()].map((worker) => this.describe(worker));
+    // Machines without a heartbeat since this node took over count as heard when it did.
+    for (const machine of peerReports.machines.values()) {
+      const held = ownLeadershipOver(leadership, machine.machineId);
+      if (held === undefined || workers.has(machine.machineId)) continue;
+      const heardAt = Math.max(machine.heardAt, held.term.at);
+      machines.push({ ...machine, heardAt, partitionLeader: settings.node });
+    }
+    return machines;
+  }
+
+  private describe(worker: Worker): MachineInfo {
+    const { settings, clock } = this.dependencies;
+    const now = clock.now();
+    return {
+      machineId: worker.machineId,
+      endpoint: worker.endpoint,
+      machineType: worker.machineType,
+      zone: worker.zone,
+      isSpot: worker.isSpot,
+      agentEpoch: worker.agentEpoch,
+      sequence: worker.sequence,
+      heardAt: worker.reportedAt,
+      spotNoticeUntil: worker.spotNoticeUntil,
+      isQuarantined: worker.isQuarantined(now),
+      isBackingOff: now < worker.backoffUntil,
+      isUnreached: !worker.isReached,
+      isSlow: worker.isSlow(now),
+      isMute: worker.hasExpiredDespiteHeartbeats(now, settings.cluster.workers.workerLeaseMs),
+      images: [...worker.images.keys()],
+      failedJobs: worker.failedJobs(now),
+      partitionLeader: settings.node,
+    };
+  }
+}
