--- a/src/logging/log.ts
+++ b/src/logging/log.ts
@@ -1,13 +1,17 @@
+/** The program's log: one JSON line for each event that an operator would ask about. */
 import { pino, type Logger } from 'pino';
 
+/** What the program's parts log to: fields first, then a short message. */
 export type Log = Pick<Logger, 'error' | 'warn' | 'info' | 'debug'>;
 
-const LEVELS = ['error', 'info', 'debug'];
+const LEVELS: readonly string[] = ['error', 'info', 'debug'];
+const DEFAULT_LEVEL = 'info';
 
-/** One line per event that an operator would ask about, to standard error, in the amount that LOG_LEVEL sets. */
+/** A log to standard error with the node, but no time, in each line. An unknown level (LOG_LEVEL) counts as `info`. */
 export function createLog(node: string, level: string | undefined): Log {
+  const isKnown = level !== undefined && LEVELS.includes(level);
   return pino(
-    { level: level !== undefined && LEVELS.includes(level) ? level : 'info', base: { node }, timestamp: false },
+    { level: isKnown ? level : DEFAULT_LEVEL, base: { node }, timestamp: false },
     pino.destination({ dest: 2, sync: true }),
   );
 }
--- a/src/net/random.ts
+++ b/src/net/random.ts
@@ -1,11 +1,13 @@
+/** Random numbers that a seed repeats. */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 
-/** A seeded source of randomness, injected wherever chance decides. */
+/** A seeded generator, injected wherever the program draws: a test repeats a run by its seed. */
 export class Random {
   private readonly generator;
 
+  /** `seed`: an integer, of which 32 bits count. */
   constructor(seed: number) {
     this.generator = xoroshiro128plus(seed | 0);
   }
@@ -15,27 +17,27 @@
     return uniformFloat64(this.generator);
   }
 
-  /** An integer from 0 to n - 1. */
-  below(n: number): number {
-    return uniformInt(this.generator, 0, n - 1);
+  /** An integer from 0 to `bound` - 1. */
+  below(bound: number): number {
+    return uniformInt(this.generator, 0, bound - 1);
   }
 
-  /** `ms`, give or take the share. */
+  /** `ms`, give or take the share of it. */
   jitter(ms: number, share = 0.25): number {
     return ms * (1 - share + 2 * share * this.float());
   }
 
-  /** A sample of at most `n` items, in their order. */
-  sample<T>(items: readonly T[], n: number): T[] {
-    if (items.length <= n) return [...items];
-    const left = [...items.keys()];
-    const picked: number[] = [];
-    for (let i = 0; i < n; i++) {
-      const at = this.below(left.length);
-      picked.push(left[at]!);
-      left[at] = left[left.length - 1]!;
-      left.pop();
+  /** A sample of at most `count` items, in their order. */
+  sample<T>(items: readonly T[], count: number): T[] {
+    if (items.length <= count) return [...items];
+    const candidates = [...items.keys()];
+    const selected: number[] = [];
+    for (let drawn = 0; drawn < count; drawn++) {
+      const position = this.below(candidates.length);
+      selected.push(candidates[position]!);
+      candidates[position] = candidates[candidates.length - 1]!;
+      candidates.pop();
     }
-    return picked.sort((a, b) => a - b).map((at) => items[at]!);
+    return selected.sort((a, b) => a - b).map((index) => items[index]!);
   }
 }
