--- a/src/domain/machine-type.ts
+++ b/src/domain/machine-type.ts
@@ -1,7 +1,6 @@
-/** Kinds of machines that the cloud rents. */
-
-import { JobSpec } from './job.js';
-import { Resources, countFittingTasks } from './resources.js';
+/** The types of machines that the cloud offers. */
+import type { JobSpec } from './job.js';
+import { countFittingTasks, type Resources } from './resources.js';
 
 /** A machine type of the cloud's catalogue. */
 export interface MachineType {
@@ -9,22 +8,25 @@
   cpus: number;
   gpus: number;
   memoryGb: number;
-  /** What the machine's image cache holds. */
+  /** Size of the machine's image cache. */
   imageCacheGb: number;
+  /** Bandwidth of image fetches. */
   fetchGbPerS: number;
   hourlyPrice: number;
   spotHourlyPrice: number;
+  /** Typical boot time: most machines take 0.6 to 1.5 times as long, some several times. */
   bootS: number;
+  /** Where the cloud offers it. */
   zones: string[];
 }
 
-/** What an empty machine of the type has. */
+/** The resources of an empty machine of the type. */
 export const resourcesOfMachineType = (machineType: MachineType): Resources => ({
   cpus: machineType.cpus,
   gpus: machineType.gpus,
   memoryGb: machineType.memoryGb,
 });
 
-/** How many tasks of a job an empty machine of the type has room for. */
+/** How many tasks of a job fit an empty machine of the type. */
 export const tasksPerMachine = (machineType: MachineType, spec: JobSpec): number =>
   countFittingTasks(resourcesOfMachineType(machineType), spec);
--- a/src/domain/resources.ts
+++ b/src/domain/resources.ts
@@ -1,43 +1,47 @@
 /** Amounts of what machines have and tasks take. */
 
-/** Amounts of what a machine has and tasks take of it. */
+/** Decimal amounts, not necessarily whole. */
 export interface Resources {
   cpus: number;
   gpus: number;
   memoryGb: number;
 }
 
-/** Amounts are decimal; what differs by less counts as equal. */
-const EPS = 1e-6;
+/** Amounts that differ by less count as equal, since sums of decimal amounts are inexact. */
+const TOLERANCE = 1e-6;
 
-/** Amounts are decimal; sums are kept to a millionth so that they don't drift apart. */
-export const roundAmount = (x: number): number => Math.round(x * 1e6) / 1e6;
+/** Rounds to a millionth: sums of decimal amounts would otherwise drift apart. */
+export const roundAmount = (amount: number): number => Math.round(amount * 1e6) / 1e6;
 
-export const fits = (task: Resources, room: Resources): boolean =>
-  task.cpus <= room.cpus + EPS && task.gpus <= room.gpus + EPS && task.memoryGb <= room.memoryGb + EPS;
+/** Whether one task fits the free resources. */
+export const fits = (task: Resources, free: Resources): boolean =>
+  task.cpus <= free.cpus + TOLERANCE &&
+  task.gpus <= free.gpus + TOLERANCE &&
+  task.memoryGb <= free.memoryGb + TOLERANCE;
 
-/** Is no more given away than there was? */
-export const isNonNegative = (left: Resources): boolean =>
-  left.cpus >= -EPS && left.gpus >= -EPS && left.memoryGb >= -EPS;
+/** Whether no more has been allocated than there was. */
+export const isNonNegative = (free: Resources): boolean =>
+  free.cpus >= -TOLERANCE && free.gpus >= -TOLERANCE && free.memoryGb >= -TOLERANCE;
 
+/** The resources alone, of whatever has some. */
 export const resourcesOf = (spec: Resources): Resources => ({
   cpus: spec.cpus,
   gpus: spec.gpus,
   memoryGb: spec.memoryGb,
 });
 
-/** Takes the room of so many tasks away; a negative number gives it back. */
-export function subtractResources(room: Resources, spec: Resources, tasks = 1): void {
-  room.cpus -= spec.cpus * tasks;
-  room.gpus -= spec.gpus * tasks;
-  room.memoryGb -= spec.memoryGb * tasks;
+/** Allocates so many tasks from `free`, which is changed; a negative number releases them. */
+export function subtractResources(free: Resources, task: Resources, taskCount = 1): void {
+  free.cpus -= task.cpus * taskCount;
+  free.gpus -= task.gpus * taskCount;
+  free.memoryGb -= task.memoryGb * taskCount;
 }
 
-/** How many tasks of a job have room together. */
-export const countFittingTasks = (room: Resources, spec: Resources): number => {
-  if (!fits(spec, room)) return 0;
-  let count = room.cpus / spec.cpus;
-  if (spec.memoryGb > 0) count = Math.min(count, room.memoryGb / spec.memoryGb);
-  if (spec.gpus > 0) count = Math.min(count, room.gpus / spec.gpus);
-  return Math.floor(count + 1e-6);
+/** How many tasks of one size fit the free resources together. */
+export const countFittingTasks = (free: Resources, task: Resources): number => {
+  if (!fits(task, free)) return 0;
+  let count = free.cpus / task.cpus;
+  if (task.memoryGb > 0) count = Math.min(count, free.memoryGb / task.memoryGb);
+  if (task.gpus > 0) count = Math.min(count, free.gpus / task.gpus);
+  return Math.floor(count + TOLERANCE);
 };
--- a/src/domain/settings.ts
+++ b/src/domain/settings.ts
@@ -1,31 +1,33 @@
 /** The settings of a controller as the program works with them: one unit for each kind of amount, named in the field. */
-
 import type { Team } from './team.js';
 
-/** What is expected for the jobs of a class. */
+/** A service-level objective: what is expected for the jobs of a class. */
 export interface ServiceLevelObjective {
+  /** Which objective it is, as the platform names it. */
   kind: string;
+  /** The job class that it is for; left out: any. */
   jobClass?: string;
   /** Time within which a job is to be complete. */
   withinMs?: number;
-  /** Times its own deadline by which a job is to be complete. */
+  /** Multiple of its own deadline within which a job is to be complete. */
   deadlineFactor?: number;
 }
 
-/** How workers behave, by the platform's word. */
+/** Intervals and deadlines of the workers, as the platform sets them. */
 export interface WorkerTimings {
+  /** Between two heartbeats of a worker. */
   heartbeatIntervalMs: number;
-  /** A worker ends its tasks if it sent its last answered heartbeat longer ago. */
+  /** A worker ends its tasks once its last answered heartbeat was sent longer ago. */
   workerLeaseMs: number;
   /** A gang that is not complete by then exits. */
   gangStartTimeoutMs: number;
-  /** Within it the tasks of a running gang notice that one is gone, and an orderly stop must have reached all. */
+  /** Within it the tasks of a running gang notice that one is lost, and an orderly stop must have reached all. */
   gangPeerTimeoutMs: number;
   /** Within it nothing of a cancelled job may be left on any machine. */
   cancelDeadlineMs: number;
 }
 
-/** What the store takes. */
+/** Limits of the store. */
 export interface StoreLimits {
   /** Puts and deletes a second, of all controllers together. */
   writesPerSecond: number;
@@ -35,7 +37,9 @@
   transactionWrites: number;
 }
 
+/** The store's rate limit and write limits. */
 export interface StoreSettings {
+  /** Of all controllers together. */
   requestsPerSecond: number;
   /** The limits in force when the process starts. */
   present: StoreLimits;
@@ -46,13 +50,15 @@
   lasting: StoreLimits;
 }
 
+/** Settings that all controllers of the cluster share. */
 export interface ClusterSettings {
-  /** Controllers, and as many partitions of the machines. */
+  /** The number of controllers, and of partitions of the machines. */
   size: number;
   teams: readonly Team[];
   serviceLevelObjectives: readonly ServiceLevelObjective[];
   workers: WorkerTimings;
   store: StoreSettings;
+  /** The cloud's rate limit, for all controllers together. */
   cloud: { requestsPerSecond: number };
   /** Sockets that the process may have open. */
   sockets: number;
@@ -62,17 +68,17 @@
 export interface PeerSettings {
   node: string;
   zone: string;
-  /** Where it listens for other controllers. */
+  /** 'host:port' where it listens for other controllers. */
   address: string;
 }
 
-/** What the platform tells a controller. */
+/** All settings of one controller. Addresses are 'host:port'. */
 export interface Settings {
   node: string;
   zone: string;
-  /** Where users, workers and health checks come. */
+  /** Where it listens for users, workers and health checks. */
   apiAddress: string;
-  /** Where the other controllers come. */
+  /** Where it listens for the other controllers. */
   gossipAddress: string;
   peers: readonly PeerSettings[];
   cloudAddress: string;
@@ -82,14 +88,14 @@
 
 /** How services are re-matched, and machines with a cached image preferred. */
 export interface ReschedulingSettings {
-  /** Happiness below which a task is unhappy, a share. */
+  /** Happiness (the share of healthy checks in the window) below which a task is unhappy. */
   happinessThreshold: number;
   /** Heartbeats older than that no longer count. */
   happinessWindowMs: number;
-  /** Time between two tests. */
+  /** Between two checks for unhappy tasks. */
   checkIntervalMs: number;
-  /** Tasks moved at most by one partition in one round. */
+  /** Tasks that one partition moves at most in one round. */
   movesPerRound: number;
-  /** Share of distance taken off for machines that have the image cached; 1: the image decides alone. */
+  /** Share of the distance taken off for machines that have the image cached; 1: the image decides alone. */
   imageBonus: number;
 }
--- a/src/domain/team.ts
+++ b/src/domain/team.ts
@@ -1,6 +1,6 @@
-/** Teams, their quotas and what they use. */
+/** Teams, their quotas and their usage. */
 
-/** Amounts that quotas are set in; 0 means that there is none of the kind. */
+/** Amounts that quotas are set in; what 0 means is said where they are used. */
 export interface QuotaAmounts {
   cpus: number;
   gpus: number;
@@ -9,7 +9,7 @@
 /** A team, and how much of the cluster it may use. */
 export interface Team {
   name: string;
-  /** While all unfinished jobs of the team fit in here together, they need not wait for other teams. */
+  /** While all unfinished jobs of the team fit in here together, they need not wait for other teams; 0: nothing is guaranteed. */
   guaranteed: QuotaAmounts;
   /** What the team's tasks use together never exceeds it; 0: no limit. */
   limit: QuotaAmounts;
