--- a/src/gossip/message-codec.ts
+++ b/src/gossip/message-codec.ts
@@ -17,7 +17,7 @@
 import { MessageDecodeError } from './message-decode-error.js';
 import { decodeStreamMessage, encodeStreamMessage, isStreamMessage } from './stream-codec.js';
 
-const machineUpdate = record('MachineUpdate', {
+const machineUpdateSchema = record('MachineUpdate', {
   machineId: 'string',
   number: 'long',
   endpoint: 'string',
@@ -39,7 +39,7 @@
   partitionLeader: 'string',
 });
 
-const gossip = record('Gossip', {
+const gossipSchema = record('Gossip', {
   node: 'string',
   uptimeMs: 'double',
   replicaAgeMs: 'double',
@@ -53,7 +53,7 @@
   messageNumber: 'long',
   isSnapshot: 'boolean',
   wantsSnapshot: 'boolean',
-  machines: arrayOf(machineUpdate),
+  machines: arrayOf(machineUpdateSchema),
   unchanged: record('UnchangedMachines', {
     numbers: arrayOf('long'),
     heartbeatAgesMs: arrayOf('long'),
@@ -64,9 +64,9 @@
   terminatedMachines: arrayOf('string'),
 });
 
-const recordChange = record('RecordChange', { key: 'string', value: nullable('string'), modRevision: 'long' });
+const recordChangeSchema = record('RecordChange', { key: 'string', value: nullable('string'), modRevision: 'long' });
 
-const replicaDelta = record('Delta', {
+const replicaDeltaSchema = record('Delta', {
   node: 'string',
   incarnation: 'long',
   version: 'long',
@@ -89,20 +89,20 @@
   delta: ReplicaDelta | null;
 }
 
-const envelopeFields: Record<keyof Envelope, avro.Schema> = {
-  gossip,
+const envelopeSchemas: Record<keyof Envelope, avro.Schema> = {
+  gossip: gossipSchema,
   relay: record('ForwardedHeartbeat', { node: 'string', id: 'long', status: 'string' }),
   relayAnswer: record('RelayAnswer', { node: 'string', id: 'long', status: 'int', body: 'string' }),
-  news: record('News', { changes: arrayOf(recordChange) }),
+  news: record('News', { changes: arrayOf(recordChangeSchema) }),
   ask: record('Ask', { node: 'string', fromRevision: 'long', afterRevision: 'long' }),
-  delta: replicaDelta,
+  delta: replicaDeltaSchema,
 };
 
 const envelopeType = avro.Type.forSchema({
   type: 'record',
   name: 'Envelope',
   namespace: 'dewlatch.mesh.v3',
-  fields: Object.entries(envelopeFields).map(([name, schema]) => ({ name, type: nullable(schema), default: null })),
+  fields: Object.entries(envelopeSchemas).map(([name, schema]) => ({ name, type: nullable(schema), default: null })),
 });
 
 /** Fields left out are null by default. */
--- a/src/gossip/messages.ts
+++ b/src/gossip/messages.ts
@@ -26,7 +26,7 @@
   version: number;
   /** Peers that the sender currently receives gossip from: their machines need not be relayed to it. */
   reachablePeers: string[];
-  /** Tells the sender's process from its earlier ones. */
+  /** Distinguishes the sender's process from its earlier incarnations. */
   incarnation: number;
   /** Counts the messages of this incarnation to this receiver. */
   messageNumber: number;
@@ -125,7 +125,7 @@
   changes: SerializedChange[];
 }
 
-/** Every message between controllers, told apart by its kind. */
+/** Every message between controllers, distinguished by its kind. */
 export type Message =
   | { kind: 'gossip'; payload: Gossip }
   | { kind: 'forwarded_heartbeat'; payload: ForwardedHeartbeat }
--- a/src/gossip/peer-directory.ts
+++ b/src/gossip/peer-directory.ts
@@ -58,7 +58,7 @@
     return state !== undefined && this.clock.now() - state.replicaFreshAt < REPLICA_FRESH_MS * 2;
   }
 
-  /** The peer's process, told from its earlier ones; undefined: the peer is not reachable. */
+  /** Distinguishes the peer's process from its earlier ones; undefined: the peer is not reachable. */
   incarnationOf(node: string): number | undefined {
     return this.validStateOf(node)?.gossip.incarnation;
   }
--- a/src/gossip/replica-freshness.ts
+++ b/src/gossip/replica-freshness.ts
@@ -34,7 +34,7 @@
   node: string;
   /** The other nodes. */
   peers: readonly string[];
-  /** Tells this process from its earlier ones. */
+  /** Distinguishes this process from its earlier incarnations. */
   incarnation: number;
   replica: Replica;
   clock: Clock;
--- a/src/gossip/sent-machine-updates.ts
+++ b/src/gossip/sent-machine-updates.ts
@@ -54,7 +54,7 @@
   private nextNumber = 0;
   private readonly peers = new Map<string, SentToPeer>();
 
-  /** `incarnation` tells this process from its earlier ones. */
+  /** `incarnation` distinguishes this process from its earlier ones. */
   constructor(private readonly incarnation: number) {}
 
   /** The peer has missed a message, or may have: the next one to it is a snapshot. */
--- a/src/inventory/faulty-jobs.ts
+++ b/src/inventory/faulty-jobs.ts
@@ -1,4 +1,4 @@
-/** Tells faulty jobs from faulty machines. */
+/** Distinguishes faulty jobs from faulty machines. */
 import { FAULTY_JOB_LEAST, FAULTY_JOB_SHARE } from '../constants/inventory.js';
 import { QUARANTINE_ERRORS } from '../constants/workers.js';
 import type { MachineInfo } from '../domain/machine-state.js';
--- a/src/inventory/late-heartbeats.ts
+++ b/src/inventory/late-heartbeats.ts
@@ -1,4 +1,4 @@
-/** Tells late copies among the heartbeats of workers whose partitions other nodes lead. */
+/** Recognises late copies among the heartbeats of workers whose partitions other nodes lead. */
 import { MISROUTED_WORKERS_KEPT } from '../constants/inventory.js';
 import type { MachineInfo } from '../domain/machine-state.js';
 import { isNewerThan, type WorkerStatus } from '../workers/worker-wire-codec.js';
--- a/src/inventory/own-machines.ts
+++ b/src/inventory/own-machines.ts
@@ -30,11 +30,11 @@
   list(): MachineInfo[] {
     const { settings, leadership, workers, peerReports } = this.dependencies;
     const machines = [...workers.values()].map((worker) => this.describe(worker));
-    // Machines without a heartbeat since this node took over count as heard when it did.
+    // A machine without a heartbeat since this node became leader counts as if it had sent one then.
     for (const machine of peerReports.machines.values()) {
-      const held = ownLeadershipOver(leadership, machine.machineId);
-      if (held === undefined || workers.has(machine.machineId)) continue;
-      const heardAt = Math.max(machine.heardAt, held.term.at);
+      const ownLeadership = ownLeadershipOver(leadership, machine.machineId);
+      if (ownLeadership === undefined || workers.has(machine.machineId)) continue;
+      const heardAt = Math.max(machine.heardAt, ownLeadership.term.at);
       machines.push({ ...machine, heardAt, partitionLeader: settings.node });
     }
     return machines;
