--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -7,7 +7,8 @@
 import type { Tuning } from '../config/tuning.js';
 import type { Settings } from '../domain/settings.js';
 import type { Gossip, Message } from '../gossip/messages.js';
-import { PeerLinks, splitAddress } from '../gossip/peer-links.js';
+import { PeerLinks } from '../gossip/peer-links.js';
+import { parseAddress } from '../net/address.js';
 import type { MachineInventory } from '../inventory/machine-inventory.js';
 import type { Handover } from '../leadership/handover.js';
 import type { RoleLeadership } from '../leadership/role-leadership.js';
@@ -169,7 +170,7 @@
     const { settings, log } = this.environment;
     const maxSockets = Math.floor(settings.cluster.sockets * HTTP_SERVER_SOCKET_SHARE);
     const server = new ApiServer(this.createHandlers(), log, maxSockets);
-    const [host, port] = splitAddress(settings.apiAddress);
+    const { host, port } = parseAddress(settings.apiAddress);
     await server.listen(host, port, signal);
     log.info({ address: settings.apiAddress }, 'listening');
     const links = this.createLinks();
@@ -189,14 +190,12 @@
 
   private createLinks(): PeerLinks {
     const { settings, clock, log } = this.environment;
-    return new PeerLinks(
-      settings,
-      clock,
-      log,
-      (node) => this.composeGossip(node),
-      (message) => this.receive(message),
-      (node) => this.gossip.sentUpdates.renew(node),
-    );
+    return new PeerLinks({
+      ...{ settings, clock, log },
+      compose: (node) => this.composeGossip(node),
+      receive: (message) => this.receive(message),
+      onConnected: (node) => this.gossip.sentUpdates.requireSnapshot(node),
+    });
   }
 
   /** The long-lived routines, without the sockets. */
--- a/src/controller/gossip-parts.ts
+++ b/src/controller/gossip-parts.ts
@@ -1,7 +1,7 @@
 /** Builds the exchange of messages with the other controllers, beside the links that carry them. */
 import { GossipExchange } from '../gossip/gossip-exchange.js';
 import { GossipSender } from '../gossip/gossip-sender.js';
-import { SentMachineUpdates } from '../gossip/machine-updates.js';
+import { SentMachineUpdates } from '../gossip/sent-machine-updates.js';
 import { peerNodesOf, type Environment } from './environment.js';
 import type { LeadershipParts } from './leadership-parts.js';
 import type { RecordParts } from './record-parts.js';
--- a/src/controller/record-parts.ts
+++ b/src/controller/record-parts.ts
@@ -53,7 +53,10 @@
     onRejected: (mutation, reason) => log.error({ mutation, reason }, 'transaction rejected'),
     resize: recordSizer(cluster.store.lasting.valueBytes, isFormatComplete),
   });
-  const replicaFreshness = new ReplicaFreshness(settings.node, peers, incarnation, replica, clock, send);
+  const replicaFreshness = new ReplicaFreshness({
+    node: settings.node,
+    ...{ peers, incarnation, replica, clock, send },
+  });
   const broadcast = new RecordBroadcast({ peers, replica, transactions, clock, log, send });
   const accounting = new TeamAccounting({
     teams: cluster.teams,
--- a/src/controller/worker-parts.ts
+++ b/src/controller/worker-parts.ts
@@ -46,7 +46,7 @@
   const workerManager = new WorkerManager({ ...environment, ...records, leadership, events });
   const inventory: MachineInventory = new MachineInventory(settings, leadership, workerManager, clock);
   followCatalog(records.replica, () => inventory.catalog, log);
-  const heartbeatForwarder = new HeartbeatForwarder(settings.node, incarnation, clock, send);
+  const heartbeatForwarder = new HeartbeatForwarder({ node: settings.node, firstRequestId: incarnation, clock, send });
   const heartbeats = new HeartbeatService({
     node: settings.node,
     workerManager,
--- a/src/leadership/advisory-stream.ts
+++ b/src/leadership/advisory-stream.ts
@@ -26,7 +26,7 @@
   replica: Replica;
   clock: Clock;
   log: Log;
-  send: (node: string, message: { stream: StreamMessage }) => void;
+  send: (node: string, message: { kind: 'standby_stream'; payload: StreamMessage }) => void;
 }
 
 export class AdvisoryStream {
@@ -65,7 +65,7 @@
   /** Sends what has changed to the followers, as far as the limits allow. */
   sendChanges(): void {
     for (const [node, batches] of this.sender.composeBatches())
-      for (const batch of batches) this.dependencies.send(node, { stream: { batch } });
+      for (const batch of batches) this.dependencies.send(node, { kind: 'standby_stream', payload: { batch } });
   }
 
   /** Asks these nodes for what has changed. */
@@ -83,7 +83,7 @@
   private request(node: string): void {
     const follower = this.followers.get(node);
     if (follower === undefined || !this.canReadStream(node)) return;
-    this.dependencies.send(node, { stream: { follow: follower.request() } });
+    this.dependencies.send(node, { kind: 'standby_stream', payload: { follow: follower.request() } });
   }
 
   /** The very incarnation of the node that gossip knows has announced in the store that it reads the stream. */
--- a/src/leadership/standby.ts
+++ b/src/leadership/standby.ts
@@ -49,7 +49,7 @@
   leader: { readonly memory: LeaderMemory };
   clock: Clock;
   log: Log;
-  send: (node: string, message: { stream: StreamMessage }) => void;
+  send: (node: string, message: { kind: 'standby_stream'; payload: StreamMessage }) => void;
   tracer: TakeoverTracer;
 }
 
--- a/test/gossip/gossip-format.test.ts
+++ b/test/gossip/gossip-format.test.ts
@@ -4,13 +4,8 @@
  */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import {
-  decodeMessage,
-  encodeMessage,
-  type Gossip,
-  type MachineUpdate,
-  type Message,
-} from '../../src/gossip/messages.js';
+import { decodeMessage, encodeMessage } from '../../src/gossip/message-codec.js';
+import type { Gossip, MachineUpdate, Message } from '../../src/gossip/messages.js';
 
 const FLAGGED: MachineUpdate = {
   machineId: 'i-000001',
@@ -21,8 +16,8 @@
   isSpot: true,
   agentEpoch: 3,
   sequence: 70_000,
-  heardAgeMs: 12.5,
-  knownAgeMs: 250,
+  heartbeatAgeMs: 12.5,
+  stateAgeMs: 250,
   spotNoticeMs: 29_000,
   isQuarantined: true,
   isBackingOff: true,
@@ -50,11 +45,11 @@
 
 const FULL: Gossip = {
   node: 'n0',
-  upMs: 60_000,
-  freshAgeMs: 150.5,
+  uptimeMs: 60_000,
+  replicaAgeMs: 150.5,
   isWithoutStore: true,
-  clock: 61_000,
-  echo: { incarnation: 29077790030248, clock: 60_500 },
+  clockMs: 61_000,
+  echo: { incarnation: 29077790030248, clockMs: 60_500 },
   isLoaded: true,
   version: 42,
   reachablePeers: ['n1', 'n2'],
@@ -63,10 +58,10 @@
   isSnapshot: true,
   wantsSnapshot: true,
   machines: [FLAGGED],
-  unchanged: { numbers: [1, 2], heardAgesMs: [30, 40], sequences: [500, 600] },
+  unchanged: { numbers: [1, 2], heartbeatAgesMs: [30, 40], sequences: [500, 600] },
   misroutedHeartbeats: [{ machineId: 'i-000003', ageMs: 75 }],
   avoidedRoles: ['part-1'],
-  terminated: ['i-000004'],
+  terminatedMachines: ['i-000004'],
 };
 
 const QUIET: Gossip = {
@@ -78,87 +73,88 @@
   isSnapshot: false,
   wantsSnapshot: false,
   machines: [PLAIN],
-  unchanged: { numbers: [], heardAgesMs: [], sequences: [] },
+  unchanged: { numbers: [], heartbeatAgesMs: [], sequences: [] },
   misroutedHeartbeats: [],
   avoidedRoles: [],
-  terminated: [],
+  terminatedMachines: [],
 };
 
 const ENCODED: readonly [name: string, message: Message, hex: string][] = [
   [
     'gossip with everything set',
-    { gossip: FULL },
+    { kind: 'gossip', payload: FULL },
     '02046e3000000000004ced400000000000d06240010000000000c9ed4002d0e6c3b5c69c0d00000000808aed40015404046e31046e320096c5f88cd58d062201010210692d303030303031d8041a692d3030303030313a393030300463380c7a6f6e652d610106e0c50800000000000029400000000000406f4002000000000052dc400101010101040a696d672d310a696d672d320002106a2d30303030303100046e320004020400043c500004e807b009000210692d3030303030330000000000c0524000020c706172742d31000210692d303030303034000000000000',
   ],
   [
     'gossip with nothing to tell',
-    { gossip: QUIET },
+    { kind: 'gossip', payload: QUIET },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610006e0c50800000000000029400000000000406f400000000000000000046e32000000000000000000000000',
   ],
   [
     'gossip of a machine that is only sick',
-    { gossip: { ...QUIET, machines: [{ ...PLAIN, isQuarantined: true }] } },
+    { kind: 'gossip', payload: { ...QUIET, machines: [{ ...PLAIN, isQuarantined: true }] } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610006e0c50800000000000029400000000000406f400001000000000000046e32000000000000000000000000',
   ],
   [
     'gossip of a machine that is only cooling',
-    { gossip: { ...QUIET, machines: [{ ...PLAIN, isBackingOff: true }] } },
+    { kind: 'gossip', payload: { ...QUIET, machines: [{ ...PLAIN, isBackingOff: true }] } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610006e0c50800000000000029400000000000406f400000010000000000046e32000000000000000000000000',
   ],
   [
     'gossip of a machine that is only unreached',
-    { gossip: { ...QUIET, machines: [{ ...PLAIN, isUnreached: true }] } },
+    { kind: 'gossip', payload: { ...QUIET, machines: [{ ...PLAIN, isUnreached: true }] } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610006e0c50800000000000029400000000000406f400000000100000000046e32000000000000000000000000',
   ],
   [
     'gossip of a machine that is only slow',
-    { gossip: { ...QUIET, machines: [{ ...PLAIN, isSlow: true }] } },
+    { kind: 'gossip', payload: { ...QUIET, machines: [{ ...PLAIN, isSlow: true }] } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610006e0c50800000000000029400000000000406f400000000001000000046e32000000000000000000000000',
   ],
   [
     'gossip of a machine that is only mute',
-    { gossip: { ...QUIET, machines: [{ ...PLAIN, isMute: true }] } },
+    { kind: 'gossip', payload: { ...QUIET, machines: [{ ...PLAIN, isMute: true }] } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610006e0c50800000000000029400000000000406f400000000000010000046e32000000000000000000000000',
   ],
   [
     'gossip of a machine that is only reclaimable',
-    { gossip: { ...QUIET, machines: [{ ...PLAIN, isSpot: true }] } },
+    { kind: 'gossip', payload: { ...QUIET, machines: [{ ...PLAIN, isSpot: true }] } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610106e0c50800000000000029400000000000406f400000000000000000046e32000000000000000000000000',
   ],
   [
     'gossip with only the flag withoutStore',
-    { gossip: { ...QUIET, machines: [], isWithoutStore: true } },
+    { kind: 'gossip', payload: { ...QUIET, machines: [], isWithoutStore: true } },
     '02046e3000000000004ced400000000000d06240010000000000c9ed400000540096c5f88cd58d06220000000000000000000000000000',
   ],
   [
     'gossip with only the flag loaded',
-    { gossip: { ...QUIET, machines: [], isLoaded: true } },
+    { kind: 'gossip', payload: { ...QUIET, machines: [], isLoaded: true } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400001540096c5f88cd58d06220000000000000000000000000000',
   ],
   [
     'gossip with only the flag whole',
-    { gossip: { ...QUIET, machines: [], isSnapshot: true } },
+    { kind: 'gossip', payload: { ...QUIET, machines: [], isSnapshot: true } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d06220100000000000000000000000000',
   ],
   [
     'gossip with only the flag wants',
-    { gossip: { ...QUIET, machines: [], wantsSnapshot: true } },
+    { kind: 'gossip', payload: { ...QUIET, machines: [], wantsSnapshot: true } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d06220001000000000000000000000000',
   ],
   [
     'relay',
-    { relay: { node: 'n1', id: 300, status: '{"Host":"i-000001"}' } },
+    { kind: 'forwarded_heartbeat', payload: { node: 'n1', id: 300, status: '{"Host":"i-000001"}' } },
     '0002046e31d804267b22486f7374223a22692d303030303031227d00000000',
   ],
   [
     'answer to a relay',
-    { relayAnswer: { node: 'n2', id: 300, status: 421, body: '{"Steward":"n0"}' } },
+    { kind: 'forwarded_heartbeat_answer', payload: { node: 'n2', id: 300, status: 421, body: '{"Steward":"n0"}' } },
     '000002046e32d804ca06207b2253746577617264223a226e30227d000000',
   ],
   [
     'news',
     {
-      news: {
+      kind: 'record_delta',
+      payload: {
         changes: [
           { key: 'live/team/red', value: '{"cpus":4}', modRevision: 99 },
           { key: 'live/job/j-1', value: null, modRevision: 100 },
@@ -167,19 +163,24 @@
     },
     '00000002041a6c6976652f7465616d2f72656402147b2263707573223a347dc601186c6976652f6a6f622f6a2d3100c801000000',
   ],
-  ['ask', { ask: { node: 'n1', from: 1000, after: 2000 } }, '0000000002046e31d00fa01f00'],
+  [
+    'ask',
+    { kind: 'delta_request', payload: { node: 'n1', fromRevision: 1000, afterRevision: 2000 } },
+    '0000000002046e31d00fa01f00',
+  ],
   [
     'delta with more to come',
     {
-      delta: {
+      kind: 'replica_delta',
+      payload: {
         node: 'n2',
         incarnation: 13428899909963,
         version: 42,
-        from: 1000,
-        after: 2000,
-        last: 3000,
+        fromRevision: 1000,
+        afterRevision: 2000,
+        lastRevision: 3000,
         isComplete: false,
-        upTo: 4000,
+        completeRevision: 4000,
         changes: [
           { key: 'live/team/red', value: '{"cpus":4}', modRevision: 3000 },
           { key: 'live/job/j-1', value: null, modRevision: 2999 },
@@ -191,15 +192,16 @@
   [
     'empty delta that ends',
     {
-      delta: {
+      kind: 'replica_delta',
+      payload: {
         node: 'n2',
         incarnation: 1,
         version: 42,
-        from: 1000,
-        after: 2000,
-        last: 2000,
+        fromRevision: 1000,
+        afterRevision: 2000,
+        lastRevision: 2000,
         isComplete: true,
-        upTo: 4000,
+        completeRevision: 4000,
         changes: [],
       },
     },
@@ -208,7 +210,8 @@
   [
     'follow request of the standby stream',
     {
-      stream: {
+      kind: 'standby_stream',
+      payload: {
         follow: {
           node: 'n1',
           incarnation: 13428899909963,
@@ -223,7 +226,8 @@
   [
     'snapshot batch of the standby stream, with every kind of entry',
     {
-      stream: {
+      kind: 'standby_stream',
+      payload: {
         batch: {
           node: 'n0',
           incarnation: 29077790030248,
@@ -248,7 +252,8 @@
   [
     'empty batch of the standby stream',
     {
-      stream: {
+      kind: 'standby_stream',
+      payload: {
         batch: {
           node: 'n0',
           incarnation: 1,
--- a/test/gossip/message-encoding.test.ts
+++ b/test/gossip/message-encoding.test.ts
@@ -1,14 +1,15 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { decodeMessage, encodeMessage, type Gossip, type Message } from '../../src/gossip/messages.js';
+import { decodeMessage, encodeMessage } from '../../src/gossip/message-codec.js';
+import type { Gossip, Message } from '../../src/gossip/messages.js';
 
 const gossip: Gossip = {
   node: 'n0',
-  upMs: 1,
-  freshAgeMs: 2,
+  uptimeMs: 1,
+  replicaAgeMs: 2,
   isWithoutStore: false,
-  clock: 3,
-  echo: { incarnation: 4, clock: 5 },
+  clockMs: 3,
+  echo: { incarnation: 4, clockMs: 5 },
   isLoaded: true,
   version: 6,
   reachablePeers: ['n1'],
@@ -26,8 +27,8 @@
       isSpot: true,
       agentEpoch: 1,
       sequence: 2,
-      heardAgeMs: 3,
-      knownAgeMs: 0,
+      heartbeatAgeMs: 3,
+      stateAgeMs: 0,
       spotNoticeMs: null,
       isQuarantined: false,
       isBackingOff: false,
@@ -39,25 +40,34 @@
       partitionLeader: 'n0',
     },
   ],
-  unchanged: { numbers: [1], heardAgesMs: [2], sequences: [3] },
+  unchanged: { numbers: [1], heartbeatAgesMs: [2], sequences: [3] },
   misroutedHeartbeats: [{ machineId: 'i-2', ageMs: 9 }],
   avoidedRoles: ['part-1'],
-  terminated: ['i-3'],
+  terminatedMachines: ['i-3'],
 };
 
 /** Controllers of two versions run side by side while a deployment is renewed: renaming a field must not move a byte. */
 const ENCODED: [name: string, message: Message, hex: string][] = [
   [
     'gossip',
-    { gossip },
+    { kind: 'gossip', payload: gossip },
     '02046e30000000000000f03f000000000000004000000000000000084002080000000000001440010c02046e31000e1001000206692d310006653a310463380261010204000000000000084000000000000000000000000100000206696d670000046e30000202000204000206000206692d32000000000000224000020c706172742d31000206692d33000000000000',
   ],
-  ['relay', { relay: { node: 'n0', id: 1, status: '{}' } }, '0002046e3002047b7d00000000'],
-  ['relayed answer', { relayAnswer: { node: 'n0', id: 1, status: 200, body: '{}' } }, '000002046e30029003047b7d000000'],
+  [
+    'relay',
+    { kind: 'forwarded_heartbeat', payload: { node: 'n0', id: 1, status: '{}' } },
+    '0002046e3002047b7d00000000',
+  ],
+  [
+    'relayed answer',
+    { kind: 'forwarded_heartbeat_answer', payload: { node: 'n0', id: 1, status: 200, body: '{}' } },
+    '000002046e30029003047b7d000000',
+  ],
   [
     'news',
     {
-      news: {
+      kind: 'record_delta',
+      payload: {
         changes: [
           { key: 'live/a', value: '1', modRevision: 2 },
           { key: 'live/b', value: null, modRevision: 3 },
@@ -66,19 +76,24 @@
     },
     '00000002040c6c6976652f61020231040c6c6976652f620006000000',
   ],
-  ['ask', { ask: { node: 'n0', from: 1, after: 2 } }, '0000000002046e30020400'],
+  [
+    'ask',
+    { kind: 'delta_request', payload: { node: 'n0', fromRevision: 1, afterRevision: 2 } },
+    '0000000002046e30020400',
+  ],
   [
     'delta',
     {
-      delta: {
+      kind: 'replica_delta',
+      payload: {
         node: 'n0',
         incarnation: 1,
         version: 2,
-        from: 3,
-        after: 4,
-        last: 5,
+        fromRevision: 3,
+        afterRevision: 4,
+        lastRevision: 5,
         isComplete: true,
-        upTo: 6,
+        completeRevision: 6,
         changes: [{ key: 'live/a', value: '1', modRevision: 2 }],
       },
     },
--- a/test/gossip/replica-freshness.test.ts
+++ b/test/gossip/replica-freshness.test.ts
@@ -25,17 +25,26 @@
 });
 const drop = (key: string, modRevision: number) => ({ key: `live/${key}`, value: undefined, modRevision });
 
+/** Of one of the nodes n0 and n1, whose only peer is the other. */
+const freshnessOf = (
+  node: 'n0' | 'n1',
+  incarnation: number,
+  replica: Replica,
+  send: (node: string, message: Message) => void,
+): ReplicaFreshness =>
+  new ReplicaFreshness({ node, peers: [node === 'n0' ? 'n1' : 'n0'], incarnation, replica, clock, send });
+
 /** Links two copies as nodes do, and lets the first bring its own up from the second; counts the messages that tell of records. */
 function bringUp(to: Replica, from: Replica, between: (message: Message) => void = () => undefined): number {
   let told = 0;
   const carry: Message[] = [];
-  const mine = new ReplicaFreshness('n0', ['n1'], 5, to, clock, (_, message) => carry.push(message));
-  const peers = new ReplicaFreshness('n1', ['n0'], 7, from, clock, (_, message) => carry.push(message));
+  const mine = freshnessOf('n0', 5, to, (_, message) => carry.push(message));
+  const peers = freshnessOf('n1', 7, from, (_, message) => carry.push(message));
   mine.applyGossip(gossip({ version: from.version }));
   for (let message = carry.shift(); message !== undefined; message = carry.shift()) {
     assert.ok(++told < 1000, 'it comes to an end');
-    if ('ask' in message) peers.answerDeltaRequest(message.ask);
-    else if ('delta' in message) mine.applyDelta(message.delta);
+    if (message.kind === 'delta_request') peers.answerDeltaRequest(message.payload);
+    else if (message.kind === 'replica_delta') mine.applyDelta(message.payload);
     between(message);
   }
   return told / 2;
@@ -47,8 +56,8 @@
     incarnation: 7,
     version: 0,
     isLoaded: true,
-    clock: 1,
-    freshAgeMs: 0,
+    clockMs: 1,
+    replicaAgeMs: 0,
     echo: null,
     ...fields,
   }) as Gossip;
@@ -95,15 +104,14 @@
     peer.apply(set('job/a', 3));
     peer.completeTo(3);
     const held: Message[] = [];
-    new ReplicaFreshness('n1', ['n0'], 7, peer, clock, (_, message) => held.push(message)).answerDeltaRequest({
+    freshnessOf('n1', 7, peer, (_, message) => held.push(message)).answerDeltaRequest({
       node: 'n0',
-      from: 0,
-      after: 0,
+      fromRevision: 0,
+      afterRevision: 0,
     });
     mine.completeTo(9);
     for (const message of held) {
-      if ('delta' in message)
-        new ReplicaFreshness('n0', ['n1'], 5, mine, clock, () => undefined).applyDelta(message.delta);
+      if (message.kind === 'replica_delta') freshnessOf('n0', 5, mine, () => undefined).applyDelta(message.payload);
     }
     assert.equal(held.length, 1);
     assert.equal(mine.get('live/job/a').value, undefined);
@@ -116,7 +124,8 @@
     for (let modRevision = 1; modRevision < 30; modRevision++) peer.apply(set(`job/${modRevision}`, modRevision));
     peer.completeTo(30);
     bringUp(mine, peer, (message) => {
-      if ('delta' in message && message.delta.after > 0) peer.applyFromPeer(set('job/late', 31));
+      if (message.kind === 'replica_delta' && message.payload.afterRevision > 0)
+        peer.applyFromPeer(set('job/late', 31));
     });
     assert.equal(mine.revision, 0);
     bringUp(mine, peer);
@@ -126,26 +135,26 @@
 });
 
 describe('the word of a peer', () => {
-  const ready = () => new ReplicaFreshness('n0', ['n1'], 5, copy(), clock, () => undefined);
+  const ready = () => freshnessOf('n0', 5, copy(), () => undefined);
   const merge = (replicaFreshness: ReplicaFreshness) =>
     replicaFreshness.applyDelta({
       node: 'n1',
       incarnation: 7,
       version: 0,
-      from: 0,
-      after: 0,
-      last: 0,
+      fromRevision: 0,
+      afterRevision: 0,
+      lastRevision: 0,
       isComplete: true,
-      upTo: 0,
+      completeRevision: 0,
       changes: [],
     });
 
   it('counts from the moment of our own clock that it echoes, however late it comes', () => {
     const replicaFreshness = ready();
     merge(replicaFreshness);
-    replicaFreshness.applyGossip(gossip({ echo: { incarnation: 5, clock: 400 } }));
+    replicaFreshness.applyGossip(gossip({ echo: { incarnation: 5, clockMs: 400 } }));
     assert.equal(replicaFreshness.completeAsOf(), 400);
-    replicaFreshness.applyGossip(gossip({ echo: { incarnation: 5, clock: 300 } }));
+    replicaFreshness.applyGossip(gossip({ echo: { incarnation: 5, clockMs: 300 } }));
     assert.equal(replicaFreshness.completeAsOf(), 400);
   });
 
@@ -153,10 +162,10 @@
     const replicaFreshness = ready();
     merge(replicaFreshness);
     replicaFreshness.applyGossip(gossip({}));
-    replicaFreshness.applyGossip(gossip({ echo: { incarnation: 4, clock: 400 } }));
-    replicaFreshness.applyGossip(gossip({ echo: { incarnation: 5, clock: 400 }, isLoaded: false }));
-    replicaFreshness.applyGossip(gossip({ echo: { incarnation: 5, clock: 400 }, version: 1 }));
-    replicaFreshness.applyGossip(gossip({ echo: { incarnation: 5, clock: 400 }, incarnation: 8 }));
+    replicaFreshness.applyGossip(gossip({ echo: { incarnation: 4, clockMs: 400 } }));
+    replicaFreshness.applyGossip(gossip({ echo: { incarnation: 5, clockMs: 400 }, isLoaded: false }));
+    replicaFreshness.applyGossip(gossip({ echo: { incarnation: 5, clockMs: 400 }, version: 1 }));
+    replicaFreshness.applyGossip(gossip({ echo: { incarnation: 5, clockMs: 400 }, incarnation: 8 }));
     assert.equal(replicaFreshness.completeAsOf(), -Infinity);
   });
 });
--- a/test/program/startup-snapshot.test.ts
+++ b/test/program/startup-snapshot.test.ts
@@ -7,7 +7,7 @@
 import { after, before, describe, it } from 'node:test';
 import { parse } from 'smol-toml';
 import { FrameDecoder } from '../../src/gossip/frames.js';
-import { decodeMessage } from '../../src/gossip/messages.js';
+import { decodeMessage } from '../../src/gossip/message-codec.js';
 
 const MAX_MESSAGE_BYTES = 1 << 20;
 /** Nothing listens there: the controller has neither store nor cloud. */
@@ -23,7 +23,7 @@
     socket.on('error', () => socket.destroy());
     socket.on('data', (bytes) => {
       for (const message of frames.push(bytes).map(decodeMessage))
-        if ('gossip' in message) hear(message.gossip.incarnation);
+        if (message.kind === 'gossip') hear(message.payload.incarnation);
     });
   });
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
