--- a/src/scheduling/placement-planner.ts
+++ b/src/scheduling/placement-planner.ts
@@ -5,9 +5,6 @@
   PLAN_GATHER_MS,
   SAMPLE_TASKS_OF_JOB,
   PLAN_TICK_MS,
-  RUN_TIME_RATIO_WEIGHT,
-  RETRY_BASE_MS,
-  RETRY_MAX_MS,
   URGENT_PLANNING_TIME_SHARE,
   PLANNING_TIME_SHARE,
 } from '../constants/scheduling.js';
@@ -35,6 +32,8 @@
 } from './decisions/queue-order.js';
 import { startPriority } from '../records/transaction-priority.js';
 import { GangAttempts } from './gang-attempts.js';
+import { RetryBackoff } from './retry-backoff.js';
+import { RunTimeRatios } from './run-time-ratios.js';
 import { type PendingTask, TaskPlacer } from './task-placer.js';
 import { CandidateMachineIndex, type CandidateMachines } from './candidate-machines.js';
 import type { RoleLeadership } from '../leadership/role-leadership.js';
@@ -85,10 +84,9 @@
   private readonly inFlight = new Map<string, InFlightStart>();
   /** The flying shards of each job. */
   private readonly inFlightTasks = new Map<string, Set<number>>();
-  /** Run time over estimate, by class. */
-  private readonly ratios = new Map<string, number>();
+  private readonly runTimeRatios = new RunTimeRatios();
   private readonly gangs: GangAttempts;
-  private readonly failures = new Map<string, { failures: number; until: number }>();
+  private readonly retryBackoff = new RetryBackoff();
   private readonly teams: Map<string, Team>;
   private readonly taskPlacer: TaskPlacer;
   private signal: AbortSignal | undefined;
@@ -132,9 +130,7 @@
 
   /** A task has run to its end: estimates of a class are often wrong all in the same direction. */
   learnRunTime(spec: JobSpec, ranS: number): void {
-    if (spec.estimatedRunS <= 0) return;
-    const old = this.ratios.get(spec.jobClass) ?? 1;
-    this.ratios.set(spec.jobClass, old + RUN_TIME_RATIO_WEIGHT * (Math.min(ranS / spec.estimatedRunS, 4) - old));
+    this.runTimeRatios.record(spec, ranS);
   }
 
   /** A job has another rank: its starts that wait for their turn follow. */
@@ -192,14 +188,6 @@
     return uses;
   }
 
-  private pausedUntil(name: string, placement: PendingTask['placement'], now: number): number {
-    const known = this.failures.get(name);
-    if (known?.failures === placement.failures) return known.until;
-    const until = now + Math.min(RETRY_MAX_MS, RETRY_BASE_MS * 2 ** (placement.failures - 1));
-    this.failures.set(name, { failures: placement.failures, until });
-    return until;
-  }
-
   /** The waiting shards of a job, in order; for a gang all or none. */
   pendingTasksOf(view: JobView, most = MAX_PLAN_TASKS): PendingTask[] {
     const { spec, state } = view.record;
@@ -214,7 +202,8 @@
       const open = placement.kind === 'queued' && flying?.has(taskIndex) !== true;
       if (
         !open ||
-        (placement.failures > 0 && this.pausedUntil(taskIdOf(view.jobId, taskIndex), placement, now) > now)
+        (placement.failures > 0 &&
+          this.retryBackoff.isBackingOff(taskIdOf(view.jobId, taskIndex), placement.failures, now))
       ) {
         if (gang) return [];
         continue;
@@ -237,7 +226,7 @@
       if (team === undefined) continue;
       const use = uses.get(spec.team) ?? { cpus: 0, gpus: 0 };
       const open = spec.taskCount - view.done - view.placed;
-      const needS = spec.estimatedRunS * (this.ratios.get(spec.jobClass) ?? 1);
+      const needS = this.runTimeRatios.expectedRunS(spec);
       list.push({
         record: view.record,
         isGuaranteed: isWithinGuarantee(team, use, spec),
@@ -438,7 +427,7 @@
 
   private round(): void {
     const began = this.clock.now();
-    for (const [name, failure] of this.failures) if (began > failure.until + RETRY_MAX_MS) this.failures.delete(name);
+    this.retryBackoff.prune(began);
     this.gangs.prune((jobId) => this.clusterState.jobs.has(jobId));
     this.plan();
     const now = this.clock.now();
