--- a/src/scheduling/candidate-machines.ts
+++ b/src/scheduling/candidate-machines.ts
@@ -5,31 +5,31 @@
 
 /** Machines that a kind of job may use, and what is known to fit on none of them. */
 export class CandidateMachines {
-  private readonly full: Resources[] = [];
+  private readonly unplaceable: Resources[] = [];
 
   constructor(readonly machines: readonly MachineInfo[]) {}
 
   /** Room only shrinks during a run: where a task has found none, one as large or larger finds none either. */
   isFull(spec: JobSpec): boolean {
-    return this.full.some(
+    return this.unplaceable.some(
       ({ cpus, gpus, memoryGb }) => spec.cpus >= cpus && spec.gpus >= gpus && spec.memoryGb >= memoryGb,
     );
   }
 
-  noteFull(spec: JobSpec): void {
-    this.full.push(resourcesOf(spec));
+  recordFull(spec: JobSpec): void {
+    this.unplaceable.push(resourcesOf(spec));
   }
 }
 
-interface Kind {
+interface MachineKind {
   allowed: CandidateMachines;
   /** By partition: its machines, and all others. */
-  partitions: Map<number, { near: CandidateMachines; far: CandidateMachines }>;
+  partitions: Map<number, { local: CandidateMachines; remote: CandidateMachines }>;
 }
 
 /** The open machines of one planner run, sorted once for all jobs that ask for the same kind of machine. */
 export class CandidateMachineIndex {
-  private readonly kinds = new Map<string, Kind>();
+  private readonly kinds = new Map<string, MachineKind>();
   private readonly partitions: Map<string, number>;
 
   constructor(
@@ -39,7 +39,7 @@
     this.partitions = new Map(machines.map((machine) => [machine.machineId, partitionOf(machine.machineId)]));
   }
 
-  private kind(spec: JobSpec): Kind {
+  private kindOf(spec: JobSpec): MachineKind {
     const key = `${spec.machineTypes?.join(',') ?? '*'} ${spec.zone ?? '*'} ${spec.allowsSpot}`;
     let kind = this.kinds.get(key);
     if (kind === undefined) {
@@ -51,18 +51,18 @@
 
   /** The machines that a task of the job may ever run on. */
   allowed(spec: JobSpec): CandidateMachines {
-    return this.kind(spec).allowed;
+    return this.kindOf(spec).allowed;
   }
 
   /** The same, those of a partition apart from the others. */
-  split(spec: JobSpec, partition: number): { near: CandidateMachines; far: CandidateMachines } {
-    const { allowed, partitions } = this.kind(spec);
+  split(spec: JobSpec, partition: number): { local: CandidateMachines; remote: CandidateMachines } {
+    const { allowed, partitions } = this.kindOf(spec);
     let split = partitions.get(partition);
     if (split === undefined) {
-      const isNear = (machine: MachineInfo) => this.partitions.get(machine.machineId) === partition;
-      const near = new CandidateMachines(allowed.machines.filter(isNear));
-      const far = new CandidateMachines(allowed.machines.filter((machine) => !isNear(machine)));
-      partitions.set(partition, (split = { near, far }));
+      const isLocal = (machine: MachineInfo) => this.partitions.get(machine.machineId) === partition;
+      const local = new CandidateMachines(allowed.machines.filter(isLocal));
+      const remote = new CandidateMachines(allowed.machines.filter((machine) => !isLocal(machine)));
+      partitions.set(partition, (split = { local, remote }));
     }
     return split;
   }
--- a/src/scheduling/decisions/eviction-options.ts
+++ b/src/scheduling/decisions/eviction-options.ts
@@ -9,47 +9,48 @@
   spec: JobSpec;
 }
 
-/** A machine as a field of tasks that could be stopped: its free room, and its tasks, the cheapest to stop first. */
+/** A machine with its free resources and the tasks on it that could be evicted, the cheapest to evict first. */
 export interface MachineLoad<M extends Machine & { images: readonly string[] }> {
   machine: M;
-  room: Resources;
+  free: Resources;
   tasks: EvictionCandidate[];
 }
 
-export interface EvictionOption<F> {
-  load: F;
+export interface EvictionOption<L> {
+  load: L;
   evicted: EvictionCandidate[];
   cost: number;
 }
 
 export const priorityIndexOf = (spec: JobSpec): number => JOB_PRIORITIES.indexOf(spec.priority);
 
-/** Lowest rank first, then the shortest by its owner's estimate. */
-export const cheapestFirst = (a: EvictionCandidate, b: EvictionCandidate): number =>
+/** Lowest priority first, then the shortest by its estimated run time. */
+export const compareEvictionCost = (a: EvictionCandidate, b: EvictionCandidate): number =>
   priorityIndexOf(b.spec) - priorityIndexOf(a.spec) || a.spec.estimatedRunS - b.spec.estimatedRunS;
 
-/** What it costs to make room for one task on a machine, or undefined where that can't be done. */
-export function findEvictionOption<F extends MachineLoad<Machine & { images: readonly string[] }>>(
+/** The tasks to evict so that one task fits on the machine, with the cost; undefined where that is impossible. */
+export function findEvictionOption<L extends MachineLoad<Machine & { images: readonly string[] }>>(
   spec: JobSpec,
-  load: F,
-  mayStop: (victim: JobSpec) => boolean,
-  coldCost: number,
-): EvictionOption<F> | undefined {
+  load: L,
+  canEvict: (candidate: JobSpec) => boolean,
+  imageFetchCost: number,
+): EvictionOption<L> | undefined {
   if (!isAllowedOn(spec, load.machine)) return undefined;
-  const room = { ...load.room };
+  const free = { ...load.free };
   const evicted: EvictionCandidate[] = [];
-  let cost = load.machine.images.includes(spec.image) ? 0 : coldCost;
-  for (const victim of load.tasks) {
-    if (fits(spec, room)) break;
-    if (!mayStop(victim.spec)) continue;
-    evicted.push(victim);
-    subtractResources(room, victim.spec, -1);
-    cost += (JOB_PRIORITIES.length - priorityIndexOf(victim.spec)) * (victim.spec.checkpointIntervalS > 0 ? 1 : 2);
+  let cost = load.machine.images.includes(spec.image) ? 0 : imageFetchCost;
+  for (const candidate of load.tasks) {
+    if (fits(spec, free)) break;
+    if (!canEvict(candidate.spec)) continue;
+    evicted.push(candidate);
+    subtractResources(free, candidate.spec, -1);
+    cost +=
+      (JOB_PRIORITIES.length - priorityIndexOf(candidate.spec)) * (candidate.spec.checkpointIntervalS > 0 ? 1 : 2);
   }
-  return fits(spec, room) ? { load, evicted, cost } : undefined;
+  return fits(spec, free) ? { load, evicted, cost } : undefined;
 }
 
-/** Specs with the same signature ask the same of a machine, its images apart. */
+/** Jobs with the same key have the same requirements of a machine, cached images apart. */
 export const requirementKeyOf = (spec: JobSpec): string =>
   [
     spec.priority,
--- a/src/scheduling/decisions/happiness.ts
+++ b/src/scheduling/decisions/happiness.ts
@@ -1,6 +1,6 @@
 interface Check {
   at: number;
-  healthy: boolean;
+  isHealthy: boolean;
 }
 
 /** Happiness of service tasks: healthy checks over all checks in a window. */
@@ -10,10 +10,10 @@
 
   constructor(private readonly windowMs: number) {}
 
-  note(task: string, healthy: boolean, at: number): void {
+  note(task: string, isHealthy: boolean, at: number): void {
     let list = this.checks.get(task);
     if (list === undefined) this.checks.set(task, (list = []));
-    list.push({ at, healthy });
+    list.push({ at, isHealthy });
     while (list.length > 0 && list[0]!.at < at - this.windowMs) list.shift();
   }
 
@@ -21,24 +21,24 @@
   happinessOf(task: string, now: number): number | undefined {
     const list = (this.checks.get(task) ?? []).filter((check) => check.at >= now - this.windowMs);
     if (list.length === 0) return undefined;
-    return list.filter((check) => check.healthy).length / list.length;
+    return list.filter((check) => check.isHealthy).length / list.length;
   }
 
   /** Tasks with unhealthy checks in the window: what a successor could not learn from the next reports. */
   *troubled(now: number): Iterable<{ task: string; healthy: number; unhealthy: number; lastAt: number }> {
     for (const [task, list] of this.checks) {
       const recent = list.filter((check) => check.at >= now - this.windowMs);
-      const healthy = recent.filter((check) => check.healthy).length;
+      const healthy = recent.filter((check) => check.isHealthy).length;
       const lastAt = recent.at(-1)?.at;
       if (lastAt !== undefined && healthy < recent.length)
         yield { task, healthy, unhealthy: recent.length - healthy, lastAt };
     }
   }
 
-  /** Takes in what a former holder has counted; the checks all count as made at its last one. */
+  /** Takes in what a former leader has counted; the checks all count as made at its last one. */
   restore(task: string, healthy: number, unhealthy: number, at: number): void {
     const restored: Check[] = [];
-    for (let n = 0; n < healthy + unhealthy; n++) restored.push({ at, healthy: n < healthy });
+    for (let n = 0; n < healthy + unhealthy; n++) restored.push({ at, isHealthy: n < healthy });
     this.checks.set(task, [...restored, ...(this.checks.get(task) ?? [])]);
   }
 
--- a/src/scheduling/decisions/queue-order.ts
+++ b/src/scheduling/decisions/queue-order.ts
@@ -10,12 +10,12 @@
   isGuaranteed: boolean;
   /** Can it still be complete in time, if its tasks start now? */
   isFeasible: boolean;
-  /** CPU seconds that its waiting tasks will take, by its owner's estimate. */
+  /** CPU seconds that its waiting tasks will take, by its estimated run time. */
   remainingCpuS: number;
   /** None of its tasks has begun, and it has waited for longer than any job should. */
   isOverdue: boolean;
   /** Time of day, ms, by which it must start for the sake of the pipeline that it is part of; Infinity: of none, or no matter. */
-  startBy: number;
+  startByMs: number;
 }
 
 /** The resource by which a job counts against its team's guarantee; 0 means that the team has none of that kind. */
@@ -25,20 +25,20 @@
 }
 
 /** Does one more task of the job fit into the team's guarantee? */
-export function isWithinGuarantee(team: Team, use: TeamUsage, spec: JobSpec): boolean {
-  const kind = guaranteedResourceOf(team, spec);
-  return kind !== undefined && use[kind] + spec[kind] <= team.guaranteed[kind];
+export function isWithinGuarantee(team: Team, usage: TeamUsage, spec: JobSpec): boolean {
+  const resource = guaranteedResourceOf(team, spec);
+  return resource !== undefined && usage[resource] + spec[resource] <= team.guaranteed[resource];
 }
 
 /** A team whose unfinished jobs all fit into its guarantee together need not wait for others; `demand` counts them all. */
 export function isOwedGuarantee(team: Team, demand: TeamUsage, spec: JobSpec): boolean {
-  const kind = guaranteedResourceOf(team, spec);
-  return kind !== undefined && demand[kind] <= team.guaranteed[kind];
+  const resource = guaranteedResourceOf(team, spec);
+  return resource !== undefined && demand[resource] <= team.guaranteed[resource];
 }
 
 /** May such a task be stopped for another's guarantee of that kind: does its team keep its own even without it? */
-export const isBorrowed = (team: Team, use: TeamUsage, spec: JobSpec, kind: 'cpus' | 'gpus'): boolean =>
-  spec[kind] > 0 && use[kind] - spec[kind] >= team.guaranteed[kind];
+export const isBorrowed = (team: Team, usage: TeamUsage, spec: JobSpec, resource: 'cpus' | 'gpus'): boolean =>
+  spec[resource] > 0 && usage[resource] - spec[resource] >= team.guaranteed[resource];
 
 /**
  * Times of day, ms, by which the operators want a job to be complete. Deadlines count from its submission, however long it
@@ -61,43 +61,43 @@
 }
 
 /** Can one of the targets still be met by a job whose last task needs that long? With no target there is no hurry to lose. */
-export const isFeasible = (targets: readonly number[], needS: number, wall: number): boolean =>
-  targets.length === 0 || targets.some((target) => target >= wall + needS * 1000);
+export const isFeasible = (targets: readonly number[], runS: number, nowMs: number): boolean =>
+  targets.length === 0 || targets.some((target) => target >= nowMs + runS * 1000);
 
 /**
- * Time of day, ms, by which a job of a pipeline must start; Infinity for all others. `finishBy`: when it must be complete for
+ * Time of day, ms, by which a job of a pipeline must start; Infinity for all others. `finishByMs`: when it must be complete for
  * the sake of the jobs that need it.
  */
-export function startByOf({ spec, submittedAtMs, releasedAtMs }: JobRecord, finishBy: number, needS: number): number {
-  const isLast = finishBy === Infinity && releasedAtMs !== undefined && spec.deadlineS !== null;
-  return (isLast ? submittedAtMs + spec.deadlineS! * 1000 : finishBy) - needS * 1000;
+export function startByOf({ spec, submittedAtMs, releasedAtMs }: JobRecord, finishByMs: number, runS: number): number {
+  const isLast = finishByMs === Infinity && releasedAtMs !== undefined && spec.deadlineS !== null;
+  return (isLast ? submittedAtMs + spec.deadlineS! * 1000 : finishByMs) - runS * 1000;
 }
 
-/** An overdue array stands among those of rank normal, if its own is lower. */
+/** An overdue array has at least priority normal. */
 const effectivePriorityIndex = ({ isOverdue, record }: QueuedJob): number => {
-  const rank = JOB_PRIORITIES.indexOf(record.spec.priority);
-  return isOverdue ? Math.min(rank, JOB_PRIORITIES.indexOf('normal')) : rank;
+  const priority = JOB_PRIORITIES.indexOf(record.spec.priority);
+  return isOverdue ? Math.min(priority, JOB_PRIORITIES.indexOf('normal')) : priority;
 };
 
 /**
- * Who goes first: rank; gangs and services before arrays; guarantees; then jobs that can still be in time before those
+ * Order of the queue: priority; gangs and services before arrays; guarantees; then jobs that can still be in time before those
  * that can't, and among these the ones with the least work left, since that gets the most jobs done in time when more is
  * asked than can be done; then the older. Of arrays in a pipeline with a deadline, the one goes first that must start first.
  * But arrays that should have begun long ago come before other arrays, up to those
- * of rank normal, with a few tasks each: by the rest of the order the largest and the lowest might never begin under load.
+ * of priority normal, with a few tasks each: by the rest of the order the largest and the lowest might never begin under load.
  */
 export function compareQueuedJobs(a: QueuedJob, b: QueuedJob): number {
-  const rank = effectivePriorityIndex(a) - effectivePriorityIndex(b);
-  if (rank !== 0) return rank;
-  const batch = Number(a.record.spec.kind === 'array') - Number(b.record.spec.kind === 'array');
-  if (batch !== 0) return batch;
+  const priority = effectivePriorityIndex(a) - effectivePriorityIndex(b);
+  if (priority !== 0) return priority;
+  const kindDifference = Number(a.record.spec.kind === 'array') - Number(b.record.spec.kind === 'array');
+  if (kindDifference !== 0) return kindDifference;
   if (a.isOverdue !== b.isOverdue) return a.isOverdue ? -1 : 1;
   if (a.isGuaranteed !== b.isGuaranteed) return a.isGuaranteed ? -1 : 1;
   if (a.isFeasible !== b.isFeasible) return a.isFeasible ? -1 : 1;
-  if (a.startBy !== b.startBy) return a.startBy - b.startBy;
+  if (a.startByMs !== b.startByMs) return a.startByMs - b.startByMs;
   if (a.record.spec.kind === 'array' && a.remainingCpuS !== b.remainingCpuS) return a.remainingCpuS - b.remainingCpuS;
-  const age = runnableSinceMs(a.record) - runnableSinceMs(b.record);
-  if (age !== 0) return age;
+  const ageDifferenceMs = runnableSinceMs(a.record) - runnableSinceMs(b.record);
+  if (ageDifferenceMs !== 0) return ageDifferenceMs;
   // Every node makes the whole plan: where orders differ, each leaves a team's room to a job that another node is to place.
   return a.record.spec.id < b.record.spec.id ? -1 : 1;
 }
--- a/src/scheduling/eviction-marker.ts
+++ b/src/scheduling/eviction-marker.ts
@@ -10,9 +10,9 @@
 import type { TransactionBatcher } from '../store/transaction-batcher.js';
 import type { Log } from '../logging/log.js';
 
-/** Marks places for stopping on the leader's behalf, and remembers which until the ledger shows it. */
+/** Marks tasks for eviction on the cluster leader's behalf, and remembers which until their records show it. */
 export class EvictionMarker {
-  private readonly stoppedAt = new Map<string, number>();
+  private readonly evictedAt = new Map<string, number>();
 
   constructor(
     private readonly leadership: RoleLeadership,
@@ -24,22 +24,22 @@
 
   /** Attempts that were lately asked to stop, with the steady ms. */
   *recentEvictions(): Iterable<{ attempt: string; at: number }> {
-    for (const [attempt, at] of this.stoppedAt) if (this.clock.now() - at < STOPPING_MS) yield { attempt, at };
+    for (const [attempt, at] of this.evictedAt) if (this.clock.now() - at < STOPPING_MS) yield { attempt, at };
   }
 
   /** A former leader has asked the attempt to stop. */
   restoreEviction(attempt: string, at: number): void {
-    if (!this.stoppedAt.has(attempt)) this.stoppedAt.set(attempt, at);
+    if (!this.evictedAt.has(attempt)) this.evictedAt.set(attempt, at);
   }
 
   isStopping(placedTask: PlacedTask): boolean {
     if (placedTask.placement.gracePeriodS !== null) return true;
-    if (this.stoppedAt.size === 0) return false;
-    const since = this.stoppedAt.get(attemptKeyOf(placedTask));
+    if (this.evictedAt.size === 0) return false;
+    const since = this.evictedAt.get(attemptKeyOf(placedTask));
     return since !== undefined && this.clock.now() - since < STOPPING_MS;
   }
 
-  evict(placedTask: PlacedTask, spec: JobSpec, gracePeriodS: number, why: string): void {
+  evict(placedTask: PlacedTask, spec: JobSpec, gracePeriodS: number, reason: string): void {
     const { jobId } = placedTask;
     // A gang stops whole: every member must be told within `gang_peer_s` of the first.
     const placedTasks: PlacedTask[] = [];
@@ -50,11 +50,11 @@
       }
     } else placedTasks.push(placedTask);
     const now = this.clock.now();
-    for (const [key, at] of this.stoppedAt) if (now - at > STOPPING_MS) this.stoppedAt.delete(key);
-    for (const each of placedTasks) this.stoppedAt.set(attemptKeyOf(each), now);
+    for (const [key, at] of this.evictedAt) if (now - at > STOPPING_MS) this.evictedAt.delete(key);
+    for (const each of placedTasks) this.evictedAt.set(attemptKeyOf(each), now);
     this.log.debug(
-      { job: jobId, machine: placedTask.placement.machineId, taskCount: placedTasks.length, gracePeriodS, why },
-      'stop',
+      { jobId, machineId: placedTask.placement.machineId, taskCount: placedTasks.length, gracePeriodS, reason },
+      'task eviction requested',
     );
     void this.transactions.commit(
       'stop',
--- a/src/scheduling/gang-attempts.ts
+++ b/src/scheduling/gang-attempts.ts
@@ -12,7 +12,7 @@
 
 export class GangAttempts {
   /** Steady ms since when a gang with members on their machines is seen to lack others. */
-  private readonly brokenSince = new Map<string, number>();
+  private readonly incompleteSince = new Map<string, number>();
 
   constructor(private readonly dependencies: GangAttemptsDependencies) {}
 
@@ -20,38 +20,41 @@
   attemptFor(view: JobView): number | undefined {
     const { workers, inventory, clock } = this.dependencies;
     // Members that are on their machines but have not started yet wait for a replacement under the same attempt.
-    let highest = 0;
-    let placed: number | undefined;
-    let heardAt = Infinity;
+    let highestAttempt = 0;
+    let placedAttempt: number | undefined;
+    let lastHeardAt = Infinity;
     for (const [, placement] of view.knownPlacements()) {
       if (placement.kind === 'done') return undefined;
-      highest = Math.max(highest, placement.attempt);
+      highestAttempt = Math.max(highestAttempt, placement.attempt);
       if (placement.kind === 'placed') {
-        if (placement.gracePeriodS !== null || (placed !== undefined && placed !== placement.attempt)) return undefined;
-        placed = placement.attempt;
-        heardAt = Math.min(heardAt, inventory.get(placement.machineId)?.heardAt ?? -Infinity);
+        if (placement.gracePeriodS !== null || (placedAttempt !== undefined && placedAttempt !== placement.attempt))
+          return undefined;
+        placedAttempt = placement.attempt;
+        lastHeardAt = Math.min(lastHeardAt, inventory.get(placement.machineId)?.heardAt ?? -Infinity);
       }
     }
-    if (placed === undefined) {
-      this.brokenSince.delete(view.jobId);
-      return highest + 1;
+    if (placedAttempt === undefined) {
+      this.incompleteSince.delete(view.jobId);
+      return highestAttempt + 1;
     }
     // Had it started, the others notice the loss and exit; only if they are seen to stay were they still waiting.
     const now = clock.now();
-    const since = this.brokenSince.get(view.jobId) ?? now;
-    this.brokenSince.set(view.jobId, since);
+    const since = this.incompleteSince.get(view.jobId) ?? now;
+    this.incompleteSince.set(view.jobId, since);
     const { gangPeerTimeoutMs, heartbeatIntervalMs } = workers;
     const noticedAt = since + gangPeerTimeoutMs + heartbeatIntervalMs;
-    return heardAt > noticedAt && now - since > gangPeerTimeoutMs + 3 * heartbeatIntervalMs ? placed : undefined;
+    return lastHeardAt > noticedAt && now - since > gangPeerTimeoutMs + 3 * heartbeatIntervalMs
+      ? placedAttempt
+      : undefined;
   }
 
   /** The gang is whole: its next loss is told anew. */
   forget(jobId: string): void {
-    this.brokenSince.delete(jobId);
+    this.incompleteSince.delete(jobId);
   }
 
   /** Forgets the gangs that are over. */
   prune(isLive: (jobId: string) => boolean): void {
-    for (const jobId of this.brokenSince.keys()) if (!isLive(jobId)) this.brokenSince.delete(jobId);
+    for (const jobId of this.incompleteSince.keys()) if (!isLive(jobId)) this.incompleteSince.delete(jobId);
   }
 }
--- a/src/scheduling/health-checks.ts
+++ b/src/scheduling/health-checks.ts
@@ -16,9 +16,9 @@
 
   /** A worker has reported: each task that it runs is healthy. */
   heartbeatReceived(workerStatus: WorkerStatus): void {
-    for (const [name, task] of workerStatus.tasks) {
-      const shard = parseTaskId(name);
-      if (shard !== undefined && task.state === 'running') this.note(shard.jobId, shard.taskIndex, true);
+    for (const [taskId, task] of workerStatus.tasks) {
+      const parsed = parseTaskId(taskId);
+      if (parsed !== undefined && task.state === 'running') this.note(parsed.jobId, parsed.taskIndex, true);
     }
   }
 
@@ -27,9 +27,9 @@
     this.note(jobId, taskIndex, false);
   }
 
-  private note(jobId: string, taskIndex: number, healthy: boolean): void {
+  private note(jobId: string, taskIndex: number, isHealthy: boolean): void {
     const { clusterState, happiness, clock } = this.dependencies;
     if (clusterState.jobs.get(jobId)?.record.spec.kind !== 'service') return;
-    happiness.note(taskIdOf(jobId, taskIndex), healthy, clock.now());
+    happiness.note(taskIdOf(jobId, taskIndex), isHealthy, clock.now());
   }
 }
--- a/src/scheduling/placement-planner.ts
+++ b/src/scheduling/placement-planner.ts
@@ -234,7 +234,7 @@
         remainingCpuS: open * spec.cpus * needS,
         isOverdue:
           spec.kind === 'array' && open === spec.taskCount && now - runnableSinceMs(view.record) > OVERDUE_START_MS,
-        startBy: startByOf(view.record, view.finishBy, needS),
+        startByMs: startByOf(view.record, view.finishBy, needS),
       });
     }
     return list.sort(compareQueuedJobs);
@@ -255,7 +255,7 @@
     const uses = this.teamUsages();
     const candidateIndex = new CandidateMachineIndex(machines, (machineId) => this.leadership.partitionOf(machineId));
     const unplaced: PendingTask[] = [];
-    this.taskPlacer.begin();
+    this.taskPlacer.beginPlan();
     for (const { record, isOverdue } of queuedJobs) {
       const { spec } = record;
       const partition = this.leadership.partitionOf(spec.id);
@@ -263,7 +263,7 @@
       const allowed = large ? candidateIndex.allowed(spec) : undefined;
       const split = large ? undefined : candidateIndex.split(spec, partition);
       // A full cluster is the usual case under load: only the leader needs to know who waits there.
-      const full = allowed?.isFull(spec) ?? (split!.near.isFull(spec) && split!.far.isFull(spec));
+      const full = allowed?.isFull(spec) ?? (split!.local.isFull(spec) && split!.remote.isFull(spec));
       if (full && !leader) continue;
       // Behind so many that wait already, a look at a few tells whether the job's tasks still fit somewhere.
       const whole = !isOverdue && (unplaced.length < MAX_UNPLACED || large);
@@ -276,10 +276,10 @@
         this.place(waiting, allowed, rooms, uses, leader ? CLUSTER_LEADER_ROLE : undefined, unplaced);
         continue;
       }
-      const { near, far } = split!;
+      const { local, remote } = split!;
       const left: PendingTask[] = [];
-      this.place(waiting, near, rooms, uses, partitions.has(partition) ? partitionRole(partition) : undefined, left);
-      this.place(left, far, rooms, uses, leader ? CLUSTER_LEADER_ROLE : undefined, unplaced);
+      this.place(waiting, local, rooms, uses, partitions.has(partition) ? partitionRole(partition) : undefined, left);
+      this.place(left, remote, rooms, uses, leader ? CLUSTER_LEADER_ROLE : undefined, unplaced);
     }
     if (leader) this.unplacedTasks = unplaced;
   }
@@ -381,12 +381,17 @@
           if (flying?.size === 0) this.inFlightTasks.delete(view.jobId);
           for (const name of names) {
             this.inFlight.delete(name);
-            if (outcome.kind === 'done') this.taskPlacer.placed(name);
+            if (outcome.kind === 'done') this.taskPlacer.forgetPreference(name);
           }
           if (outcome.kind === 'done') {
             const machineIds = [...new Set(group.map((choice) => choice.machine.machineId))];
-            const warm = group.filter(({ machine }) => machine.images.includes(view.record.spec.image)).length;
-            this.log.debug({ job: view.jobId, role, taskCount: names.length, warm, machines: machineIds }, 'placed');
+            const cachedImageCount = group.filter(({ machine }) =>
+              machine.images.includes(view.record.spec.image),
+            ).length;
+            this.log.debug(
+              { jobId: view.jobId, role, taskCount: names.length, cachedImageCount, machineIds },
+              'tasks placed',
+            );
           }
           this.planSoon();
         });
--- a/src/scheduling/preemptor.ts
+++ b/src/scheduling/preemptor.ts
@@ -10,7 +10,7 @@
 import type { Clock } from '../net/clock.js';
 import { guaranteedResourceOf, isBorrowed, isOwedGuarantee } from './decisions/queue-order.js';
 import {
-  cheapestFirst,
+  compareEvictionCost,
   findEvictionOption,
   priorityIndexOf,
   requirementKeyOf,
@@ -24,7 +24,7 @@
 
 type LoadedMachine = MachineLoad<MachineInfo>;
 
-/** Makes room for waiting work of a higher rank, or of a team that is owed it, by stopping what costs least. */
+/** Evicts the cheapest tasks for pending tasks of a higher priority, or of a team within its guarantee. */
 export class Preemptor {
   private readonly teams: Map<string, Team>;
   private pausedUntil = -Infinity;
@@ -41,62 +41,64 @@
   }
 
   round(): void {
-    const began = this.clock.now();
-    if (began < this.pausedUntil || this.planner.unplacedTasks.length === 0) return;
-    const stopped = this.makeRoom();
+    const startedAt = this.clock.now();
+    if (startedAt < this.pausedUntil || this.planner.unplacedTasks.length === 0) return;
+    const hasEvicted = this.evictForUnplacedTasks();
     const now = this.clock.now();
     // The exits of the last round must have been seen; and a full cluster must not take the processor for looking alone.
-    this.pausedUntil = now + Math.max(stopped ? PREEMPT_PERIOD_MS : 0, (now - began) * (1 / PLANNING_TIME_SHARE - 1));
+    this.pausedUntil =
+      now + Math.max(hasEvicted ? PREEMPT_PERIOD_MS : 0, (now - startedAt) * (1 / PLANNING_TIME_SHARE - 1));
   }
 
-  private makeRoom(): boolean {
-    const uses = this.planner.teamUsages();
-    const demands = this.demands();
-    const groups = new Map<string, PendingTask[]>();
-    const lowest = this.lowestPriorityIndex();
+  private evictForUnplacedTasks(): boolean {
+    const usages = this.planner.teamUsages();
+    const demands = this.teamDemands();
+    const pendingByJob = new Map<string, PendingTask[]>();
+    const lowestIndex = this.lowestPriorityIndex();
     for (const each of this.planner.unplacedTasks) {
       const { spec } = each.view.record;
       // Most of a full cluster waits behind its like: whom nobody could make room for is told apart before any machine
       // is looked at.
-      const isByPriority = spec.priority !== 'low' && priorityIndexOf(spec) < lowest;
-      if (each.placement.failures >= 2 || (!isByPriority && !this.mayReclaimAny(spec, demands, uses))) continue;
-      const group = groups.get(spec.id);
-      if (group === undefined) groups.set(spec.id, [each]);
+      const isByPriority = spec.priority !== 'low' && priorityIndexOf(spec) < lowestIndex;
+      if (each.placement.failures >= 2 || (!isByPriority && !this.canReclaimAny(spec, demands, usages))) continue;
+      const group = pendingByJob.get(spec.id);
+      if (group === undefined) pendingByJob.set(spec.id, [each]);
       else group.push(each);
     }
-    if (groups.size === 0) return false;
-    const loads = this.loads();
-    const hopeless = new Set<string>();
-    let any = false;
-    for (const waiting of groups.values()) if (this.makeRoomFor(waiting, loads, uses, demands, hopeless)) any = true;
-    return any;
+    if (pendingByJob.size === 0) return false;
+    const loads = this.machineLoads();
+    const impossibleKeys = new Set<string>();
+    let hasEvicted = false;
+    for (const pendingTasks of pendingByJob.values())
+      if (this.evictFor(pendingTasks, loads, usages, demands, impossibleKeys)) hasEvicted = true;
+    return hasEvicted;
   }
 
-  private makeRoomFor(
-    waiting: readonly PendingTask[],
+  private evictFor(
+    pendingTasks: readonly PendingTask[],
     loads: readonly LoadedMachine[],
-    uses: Map<string, TeamUsage>,
+    usages: Map<string, TeamUsage>,
     demands: ReadonlyMap<string, TeamUsage>,
-    hopeless: Set<string>,
+    impossibleKeys: Set<string>,
   ): boolean {
-    const { view } = waiting[0]!;
+    const { view } = pendingTasks[0]!;
     const { spec } = view.record;
-    const owed = this.isOwed(spec, demands);
-    const mayStop = (victim: JobSpec) =>
-      priorityIndexOf(victim) > priorityIndexOf(spec) || (owed && this.mayReclaim(spec, victim, uses));
-    const signature = `${requirementKeyOf(spec)} ${owed ? spec.team : ''}`;
-    if (hopeless.has(signature)) return false;
+    const isOwed = this.isOwed(spec, demands);
+    const canEvict = (evictedSpec: JobSpec) =>
+      priorityIndexOf(evictedSpec) > priorityIndexOf(spec) || (isOwed && this.canReclaim(spec, evictedSpec, usages));
+    const requirementKey = `${requirementKeyOf(spec)} ${isOwed ? spec.team : ''}`;
+    if (impossibleKeys.has(requirementKey)) return false;
     const { tasksPerZone } = view;
     const options = new Map<LoadedMachine, EvictionOption<LoadedMachine>>();
-    const look = (load: LoadedMachine) => {
-      const option = findEvictionOption(spec, load, mayStop, IMAGE_FETCH_COST);
+    const evaluate = (load: LoadedMachine) => {
+      const option = findEvictionOption(spec, load, canEvict, IMAGE_FETCH_COST);
       if (option === undefined) options.delete(load);
       else options.set(load, option);
     };
-    for (const load of loads) look(load);
-    if (options.size === 0) hopeless.add(signature);
-    let any = false;
-    for (let count = 0; count < waiting.length; count++) {
+    for (const load of loads) evaluate(load);
+    if (options.size === 0) impossibleKeys.add(requirementKey);
+    let hasEvicted = false;
+    for (let index = 0; index < pendingTasks.length; index++) {
       let best: EvictionOption<LoadedMachine> | undefined;
       for (const option of options.values()) {
         if (best !== undefined && option.cost >= best.cost) continue;
@@ -104,68 +106,68 @@
       }
       if (best === undefined) break;
       const { load, evicted } = best;
-      for (const { placedTask, spec: victim } of evicted) {
-        subtractResources(load.room, victim, -1);
-        const use = uses.get(victim.team);
-        if (use !== undefined) {
-          use.cpus -= victim.cpus;
-          use.gpus -= victim.gpus;
+      for (const { placedTask, spec: evictedSpec } of evicted) {
+        subtractResources(load.free, evictedSpec, -1);
+        const usage = usages.get(evictedSpec.team);
+        if (usage !== undefined) {
+          usage.cpus -= evictedSpec.cpus;
+          usage.gpus -= evictedSpec.gpus;
         }
         this.evictionMarker.evict(
           placedTask,
-          victim,
-          spec.priority === 'prod' ? 0 : victim.checkpointS,
-          `room for ${view.jobId}`,
+          evictedSpec,
+          spec.priority === 'prod' ? 0 : evictedSpec.checkpointS,
+          `preempted for ${view.jobId}`,
         );
-        any = true;
+        hasEvicted = true;
       }
-      const gone = new Set(evicted);
-      load.tasks = load.tasks.filter((task) => !gone.has(task));
-      subtractResources(load.room, spec);
+      const evictedTasks = new Set(evicted);
+      load.tasks = load.tasks.filter((task) => !evictedTasks.has(task));
+      subtractResources(load.free, spec);
       tasksPerZone.set(load.machine.zone, (tasksPerZone.get(load.machine.zone) ?? 0) + 1);
-      look(load);
+      evaluate(load);
     }
-    return any;
+    return hasEvicted;
   }
 
   /** Every open machine with its free room; room that stopping tasks will leave counts as free, since it is on its way. */
-  private loads(): LoadedMachine[] {
+  private machineLoads(): LoadedMachine[] {
     const machines = this.inventory.openMachines();
-    const rooms = this.planner.freeResources(machines);
+    const freeByMachine = this.planner.freeResources(machines);
     return machines.map((machine) => {
-      const room = rooms.get(machine.machineId)!;
+      const free = freeByMachine.get(machine.machineId)!;
       const tasks: EvictionCandidate[] = [];
       for (const placedTask of this.clusterState.tasksOn(machine.machineId)) {
         const spec = this.clusterState.jobs.get(placedTask.jobId)?.record.spec;
         if (spec === undefined) continue;
-        if (this.evictionMarker.isStopping(placedTask)) subtractResources(room, spec, -1);
+        if (this.evictionMarker.isStopping(placedTask)) subtractResources(free, spec, -1);
         else tasks.push({ placedTask, spec });
       }
-      return { machine, room, tasks: tasks.sort(cheapestFirst) };
+      return { machine, free, tasks: tasks.sort(compareEvictionCost) };
     });
   }
 
   private lowestPriorityIndex(): number {
-    let lowest = -1;
+    let lowestIndex = -1;
     for (const view of this.clusterState.jobs.values()) {
-      if (view.placed > 0) lowest = Math.max(lowest, priorityIndexOf(view.record.spec));
+      if (view.placed > 0) lowestIndex = Math.max(lowestIndex, priorityIndexOf(view.record.spec));
     }
-    return lowest;
+    return lowestIndex;
   }
 
   /** What all unfinished jobs of each team ask for together. */
-  private demands(): Map<string, TeamUsage> {
+  private teamDemands(): Map<string, TeamUsage> {
     const demands = new Map<string, TeamUsage>();
     for (const view of this.clusterState.jobs.values()) {
       const { spec, state } = view.record;
-      const open = state === 'active' ? spec.taskCount - view.done : view.placed;
+      const remaining = state === 'active' ? spec.taskCount - view.done : view.placed;
       const sum = demands.get(spec.team) ?? { cpus: 0, gpus: 0 };
-      demands.set(spec.team, { cpus: sum.cpus + open * spec.cpus, gpus: sum.gpus + open * spec.gpus });
+      demands.set(spec.team, { cpus: sum.cpus + remaining * spec.cpus, gpus: sum.gpus + remaining * spec.gpus });
     }
     return demands;
   }
 
-  /** Is the job's team owed room for it? */
+  /** Is the job's team entitled to resources for it? */
   private isOwed(spec: JobSpec, demands: ReadonlyMap<string, TeamUsage>): boolean {
     const team = this.teams.get(spec.team);
     const demand = demands.get(spec.team);
@@ -173,28 +175,29 @@
   }
 
   /** Does any other team run so much beyond its guarantee that the job's could have something back? */
-  private mayReclaimAny(
+  private canReclaimAny(
     spec: JobSpec,
     demands: ReadonlyMap<string, TeamUsage>,
-    uses: ReadonlyMap<string, TeamUsage>,
+    usages: ReadonlyMap<string, TeamUsage>,
   ): boolean {
-    const owner = this.teams.get(spec.team);
-    const kind = owner === undefined ? undefined : guaranteedResourceOf(owner, spec);
-    if (kind === undefined || !this.isOwed(spec, demands)) return false;
-    for (const [name, use] of uses) {
+    const claimant = this.teams.get(spec.team);
+    const resource = claimant === undefined ? undefined : guaranteedResourceOf(claimant, spec);
+    if (resource === undefined || !this.isOwed(spec, demands)) return false;
+    for (const [name, usage] of usages) {
       const team = this.teams.get(name);
-      if (name !== spec.team && team !== undefined && use[kind] > team.guaranteed[kind]) return true;
+      if (name !== spec.team && team !== undefined && usage[resource] > team.guaranteed[resource]) return true;
     }
     return false;
   }
 
-  /** For a team's guarantee, work of any rank may be stopped that another team runs beyond its own. */
-  private mayReclaim(spec: JobSpec, victim: JobSpec, uses: ReadonlyMap<string, TeamUsage>): boolean {
-    const owner = this.teams.get(spec.team);
-    const team = this.teams.get(victim.team);
-    const use = uses.get(victim.team);
-    const kind = owner === undefined ? undefined : guaranteedResourceOf(owner, spec);
-    if (kind === undefined || team === undefined || use === undefined || victim.team === spec.team) return false;
-    return isBorrowed(team, use, victim, kind);
+  /** For a team's guarantee, tasks of any priority may be stopped that another team runs beyond its own. */
+  private canReclaim(spec: JobSpec, evictedSpec: JobSpec, usages: ReadonlyMap<string, TeamUsage>): boolean {
+    const claimant = this.teams.get(spec.team);
+    const team = this.teams.get(evictedSpec.team);
+    const usage = usages.get(evictedSpec.team);
+    const resource = claimant === undefined ? undefined : guaranteedResourceOf(claimant, spec);
+    if (resource === undefined || team === undefined || usage === undefined || evictedSpec.team === spec.team)
+      return false;
+    return isBorrowed(team, usage, evictedSpec, resource);
   }
 }
--- a/src/scheduling/rescheduler.ts
+++ b/src/scheduling/rescheduler.ts
@@ -17,13 +17,13 @@
 import type { Log } from '../logging/log.js';
 import type { PlacementPlanner } from './placement-planner.js';
 
-interface Running {
-  name: string;
+interface RunningTask {
+  taskId: string;
   placedTask: PlacedTask;
   spec: JobSpec;
 }
 
-/** The design's heart: tests the happiness of each part's service tasks and re-matches when some are unhappy. */
+/** Checks the happiness of the service tasks of each partition led here and re-matches when some are unhappy. */
 export class Rescheduler {
   constructor(
     private readonly tuning: ReschedulingSettings,
@@ -42,8 +42,8 @@
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       await this.clock.sleep(this.random.jitter(this.tuning.checkIntervalMs), signal);
-      if (signal.aborted || !this.leadership.isInTouchWithStore || this.othersComeFirst()) continue;
-      for (const partition of this.leadership.ledPartitions()) this.round(partition);
+      if (signal.aborted || !this.leadership.isInTouchWithStore || this.hasUnplacedBacklog()) continue;
+      for (const partition of this.leadership.ledPartitions()) this.reschedulePartition(partition);
     }
   }
 
@@ -51,47 +51,54 @@
    * More service tasks without any place than a round would move: they come first. After an outage or a lost zone all that
    * have died count as unhappy, and matching a whole partition anew takes the time that the starts and the reports need.
    */
-  private othersComeFirst(): boolean {
-    let waiting = 0;
+  private hasUnplacedBacklog(): boolean {
+    let unplaced = 0;
     for (const { record, placed } of this.clusterState.jobs.values()) {
-      if (record.spec.kind === 'service' && record.state === 'active') waiting += record.spec.taskCount - placed;
+      if (record.spec.kind === 'service' && record.state === 'active') unplaced += record.spec.taskCount - placed;
     }
-    return waiting > this.tuning.movesPerRound;
+    return unplaced > this.tuning.movesPerRound;
   }
 
-  private round(partition: number): void {
+  private reschedulePartition(partition: number): void {
     const now = this.clock.now();
     const machines = [...this.inventory.machines().values()].filter(
       (machine) => this.leadership.partitionOf(machine.machineId) === partition && this.inventory.isOpen(machine),
     );
-    const running: Running[] = [];
+    const runningTasks: RunningTask[] = [];
     for (const machine of machines) {
       for (const placedTask of this.clusterState.tasksOn(machine.machineId)) {
         const spec = this.clusterState.jobs.get(placedTask.jobId)?.record.spec;
         if (spec?.kind !== 'service' || placedTask.placement.gracePeriodS !== null) continue;
-        running.push({ name: taskIdOf(placedTask.jobId, placedTask.taskIndex), placedTask, spec });
+        runningTasks.push({ taskId: taskIdOf(placedTask.jobId, placedTask.taskIndex), placedTask, spec });
       }
     }
-    const unhappy = running.filter(({ name }) => {
-      const happiness = this.happiness.happinessOf(name, now);
+    const unhappy = runningTasks.filter(({ taskId }) => {
+      const happiness = this.happiness.happinessOf(taskId, now);
       return happiness !== undefined && happiness < this.tuning.happinessThreshold;
     });
     if (unhappy.length === 0) return;
-    const target = this.rematch(running, machines);
-    let moves = 0;
-    const moving = new Set<string>();
-    for (const { name, placedTask } of unhappy) {
-      const host = target.get(name);
+    const matches = this.rematch(runningTasks, machines);
+    let moveCount = 0;
+    const movingJobs = new Set<string>();
+    for (const { taskId, placedTask } of unhappy) {
+      const machine = matches.get(taskId);
       // Unmatched tasks stay put, and so do those matched to the machine they are on.
-      if (host === undefined || host.id === placedTask.placement.machineId) continue;
-      if (moves >= this.tuning.movesPerRound || moving.has(placedTask.jobId) || !this.happiness.canMove(name, now))
+      if (machine === undefined || machine.id === placedTask.placement.machineId) continue;
+      if (
+        moveCount >= this.tuning.movesPerRound ||
+        movingJobs.has(placedTask.jobId) ||
+        !this.happiness.canMove(taskId, now)
+      )
         continue;
       if (this.isMoving(placedTask.jobId)) continue;
-      moves++;
-      moving.add(placedTask.jobId);
-      this.happiness.noteMove(name, now);
-      this.planner.prefer(name, host.id);
-      this.log.info({ taskId: name, from: placedTask.placement.machineId, to: host.id }, 'unhappy task moves');
+      moveCount++;
+      movingJobs.add(placedTask.jobId);
+      this.happiness.noteMove(taskId, now);
+      this.planner.prefer(taskId, machine.id);
+      this.log.info(
+        { taskId, fromMachineId: placedTask.placement.machineId, toMachineId: machine.id },
+        'unhappy task moved',
+      );
       void this.transactions.commit('move', Priority.start, (draft) => {
         if (!this.leadership.requireLeadership(draft, partitionRole(partition))) return false;
         return markForStop(
@@ -116,52 +123,56 @@
   }
 
   private rematch(
-    running: readonly Running[],
+    runningTasks: readonly RunningTask[],
     machines: readonly { machineId: string; zone: string; machineType: string }[],
   ) {
-    const rooms = this.planner.freeResources(this.machinesOf(machines));
-    // All service tasks of the partition are matched anew, so their room counts as free.
-    for (const { placedTask, spec } of running) {
-      const room = rooms.get(placedTask.placement.machineId);
-      if (room === undefined) continue;
-      subtractResources(room, spec, -1);
+    const freeByMachine = this.planner.freeResources(this.machinesOf(machines));
+    // All service tasks of the partition are matched anew, so their resources count as free.
+    for (const { placedTask, spec } of runningTasks) {
+      const free = freeByMachine.get(placedTask.placement.machineId);
+      if (free === undefined) continue;
+      subtractResources(free, spec, -1);
     }
-    const byRef = new Map(running.map(({ placedTask, spec }) => [placedTask.jobId, spec]));
-    const info = this.inventory.machines();
-    const outside = new Map<string, Map<string, number>>();
-    for (const jobId of byRef.keys()) {
-      const inside = new Set(
-        running.filter(({ placedTask }) => placedTask.jobId === jobId).map(({ placedTask }) => placedTask.taskIndex),
+    const specByJob = new Map(runningTasks.map(({ placedTask, spec }) => [placedTask.jobId, spec]));
+    const inventoryMachines = this.inventory.machines();
+    const zoneCountsOutside = new Map<string, Map<string, number>>();
+    for (const jobId of specByJob.keys()) {
+      const indexesInside = new Set(
+        runningTasks
+          .filter(({ placedTask }) => placedTask.jobId === jobId)
+          .map(({ placedTask }) => placedTask.taskIndex),
       );
       const others = [...this.clusterState.jobs.get(jobId)!.knownPlacements()]
-        .filter(([taskIndex]) => !inside.has(taskIndex))
+        .filter(([taskIndex]) => !indexesInside.has(taskIndex))
         .map(([, placement]) => placement);
-      outside.set(jobId, countTasksPerZone(others));
+      zoneCountsOutside.set(jobId, countTasksPerZone(others));
     }
-    const hosts: MatchingMachine[] = machines.map((m) => ({
-      id: m.machineId,
-      zone: m.zone,
-      free: rooms.get(m.machineId)!,
+    const matchingMachines: MatchingMachine[] = machines.map((machine) => ({
+      id: machine.machineId,
+      zone: machine.zone,
+      free: freeByMachine.get(machine.machineId)!,
     }));
     // Without usage data of the machine, a task's use equals its request.
-    const seekers: MatchingTask[] = running.map(({ name, placedTask, spec }) => ({
-      id: name,
+    const matchingTasks: MatchingTask[] = runningTasks.map(({ taskId, placedTask, spec }) => ({
+      id: taskId,
       group: placedTask.jobId,
       usage: resourcesOf(spec),
       requested: resourcesOf(spec),
     }));
-    return match(seekers, hosts, {
-      isAllowed: (jobId, host) => {
-        const machine = info.get(host.id);
-        return machine !== undefined && isAllowedOn(byRef.get(jobId)!, machine) && !machine.failedJobs.includes(jobId);
+    return match(matchingTasks, matchingMachines, {
+      isAllowed: (jobId, { id }) => {
+        const machine = inventoryMachines.get(id);
+        return (
+          machine !== undefined && isAllowedOn(specByJob.get(jobId)!, machine) && !machine.failedJobs.includes(jobId)
+        );
       },
-      zoneAllows: (jobId, zone, taken) => {
-        const total = new Map(outside.get(jobId));
-        for (const [each, count] of taken) total.set(each, (total.get(each) ?? 0) + count);
-        return isZoneAllowed(byRef.get(jobId)!, total, zone);
+      isZoneOpen: (jobId, zone, taken) => {
+        const zoneCounts = new Map(zoneCountsOutside.get(jobId));
+        for (const [each, count] of taken) zoneCounts.set(each, (zoneCounts.get(each) ?? 0) + count);
+        return isZoneAllowed(specByJob.get(jobId)!, zoneCounts, zone);
       },
-      machineAllows: () => true,
-      tier: () => 0,
+      isMachineOpen: () => true,
+      tierOf: () => 0,
     });
   }
 
--- a/src/scheduling/task-placer.ts
+++ b/src/scheduling/task-placer.ts
@@ -18,17 +18,17 @@
 import { match, type MatchingMachine, type MatchingTask } from './decisions/matching.js';
 import type { CandidateMachines } from './candidate-machines.js';
 
-/** A shard that waits for a place. */
+/** A task that waits for a machine. */
 export interface PendingTask {
   view: JobView;
   taskIndex: number;
   placement: Extract<TaskPlacement, { kind: 'queued' }>;
 }
 
-/** Matches the waiting tasks of one job after the other to machines, on rooms that the caller keeps. */
+/** Matches the pending tasks of one job after the other to machines, reserving nothing: the caller keeps the free resources. */
 export class TaskPlacer {
   private readonly preferred = new Map<string, string>();
-  private readonly warmSince = new Map<string, number>();
+  private readonly cachedImageWaitSince = new Map<string, number>();
   /** Tasks matched in the run under way. */
   private matched = 0;
 
@@ -41,92 +41,94 @@
   ) {}
 
   /** A new run over all jobs begins. */
-  begin(): void {
+  beginPlan(): void {
     this.matched = 0;
-    for (const [jobId] of this.warmSince) {
+    for (const [jobId] of this.cachedImageWaitSince) {
       const view = this.clusterState.jobs.get(jobId);
-      if (view === undefined || view.placed === view.record.spec.taskCount) this.warmSince.delete(jobId);
+      if (view === undefined || view.placed === view.record.spec.taskCount) this.cachedImageWaitSince.delete(jobId);
     }
   }
 
-  /** The machine that a moved task was matched to; it goes there if there still is room. */
-  prefer(name: string, machineId: string): void {
-    this.preferred.set(name, machineId);
+  /** The machine that a moved task was matched to; it goes there if it still fits. */
+  prefer(taskId: string, machineId: string): void {
+    this.preferred.set(taskId, machineId);
   }
 
-  placed(name: string): void {
-    this.preferred.delete(name);
+  forgetPreference(taskId: string): void {
+    this.preferred.delete(taskId);
   }
 
   /**
-   * Machines for waiting tasks of one job, by task name; the rest found none. `flying` are the zones of the job's starts that
-   * are on their way to the ledger.
+   * Machines for pending tasks of one job, by task id; the rest found none. `inFlightZones` are the zones of the job's in-flight
+   * starts.
    */
   find(
-    waiting: readonly PendingTask[],
+    pendingTasks: readonly PendingTask[],
     candidates: CandidateMachines,
-    rooms: ReadonlyMap<string, Resources>,
-    flying: readonly string[],
+    freeByMachine: ReadonlyMap<string, Resources>,
+    inFlightZones: readonly string[],
   ): Map<string, MachineInfo> {
-    if (waiting.length === 0) return new Map();
-    const { view } = waiting[0]!;
+    if (pendingTasks.length === 0) return new Map();
+    const { view } = pendingTasks[0]!;
     const { spec } = view.record;
     if (candidates.isFull(spec)) return new Map();
-    const machines = this.warmOnly(waiting, candidates.machines, rooms);
-    const usable = this.withRoom(spec, machines, rooms, waiting.length);
-    if (usable.full && machines === candidates.machines) candidates.noteFull(spec);
+    const machines = this.preferCachedImage(pendingTasks, candidates.machines, freeByMachine);
+    const usable = this.withFreeResources(spec, machines, freeByMachine, pendingTasks.length);
+    if (usable.full && machines === candidates.machines) candidates.recordFull(spec);
     // A full cluster is the usual case under load: nothing is matched where nothing fits, and no more than fits at all.
-    const most = spec.kind === 'gang' && usable.tasks < waiting.length ? 0 : usable.tasks;
-    if (most === 0) return new Map();
-    this.matched += most;
-    const seekers: MatchingTask[] = waiting.slice(0, most).map((each) => ({
+    const maxTasks = spec.kind === 'gang' && usable.tasks < pendingTasks.length ? 0 : usable.tasks;
+    if (maxTasks === 0) return new Map();
+    this.matched += maxTasks;
+    const matchingTasks: MatchingTask[] = pendingTasks.slice(0, maxTasks).map((each) => ({
       id: taskIdOf(view.jobId, each.taskIndex),
       group: view.jobId,
       usage: resourcesOf(spec),
       requested: resourcesOf(spec),
     }));
-    const byHost = new Map(usable.machines.map((machine) => [machine.machineId, machine]));
-    const slots = view.tasksPerZone;
-    for (const zone of flying) slots.set(zone, (slots.get(zone) ?? 0) + 1);
-    const hosts: MatchingMachine[] = usable.machines.map((machine) => ({
+    const machineById = new Map(usable.machines.map((machine) => [machine.machineId, machine]));
+    const zoneCounts = view.tasksPerZone;
+    for (const zone of inFlightZones) zoneCounts.set(zone, (zoneCounts.get(zone) ?? 0) + 1);
+    const matchingMachines: MatchingMachine[] = usable.machines.map((machine) => ({
       id: machine.machineId,
       zone: machine.zone,
-      free: rooms.get(machine.machineId)!,
+      free: freeByMachine.get(machine.machineId)!,
     }));
-    const preferred = new Set(seekers.map(({ id }) => this.preferred.get(id)));
-    const tier = (host: MatchingMachine) => (preferred.has(host.id) ? -1 : this.tier(spec, byHost.get(host.id)!));
+    const preferred = new Set(matchingTasks.map(({ id }) => this.preferred.get(id)));
+    const tier = (machine: MatchingMachine) =>
+      preferred.has(machine.id) ? -1 : this.tier(spec, machineById.get(machine.id)!);
     let best = new Map<string, MatchingMachine>();
     if (spec.kind === 'service') {
-      const isWarm = (host: MatchingMachine) => byHost.get(host.id)!.images.includes(spec.image);
-      best = this.matchApart(spec, seekers, hosts, slots, tier, isWarm);
+      const hasImageCached = (machine: MatchingMachine) => machineById.get(machine.id)!.images.includes(spec.image);
+      best = this.matchReplicas(spec, matchingTasks, matchingMachines, zoneCounts, tier, hasImageCached);
     } else {
-      const oneOf = spec.singleZone && slots.size === 0 && spec.taskCount > 1;
-      for (const zone of oneOf ? new Set(hosts.map((host) => host.zone)) : [undefined]) {
-        const open = zone === undefined ? hosts : hosts.filter((host) => host.zone === zone);
-        const found = this.matchInZones(spec, seekers, open, slots, tier);
+      const oneOf = spec.singleZone && zoneCounts.size === 0 && spec.taskCount > 1;
+      for (const zone of oneOf ? new Set(matchingMachines.map((machine) => machine.zone)) : [undefined]) {
+        const open =
+          zone === undefined ? matchingMachines : matchingMachines.filter((machine) => machine.zone === zone);
+        const found = this.matchInZones(spec, matchingTasks, open, zoneCounts, tier);
         if (found.size > best.size) best = found;
       }
     }
-    return new Map([...best].map(([name, host]) => [name, byHost.get(host.id)!]));
+    return new Map([...best].map(([taskId, machine]) => [taskId, machineById.get(machine.id)!]));
   }
 
   /** The machines that have room for a task, and how many tasks they have room for, counted up to `enough`. */
-  private withRoom(
+  private withFreeResources(
     spec: JobSpec,
     machines: readonly MachineInfo[],
-    rooms: ReadonlyMap<string, Resources>,
+    freeByMachine: ReadonlyMap<string, Resources>,
     enough: number,
   ): { machines: MachineInfo[]; tasks: number; full: boolean } {
     const open: MachineInfo[] = [];
     let full = true;
     let tasks = 0;
     for (const machine of machines) {
-      const room = rooms.get(machine.machineId)!;
-      if (!fits(spec, room)) continue;
+      const free = freeByMachine.get(machine.machineId)!;
+      if (!fits(spec, free)) continue;
       full = false;
       if (machine.failedJobs.includes(spec.id)) continue;
       open.push(machine);
-      tasks += countFittingTasks(room, spec);
+      tasks += countFittingTasks(free, spec);
     }
     // With more to place than one run takes, a sample of many machines will do; what hangs together needs them all.
     const busy = this.matched >= MAX_PLAN_TASKS && !isPlacedByLeader(spec);
@@ -136,22 +138,22 @@
 
   private matchInZones(
     spec: JobSpec,
-    seekers: readonly MatchingTask[],
-    hosts: readonly MatchingMachine[],
-    slots: ReadonlyMap<string, number>,
-    tier: (host: MatchingMachine) => number,
-    hostAllows: (host: MatchingMachine, taken: number) => boolean = () => true,
+    matchingTasks: readonly MatchingTask[],
+    matchingMachines: readonly MatchingMachine[],
+    zoneCounts: ReadonlyMap<string, number>,
+    tier: (machine: MatchingMachine) => number,
+    isMachineOpen: (machine: MatchingMachine, taken: number) => boolean = () => true,
   ): Map<string, MatchingMachine> {
-    return match(seekers, hosts, {
+    return match(matchingTasks, matchingMachines, {
       isAllowed: () => true,
-      zoneAllows: (_, zone, taken) => {
+      isZoneOpen: (_, zone, taken) => {
         if (!spec.spreadAcrossZones && !spec.singleZone) return true;
-        const total = new Map(slots);
+        const total = new Map(zoneCounts);
         for (const [each, count] of taken) total.set(each, (total.get(each) ?? 0) + count);
         return isZoneAllowed(spec, total, zone);
       },
-      machineAllows: (_, host, taken) => hostAllows(host, taken),
-      tier: (_, host) => tier(host),
+      isMachineOpen: (_, machine, taken) => isMachineOpen(machine, taken),
+      tierOf: (_, machine) => tier(machine),
     });
   }
 
@@ -159,35 +161,37 @@
    * Replicas go to as many machines as there are: a machine's loss then costs a service less, and more machines hold its
    * image when the next service comes. But two share a machine with the image rather than wait for a fetch.
    */
-  private matchApart(
+  private matchReplicas(
     spec: JobSpec,
-    seekers: readonly MatchingTask[],
-    hosts: readonly MatchingMachine[],
-    slots: ReadonlyMap<string, number>,
-    tier: (host: MatchingMachine) => number,
-    isWarm: (host: MatchingMachine) => boolean,
+    matchingTasks: readonly MatchingTask[],
+    matchingMachines: readonly MatchingMachine[],
+    zoneCounts: ReadonlyMap<string, number>,
+    tier: (machine: MatchingMachine) => number,
+    hasImageCached: (machine: MatchingMachine) => boolean,
   ): Map<string, MatchingMachine> {
     const found = new Map<string, MatchingMachine>();
-    const zones = new Map(slots);
-    const here = new Map<string, number>();
-    const free = hosts.map((host) => ({ ...host, free: { ...host.free } }));
-    for (const host of free) here.set(host.id, 0);
+    const zones = new Map(zoneCounts);
+    const countByMachine = new Map<string, number>();
+    const free = matchingMachines.map((machine) => ({ ...machine, free: { ...machine.free } }));
+    for (const machine of free) countByMachine.set(machine.id, 0);
     for (const [, placement] of this.clusterState.jobs.get(spec.id)?.knownPlacements() ?? []) {
-      if (placement.kind === 'placed') here.set(placement.machineId, (here.get(placement.machineId) ?? 0) + 1);
+      if (placement.kind === 'placed')
+        countByMachine.set(placement.machineId, (countByMachine.get(placement.machineId) ?? 0) + 1);
     }
-    for (const open of [free.filter(isWarm), free]) {
-      for (let most = 1; most <= spec.taskCount; most++) {
-        const rest = seekers.filter((seeker) => !found.has(seeker.id));
+    for (const open of [free.filter(hasImageCached), free]) {
+      for (let maxPerMachine = 1; maxPerMachine <= spec.taskCount; maxPerMachine++) {
+        const rest = matchingTasks.filter((task) => !found.has(task.id));
         if (rest.length === 0) return found;
-        const allows = (host: MatchingMachine, taken: number) => here.get(host.id)! + taken < most;
+        const allows = (machine: MatchingMachine, taken: number) =>
+          countByMachine.get(machine.id)! + taken < maxPerMachine;
         const matched = this.matchInZones(spec, rest, open, zones, tier, allows);
         // No siblings in the way, and still no place: more of them on one machine won't help.
-        if (matched.size === 0 && open.every((host) => here.get(host.id)! < most)) break;
-        for (const [id, host] of matched) {
-          found.set(id, host);
-          subtractResources(host.free, spec);
-          here.set(host.id, here.get(host.id)! + 1);
-          zones.set(host.zone, (zones.get(host.zone) ?? 0) + 1);
+        if (matched.size === 0 && open.every((machine) => countByMachine.get(machine.id)! < maxPerMachine)) break;
+        for (const [id, machine] of matched) {
+          found.set(id, machine);
+          subtractResources(machine.free, spec);
+          countByMachine.set(machine.id, countByMachine.get(machine.id)! + 1);
+          zones.set(machine.zone, (zones.get(machine.zone) ?? 0) + 1);
         }
       }
     }
@@ -208,30 +212,32 @@
    * For a service, a machine that holds its image is worth stopping lower work for: the fetch takes longer. So for a
    * moment only such machines count, if there are any that could be made free.
    */
-  private warmOnly(
-    waiting: readonly PendingTask[],
+  private preferCachedImage(
+    pendingTasks: readonly PendingTask[],
     machines: readonly MachineInfo[],
-    rooms: ReadonlyMap<string, Resources>,
+    freeByMachine: ReadonlyMap<string, Resources>,
   ): readonly MachineInfo[] {
-    const { view } = waiting[0]!;
+    const { view } = pendingTasks[0]!;
     const { spec } = view.record;
     if (spec.kind !== 'service' || spec.priority !== 'prod') return machines;
     const now = this.clock.now();
-    const since = this.warmSince.get(view.jobId) ?? now;
-    this.warmSince.set(view.jobId, since);
+    const since = this.cachedImageWaitSince.get(view.jobId) ?? now;
+    this.cachedImageWaitSince.set(view.jobId, since);
     if (now - since > CACHED_IMAGE_WAIT_MS) return machines;
-    const warm = machines.filter((machine) => {
+    const cachedMachines = machines.filter((machine) => {
       if (!machine.images.includes(spec.image)) return false;
-      const room = { ...rooms.get(machine.machineId)! };
+      const free = { ...freeByMachine.get(machine.machineId)! };
       for (const placedTask of this.clusterState.tasksOn(machine.machineId)) {
         const other = this.clusterState.jobs.get(placedTask.jobId)?.record.spec;
         if (other !== undefined && JOB_PRIORITIES.indexOf(other.priority) > JOB_PRIORITIES.indexOf(spec.priority))
-          subtractResources(room, other, -1);
+          subtractResources(free, other, -1);
       }
-      return fits(spec, room);
+      return fits(spec, free);
     });
-    const zones = new Set(warm.map((machine) => machine.zone));
-    // Zones without such a machine are open to cold ones: the spread may need them.
-    return warm.length === 0 ? machines : machines.filter((each) => warm.includes(each) || !zones.has(each.zone));
+    const zones = new Set(cachedMachines.map((machine) => machine.zone));
+    // Zones without such a machine are open to those without it: the spread may need them.
+    return cachedMachines.length === 0
+      ? machines
+      : machines.filter((each) => cachedMachines.includes(each) || !zones.has(each.zone));
   }
 }
--- a/src/scheduling/team-settlement.ts
+++ b/src/scheduling/team-settlement.ts
@@ -19,7 +19,7 @@
 
 export class TeamSettlement {
   /** The Stamp of each team's record when it was last looked at. */
-  private readonly seen = new Map<string, number>();
+  private readonly lastModRevisions = new Map<string, number>();
 
   constructor(private readonly dependencies: TeamSettlementDependencies) {}
 
@@ -29,8 +29,8 @@
     if (!leadership.isLeader) return;
     for (const { name } of teams) {
       const { modRevision } = replica.get(teamKey(name));
-      const isQuiet = this.seen.get(name) === modRevision;
-      this.seen.set(name, modRevision);
+      const isQuiet = this.lastModRevisions.get(name) === modRevision;
+      this.lastModRevisions.set(name, modRevision);
       if (!isQuiet || !accounting.isOverstated(name)) continue;
       void transactions.commit('settle', Priority.background, (draft) => accounting.settle(draft, name));
     }
