--- a/src/scheduling/decisions/queue-order.ts
+++ b/src/scheduling/decisions/queue-order.ts
@@ -1,20 +1,21 @@
+/** The order of queued jobs, and what a job's turn depends on: guarantees, targets and the time by which it must start. */
 import type { ServiceLevelObjective } from '../../domain/settings.js';
 import type { Team, TeamUsage } from '../../domain/team.js';
 import { JOB_PRIORITIES, type JobSpec } from '../../domain/job.js';
 import { type JobRecord, runnableSinceMs } from '../../records/records.js';
 
-/** A job that waits for places, with all that decides about its turn. */
+/** A job with pending tasks, and all that decides about its turn. */
 export interface QueuedJob {
   record: JobRecord;
   /** Does the job fit into its team's guarantee beside what the team uses? */
   isGuaranteed: boolean;
   /** Can it still be complete in time, if its tasks start now? */
   isFeasible: boolean;
-  /** CPU seconds that its waiting tasks will take, by its estimated run time. */
+  /** CPU seconds that its pending tasks will take, by its expected run time. */
   remainingCpuS: number;
   /** None of its tasks has begun, and it has waited for longer than any job should. */
   isOverdue: boolean;
-  /** Time of day, ms, by which it must start for the sake of the pipeline that it is part of; Infinity: of none, or no matter. */
+  /** Time of day, ms, by which it must start for the sake of the pipeline that it is part of; Infinity: it is part of none, or nothing depends on it. */
   startByMs: number;
 }
 
@@ -36,7 +37,7 @@
   return resource !== undefined && demand[resource] <= team.guaranteed[resource];
 }
 
-/** May such a task be stopped for another's guarantee of that kind: does its team keep its own even without it? */
+/** May a task of the job be evicted for another team's guarantee: does its own team keep its guarantee without it? */
 export const isBorrowed = (team: Team, usage: TeamUsage, spec: JobSpec, resource: 'cpus' | 'gpus'): boolean =>
   spec[resource] > 0 && usage[resource] - spec[resource] >= team.guaranteed[resource];
 
@@ -60,7 +61,7 @@
   return targets;
 }
 
-/** Can one of the targets still be met by a job whose last task needs that long? With no target there is no hurry to lose. */
+/** Can one of the targets still be met at time of day `nowMs` by a job whose last task runs `runS`? Without a target: yes. */
 export const isFeasible = (targets: readonly number[], runS: number, nowMs: number): boolean =>
   targets.length === 0 || targets.some((target) => target >= nowMs + runS * 1000);
 
@@ -81,23 +82,30 @@
 
 /**
  * Order of the queue: priority; gangs and services before arrays; guarantees; then jobs that can still be in time before those
- * that can't, and among these the ones with the least work left, since that gets the most jobs done in time when more is
- * asked than can be done; then the older. Of arrays in a pipeline with a deadline, the one goes first that must start first.
- * But arrays that should have begun long ago come before other arrays, up to those
- * of priority normal, with a few tasks each: by the rest of the order the largest and the lowest might never begin under load.
+ * that can't; of arrays in a pipeline with a deadline, the one that must start first; then the array with the least work left,
+ * since that gets the most jobs done in time when more is asked than can be done; then the older.
+ * But arrays that should have begun long ago come before other arrays, up to those of priority normal, with a few tasks each:
+ * by the rest of the order the largest and the lowest might never begin under load.
  */
 export function compareQueuedJobs(a: QueuedJob, b: QueuedJob): number {
-  const priority = effectivePriorityIndex(a) - effectivePriorityIndex(b);
-  if (priority !== 0) return priority;
-  const kindDifference = Number(a.record.spec.kind === 'array') - Number(b.record.spec.kind === 'array');
-  if (kindDifference !== 0) return kindDifference;
+  return (
+    effectivePriorityIndex(a) - effectivePriorityIndex(b) ||
+    Number(isArray(a)) - Number(isArray(b)) ||
+    compareUrgency(a, b) ||
+    (isArray(a) ? a.remainingCpuS - b.remainingCpuS : 0) ||
+    runnableSinceMs(a.record) - runnableSinceMs(b.record) ||
+    // Every node makes the whole plan: where orders differ, each leaves a team's quota to a job that another is to place.
+    (a.record.spec.id < b.record.spec.id ? -1 : 1)
+  );
+}
+
+const isArray = ({ record }: QueuedJob): boolean => record.spec.kind === 'array';
+
+/** Overdue jobs first, then those within a guarantee, then those that can still be in time, then the earliest to start. */
+function compareUrgency(a: QueuedJob, b: QueuedJob): number {
   if (a.isOverdue !== b.isOverdue) return a.isOverdue ? -1 : 1;
   if (a.isGuaranteed !== b.isGuaranteed) return a.isGuaranteed ? -1 : 1;
   if (a.isFeasible !== b.isFeasible) return a.isFeasible ? -1 : 1;
-  if (a.startByMs !== b.startByMs) return a.startByMs - b.startByMs;
-  if (a.record.spec.kind === 'array' && a.remainingCpuS !== b.remainingCpuS) return a.remainingCpuS - b.remainingCpuS;
-  const ageDifferenceMs = runnableSinceMs(a.record) - runnableSinceMs(b.record);
-  if (ageDifferenceMs !== 0) return ageDifferenceMs;
-  // Every node makes the whole plan: where orders differ, each leaves a team's room to a job that another node is to place.
-  return a.record.spec.id < b.record.spec.id ? -1 : 1;
+  // Without a time to start by both are infinite, and their difference is no number.
+  return a.startByMs === b.startByMs ? 0 : a.startByMs - b.startByMs;
 }
