--- a/src/scheduling/placement-planner.ts
+++ b/src/scheduling/placement-planner.ts
@@ -60,7 +60,7 @@
     const gangs = new GangAttempts({ workers: settings.cluster.workers, inventory, clock });
     const usage = new ResourceUsage({ clusterState, inventory, inFlight });
     const objectives = settings.cluster.serviceLevelObjectives;
-    const taskPlacer = new TaskPlacer(tuning, clusterState, inventory, clock, random);
+    const taskPlacer = new TaskPlacer({ tuning, clusterState, inventory, clock, random });
     this.usage = usage;
     this.roundDependencies = {
       teams,
