--- a/src/autoscaling/cluster-leader.ts
+++ b/src/autoscaling/cluster-leader.ts
@@ -104,8 +104,9 @@
     this.peerDirectory = peerDirectory;
     this.clock = clock;
     this.log = log;
-    this.evictionMarker = new EvictionMarker(leadership, clusterState, transactions, clock, log);
-    this.preemptor = new Preemptor(settings, clusterState, inventory, planner, this.evictionMarker, clock);
+    const evictionMarker = new EvictionMarker({ leadership, clusterState, transactions, clock, log });
+    this.evictionMarker = evictionMarker;
+    this.preemptor = new Preemptor({ settings, clusterState, inventory, planner, evictionMarker, clock });
     this.autoscaler = new Autoscaler(
       settings,
       leadership,
--- a/src/scheduling/eviction-marker.ts
+++ b/src/scheduling/eviction-marker.ts
@@ -1,75 +1,99 @@
+/** Marks tasks for eviction on the cluster leader's behalf, and remembers which until their records show it. */
 import { STOPPING_MS } from '../constants/scheduling.js';
-import type { ClusterState, PlacedTask } from '../records/cluster-state.js';
-import { markForStop } from '../records/placement-mutations.js';
 import type { JobSpec } from '../domain/job.js';
-import { attemptKeyOf } from '../workers/reconciliation.js';
 import { CLUSTER_LEADER_ROLE } from '../domain/role.js';
 import type { RoleLeadership } from '../leadership/role-leadership.js';
+import type { Log } from '../logging/log.js';
 import type { Clock } from '../net/clock.js';
 import { Priority } from '../net/token-bucket.js';
+import type { ClusterState, PlacedTask } from '../records/cluster-state.js';
+import { markForStop } from '../records/placement-mutations.js';
 import type { TransactionBatcher } from '../store/transaction-batcher.js';
-import type { Log } from '../logging/log.js';
+import type { TransactionDraft } from '../store/transaction-draft.js';
+import { attemptKeyOf } from '../workers/reconciliation.js';
 
-/** Marks tasks for eviction on the cluster leader's behalf, and remembers which until their records show it. */
+/** What evictions are recorded through. */
+export interface EvictionMarkerDependencies {
+  leadership: RoleLeadership;
+  clusterState: ClusterState;
+  transactions: TransactionBatcher;
+  clock: Clock;
+  log: Log;
+}
+
+/** The evictions of one cluster leader; a successor can take them over. All times are steady ms of this node. */
 export class EvictionMarker {
-  private readonly evictedAt = new Map<string, number>();
+  /** When each attempt was evicted, by attempt key. */
+  private readonly evictedAtMs = new Map<string, number>();
 
-  constructor(
-    private readonly leadership: RoleLeadership,
-    private readonly clusterState: ClusterState,
-    private readonly transactions: TransactionBatcher,
-    private readonly clock: Clock,
-    private readonly log: Log,
-  ) {}
+  constructor(private readonly dependencies: EvictionMarkerDependencies) {}
 
-  /** Attempts that were lately asked to stop, with the steady ms. */
+  /** Attempts that were lately asked to stop. */
   *recentEvictions(): Iterable<{ attempt: string; at: number }> {
-    for (const [attempt, at] of this.evictedAt) if (this.clock.now() - at < STOPPING_MS) yield { attempt, at };
+    for (const [attempt, at] of this.evictedAtMs) if (this.isRecent(at)) yield { attempt, at };
   }
 
   /** A former leader has asked the attempt to stop. */
   restoreEviction(attempt: string, at: number): void {
-    if (!this.evictedAt.has(attempt)) this.evictedAt.set(attempt, at);
+    if (!this.evictedAtMs.has(attempt)) this.evictedAtMs.set(attempt, at);
   }
 
+  /** Is the task about to exit, because its record says so or because its eviction is under way? */
   isStopping(placedTask: PlacedTask): boolean {
     if (placedTask.placement.gracePeriodS !== null) return true;
-    if (this.evictedAt.size === 0) return false;
-    const since = this.evictedAt.get(attemptKeyOf(placedTask));
-    return since !== undefined && this.clock.now() - since < STOPPING_MS;
+    // Most of the time nothing is evicted: no key is made then.
+    if (this.evictedAtMs.size === 0) return false;
+    const atMs = this.evictedAtMs.get(attemptKeyOf(placedTask));
+    return atMs !== undefined && this.isRecent(atMs);
   }
 
+  /** Asks the task, or its whole gang, to stop within `gracePeriodS`. `reason` is for the log only. */
   evict(placedTask: PlacedTask, spec: JobSpec, gracePeriodS: number, reason: string): void {
-    const { jobId } = placedTask;
-    // A gang stops whole: every member must be told within `gang_peer_s` of the first.
-    const placedTasks: PlacedTask[] = [];
-    if (spec.kind === 'gang') {
-      for (const [taskIndex, placement] of this.clusterState.jobs.get(jobId)?.knownPlacements() ?? []) {
-        if (placement.kind === 'placed' && placement.attempt === placedTask.placement.attempt)
-          placedTasks.push({ jobId, taskIndex, placement });
-      }
-    } else placedTasks.push(placedTask);
-    const now = this.clock.now();
-    for (const [key, at] of this.evictedAt) if (now - at > STOPPING_MS) this.evictedAt.delete(key);
-    for (const each of placedTasks) this.evictedAt.set(attemptKeyOf(each), now);
-    this.log.debug(
-      { jobId, machineId: placedTask.placement.machineId, taskCount: placedTasks.length, gracePeriodS, reason },
+    const { clusterState, transactions, log } = this.dependencies;
+    const { jobId, taskIndex, placement } = placedTask;
+    const placedTasks = spec.kind === 'gang' ? this.gangMembersOf(placedTask) : [placedTask];
+    this.remember(placedTasks);
+    log.debug(
+      { jobId, machineId: placement.machineId, taskCount: placedTasks.length, gracePeriodS, reason },
       'task eviction requested',
     );
-    void this.transactions.commit(
+    void transactions.commit(
       'stop',
       Priority.start,
-      (draft) => {
-        if (!this.leadership.requireLeadership(draft, CLUSTER_LEADER_ROLE)) return false;
-        let marked = false;
-        for (const each of placedTasks) {
-          if (markForStop(draft, jobId, each.taskIndex, each.placement.machineId, each.placement.attempt, gracePeriodS))
-            marked = true;
-        }
-        return marked;
-      },
+      (draft) => this.markAll(draft, placedTasks, gracePeriodS),
       undefined,
-      this.clusterState.batchingHintFor(jobId, placedTask.taskIndex),
+      clusterState.batchingHintFor(jobId, taskIndex),
     );
   }
+
+  /** A gang stops whole: every member must be told within the peer timeout of the first. */
+  private gangMembersOf({ jobId, placement: { attempt } }: PlacedTask): PlacedTask[] {
+    const members: PlacedTask[] = [];
+    for (const [taskIndex, placement] of this.dependencies.clusterState.jobs.get(jobId)?.knownPlacements() ?? []) {
+      if (placement.kind === 'placed' && placement.attempt === attempt) members.push({ jobId, taskIndex, placement });
+    }
+    return members;
+  }
+
+  private remember(placedTasks: readonly PlacedTask[]): void {
+    const nowMs = this.dependencies.clock.now();
+    for (const [attempt, atMs] of this.evictedAtMs) {
+      if (nowMs - atMs > STOPPING_MS) this.evictedAtMs.delete(attempt);
+    }
+    for (const placedTask of placedTasks) this.evictedAtMs.set(attemptKeyOf(placedTask), nowMs);
+  }
+
+  /** Runs within the transaction; false: no record is to be changed. */
+  private markAll(draft: TransactionDraft, placedTasks: readonly PlacedTask[], gracePeriodS: number): boolean {
+    if (!this.dependencies.leadership.requireLeadership(draft, CLUSTER_LEADER_ROLE)) return false;
+    let hasMarked = false;
+    for (const { jobId, taskIndex, placement } of placedTasks) {
+      if (markForStop(draft, jobId, taskIndex, placement.machineId, placement.attempt, gracePeriodS)) hasMarked = true;
+    }
+    return hasMarked;
+  }
+
+  private isRecent(atMs: number): boolean {
+    return this.dependencies.clock.now() - atMs < STOPPING_MS;
+  }
 }
