--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -250,18 +250,18 @@
       });
       this.leadership.succession = this.standby;
     }
-    this.rescheduler = new Rescheduler(
+    this.rescheduler = new Rescheduler({
       tuning,
-      this.leadership,
-      this.clusterState,
-      this.inventory,
-      this.planner,
-      this.transactions,
-      this.happiness,
+      leadership: this.leadership,
+      clusterState: this.clusterState,
+      inventory: this.inventory,
+      planner: this.planner,
+      transactions: this.transactions,
+      happiness: this.happiness,
       clock,
-      this.random,
+      random: this.random,
       log,
-    );
+    });
     this.gossipSender = new GossipSender({
       peers: peerNodes,
       clock,
--- /dev/null
+++ b/src/scheduling/decisions/service-rematching.ts
@@ -0,0 +1,81 @@
+/** The re-matching of all service tasks of a partition, as if none of them were placed. */
+import type { JobSpec } from '../../domain/job.js';
+import type { MachineInfo } from '../../domain/machine-state.js';
+import { type Resources, resourcesOf, subtractResources } from '../../domain/resources.js';
+import type { TaskPlacement } from '../../domain/task.js';
+import { countTasksPerZone, isAllowedOn } from '../../records/placement-rules.js';
+import { isZoneOpenFor } from './job-matching.js';
+import { match, type MatchingMachine, type MatchingTask } from './matching.js';
+
+/** A service task that is placed and not about to stop. */
+export interface RunningTask {
+  taskId: string;
+  jobId: string;
+  taskIndex: number;
+  machineId: string;
+  attempt: number;
+  spec: JobSpec;
+}
+
+/** The partition as it is. */
+export interface ServiceRematching {
+  runningTasks: readonly RunningTask[];
+  machines: readonly MachineInfo[];
+  /** By machine id, beside the running tasks; it is changed: what they use is given back. */
+  freeByMachine: ReadonlyMap<string, Resources>;
+  /** All placements of a job, by task index. */
+  placementsOf: (jobId: string) => Iterable<readonly [number, TaskPlacement]>;
+}
+
+/** The machine that each task would run on if it could choose now, by task id; tasks without an entry found none. */
+export function rematchServices(rematching: ServiceRematching): Map<string, MatchingMachine> {
+  const { runningTasks, machines, freeByMachine } = rematching;
+  // All service tasks of the partition are matched anew, so their resources count as free.
+  for (const { machineId, spec } of runningTasks) {
+    const free = freeByMachine.get(machineId);
+    if (free !== undefined) subtractResources(free, spec, -1);
+  }
+  const specByJob = new Map(runningTasks.map(({ jobId, spec }) => [jobId, spec]));
+  const machineById = new Map(machines.map((machine) => [machine.machineId, machine]));
+  const tasksPerZoneElsewhere = countTasksElsewhere(rematching);
+  return match(runningTasks.map(matchingTaskOf), matchingMachinesOf(machines, freeByMachine), {
+    isAllowed: (jobId, { id }) => {
+      const machine = machineById.get(id)!;
+      return isAllowedOn(specByJob.get(jobId)!, machine) && !machine.failedJobs.includes(jobId);
+    },
+    isZoneOpen: (jobId, zone, matchedPerZone) =>
+      isZoneOpenFor(specByJob.get(jobId)!, zone, tasksPerZoneElsewhere.get(jobId), matchedPerZone),
+    isMachineOpen: () => true,
+    tierOf: () => 0,
+  });
+}
+
+/** Tasks by zone of each job, without those that are matched anew. */
+function countTasksElsewhere({ runningTasks, placementsOf }: ServiceRematching): Map<string, Map<string, number>> {
+  const matchedIndexes = new Map<string, Set<number>>();
+  for (const { jobId, taskIndex } of runningTasks) {
+    const indexes = matchedIndexes.get(jobId);
+    if (indexes === undefined) matchedIndexes.set(jobId, new Set([taskIndex]));
+    else indexes.add(taskIndex);
+  }
+  const tasksPerZone = new Map<string, Map<string, number>>();
+  for (const [jobId, indexes] of matchedIndexes) {
+    const others = [...placementsOf(jobId)].filter(([taskIndex]) => !indexes.has(taskIndex));
+    tasksPerZone.set(jobId, countTasksPerZone(others.map(([, placement]) => placement)));
+  }
+  return tasksPerZone;
+}
+
+/** Without usage data of the machine, a task's usage equals its request. */
+const matchingTaskOf = ({ taskId, jobId, spec }: RunningTask): MatchingTask => ({
+  id: taskId,
+  group: jobId,
+  usage: resourcesOf(spec),
+  requested: resourcesOf(spec),
+});
+
+const matchingMachinesOf = (
+  machines: readonly MachineInfo[],
+  freeByMachine: ReadonlyMap<string, Resources>,
+): MatchingMachine[] =>
+  machines.map(({ machineId, zone }) => ({ id: machineId, zone, free: freeByMachine.get(machineId)! }));
--- a/test/scheduling/overload.test.ts
+++ b/test/scheduling/overload.test.ts
@@ -43,18 +43,22 @@
       return new Map();
     };
     const inventory = { machines: all, isOpen: () => true };
-    const rescheduler = new Rescheduler(
-      decodeTuning({ ...DEFAULT_TUNING, standby: DEFAULT_STANDBY_SETTINGS }),
-      { isInTouchWithStore: true, ledPartitions: () => [0], partitionOf: () => 0 } as unknown as RoleLeadership,
-      { jobs, tasksOn: () => [] } as unknown as ClusterState,
-      inventory as unknown as MachineInventory,
-      {} as PlacementPlanner,
-      {} as TransactionBatcher,
-      new Happiness(30_000),
+    const rescheduler = new Rescheduler({
+      tuning: decodeTuning({ ...DEFAULT_TUNING, standby: DEFAULT_STANDBY_SETTINGS }),
+      leadership: {
+        isInTouchWithStore: true,
+        ledPartitions: () => [0],
+        partitionOf: () => 0,
+      } as unknown as RoleLeadership,
+      clusterState: { jobs, tasksOn: () => [] } as unknown as ClusterState,
+      inventory: inventory as unknown as MachineInventory,
+      planner: {} as PlacementPlanner,
+      transactions: {} as TransactionBatcher,
+      happiness: new Happiness(30_000),
       clock,
-      new Random(1),
-      noLog,
-    );
+      random: new Random(1),
+      log: noLog,
+    });
     void rescheduler.run(stop.signal);
     await clock.advance(60_000);
     assert.equal(looks, 0);
