--- a/src/scheduling/decisions/eviction-options.ts
+++ b/src/scheduling/decisions/eviction-options.ts
@@ -1,9 +1,11 @@
+/** What could be evicted from a machine for a pending task, and at what cost. */
 import type { PlacedTask } from '../../records/cluster-state.js';
 import { JOB_PRIORITIES, type JobSpec } from '../../domain/job.js';
 import { fits, type Resources, subtractResources } from '../../domain/resources.js';
 import { isAllowedOn } from '../../records/placement-rules.js';
 import type { Machine } from '../../domain/machine.js';
 
+/** A placed task that could be evicted. */
 export interface EvictionCandidate {
   placedTask: PlacedTask;
   spec: JobSpec;
@@ -16,12 +18,14 @@
   tasks: EvictionCandidate[];
 }
 
+/** The evictions that make one more task fit on a machine. The cost has no unit: one low-priority task that can save costs 1. */
 export interface EvictionOption<L> {
   load: L;
   evicted: EvictionCandidate[];
   cost: number;
 }
 
+/** Position of the job's priority, 0 is the highest. */
 export const priorityIndexOf = (spec: JobSpec): number => JOB_PRIORITIES.indexOf(spec.priority);
 
 /** Lowest priority first, then the shortest by its estimated run time. */
--- a/src/scheduling/health-checks.ts
+++ b/src/scheduling/health-checks.ts
@@ -1,20 +1,22 @@
-/** Turns worker reports and deaths of tasks into checks of the happiness of service tasks. */
+/** Turns heartbeats and deaths of tasks into checks of the happiness of service tasks. */
 import type { ClusterState, PlacedTask } from '../records/cluster-state.js';
 import { parseTaskId, taskIdOf } from '../domain/task.js';
 import type { Clock } from '../net/clock.js';
 import type { Happiness } from './decisions/happiness.js';
 import type { WorkerStatus } from '../workers/worker-wire-codec.js';
 
+/** Where checks are noted, and what tells service tasks from others. */
 export interface HealthChecksDependencies {
   clusterState: ClusterState;
   happiness: Happiness;
   clock: Clock;
 }
 
+/** Hears the events of workers; tasks of other kinds of jobs are ignored. */
 export class HealthChecks {
   constructor(private readonly dependencies: HealthChecksDependencies) {}
 
-  /** A worker has reported: each task that it runs is healthy. */
+  /** A worker has sent a heartbeat: each task that it runs is healthy. */
   heartbeatReceived(workerStatus: WorkerStatus): void {
     for (const [taskId, task] of workerStatus.tasks) {
       const parsed = parseTaskId(taskId);
--- a/src/scheduling/team-settlement.ts
+++ b/src/scheduling/team-settlement.ts
@@ -1,6 +1,7 @@
 /**
- * Sets the records of teams to what the ledger shows, where exits have left them as they were and no start has followed. Done by the
- * leader, for teams of which nothing has started for a while, so that it takes no changes from those that are busy.
+ * Sets the usage records of teams to what the placements show, where exits have left them as they were and no start has followed.
+ * Done by the cluster leader, for teams of which nothing has started for a while, so that it does not conflict with the starts of
+ * those that are busy.
  */
 import { teamKey } from '../records/record-keys.js';
 import type { TeamAccounting } from '../records/team-accounting.js';
@@ -9,6 +10,7 @@
 import type { Replica } from '../store/replica.js';
 import type { RoleLeadership } from '../leadership/role-leadership.js';
 
+/** The teams, and the accounting of what they use. */
 export interface TeamSettlementDependencies {
   teams: readonly { name: string }[];
   leadership: RoleLeadership;
@@ -17,8 +19,9 @@
   accounting: TeamAccounting;
 }
 
+/** A duty of the cluster leader. */
 export class TeamSettlement {
-  /** The Stamp of each team's record when it was last looked at. */
+  /** The modRevision of each team's record when it was last looked at. */
   private readonly lastModRevisions = new Map<string, number>();
 
   constructor(private readonly dependencies: TeamSettlementDependencies) {}
