--- a/test/scheduling/rescheduler.test.ts
+++ b/test/scheduling/rescheduler.test.ts
@@ -15,15 +15,15 @@
 import { decodeTuning } from '../../src/config/settings-file-codec.js';
 
 describe('rescheduler', () => {
-  it('matches no part anew while more services have no place than a round would move', async () => {
+  it('does not re-match while more service tasks are unplaced than a round would move', async () => {
     const clock = new FakeClock();
     const stop = new AbortController();
     let placed = 1;
-    let looks = 0;
+    let lookCount = 0;
     const record = { spec: { kind: 'service', taskCount: 5 }, state: 'active' };
     const jobs = { values: () => [{ record, placed }] };
     const all = () => {
-      looks++;
+      lookCount++;
       return new Map();
     };
     const inventory = { machines: all, isOpen: () => true };
@@ -45,10 +45,10 @@
     });
     void rescheduler.run(stop.signal);
     await clock.advance(60_000);
-    assert.equal(looks, 0);
+    assert.equal(lookCount, 0);
     placed = 4;
     await clock.advance(60_000);
-    assert.ok(looks >= 4, `${looks} looks once no more than two wait`);
+    assert.ok(lookCount >= 4, `${lookCount} looks once no more than two are unplaced`);
     stop.abort();
   });
 });
