--- a/src/controller/scheduling-parts.ts
+++ b/src/controller/scheduling-parts.ts
@@ -31,18 +31,9 @@
     !tuning.standby.enabled || maySend(call, () => leadership.isLeader);
   const cloud = new CloudClient(http, cloudAddress, cluster.cloud.requestsPerSecond, clock, canSend);
   const leader = new ClusterLeader({ ...environment, ...records, leadership, inventory, planner, cloud });
-  const rescheduler = new Rescheduler(
-    tuning,
-    leadership,
-    clusterState,
-    inventory,
-    planner,
-    transactions,
-    happiness,
-    clock,
-    random,
-    log,
-  );
+  const rescheduler = new Rescheduler({
+    ...{ tuning, leadership, clusterState, inventory, planner, transactions, happiness, clock, random, log },
+  });
   const teamSettlement = new TeamSettlement({ ...records, teams: cluster.teams, leadership });
   return { planner, leader, rescheduler, teamSettlement };
 }
--- a/src/records/placement-mutations.ts
+++ b/src/records/placement-mutations.ts
@@ -1,10 +1,9 @@
 /** Mutations of task placements: start, release and stop of a task, and the end of a job. */
 import { END_WRITES } from '../constants/records.js';
 import type { Machine } from '../domain/machine.js';
-import type { TaskPlacement } from '../domain/task.js';
+import type { ActivePlacement, TaskPlacement } from '../domain/task.js';
 import type { Team } from '../domain/team.js';
 import type { TransactionDraft } from '../store/transaction-draft.js';
-import type { PlacedTask } from './machine-placements.js';
 import { decodeChunk, withPlacement } from './placement-codec.js';
 import { findStartRefusal, type Proof, provesFree, type StartRefusal } from './placement-rules.js';
 import { decodeJobRecord, encodeFinalJobRecord } from './record-codecs.js';
@@ -125,13 +124,20 @@
   return isReleased;
 }
 
+/** A task that is to stop, as it was seen on its machine. */
+export interface StopTarget {
+  jobId: string;
+  taskIndex: number;
+  placement: Pick<ActivePlacement, 'machineId' | 'attempt'>;
+}
+
 /**
  * Marks a task for stopping, if it is still where it was seen; the leader of the machine's partition sends the command. A
  * shorter grace period replaces a longer one.
  */
 export function markForStop(
   draft: TransactionDraft,
-  { jobId, taskIndex, placement: seen }: PlacedTask,
+  { jobId, taskIndex, placement: seen }: StopTarget,
   gracePeriodS: number,
 ): boolean {
   const job = readJob(draft, jobId);
--- a/src/scheduling/eviction-marker.ts
+++ b/src/scheduling/eviction-marker.ts
@@ -1,73 +1,93 @@
+/** Marks tasks for eviction on the cluster leader's behalf, and remembers which until their records show it. */
 import { STOPPING_MS } from '../constants/scheduling.js';
-import type { ClusterState, PlacedTask } from '../records/cluster-state.js';
-import { markForStop } from '../records/placement-mutations.js';
 import type { JobSpec } from '../domain/job.js';
-import { attemptKeyOf } from '../workers/attempt-key.js';
 import { CLUSTER_LEADER_ROLE } from '../domain/role.js';
 import type { RoleLeadership } from '../leadership/role-leadership.js';
+import type { Log } from '../logging/log.js';
 import type { Clock } from '../net/clock.js';
 import { Priority } from '../net/token-bucket.js';
+import type { ClusterState, PlacedTask } from '../records/cluster-state.js';
+import { markForStop } from '../records/placement-mutations.js';
 import type { TransactionBatcher } from '../store/transaction-batcher.js';
-import type { Log } from '../logging/log.js';
+import type { TransactionDraft } from '../store/transaction-draft.js';
+import { attemptKeyOf } from '../workers/attempt-key.js';
+
+/** What evictions are recorded through. */
+export interface EvictionMarkerDependencies {
+  leadership: RoleLeadership;
+  clusterState: ClusterState;
+  transactions: TransactionBatcher;
+  clock: Clock;
+  log: Log;
+}
 
-/** Marks places for stopping on the leader's behalf, and remembers which until the ledger shows it. */
+/** The evictions of one cluster leader; a successor can take them over. All times are steady ms of this node. */
 export class EvictionMarker {
-  private readonly stoppedAt = new Map<string, number>();
+  /** When each attempt was evicted, by attempt key. */
+  private readonly evictedAtMs = new Map<string, number>();
 
-  constructor(
-    private readonly leadership: RoleLeadership,
-    private readonly clusterState: ClusterState,
-    private readonly transactions: TransactionBatcher,
-    private readonly clock: Clock,
-    private readonly log: Log,
-  ) {}
+  constructor(private readonly dependencies: EvictionMarkerDependencies) {}
 
-  /** Attempts that were lately asked to stop, with the steady ms. */
+  /** Attempts that were lately asked to stop. */
   *recentEvictions(): Iterable<{ attempt: string; at: number }> {
-    for (const [attempt, at] of this.stoppedAt) if (this.clock.now() - at < STOPPING_MS) yield { attempt, at };
+    for (const [attempt, at] of this.evictedAtMs) if (this.isRecent(at)) yield { attempt, at };
   }
 
   /** A former leader has asked the attempt to stop. */
   restoreEviction(attempt: string, at: number): void {
-    if (!this.stoppedAt.has(attempt)) this.stoppedAt.set(attempt, at);
+    if (!this.evictedAtMs.has(attempt)) this.evictedAtMs.set(attempt, at);
   }
 
+  /** Is the task about to exit, because its record says so or because its eviction is under way? */
   isStopping(placedTask: PlacedTask): boolean {
     if (placedTask.placement.gracePeriodS !== null) return true;
-    if (this.stoppedAt.size === 0) return false;
-    const since = this.stoppedAt.get(attemptKeyOf(placedTask));
-    return since !== undefined && this.clock.now() - since < STOPPING_MS;
+    // Most of the time nothing is evicted: no key is made then.
+    if (this.evictedAtMs.size === 0) return false;
+    const atMs = this.evictedAtMs.get(attemptKeyOf(placedTask));
+    return atMs !== undefined && this.isRecent(atMs);
   }
 
-  evict(placedTask: PlacedTask, spec: JobSpec, gracePeriodS: number, why: string): void {
-    const { jobId } = placedTask;
-    // A gang stops whole: every member must be told within `gang_peer_s` of the first.
-    const placedTasks: PlacedTask[] = [];
-    if (spec.kind === 'gang') {
-      for (const [taskIndex, placement] of this.clusterState.jobs.get(jobId)?.knownPlacements() ?? []) {
-        if (placement.kind === 'placed' && placement.attempt === placedTask.placement.attempt)
-          placedTasks.push({ jobId, taskIndex, placement });
-      }
-    } else placedTasks.push(placedTask);
-    const now = this.clock.now();
-    for (const [key, at] of this.stoppedAt) if (now - at > STOPPING_MS) this.stoppedAt.delete(key);
-    for (const each of placedTasks) this.stoppedAt.set(attemptKeyOf(each), now);
-    this.log.debug(
-      { job: jobId, machine: placedTask.placement.machineId, taskCount: placedTasks.length, gracePeriodS, why },
-      'stop',
-    );
-    void this.transactions.commit(
-      'stop',
-      Priority.start,
-      (draft) => {
-        if (!this.leadership.requireLeadership(draft, CLUSTER_LEADER_ROLE)) return false;
-        let marked = false;
-        for (const each of placedTasks) {
-          if (markForStop(draft, each, gracePeriodS)) marked = true;
-        }
-        return marked;
-      },
-      { batchingHint: this.clusterState.batchingHintFor(jobId, placedTask.taskIndex) },
+  /** Asks the task, or its whole gang, to stop within `gracePeriodS`. `reason` is for the log only. */
+  evict(placedTask: PlacedTask, spec: JobSpec, gracePeriodS: number, reason: string): void {
+    const { clusterState, transactions, log } = this.dependencies;
+    const { jobId, taskIndex, placement } = placedTask;
+    const placedTasks = spec.kind === 'gang' ? this.gangMembersOf(placedTask) : [placedTask];
+    this.remember(placedTasks);
+    log.debug(
+      { jobId, machineId: placement.machineId, taskCount: placedTasks.length, gracePeriodS, reason },
+      'task eviction requested',
     );
+    void transactions.commit('stop', Priority.start, (draft) => this.markAll(draft, placedTasks, gracePeriodS), {
+      batchingHint: clusterState.batchingHintFor(jobId, taskIndex),
+    });
+  }
+
+  /** A gang stops whole: every member must be told within the peer timeout of the first. */
+  private gangMembersOf({ jobId, placement: { attempt } }: PlacedTask): PlacedTask[] {
+    const members: PlacedTask[] = [];
+    for (const [taskIndex, placement] of this.dependencies.clusterState.jobs.get(jobId)?.knownPlacements() ?? []) {
+      if (placement.kind === 'placed' && placement.attempt === attempt) members.push({ jobId, taskIndex, placement });
+    }
+    return members;
+  }
+
+  private remember(placedTasks: readonly PlacedTask[]): void {
+    const nowMs = this.dependencies.clock.now();
+    for (const [attempt, atMs] of this.evictedAtMs) {
+      if (nowMs - atMs > STOPPING_MS) this.evictedAtMs.delete(attempt);
+    }
+    for (const placedTask of placedTasks) this.evictedAtMs.set(attemptKeyOf(placedTask), nowMs);
+  }
+
+  /** Runs within the transaction; false: no record is to be changed. */
+  private markAll(draft: TransactionDraft, placedTasks: readonly PlacedTask[], gracePeriodS: number): boolean {
+    if (!this.dependencies.leadership.requireLeadership(draft, CLUSTER_LEADER_ROLE)) return false;
+    let hasMarked = false;
+    for (const placedTask of placedTasks) if (markForStop(draft, placedTask, gracePeriodS)) hasMarked = true;
+    return hasMarked;
+  }
+
+  private isRecent(atMs: number): boolean {
+    return this.dependencies.clock.now() - atMs < STOPPING_MS;
   }
 }
