--- a/src/autoscaling/autoscaler.ts
+++ b/src/autoscaling/autoscaler.ts
@@ -35,15 +35,15 @@
 
 /** Rents machines for what has no place, and for the reserve, under names that are never used twice. */
 export class Autoscaler {
-  private readonly noCapacity = new Map<string, number>();
+  private readonly noCapacityUntilMs = new Map<string, number>();
   /**
    * Rentals that were refused and dropped, with the steady ms. Their records may come back by a late write of their own; only
    * under the claim that wrote them, so this node knows them all.
    */
-  private readonly refused = new Map<string, number>();
+  private readonly refusedAtMs = new Map<string, number>();
   private sequence = 0;
   /** Records that one transaction may change, also after an announced change of the store's limits. */
-  private readonly mostRecords: number;
+  private readonly maxRecordsPerTransaction: number;
 
   constructor(
     settings: Settings,
@@ -58,23 +58,23 @@
     /** The cloud's list, as last read. */
     private readonly listed: () => ReadonlyMap<string, ListedMachine>,
   ) {
-    this.mostRecords = settings.cluster.store.lasting.transactionWrites;
+    this.maxRecordsPerTransaction = settings.cluster.store.lasting.transactionWrites;
   }
 
   /** Offers that the cloud has lately refused, with the steady ms. */
-  *refusedLately(): Iterable<{ offer: string; at: number }> {
-    for (const [offer, until] of this.noCapacity)
+  *recentlyRefusedOffers(): Iterable<{ offer: string; at: number }> {
+    for (const [offer, until] of this.noCapacityUntilMs)
       if (until > this.clock.now()) yield { offer, at: until - NO_CAPACITY_MS };
   }
 
   /** A former leader was refused an offer. */
   restoreRefusal(offer: string, at: number): void {
     const until = Math.min(at, this.clock.now()) + NO_CAPACITY_MS;
-    this.noCapacity.set(offer, Math.max(until, this.noCapacity.get(offer) ?? -Infinity));
+    this.noCapacityUntilMs.set(offer, Math.max(until, this.noCapacityUntilMs.get(offer) ?? -Infinity));
   }
 
   /** Changes the records of rentals, one for each, so that none outgrows what the store keeps under a key. */
-  private async note(rentals: readonly RentalRecord[], drop = false): Promise<boolean> {
+  private async writeRentals(rentals: readonly RentalRecord[], drop = false): Promise<boolean> {
     const outcome = await this.transactions.commit('hires', Priority.start, (draft) => {
       if (!this.leadership.requireLeadership(draft, CLUSTER_LEADER_ROLE)) return false;
       for (const rental of rentals) {
@@ -87,7 +87,7 @@
   }
 
   /** Waiting tasks by job, with the zones that their job leaves open. */
-  private needs(): CapacityNeed[] {
+  private unmetNeeds(): CapacityNeed[] {
     const byJob = new Map<string, PendingTask[]>();
     for (const each of this.planner.unplacedTasks)
       byJob.set(each.view.jobId, [...(byJob.get(each.view.jobId) ?? []), each]);
@@ -96,7 +96,7 @@
       const view = this.clusterState.jobs.get(jobId);
       if (view === undefined) continue;
       const { spec } = view.record;
-      const tasks = this.tasksToRentFor(spec, waiting);
+      const tasks = this.tasksToScaleOutFor(spec, waiting);
       if (tasks === 0) continue;
       const { tasksPerZone } = view;
       const all = [...new Set([...this.inventory.catalog.values()].flatMap((machineType) => machineType.zones))];
@@ -110,20 +110,20 @@
    * A job whose tasks fail again and again is worth no more than one machine to try on, but must have that. A gang has to be
    * whole, and what is rented for it serves its next tries as well.
    */
-  private tasksToRentFor(spec: JobSpec, waiting: readonly PendingTask[]): number {
+  private tasksToScaleOutFor(spec: JobSpec, waiting: readonly PendingTask[]): number {
     const failing = waiting.some((each) => each.placement.failures > FAILURES_WORTH_SCALING_OUT);
     if (!failing || spec.kind === 'gang') return waiting.length;
     return this.inventory.openMachines().some((machine) => isAllowedOn(spec, machine)) ? 0 : 1;
   }
 
-  private offers(): MachineOffer[] {
+  private availableOffers(): MachineOffer[] {
     const now = this.clock.now();
     const offers: MachineOffer[] = [];
     for (const machineType of this.inventory.catalog.values()) {
       for (const zone of machineType.zones) {
         for (const isSpot of [false, true]) {
           const offer = { machineType, zone, isSpot };
-          if ((this.noCapacity.get(offerName(offer)) ?? -Infinity) > now) continue;
+          if ((this.noCapacityUntilMs.get(offerName(offer)) ?? -Infinity) > now) continue;
           if (isSpot && machineType.spotHourlyPrice <= 0) continue;
           offers.push(offer);
         }
@@ -136,24 +136,28 @@
   async round(): Promise<boolean> {
     const rentals = [...this.clusterState.rentals.values()];
     const wall = this.clock.wall();
-    const heard = this.inventory.machines();
+    const running = this.inventory.machines();
     // First the requests of a former leader, or of a lost answer: the same name gets the same machines.
     const open = rentals.filter((rental) => rental.machineIds === null);
     if (open.length > 0) {
-      const back = open.filter((rental) => this.refused.has(rental.rentalId)).slice(0, this.mostRecords);
-      if (back.length > 0) await this.note(back, true);
-      await Promise.all(open.filter((rental) => !this.refused.has(rental.rentalId)).map((rental) => this.ask(rental)));
+      const back = open
+        .filter((rental) => this.refusedAtMs.has(rental.rentalId))
+        .slice(0, this.maxRecordsPerTransaction);
+      if (back.length > 0) await this.writeRentals(back, true);
+      await Promise.all(
+        open.filter((rental) => !this.refusedAtMs.has(rental.rentalId)).map((rental) => this.requestMachines(rental)),
+      );
       return true;
     }
     const now = this.clock.now();
-    for (const [name, at] of this.refused) if (now - at > REFUSED_RENTAL_KEPT_MS) this.refused.delete(name);
+    for (const [name, at] of this.refusedAtMs) if (now - at > REFUSED_RENTAL_KEPT_MS) this.refusedAtMs.delete(name);
     const over = (rental: RentalRecord) =>
-      rental.machineIds!.every((machineId) => heard.has(machineId) || this.inventory.terminated.has(machineId)) ||
+      rental.machineIds!.every((machineId) => running.has(machineId) || this.inventory.terminated.has(machineId)) ||
       wall - rental.requestedAtMs > 2 * bootLimitMs(this.inventory.catalog.get(rental.machineType));
-    const most = this.mostRecords;
+    const most = this.maxRecordsPerTransaction;
     const past = rentals.filter(over).slice(0, most);
-    if (past.length > 0) await this.note(past, true);
-    const coming: MachineOffer[] = [];
+    if (past.length > 0) await this.writeRentals(past, true);
+    const booting: MachineOffer[] = [];
     const counted = new Set<string>();
     const expect = (machineId: string, machineTypeName: string, zone: string, isSpot: boolean, ageMs: number) => {
       const machineType = this.inventory.catalog.get(machineTypeName);
@@ -161,13 +165,13 @@
       if (
         machineType === undefined ||
         counted.has(machineId) ||
-        heard.has(machineId) ||
+        running.has(machineId) ||
         this.inventory.terminated.has(machineId)
       )
         return;
       if (ageMs > machineType.bootS * 1000 * 2) return;
       counted.add(machineId);
-      coming.push({ machineType, zone, isSpot });
+      booting.push({ machineType, zone, isSpot });
     };
     for (const rental of rentals) {
       for (const machineId of rental.machineIds ?? [])
@@ -177,8 +181,8 @@
       if (machine.state === 'failed') continue;
       expect(machine.machineId, machine.machineType, machine.zone, machine.isSpot, machine.ageS * 1000);
     }
-    const wanted = decideScaleOut(this.needs(), this.offers(), coming, MAX_SCALE_OUT_AT_ONCE);
-    const reserve = wanted.length === 0 ? this.reserve(coming) : undefined;
+    const wanted = decideScaleOut(this.unmetNeeds(), this.availableOffers(), booting, MAX_SCALE_OUT_AT_ONCE);
+    const reserve = wanted.length === 0 ? this.decideReserve(booting) : undefined;
     if (reserve !== undefined) wanted.push(reserve);
     const held = this.leadership.leadershipOf(CLUSTER_LEADER_ROLE);
     if (held === undefined || wanted.length === 0) return false;
@@ -193,17 +197,17 @@
       machineIds: null,
     }));
     // All wanted at one moment share one transaction.
-    const noted = await this.note(records);
+    const noted = await this.writeRentals(records);
     if (!noted) return false;
-    const full = await Promise.all(records.map((record) => this.ask(record)));
+    const full = await Promise.all(records.map((record) => this.requestMachines(record)));
     return full.includes(false) || wanted.length > most;
   }
 
   /** More machines where free room has become scarce, before tasks have to wait for them. */
-  private reserve(coming: readonly MachineOffer[]): WantedMachines | undefined {
+  private decideReserve(booting: readonly MachineOffer[]): WantedMachines | undefined {
     const open = this.inventory.openMachines();
     const rooms = this.planner.freeResources(open);
-    const offers = this.offers();
+    const offers = this.availableOffers();
     const kinds = new Map<string, { free: number; total: number }>();
     const kindOf = (name: string) => ((this.inventory.catalog.get(name)?.gpus ?? 0) > 0 ? 'cards' : 'plain');
     for (const machine of open) {
@@ -213,7 +217,7 @@
       kind.total += machineType.cpus;
       kinds.set(kindOf(machineType.name), kind);
     }
-    for (const { machineType } of coming) {
+    for (const { machineType } of booting) {
       const kind = kinds.get(kindOf(machineType.name));
       if (kind !== undefined) kind.free += machineType.cpus;
     }
@@ -236,21 +240,21 @@
   }
 
   /** True: rented in full. */
-  private async ask(record: RentalRecord): Promise<boolean> {
+  private async requestMachines(record: RentalRecord): Promise<boolean> {
     const result = await this.cloud.scaleOut(record);
     const machineType = this.inventory.catalog.get(record.machineType);
     this.log.info({ rental: record.rentalId, machineType: record.machineType, zone: record.zone, result }, 'rental');
     if (result.kind === 'rented') {
       if (result.machineIds.length < record.count && machineType !== undefined) {
-        this.noCapacity.set(offerName({ ...record, machineType }), this.clock.now() + NO_CAPACITY_MS);
+        this.noCapacityUntilMs.set(offerName({ ...record, machineType }), this.clock.now() + NO_CAPACITY_MS);
       }
-      await this.note([{ ...record, machineIds: result.machineIds }]);
+      await this.writeRentals([{ ...record, machineIds: result.machineIds }]);
     } else if (result.kind === 'no_capacity' || result.kind === 'malformed') {
       if (machineType !== undefined) {
-        this.noCapacity.set(offerName({ ...record, machineType }), this.clock.now() + NO_CAPACITY_MS);
+        this.noCapacityUntilMs.set(offerName({ ...record, machineType }), this.clock.now() + NO_CAPACITY_MS);
       }
-      this.refused.set(record.rentalId, this.clock.now());
-      await this.note([record], true);
+      this.refusedAtMs.set(record.rentalId, this.clock.now());
+      await this.writeRentals([record], true);
     } else {
       // Not answered, or refused for now: the same name is sent again, so nothing is rented twice.
       await this.clock.sleep(1000);
--- a/src/autoscaling/cluster-leader.ts
+++ b/src/autoscaling/cluster-leader.ts
@@ -66,19 +66,19 @@
   private readonly peerDirectory: PeerDirectory;
   private readonly clock: Clock;
   private readonly log: Log;
-  private listed = new Map<string, ListedMachine>();
+  private listedMachines = new Map<string, ListedMachine>();
   private readonly idleSince = new Map<string, number>();
-  private readonly sickSince = new Map<string, number>();
-  private readonly returning = new Set<string>();
+  private readonly quarantinedSince = new Map<string, number>();
+  private readonly inFlightScaleIns = new Set<string>();
   private readonly evictionMarker: EvictionMarker;
   private readonly preemptor: Preemptor;
   private readonly autoscaler: Autoscaler;
-  private catalogAt = -Infinity;
-  private idleLookAt = -Infinity;
+  private catalogReadAtMs = -Infinity;
+  private nextIdleCheckAtMs = -Infinity;
   /** Since when each role is seen in the hands of its present owner. */
-  private readonly ownerSince = new Map<string, { leaseId: number; at: number }>();
+  private readonly leaderSince = new Map<string, { leaseId: number; at: number }>();
   /** When each zone was last seen cut off. */
-  private readonly cutAt = new Map<string, number>();
+  private readonly zoneCutAtMs = new Map<string, number>();
 
   constructor({
     settings,
@@ -116,25 +116,25 @@
       cloud,
       clock,
       log,
-      () => this.listed,
+      () => this.listedMachines,
     );
   }
 
   async run(signal: AbortSignal): Promise<void> {
     await Promise.all([
-      this.every(SCALE_OUT_PERIOD_MS / 4, signal, () => this.readCatalog()),
-      this.every(LIST_PERIOD_MS, signal, () => this.readList()),
-      this.every(SCALE_OUT_PERIOD_MS, signal, async () => {
+      this.repeatWhileLeading(SCALE_OUT_PERIOD_MS / 4, signal, () => this.readCatalog()),
+      this.repeatWhileLeading(LIST_PERIOD_MS, signal, () => this.readMachineList()),
+      this.repeatWhileLeading(SCALE_OUT_PERIOD_MS, signal, async () => {
         // What is refused in one place is asked for in the next at once: a machine takes long enough to boot.
         for (let round = 0; round < SCALE_OUT_ROUNDS && (await this.autoscaler.round()); round++);
       }),
-      this.every(SCALE_OUT_PERIOD_MS / 4, signal, () => this.tend()),
-      this.every(PREEMPT_PERIOD_MS / 2, signal, () => this.preemptor.round()),
-      this.every(STATUS_PERIOD_MS, signal, () => this.status()),
+      this.repeatWhileLeading(SCALE_OUT_PERIOD_MS / 4, signal, () => this.maintainMachines()),
+      this.repeatWhileLeading(PREEMPT_PERIOD_MS / 2, signal, () => this.preemptor.round()),
+      this.repeatWhileLeading(STATUS_PERIOD_MS, signal, () => this.logStatus()),
     ]);
   }
 
-  private async every(ms: number, signal: AbortSignal, work: () => Promise<void> | void): Promise<void> {
+  private async repeatWhileLeading(ms: number, signal: AbortSignal, work: () => Promise<void> | void): Promise<void> {
     while (!signal.aborted) {
       try {
         if (this.leadership.isLeader) await work();
@@ -146,7 +146,7 @@
   }
 
   /** A line now and then by which an operator sees how full the cluster is and who waits. */
-  private status(): void {
+  private logStatus(): void {
     const machines = [...this.inventory.machines().values()];
     const open = this.inventory.openMachines();
     let total = 0;
@@ -173,10 +173,10 @@
 
   private async readCatalog(): Promise<void> {
     const now = this.clock.now();
-    if (now - this.catalogAt < CATALOG_PERIOD_MS) return;
+    if (now - this.catalogReadAtMs < CATALOG_PERIOD_MS) return;
     const machineTypes = await this.cloud.machineTypes();
     if (machineTypes === undefined) return;
-    this.catalogAt = now;
+    this.catalogReadAtMs = now;
     // Each type is a decision of its own: all together may be more than one transaction holds.
     await Promise.all(
       machineTypes.map((machineType) =>
@@ -197,17 +197,17 @@
     return true;
   }
 
-  private async readList(): Promise<void> {
+  private async readMachineList(): Promise<void> {
     const list = await this.cloud.list();
     if (list === undefined) return;
-    this.listed = new Map(list.map((machine) => [machine.machineId, machine]));
+    this.listedMachines = new Map(list.map((machine) => [machine.machineId, machine]));
   }
 
   /** What the leader remembers beside the records: for whoever succeeds it. */
   get memory(): LeaderMemory {
     return {
       stopping: () => this.evictionMarker.recentEvictions(),
-      refused: () => this.autoscaler.refusedLately(),
+      refused: () => this.autoscaler.recentlyRefusedOffers(),
       idle: () => [...this.idleSince].map(([machineId, at]) => ({ machineId, at })),
       restoreStopping: (attempt, at) => this.evictionMarker.restoreEviction(attempt, at),
       restoreRefusal: (offer, at) => this.autoscaler.restoreRefusal(offer, at),
@@ -219,45 +219,45 @@
 
   /** Where a machine listens that has not reported to this node; undefined: neither a peer nor the cloud tells. */
   endpointOf(machineId: string): string | undefined {
-    return this.inventory.peerReportOf(machineId)?.endpoint ?? this.listed.get(machineId)?.endpoint;
+    return this.inventory.peerReportOf(machineId)?.endpoint ?? this.listedMachines.get(machineId)?.endpoint;
   }
 
   /** Looks after machines: dead, failed, never up, sick, idle, warned. */
-  private async tend(): Promise<void> {
+  private async maintainMachines(): Promise<void> {
     const now = this.clock.now();
     const all = this.inventory.machines();
-    const back = new Set<string>([...this.silent(all), ...this.useless(all)]);
+    const back = new Set<string>([...this.findUnresponsiveMachines(all), ...this.findUnusableMachines(all)]);
     // Idle machines are kept for minutes, so they are looked for now and then.
-    if (now >= this.idleLookAt) {
-      this.idleLookAt = now + IDLE_CHECK_PERIOD_MS;
-      for (const machineId of this.idle()) back.add(machineId);
+    if (now >= this.nextIdleCheckAtMs) {
+      this.nextIdleCheckAtMs = now + IDLE_CHECK_PERIOD_MS;
+      for (const machineId of this.findIdleMachines()) back.add(machineId);
     }
-    this.stopOnWarned(all);
-    const machineIds = [...back].filter((machineId) => !this.returning.has(machineId)).slice(0, 50);
+    this.evictBeforeSpotNoticeEnds(all);
+    const machineIds = [...back].filter((machineId) => !this.inFlightScaleIns.has(machineId)).slice(0, 50);
     // Places on machines that the cloud has confirmed gone, also those committed on an old view since.
     for (const machineId of this.clusterState.usedMachines())
-      if (this.inventory.terminated.has(machineId)) this.freeGone(machineId);
+      if (this.inventory.terminated.has(machineId)) this.releasePlacementsOn(machineId);
     if (machineIds.length === 0) return;
     for (const machineId of machineIds) {
-      this.returning.add(machineId);
+      this.inFlightScaleIns.add(machineId);
       this.inventory.scalingIn.add(machineId);
     }
     this.log.info({ machines: machineIds, at: Math.round(now) }, 'machines given back');
     const gone = await this.cloud.scaleIn(machineIds);
     for (const machineId of machineIds) {
-      this.returning.delete(machineId);
+      this.inFlightScaleIns.delete(machineId);
       if (!gone) {
         this.inventory.scalingIn.delete(machineId);
         continue;
       }
       this.inventory.markTerminated(machineId);
-      this.listed.delete(machineId);
-      this.freeGone(machineId);
+      this.listedMachines.delete(machineId);
+      this.releasePlacementsOn(machineId);
     }
   }
 
   /** The cloud's 200 proves that the machine and everything on it are gone. */
-  private freeGone(machineId: string): void {
+  private releasePlacementsOn(machineId: string): void {
     for (const placedTask of [...this.clusterState.tasksOn(machineId)]) {
       const priority = exitPriority(this.clusterState.jobs.get(placedTask.jobId)?.record.spec);
       void this.transactions.commit(
@@ -282,7 +282,7 @@
   }
 
   /** Machines that have been silent for long, unless so many are that the fault is not theirs. */
-  private silent(all: ReadonlyMap<string, MachineInfo>): string[] {
+  private findUnresponsiveMachines(all: ReadonlyMap<string, MachineInfo>): string[] {
     const now = this.clock.now();
     const limit = silenceLimitMs(this.settings.cluster.workers);
     const watched: WatchedMachine[] = [];
@@ -294,32 +294,32 @@
         continue;
       const age = now - machine.heardAt;
       // A mute machine's lease has run out, so nothing runs there any more; only its being gone proves that at once.
-      const silent = machine.isMute || (age > limit && !this.knocked(machine));
+      const silent = machine.isMute || (age > limit && !this.hasReportedElsewhere(machine));
       const isLate = silent || age > heartbeatLateMs(this.settings.cluster.workers);
       watched.push({
         machineId: machine.machineId,
         partition,
         zone: machine.zone,
-        silentMs: silent ? Math.max(age, 1) : 0,
+        unresponsiveMs: silent ? Math.max(age, 1) : 0,
         isLate,
       });
     }
-    watched.push(...this.unheard(all, now));
-    for (const zone of findCutZones(watched)) this.cutAt.set(zone, now);
-    for (const [zone, at] of this.cutAt) if (now - at > ZONE_HEAL_MS) this.cutAt.delete(zone);
-    return findMachinesToReplace(watched, new Set(this.cutAt.keys()));
+    watched.push(...this.neverHeardMachines(all, now));
+    for (const zone of findCutZones(watched)) this.zoneCutAtMs.set(zone, now);
+    for (const [zone, at] of this.zoneCutAtMs) if (now - at > ZONE_HEAL_MS) this.zoneCutAtMs.delete(zone);
+    return findMachinesToReplace(watched, new Set(this.zoneCutAtMs.keys()));
   }
 
   /**
    * Machines with tasks that nobody has heard since the owners of their partitions took over: what died while all nodes were down
    * is told of by no former owner, and would else be waited for until its lease is proved over.
    */
-  private unheard(all: ReadonlyMap<string, MachineInfo>, now: number): WatchedMachine[] {
+  private neverHeardMachines(all: ReadonlyMap<string, MachineInfo>, now: number): WatchedMachine[] {
     const { workers } = this.settings.cluster;
     const list: WatchedMachine[] = [];
     for (const [role, { record }] of this.clusterState.leadershipRecords) {
-      const since = this.ownerSince.get(role);
-      if (since?.leaseId !== record.leaseId) this.ownerSince.set(role, { leaseId: record.leaseId, at: now });
+      const since = this.leaderSince.get(role);
+      if (since?.leaseId !== record.leaseId) this.leaderSince.set(role, { leaseId: record.leaseId, at: now });
     }
     for (const machineId of this.clusterState.usedMachines()) {
       if (all.has(machineId) || this.inventory.terminated.has(machineId)) continue;
@@ -330,7 +330,7 @@
         (partitionLeader !== undefined && this.peerDirectory.reachablePeers().includes(partitionLeader));
       const [placedTask] = this.clusterState.tasksOn(machineId);
       if (!told || placedTask === undefined) continue;
-      const age = now - this.ownerSince.get(partitionRole(partition))!.at;
+      const age = now - this.leaderSince.get(partitionRole(partition))!.at;
       const silent =
         age > UNHEARD_SILENCE_LIMITS * silenceLimitMs(workers) &&
         !this.peerDirectory.hasReportedElsewhere(machineId, -Infinity);
@@ -338,39 +338,39 @@
         machineId,
         partition,
         zone: placedTask.placement.zone,
-        silentMs: silent ? age : 0,
+        unresponsiveMs: silent ? age : 0,
         isLate: age > heartbeatLateMs(workers),
       });
     }
     return list;
   }
 
-  private knocked(machine: MachineInfo): boolean {
+  private hasReportedElsewhere(machine: MachineInfo): boolean {
     return this.peerDirectory.hasReportedElsewhere(machine.machineId, machine.heardAt);
   }
 
   /** Machines that failed, never came up, or fail all their tasks and hold none now. */
-  private useless(all: ReadonlyMap<string, MachineInfo>): string[] {
+  private findUnusableMachines(all: ReadonlyMap<string, MachineInfo>): string[] {
     const list: string[] = [];
-    for (const machine of this.listed.values()) {
+    for (const machine of this.listedMachines.values()) {
       if (this.inventory.terminated.has(machine.machineId)) continue;
       const limit = bootLimitMs(this.inventory.catalog.get(machine.machineType));
       const never = machine.state === 'starting' && !all.has(machine.machineId) && machine.ageS * 1000 > limit;
       if (machine.state === 'failed' || never) list.push(machine.machineId);
     }
     const now = this.clock.now();
-    for (const machineId of this.sickSince.keys())
-      if (all.get(machineId)?.isQuarantined !== true) this.sickSince.delete(machineId);
+    for (const machineId of this.quarantinedSince.keys())
+      if (all.get(machineId)?.isQuarantined !== true) this.quarantinedSince.delete(machineId);
     for (const { machineId, isQuarantined } of all.values()) {
       if (!isQuarantined || this.inventory.terminated.has(machineId)) continue;
-      const since = this.sickSince.get(machineId) ?? now;
-      this.sickSince.set(machineId, since);
+      const since = this.quarantinedSince.get(machineId) ?? now;
+      this.quarantinedSince.set(machineId, since);
       if (now - since >= QUARANTINE_PATIENCE_MS && this.clusterState.taskCountOn(machineId) === 0) list.push(machineId);
     }
     return list;
   }
 
-  private idle(): string[] {
+  private findIdleMachines(): string[] {
     const now = this.clock.now();
     const list: string[] = [];
     const open = this.inventory.openMachines();
@@ -399,7 +399,7 @@
   }
 
   /** Tasks that can save are stopped in time on machines that the cloud will take; sick machines are emptied. */
-  private stopOnWarned(all: ReadonlyMap<string, MachineInfo>): void {
+  private evictBeforeSpotNoticeEnds(all: ReadonlyMap<string, MachineInfo>): void {
     const now = this.clock.now();
     for (const machine of all.values()) {
       if (machine.spotNoticeUntil === null) continue;
--- a/src/autoscaling/scale-out-decision.ts
+++ b/src/autoscaling/scale-out-decision.ts
@@ -27,51 +27,51 @@
   (machineType?.bootS ?? 60) * 1000 * BOOT_PATIENCE;
 
 /** Price of one task's room on such a machine. */
-const priceOf = (offer: MachineOffer, spec: JobSpec): number =>
+const pricePerTask = (offer: MachineOffer, spec: JobSpec): number =>
   (offer.isSpot ? offer.machineType.spotHourlyPrice : offer.machineType.hourlyPrice) /
   tasksPerMachine(offer.machineType, spec);
 
 /**
- * What to rent for needs that have no place, after what `coming` machines will hold. Offers refused of late are left
+ * What to rent for needs that have no place, after what `booting` machines will hold. Offers refused of late are left
  * out by the caller, so that another zone or type is tried.
  */
 export function decideScaleOut(
   needs: readonly CapacityNeed[],
   offers: readonly MachineOffer[],
-  coming: readonly MachineOffer[],
-  most: number,
+  booting: readonly MachineOffer[],
+  maxMachines: number,
 ) {
   const wanted: WantedMachines[] = [];
-  const rooms = coming.map((offer) => ({ offer, room: resourcesOfMachineType(offer.machineType) }));
-  let left = most;
+  const freeMachines = booting.map((offer) => ({ offer, free: resourcesOfMachineType(offer.machineType) }));
+  let remainingMachines = maxMachines;
   for (const { spec, tasks, zones } of needs) {
-    const suits = (offer: MachineOffer) =>
+    const isSuitable = (offer: MachineOffer) =>
       isAllowedOn(spec, { machineType: offer.machineType.name, zone: offer.zone, isSpot: offer.isSpot }) &&
       (zones.length === 0 || zones.includes(offer.zone)) &&
       tasksPerMachine(offer.machineType, spec) > 0;
-    let open = tasks;
-    for (const { offer, room } of rooms) {
-      while (open > 0 && suits(offer) && fits(spec, room)) {
-        subtractResources(room, spec);
-        open--;
+    let unplacedTasks = tasks;
+    for (const { offer, free } of freeMachines) {
+      while (unplacedTasks > 0 && isSuitable(offer) && fits(spec, free)) {
+        subtractResources(free, spec);
+        unplacedTasks--;
       }
     }
-    const ranked = offers.filter(suits).sort((a, b) => priceOf(a, spec) - priceOf(b, spec));
-    while (open > 0 && left > 0 && ranked.length > 0) {
+    const ranked = offers.filter(isSuitable).sort((a, b) => pricePerTask(a, spec) - pricePerTask(b, spec));
+    while (unplacedTasks > 0 && remainingMachines > 0 && ranked.length > 0) {
       // Ties between zones go to the one that has got the fewest, so that a zone's loss costs less.
-      const cheapest = priceOf(ranked[0]!, spec);
-      const equals = ranked.filter((offer) => priceOf(offer, spec) <= cheapest * 1.001);
-      const offer = equals.reduce((a, b) => (countOf(wanted, b) < countOf(wanted, a) ? b : a));
-      const known = wanted.find((each) => isSameOffer(each, offer));
-      if (known !== undefined) known.count++;
+      const cheapest = pricePerTask(ranked[0]!, spec);
+      const equallyCheap = ranked.filter((offer) => pricePerTask(offer, spec) <= cheapest * 1.001);
+      const offer = equallyCheap.reduce((a, b) => (countOf(wanted, b) < countOf(wanted, a) ? b : a));
+      const existing = wanted.find((each) => isSameOffer(each, offer));
+      if (existing !== undefined) existing.count++;
       else wanted.push({ ...offer, count: 1 });
-      left--;
-      const room = resourcesOfMachineType(offer.machineType);
-      while (open > 0 && fits(spec, room)) {
-        subtractResources(room, spec);
-        open--;
+      remainingMachines--;
+      const free = resourcesOfMachineType(offer.machineType);
+      while (unplacedTasks > 0 && fits(spec, free)) {
+        subtractResources(free, spec);
+        unplacedTasks--;
       }
-      rooms.push({ offer, room });
+      freeMachines.push({ offer, free });
     }
   }
   return wanted;
--- a/src/autoscaling/silent-machines.ts
+++ b/src/autoscaling/silent-machines.ts
@@ -7,34 +7,37 @@
   partition: number;
   zone: string;
   /** ms for which nothing has shown that it lives and can be reached; 0: it does and can. */
-  silentMs: number;
+  unresponsiveMs: number;
   /** It is late with a report, or worse. */
   isLate: boolean;
 }
 
-interface Group {
-  quiet: number;
+interface HeartbeatCounts {
+  late: number;
   total: number;
 }
 
-const grouped = <K>(machines: readonly WatchedMachine[], keyOf: (machine: WatchedMachine) => K): Map<K, Group> => {
-  const groups = new Map<K, Group>();
+const countLateBy = <K>(
+  machines: readonly WatchedMachine[],
+  keyOf: (machine: WatchedMachine) => K,
+): Map<K, HeartbeatCounts> => {
+  const groups = new Map<K, HeartbeatCounts>();
   for (const machine of machines) {
     const key = keyOf(machine);
-    const group = groups.get(key) ?? { quiet: 0, total: 0 };
+    const group = groups.get(key) ?? { late: 0, total: 0 };
     group.total++;
-    if (machine.isLate) group.quiet++;
+    if (machine.isLate) group.late++;
     groups.set(key, group);
   }
   return groups;
 };
 
-const few = ({ quiet, total }: Group, share: number): boolean => quiet <= Math.max(2, total * share);
+const isMinority = ({ late, total }: HeartbeatCounts, share: number): boolean => late <= Math.max(2, total * share);
 
 /** Zones that are cut off by all their machines say. */
 export function findCutZones(machines: readonly WatchedMachine[]): string[] {
-  const zones = grouped(machines, (machine) => machine.zone);
-  return [...zones].filter(([, zone]) => !few(zone, ZONE_CUT_SHARE)).map(([zone]) => zone);
+  const zones = countLateBy(machines, (machine) => machine.zone);
+  return [...zones].filter(([, zone]) => !isMinority(zone, ZONE_CUT_SHARE)).map(([zone]) => zone);
 }
 
 /**
@@ -44,12 +47,15 @@
  * first machine to count as silent is judged by how many others are late already; and since they come back at different
  * times, a zone is spared for a while after.
  */
-export function findMachinesToReplace(machines: readonly WatchedMachine[], spared: ReadonlySet<string>): string[] {
-  const partitions = grouped(machines, (machine) => machine.partition);
+export function findMachinesToReplace(
+  machines: readonly WatchedMachine[],
+  zonesCutLately: ReadonlySet<string>,
+): string[] {
+  const partitions = countLateBy(machines, (machine) => machine.partition);
   return machines
-    .filter(({ partition, zone, silentMs }) => {
-      if (silentMs <= 0 || !few(partitions.get(partition)!, SELF_SUSPECT_SHARE)) return false;
-      return !spared.has(zone) || silentMs > ZONE_PATIENCE_MS;
+    .filter(({ partition, zone, unresponsiveMs }) => {
+      if (unresponsiveMs <= 0 || !isMinority(partitions.get(partition)!, SELF_SUSPECT_SHARE)) return false;
+      return !zonesCutLately.has(zone) || unresponsiveMs > ZONE_PATIENCE_MS;
     })
     .map(({ machineId }) => machineId);
 }
