--- /dev/null
+++ b/src/autoscaling/machine-type-reader.ts
@@ -0,0 +1,58 @@
+/** Keeps the stored catalogue of machine types in step with the cloud's. */
+import { CATALOG_PERIOD_MS } from '../constants/autoscaling.js';
+import type { CloudClient } from '../cloud/cloud-client.js';
+import { decodeMachineType } from '../cloud/cloud-wire-codec.js';
+import type { MachineType } from '../domain/machine-type.js';
+import { CLUSTER_LEADER_ROLE } from '../domain/role.js';
+import type { RoleLeadership } from '../leadership/role-leadership.js';
+import type { Clock } from '../net/clock.js';
+import { Priority } from '../net/token-bucket.js';
+import { machineTypeKey } from '../records/record-keys.js';
+import type { TransactionBatcher } from '../store/transaction-batcher.js';
+import type { TransactionDraft } from '../store/transaction-draft.js';
+
+export interface MachineTypeReaderDependencies {
+  leadership: RoleLeadership;
+  transactions: TransactionBatcher;
+  cloud: CloudClient;
+  clock: Clock;
+}
+
+/** Reads the cloud's machine types at most once a period, and stores those that have changed. */
+export class MachineTypeReader {
+  private lastReadAtMs = -Infinity;
+
+  constructor(private readonly dependencies: MachineTypeReaderDependencies) {}
+
+  /** Does nothing while the last successful read is recent; a read that failed is repeated at the next call. */
+  async read(): Promise<void> {
+    const { clock, cloud, transactions } = this.dependencies;
+    const nowMs = clock.now();
+    if (nowMs - this.lastReadAtMs < CATALOG_PERIOD_MS) return;
+    const machineTypes = await cloud.machineTypes();
+    if (machineTypes === undefined) return;
+    this.lastReadAtMs = nowMs;
+    // One mutation for each type: all together may be more than one transaction holds.
+    await Promise.all(
+      machineTypes.map((machineType) =>
+        transactions.commit('catalog', Priority.record, (draft) => this.storeIfChanged(draft, machineType)),
+      ),
+    );
+  }
+
+  private storeIfChanged(draft: TransactionDraft, stored: unknown): boolean {
+    if (!this.dependencies.leadership.requireLeadership(draft, CLUSTER_LEADER_ROLE)) return false;
+    const current = decodeMachineType(stored)!;
+    const key = machineTypeKey(current.name);
+    const previous = decodeMachineType(draft.get(key));
+    if (previous !== undefined && isSameApartFromPrices(previous, current)) return false;
+    draft.set(key, stored);
+    return true;
+  }
+}
+
+/** Prices move all the time; only what decides about bin packing is worth a write. */
+function isSameApartFromPrices(a: MachineType, b: MachineType): boolean {
+  const withoutPrices = (each: MachineType) => JSON.stringify({ ...each, hourlyPrice: 0, spotHourlyPrice: 0 });
+  return withoutPrices(a) === withoutPrices(b);
+}
