--- a/src/autoscaling/unresponsive-machine-detector.ts
+++ b/src/autoscaling/unresponsive-machine-detector.ts
@@ -9,7 +9,7 @@
 import type { RoleLeadership } from '../leadership/role-leadership.js';
 import type { Clock } from '../net/clock.js';
 import type { ClusterState } from '../records/cluster-state.js';
-import { findCutZones, findMachinesToReplace, type WatchedMachine } from './silent-machines.js';
+import { findCutZones, findMachinesToReplace, type WatchedMachine } from './unresponsive-machines.js';
 
 export interface UnresponsiveMachineDetectorDependencies {
   settings: Settings;
