--- a/src/autoscaling/autoscaler.ts
+++ b/src/autoscaling/autoscaler.ts
@@ -1,267 +1,222 @@
-import {
-  FAILURES_WORTH_SCALING_OUT,
-  REFUSED_RENTAL_KEPT_MS,
-  MAX_SCALE_OUT_AT_ONCE,
-  MAX_RESERVE_AT_ONCE,
-  NO_CAPACITY_MS,
-  RESERVE_SHARE,
-} from '../constants/autoscaling.js';
+/** Scales out: for tasks without a placement first, then for the reserve of free resources. */
+import { MAX_SCALE_OUT_AT_ONCE, REFUSED_RENTAL_KEPT_MS } from '../constants/autoscaling.js';
 import type { CloudClient } from '../cloud/cloud-client.js';
-import type { ListedMachine } from '../cloud/cloud-wire-codec.js';
-import type { ClusterState } from '../records/cluster-state.js';
-import { rentalKey } from '../records/record-keys.js';
-import type { JobSpec } from '../domain/job.js';
-import type { RentalRecord } from '../records/records.js';
-import { isAllowedOn, isZoneAllowed } from '../records/placement-rules.js';
-import type { Settings } from '../domain/settings.js';
-import { encodeRentalRecord } from '../records/record-codecs.js';
-import {
-  isBelowReserve,
-  bootLimitMs,
-  type CapacityNeed,
-  decideScaleOut,
-  type MachineOffer,
-  type WantedMachines,
-} from './scale-out-decision.js';
 import { CLUSTER_LEADER_ROLE } from '../domain/role.js';
-import type { RoleLeadership } from '../leadership/role-leadership.js';
+import type { Settings } from '../domain/settings.js';
 import type { MachineInventory } from '../inventory/machine-inventory.js';
-import type { Clock } from '../net/clock.js';
-import { Priority } from '../net/token-bucket.js';
-import type { TransactionBatcher } from '../store/transaction-batcher.js';
+import type { RoleLeadership } from '../leadership/role-leadership.js';
 import type { Log } from '../logging/log.js';
-import type { PendingTask } from '../scheduling/task-placer.js';
+import type { Clock } from '../net/clock.js';
+import type { ClusterState } from '../records/cluster-state.js';
+import type { RentalRecord } from '../records/records.js';
 import type { PlacementPlanner } from '../scheduling/placement-planner.js';
+import type { TransactionBatcher } from '../store/transaction-batcher.js';
+import { findBootingMachines } from './booting-machines.js';
+import { findCapacityNeeds } from './capacity-needs.js';
+import type { MachineListReader } from './machine-list-reader.js';
+import { RefusedOffers } from './refused-offers.js';
+import { RentalRecords } from './rental-records.js';
+import { decideReserve } from './reserve-decision.js';
+import { bootLimitMs, decideScaleOut, type MachineOffer, type WantedMachines } from './scale-out-decision.js';
+
+/** ms before a request that was not answered, or refused for now, is sent again. */
+const RETRY_PAUSE_MS = 1000;
 
-/** Rents machines for what has no place, and for the reserve, under names that are never used twice. */
+/** Times the boot limit after which the record of a rental is deleted, whether or not its machines came up. */
+const RENTAL_KEPT_BOOT_LIMITS = 2;
+
+type Machines = ReturnType<MachineInventory['machines']>;
+
+export interface AutoscalerDependencies {
+  settings: Settings;
+  leadership: RoleLeadership;
+  clusterState: ClusterState;
+  inventory: MachineInventory;
+  planner: PlacementPlanner;
+  transactions: TransactionBatcher;
+  machineList: MachineListReader;
+  cloud: CloudClient;
+  clock: Clock;
+  log: Log;
+}
+
+/**
+ * Asks the cloud for machines. Each request has a rental id that is never used twice and is recorded before it is sent, so
+ * that whoever leads next repeats it in place of asking for other machines.
+ */
 export class Autoscaler {
-  private readonly noCapacityUntilMs = new Map<string, number>();
+  private readonly refusedOffers: RefusedOffers;
+  private readonly rentalRecords: RentalRecords;
   /**
-   * Rentals that were refused and dropped, with the steady ms. Their records may come back by a late write of their own; only
-   * under the claim that wrote them, so this node knows them all.
+   * Rentals that were refused and deleted, with the steady ms. Their records may come back by a late write of their own; only
+   * under the leadership that wrote them, so this node knows them all.
    */
   private readonly refusedAtMs = new Map<string, number>();
   private sequence = 0;
   /** Records that one transaction may change, also after an announced change of the store's limits. */
   private readonly maxRecordsPerTransaction: number;
 
-  constructor(
-    settings: Settings,
-    private readonly leadership: RoleLeadership,
-    private readonly clusterState: ClusterState,
-    private readonly inventory: MachineInventory,
-    private readonly planner: PlacementPlanner,
-    private readonly transactions: TransactionBatcher,
-    private readonly cloud: CloudClient,
-    private readonly clock: Clock,
-    private readonly log: Log,
-    /** The cloud's list, as last read. */
-    private readonly listed: () => ReadonlyMap<string, ListedMachine>,
-  ) {
-    this.maxRecordsPerTransaction = settings.cluster.store.lasting.transactionWrites;
+  constructor(private readonly dependencies: AutoscalerDependencies) {
+    this.maxRecordsPerTransaction = dependencies.settings.cluster.store.lasting.transactionWrites;
+    this.refusedOffers = new RefusedOffers(dependencies.clock);
+    this.rentalRecords = new RentalRecords(dependencies);
   }
 
-  /** Offers that the cloud has lately refused, with the steady ms. */
-  *recentlyRefusedOffers(): Iterable<{ offer: string; at: number }> {
-    for (const [offer, until] of this.noCapacityUntilMs)
-      if (until > this.clock.now()) yield { offer, at: until - NO_CAPACITY_MS };
+  /** Offers that the cloud has recently refused, with the steady ms. */
+  recentlyRefusedOffers(): Iterable<{ offer: string; at: number }> {
+    return this.refusedOffers.recent();
   }
 
   /** A former leader was refused an offer. */
   restoreRefusal(offer: string, at: number): void {
-    const until = Math.min(at, this.clock.now()) + NO_CAPACITY_MS;
-    this.noCapacityUntilMs.set(offer, Math.max(until, this.noCapacityUntilMs.get(offer) ?? -Infinity));
+    this.refusedOffers.restore(offer, at);
   }
 
-  /** Changes the records of rentals, one for each, so that none outgrows what the store keeps under a key. */
-  private async writeRentals(rentals: readonly RentalRecord[], drop = false): Promise<boolean> {
-    const outcome = await this.transactions.commit('hires', Priority.start, (draft) => {
-      if (!this.leadership.requireLeadership(draft, CLUSTER_LEADER_ROLE)) return false;
-      for (const rental of rentals) {
-        if (drop) draft.delete(rentalKey(rental.rentalId));
-        else draft.set(rentalKey(rental.rentalId), encodeRentalRecord(rental));
-      }
+  /** True: something was refused or left for another transaction, so that another round may find more. */
+  async round(): Promise<boolean> {
+    const { clusterState, inventory, clock } = this.dependencies;
+    const rentals = [...clusterState.rentals.values()];
+    const wallMs = clock.wall();
+    const machines = inventory.machines();
+    // First the requests of a former leader, or with a lost answer: the same rental id gets the same machines.
+    const unanswered = rentals.filter((rental) => rental.machineIds === null);
+    if (unanswered.length > 0) {
+      await this.repeatRequests(unanswered);
       return true;
+    }
+    this.forgetOldRefusals();
+    const finished = rentals
+      .filter((rental) => this.isFinished(rental, machines, wallMs))
+      .slice(0, this.maxRecordsPerTransaction);
+    if (finished.length > 0) await this.rentalRecords.delete(finished);
+    return this.scaleOut(this.decide(this.bootingMachines(rentals, machines, wallMs)), wallMs);
+  }
+
+  private async repeatRequests(unanswered: readonly RentalRecord[]): Promise<void> {
+    const refused = unanswered
+      .filter(({ rentalId }) => this.refusedAtMs.has(rentalId))
+      .slice(0, this.maxRecordsPerTransaction);
+    if (refused.length > 0) await this.rentalRecords.delete(refused);
+    await Promise.all(
+      unanswered
+        .filter(({ rentalId }) => !this.refusedAtMs.has(rentalId))
+        .map((rental) => this.requestMachines(rental)),
+    );
+  }
+
+  private forgetOldRefusals(): void {
+    const nowMs = this.dependencies.clock.now();
+    for (const [rentalId, atMs] of this.refusedAtMs)
+      if (nowMs - atMs > REFUSED_RENTAL_KEPT_MS) this.refusedAtMs.delete(rentalId);
+  }
+
+  /** Has each machine come up or been terminated, or is the rental too old to wait for them? */
+  private isFinished({ machineIds, machineType, requestedAtMs }: RentalRecord, machines: Machines, wallMs: number) {
+    const { inventory } = this.dependencies;
+    if (machineIds === null) return false;
+    return (
+      machineIds.every((machineId) => machines.has(machineId) || inventory.terminated.has(machineId)) ||
+      wallMs - requestedAtMs > RENTAL_KEPT_BOOT_LIMITS * bootLimitMs(inventory.catalog.get(machineType))
+    );
+  }
+
+  private bootingMachines(rentals: readonly RentalRecord[], machines: Machines, wallMs: number): MachineOffer[] {
+    const { inventory, machineList } = this.dependencies;
+    return findBootingMachines({
+      rentals,
+      listedMachines: machineList.machines.values(),
+      catalog: inventory.catalog,
+      isSettled: (machineId) => machines.has(machineId) || inventory.terminated.has(machineId),
+      wallMs,
     });
-    return outcome.kind === 'done';
   }
 
-  /** Waiting tasks by job, with the zones that their job leaves open. */
-  private unmetNeeds(): CapacityNeed[] {
-    const byJob = new Map<string, PendingTask[]>();
-    for (const each of this.planner.unplacedTasks)
-      byJob.set(each.view.jobId, [...(byJob.get(each.view.jobId) ?? []), each]);
-    const needs: CapacityNeed[] = [];
-    for (const [jobId, waiting] of byJob) {
-      const view = this.clusterState.jobs.get(jobId);
-      if (view === undefined) continue;
-      const { spec } = view.record;
-      const tasks = this.tasksToScaleOutFor(spec, waiting);
-      if (tasks === 0) continue;
-      const { tasksPerZone } = view;
-      const all = [...new Set([...this.inventory.catalog.values()].flatMap((machineType) => machineType.zones))];
-      const zones = all.filter((zone) => isZoneAllowed(spec, tasksPerZone, zone));
-      needs.push({ spec, tasks, zones: zones.length === all.length ? [] : zones });
-    }
-    return needs;
+  /** The reserve is looked at only when nothing waits for a machine. */
+  private decide(booting: readonly MachineOffer[]): WantedMachines[] {
+    const offers = this.availableOffers();
+    const wanted = decideScaleOut(findCapacityNeeds(this.dependencies), offers, booting, MAX_SCALE_OUT_AT_ONCE);
+    if (wanted.length > 0) return wanted;
+    const reserve = decideReserve({ openMachines: this.openMachines(), booting, offers });
+    return reserve === undefined ? [] : [reserve];
   }
 
-  /**
-   * A job whose tasks fail again and again is worth no more than one machine to try on, but must have that. A gang has to be
-   * whole, and what is rented for it serves its next tries as well.
-   */
-  private tasksToScaleOutFor(spec: JobSpec, waiting: readonly PendingTask[]): number {
-    const failing = waiting.some((each) => each.placement.failures > FAILURES_WORTH_SCALING_OUT);
-    if (!failing || spec.kind === 'gang') return waiting.length;
-    return this.inventory.openMachines().some((machine) => isAllowedOn(spec, machine)) ? 0 : 1;
+  private openMachines() {
+    const { inventory, planner } = this.dependencies;
+    const open = inventory.openMachines();
+    const freeResources = planner.freeResources(open);
+    return open.map(({ machineId, machineType, zone }) => ({
+      machineType: inventory.catalog.get(machineType)!,
+      zone,
+      freeCpus: freeResources.get(machineId)?.cpus ?? 0,
+    }));
   }
 
+  /** All that the cloud offers and has not refused recently. */
   private availableOffers(): MachineOffer[] {
-    const now = this.clock.now();
     const offers: MachineOffer[] = [];
-    for (const machineType of this.inventory.catalog.values()) {
+    for (const machineType of this.dependencies.inventory.catalog.values()) {
+      const variants = machineType.spotHourlyPrice > 0 ? [false, true] : [false];
       for (const zone of machineType.zones) {
-        for (const isSpot of [false, true]) {
-          const offer = { machineType, zone, isSpot };
-          if ((this.noCapacityUntilMs.get(offerName(offer)) ?? -Infinity) > now) continue;
-          if (isSpot && machineType.spotHourlyPrice <= 0) continue;
-          offers.push(offer);
-        }
+        const ofZone = variants.map((isSpot) => ({ machineType, zone, isSpot }));
+        offers.push(
+          ...ofZone.filter(({ isSpot }) => !this.refusedOffers.has({ machineType: machineType.name, zone, isSpot })),
+        );
       }
     }
     return offers;
   }
 
-  /** True: something was refused or left for another transaction, so that another look may find more. */
-  async round(): Promise<boolean> {
-    const rentals = [...this.clusterState.rentals.values()];
-    const wall = this.clock.wall();
-    const running = this.inventory.machines();
-    // First the requests of a former leader, or of a lost answer: the same name gets the same machines.
-    const open = rentals.filter((rental) => rental.machineIds === null);
-    if (open.length > 0) {
-      const back = open
-        .filter((rental) => this.refusedAtMs.has(rental.rentalId))
-        .slice(0, this.maxRecordsPerTransaction);
-      if (back.length > 0) await this.writeRentals(back, true);
-      await Promise.all(
-        open.filter((rental) => !this.refusedAtMs.has(rental.rentalId)).map((rental) => this.requestMachines(rental)),
-      );
-      return true;
-    }
-    const now = this.clock.now();
-    for (const [name, at] of this.refusedAtMs) if (now - at > REFUSED_RENTAL_KEPT_MS) this.refusedAtMs.delete(name);
-    const over = (rental: RentalRecord) =>
-      rental.machineIds!.every((machineId) => running.has(machineId) || this.inventory.terminated.has(machineId)) ||
-      wall - rental.requestedAtMs > 2 * bootLimitMs(this.inventory.catalog.get(rental.machineType));
-    const most = this.maxRecordsPerTransaction;
-    const past = rentals.filter(over).slice(0, most);
-    if (past.length > 0) await this.writeRentals(past, true);
-    const booting: MachineOffer[] = [];
-    const counted = new Set<string>();
-    const expect = (machineId: string, machineTypeName: string, zone: string, isSpot: boolean, ageMs: number) => {
-      const machineType = this.inventory.catalog.get(machineTypeName);
-      // One that takes far longer than others is not counted on, but kept a while in case it comes.
-      if (
-        machineType === undefined ||
-        counted.has(machineId) ||
-        running.has(machineId) ||
-        this.inventory.terminated.has(machineId)
-      )
-        return;
-      if (ageMs > machineType.bootS * 1000 * 2) return;
-      counted.add(machineId);
-      booting.push({ machineType, zone, isSpot });
-    };
-    for (const rental of rentals) {
-      for (const machineId of rental.machineIds ?? [])
-        expect(machineId, rental.machineType, rental.zone, rental.isSpot, wall - rental.requestedAtMs);
-    }
-    for (const machine of this.listed().values()) {
-      if (machine.state === 'failed') continue;
-      expect(machine.machineId, machine.machineType, machine.zone, machine.isSpot, machine.ageS * 1000);
-    }
-    const wanted = decideScaleOut(this.unmetNeeds(), this.availableOffers(), booting, MAX_SCALE_OUT_AT_ONCE);
-    const reserve = wanted.length === 0 ? this.decideReserve(booting) : undefined;
-    if (reserve !== undefined) wanted.push(reserve);
-    const held = this.leadership.leadershipOf(CLUSTER_LEADER_ROLE);
+  /** Returns the same as a round. */
+  private async scaleOut(wanted: readonly WantedMachines[], wallMs: number): Promise<boolean> {
+    const held = this.dependencies.leadership.leadershipOf(CLUSTER_LEADER_ROLE);
     if (held === undefined || wanted.length === 0) return false;
-    const records = wanted.slice(0, most).map((offer): RentalRecord => ({
-      // The leader's fence is unique in the store, so no other node or life ever makes this name.
-      rentalId: `r-${held.fencingToken}-${++this.sequence}`,
-      machineType: offer.machineType.name,
-      zone: offer.zone,
-      isSpot: offer.isSpot,
-      count: offer.count,
-      requestedAtMs: wall,
-      machineIds: null,
-    }));
+    const records = wanted
+      .slice(0, this.maxRecordsPerTransaction)
+      .map(({ machineType, zone, isSpot, count }): RentalRecord => ({
+        // The leader's fencing token is unique in the store, so no other node or incarnation ever makes this id.
+        rentalId: `r-${held.fencingToken}-${++this.sequence}`,
+        machineType: machineType.name,
+        zone,
+        isSpot,
+        count,
+        requestedAtMs: wallMs,
+        machineIds: null,
+      }));
     // All wanted at one moment share one transaction.
-    const noted = await this.writeRentals(records);
-    if (!noted) return false;
-    const full = await Promise.all(records.map((record) => this.requestMachines(record)));
-    return full.includes(false) || wanted.length > most;
-  }
-
-  /** More machines where free room has become scarce, before tasks have to wait for them. */
-  private decideReserve(booting: readonly MachineOffer[]): WantedMachines | undefined {
-    const open = this.inventory.openMachines();
-    const rooms = this.planner.freeResources(open);
-    const offers = this.availableOffers();
-    const kinds = new Map<string, { free: number; total: number }>();
-    const kindOf = (name: string) => ((this.inventory.catalog.get(name)?.gpus ?? 0) > 0 ? 'cards' : 'plain');
-    for (const machine of open) {
-      const machineType = this.inventory.catalog.get(machine.machineType)!;
-      const kind = kinds.get(kindOf(machineType.name)) ?? { free: 0, total: 0 };
-      kind.free += Math.max(0, rooms.get(machine.machineId)?.cpus ?? 0);
-      kind.total += machineType.cpus;
-      kinds.set(kindOf(machineType.name), kind);
-    }
-    for (const { machineType } of booting) {
-      const kind = kinds.get(kindOf(machineType.name));
-      if (kind !== undefined) kind.free += machineType.cpus;
-    }
-    for (const [name, kind] of kinds) {
-      if (!isBelowReserve(kind.free, kind.total)) continue;
-      const fit = offers.filter((offer) => kindOf(offer.machineType.name) === name && !offer.isSpot);
-      const spot = offers.filter((offer) => kindOf(offer.machineType.name) === name && offer.isSpot);
-      const count = (zone: string) => open.filter((machine) => machine.zone === zone).length;
-      const best = [...fit].sort(
-        (a, b) =>
-          a.machineType.hourlyPrice / a.machineType.cpus - b.machineType.hourlyPrice / b.machineType.cpus ||
-          count(a.zone) - count(b.zone),
-      )[0];
-      const offer = best ?? spot[0];
-      if (offer === undefined) continue;
-      const missing = Math.ceil((kind.total * RESERVE_SHARE - kind.free) / offer.machineType.cpus);
-      return { ...offer, count: Math.min(MAX_RESERVE_AT_ONCE, Math.max(1, missing)) };
-    }
-    return undefined;
+    const isRecorded = await this.rentalRecords.put(records);
+    if (!isRecorded) return false;
+    const areFull = await Promise.all(records.map((record) => this.requestMachines(record)));
+    return areFull.includes(false) || wanted.length > this.maxRecordsPerTransaction;
   }
 
-  /** True: rented in full. */
+  /** True: granted in full. */
   private async requestMachines(record: RentalRecord): Promise<boolean> {
-    const result = await this.cloud.scaleOut(record);
-    const machineType = this.inventory.catalog.get(record.machineType);
-    this.log.info({ rental: record.rentalId, machineType: record.machineType, zone: record.zone, result }, 'rental');
-    if (result.kind === 'rented') {
-      if (result.machineIds.length < record.count && machineType !== undefined) {
-        this.noCapacityUntilMs.set(offerName({ ...record, machineType }), this.clock.now() + NO_CAPACITY_MS);
-      }
-      await this.writeRentals([{ ...record, machineIds: result.machineIds }]);
-    } else if (result.kind === 'no_capacity' || result.kind === 'malformed') {
-      if (machineType !== undefined) {
-        this.noCapacityUntilMs.set(offerName({ ...record, machineType }), this.clock.now() + NO_CAPACITY_MS);
+    const { cloud, clock, log } = this.dependencies;
+    const { rentalId, machineType, zone, count } = record;
+    const result = await cloud.scaleOut(record);
+    log.info({ rentalId, machineType, zone, result }, 'scale-out requested');
+    switch (result.kind) {
+      case 'rented': {
+        const { machineIds } = result;
+        if (machineIds.length < count) this.noteRefusedOffer(record);
+        await this.rentalRecords.put([{ ...record, machineIds }]);
+        return machineIds.length === count;
       }
-      this.refusedAtMs.set(record.rentalId, this.clock.now());
-      await this.writeRentals([record], true);
-    } else {
-      // Not answered, or refused for now: the same name is sent again, so nothing is rented twice.
-      await this.clock.sleep(1000);
+      case 'no_capacity':
+      case 'malformed':
+        this.noteRefusedOffer(record);
+        this.refusedAtMs.set(rentalId, clock.now());
+        await this.rentalRecords.delete([record]);
+        return false;
+      case 'refused':
+      case 'unknown':
+        // The same rental id is sent again, so nothing is added twice.
+        await clock.sleep(RETRY_PAUSE_MS);
+        return false;
     }
-    return result.kind === 'rented' && result.machineIds.length === record.count;
   }
-}
 
-const offerName = (offer: { machineType: { name: string }; zone: string; isSpot: boolean }): string =>
-  `${offer.machineType.name} ${offer.zone} ${offer.isSpot}`;
+  private noteRefusedOffer(record: RentalRecord): void {
+    if (this.dependencies.inventory.catalog.has(record.machineType)) this.refusedOffers.add(record);
+  }
+}
--- a/src/autoscaling/cluster-leader.ts
+++ b/src/autoscaling/cluster-leader.ts
@@ -63,18 +63,7 @@
     this.idleMachines = new IdleMachineDetector(dependencies);
     this.spotNoticeEvictor = new SpotNoticeEvictor({ ...dependencies, evictionMarker: this.evictionMarker });
     this.machineScaleIn = new MachineScaleIn({ ...dependencies, machineList: this.machineList });
-    this.autoscaler = new Autoscaler(
-      settings,
-      leadership,
-      clusterState,
-      inventory,
-      planner,
-      transactions,
-      cloud,
-      clock,
-      log,
-      () => this.machineList.machines,
-    );
+    this.autoscaler = new Autoscaler({ ...dependencies, machineList: this.machineList });
   }
 
   /** What the leader remembers beside the records: for whichever node becomes the next leader. */
