--- a/src/api/job-service.ts
+++ b/src/api/job-service.ts
@@ -13,7 +13,7 @@
 import { encodeJobSpec } from '../records/job-spec-codec.js';
 import type { JobLookup } from './job-lookup.js';
 import { encodeJobState, encodeJobStatus, parseSubmission } from './job-wire-codec.js';
-import { whyNeverRunnable } from './admission.js';
+import { whyNeverRunnable } from './runnable-check.js';
 import type { MachineType } from '../domain/machine-type.js';
 import type { Log } from '../logging/log.js';
 import type { DependencyStates } from '../jobs/dependency-states.js';
