--- a/src/api/api-server.ts
+++ b/src/api/api-server.ts
@@ -18,7 +18,7 @@
   private readonly server: Server;
   private readonly routes: Routes;
   /** Bounded requests that are being read or handled. */
-  private open = 0;
+  private openRequests = 0;
 
   constructor(
     handlers: Handlers,
@@ -59,12 +59,12 @@
   private serve(request: IncomingMessage, response: ServerResponse): void {
     const route = this.routes.find(request.url ?? '/');
     if (route === undefined) {
-      refuse(request, response, NO_SUCH_PATH);
+      sendWithoutReading(request, response, NO_SUCH_PATH);
       return;
     }
-    const refusal = this.whyRefused(route, request.method);
+    const refusal = this.refusalFor(route, request.method);
     if (refusal !== undefined) {
-      refuse(request, response, refusal);
+      sendWithoutReading(request, response, refusal);
       return;
     }
     const release = route.isBounded ? this.countOpen(request) : undefined;
@@ -84,17 +84,17 @@
     });
   }
 
-  private whyRefused(route: Route, method: string | undefined): HttpAnswer | undefined {
+  private refusalFor(route: Route, method: string | undefined): HttpAnswer | undefined {
     if (route.method !== method) return WRONG_METHOD;
-    return route.isBounded && this.open >= MAX_OPEN_REQUESTS ? BUSY : undefined;
+    return route.isBounded && this.openRequests >= MAX_OPEN_REQUESTS ? BUSY : undefined;
   }
 
   /** Counts a request as open until it is released, or its sender goes away before it has been read. */
   private countOpen(request: IncomingMessage): () => void {
     let isOpen = true;
-    this.open++;
+    this.openRequests++;
     const release = () => {
-      if (isOpen) this.open--;
+      if (isOpen) this.openRequests--;
       isOpen = false;
     };
     request.on('close', () => {
@@ -108,7 +108,7 @@
     try {
       answer = route.handle(body);
     } catch (error) {
-      answer = this.failed(error);
+      answer = this.logFailure(error);
     }
     if (!(answer instanceof Promise)) {
       release?.();
@@ -116,21 +116,21 @@
       return;
     }
     void answer
-      .catch((error: unknown) => this.failed(error))
+      .catch((error: unknown) => this.logFailure(error))
       .then((settled) => {
         release?.();
         send(response, settled);
       });
   }
 
-  private failed(error: unknown): HttpAnswer {
+  private logFailure(error: unknown): HttpAnswer {
     this.log.error({ error: (error as Error).stack ?? String(error) }, 'request failed');
     return FAILED;
   }
 }
 
 /** Answers without looking at the body. */
-function refuse(request: IncomingMessage, response: ServerResponse, refusal: HttpAnswer): void {
+function sendWithoutReading(request: IncomingMessage, response: ServerResponse, refusal: HttpAnswer): void {
   request.resume();
   send(response, refusal);
 }
--- a/src/api/job-lookup.ts
+++ b/src/api/job-lookup.ts
@@ -18,7 +18,7 @@
 /** `unknown`: the store has just said that there never was such a job. */
 export type LookupResult = JobStatus | 'unknown' | 'no answer';
 
-interface Question {
+interface PendingLookup {
   jobId: string;
   deadline: number;
   resolve: (found: LookupResult) => void;
@@ -37,13 +37,13 @@
 }
 
 export class JobLookup {
-  private questions: Question[] = [];
-  private gathering = false;
+  private pending: PendingLookup[] = [];
+  private isBatchScheduled = false;
 
   constructor(private readonly dependencies: JobLookupDependencies) {}
 
   /** Known on arrival: the store has refused this node, or not answered it, for a while, and has not answered since. */
-  get isOut(): boolean {
+  get isStoreUnavailable(): boolean {
     const { client, replica, clock } = this.dependencies;
     return client.lastRefusedAt > client.lastAnsweredAt && clock.now() - replica.freshAt > REPLICA_FRESH_MS;
   }
@@ -55,98 +55,98 @@
   }
 
   /** A final state from memory: it never changes. */
-  final(jobId: string): JobStatus | undefined {
+  finalStatus(jobId: string): JobStatus | undefined {
     const row = this.dependencies.transactions.read(finalJobKey(jobId));
     if (row.value === undefined) return undefined;
     const ended = decodeFinalJobRecord(row.value);
-    return { jobId: jobId, state: ended.state, done: ended.state === 'done' ? ended.taskCount : 0, running: 0 };
+    return { jobId, state: ended.state, done: ended.state === 'done' ? ended.taskCount : 0, running: 0 };
   }
 
   /** The state as new as the store's own; questions of a moment are answered by one comparison. */
   find(jobId: string): Promise<LookupResult> {
-    return this.ask(jobId, (question) => {
-      this.questions.push(question);
-      void this.gather();
+    return this.findFinalOr(jobId, (lookup) => {
+      this.pending.push(lookup);
+      void this.resolveNextBatch();
     });
   }
 
   /** The same for somebody who can't wait for others' questions. */
-  findNow(jobId: string): Promise<LookupResult> {
-    return this.ask(jobId, (question) => void this.answer([question]));
+  findUnbatched(jobId: string): Promise<LookupResult> {
+    return this.findFinalOr(jobId, (lookup) => void this.resolve([lookup]));
   }
 
-  private ask(jobId: string, put: (question: Question) => void): Promise<LookupResult> {
-    const final = this.final(jobId);
+  private findFinalOr(jobId: string, put: (lookup: PendingLookup) => void): Promise<LookupResult> {
+    const final = this.finalStatus(jobId);
     if (final !== undefined) return Promise.resolve(final);
     if (!JOB_ID.test(jobId)) return Promise.resolve('unknown');
-    if (this.isOut) return Promise.resolve('no answer');
+    if (this.isStoreUnavailable) return Promise.resolve('no answer');
     const deadline = this.dependencies.clock.now() + POLL_DEADLINE_MS;
     return new Promise((resolve) => put({ jobId, deadline, resolve }));
   }
 
-  private async gather(): Promise<void> {
-    if (this.gathering) return;
-    this.gathering = true;
+  private async resolveNextBatch(): Promise<void> {
+    if (this.isBatchScheduled) return;
+    this.isBatchScheduled = true;
     await this.dependencies.clock.sleep(POLL_GATHER_MS);
-    this.gathering = false;
+    this.isBatchScheduled = false;
     const most = Math.floor(this.dependencies.limits.conditions / 2);
-    while (this.questions.length > 0) void this.answer(this.questions.splice(0, most));
+    while (this.pending.length > 0) void this.resolve(this.pending.splice(0, most));
   }
 
-  private async answer(batch: Question[]): Promise<void> {
+  private async resolve(batch: PendingLookup[]): Promise<void> {
     const { client, clock, states } = this.dependencies;
     let open = batch;
     for (let round = 0; round < POLL_COMPARISONS && open.length > 0; round++) {
-      await states.learn(open.flatMap(({ jobId }) => this.unknownBefore(jobId)));
+      await states.learn(open.flatMap(({ jobId }) => this.unresolvedAncestors(jobId)));
       const now = clock.now();
       for (const each of open) if (now > each.deadline) each.resolve('no answer');
       open = open.filter((each) => now <= each.deadline);
       // The answers are taken before the comparison: what it confirms is what is told.
-      const answers = new Map(open.map(({ jobId }) => [jobId, this.final(jobId) ?? this.live(jobId)]));
-      const result = await client.transact(this.conditionsOn(open), [], Priority.record);
+      const answers = new Map(open.map(({ jobId }) => [jobId, this.finalStatus(jobId) ?? this.liveStatus(jobId)]));
+      const result = await client.transact(this.conditionsFor(open), [], Priority.record);
       if (result.kind === 'done') {
         for (const each of open) each.resolve(answers.get(each.jobId)!);
         return;
       }
       if (result.kind !== 'conflict') break;
-      await Promise.all(result.failed.map((key) => this.reread(key)));
+      await Promise.all(result.failed.map((key) => this.refreshRecord(key)));
     }
     for (const each of open) each.resolve('no answer');
   }
 
   /** Each job's records as this node has them, live and final. */
-  private conditionsOn(questions: readonly Question[]): Condition[] {
+  private conditionsFor(lookups: readonly PendingLookup[]): Condition[] {
     const { transactions } = this.dependencies;
-    const keys = new Set(questions.flatMap(({ jobId }) => [jobKey(jobId), finalJobKey(jobId)]));
+    const keys = new Set(lookups.flatMap(({ jobId }) => [jobKey(jobId), finalJobKey(jobId)]));
     return [...keys].map((key) => ({ key, modRevision: transactions.read(key).modRevision }));
   }
 
   /** Jobs before a waiting one of which it is not known how they have ended. */
-  private unknownBefore(jobId: string): string[] {
+  private unresolvedAncestors(jobId: string): string[] {
     const { clusterState, states } = this.dependencies;
     return states.ancestryOf(clusterState.dependencies.dependenciesOf(jobId)).unknown;
   }
 
-  private live(jobId: string): LookupResult {
+  private liveStatus(jobId: string): LookupResult {
     const { clusterState, replica } = this.dependencies;
     const view = clusterState.jobs.get(jobId);
     // A record that can't be read is no reason to call an accepted job unknown.
     if (view === undefined) return replica.get(jobKey(jobId)).value === undefined ? 'unknown' : 'no answer';
-    if (view.record.state === 'waiting') return this.whileWaiting(view);
-    if (view.record.state === 'cancelled') return { jobId: jobId, state: 'cancelled', done: view.done, running: 0 };
-    return { jobId: jobId, state: view.placed > 0 ? 'running' : 'queued', done: view.done, running: view.placed };
+    if (view.record.state === 'waiting') return this.waitingStatus(view);
+    if (view.record.state === 'cancelled') return { jobId, state: 'cancelled', done: view.done, running: 0 };
+    return { jobId, state: view.placed > 0 ? 'running' : 'queued', done: view.done, running: view.placed };
   }
 
   /** A waiting job is cancelled with any job before it, from the moment on at which that one's cancellation is known. */
-  private whileWaiting({ jobId }: JobView): LookupResult {
+  private waitingStatus({ jobId }: JobView): LookupResult {
     const { clusterState, states } = this.dependencies;
     const { isCancelled, unknown } = states.ancestryOf(clusterState.dependencies.dependenciesOf(jobId));
-    if (isCancelled) return { jobId: jobId, state: 'cancelled', done: 0, running: 0 };
+    if (isCancelled) return { jobId, state: 'cancelled', done: 0, running: 0 };
     if (unknown.length > 0 || !this.knowsCancellations) return 'no answer';
-    return { jobId: jobId, state: 'queued', done: 0, running: 0 };
+    return { jobId, state: 'queued', done: 0, running: 0 };
   }
 
-  private async reread(key: string): Promise<void> {
+  private async refreshRecord(key: string): Promise<void> {
     const { client, transactions, replica } = this.dependencies;
     try {
       const row = await client.get(key, Priority.record);
--- a/src/api/job-service.ts
+++ b/src/api/job-service.ts
@@ -23,10 +23,10 @@
 import { jsonLength } from '../store/json-size.js';
 import { HttpAnswer } from '../net/http-answer.js';
 
-const OUT = 'the state service does not answer';
+const STORE_UNAVAILABLE = 'the state service does not answer';
 
-const later = (error: string, retryAfter = 1): HttpAnswer => ({ status: 503, body: { error }, retryAfter });
-const never = (error: string): HttpAnswer => ({ status: 422, body: { error } });
+const retryLater = (error: string, retryAfter = 1): HttpAnswer => ({ status: 503, body: { error }, retryAfter });
+const rejectForever = (error: string): HttpAnswer => ({ status: 422, body: { error } });
 
 /** What is known of the kinds of machines that there are. */
 export interface MachineTypeCatalog {
@@ -49,27 +49,28 @@
 export class JobService {
   private readonly teams: Map<string, Team>;
   /** Bytes of a record at most, also after an announced change of the store's limits. */
-  private readonly valueBytes: number;
-  private readonly chunk: number;
+  private readonly maxRecordBytes: number;
+  private readonly tasksPerChunk: number;
 
   constructor(private readonly dependencies: JobServiceDependencies) {
     const { teams, store } = dependencies.settings.cluster;
     this.teams = new Map(teams.map((team) => [team.name, team]));
-    this.valueBytes = store.lasting.valueBytes;
-    this.chunk = Math.max(1, Math.min(MAX_CHUNK_TASKS, Math.floor(this.valueBytes / PLACEMENT_BYTES)));
+    this.maxRecordBytes = store.lasting.valueBytes;
+    this.tasksPerChunk = Math.max(1, Math.min(MAX_CHUNK_TASKS, Math.floor(this.maxRecordBytes / PLACEMENT_BYTES)));
   }
 
   async submit(body: unknown): Promise<HttpAnswer> {
     const parsed = parseSubmission(body);
     if (!parsed.ok) {
       const malformed: HttpAnswer = { status: 400, body: { error: parsed.error } };
-      return parsed.jobId === undefined ? malformed : this.ifKnown(parsed.jobId, malformed);
+      return parsed.jobId === undefined ? malformed : this.statusOr(parsed.jobId, malformed);
     }
     const { spec, dependencies } = parsed;
-    const known = this.dependencies.lookup.final(spec.id);
+    const known = this.dependencies.lookup.finalStatus(spec.id);
     if (known !== undefined) return { status: 200, body: encodeJobStatus(known) };
-    const refusal = this.refusal(spec, dependencies) ?? (await this.refusalForPredecessors(spec, dependencies));
-    if (refusal !== undefined) return refusal.isForAll ? refusal.answer : this.ifKnown(spec.id, refusal.answer);
+    const checkAdmission = this.refusal(spec, dependencies) ?? (await this.checkDependencies(spec, dependencies));
+    if (checkAdmission !== undefined)
+      return checkAdmission.isForAll ? checkAdmission.answer : this.statusOr(spec.id, checkAdmission.answer);
     return this.accept(spec, dependencies);
   }
 
@@ -79,13 +80,13 @@
     dependencies: readonly string[],
   ): { answer: HttpAnswer; isForAll: boolean } | undefined {
     const { settings, replica, transactions, lookup, inventory } = this.dependencies;
-    if (!replica.isLoaded) return { answer: later('the records are not read yet'), isForAll: true };
-    if (lookup.isOut) return { answer: later(OUT), isForAll: true };
-    if (inventory.catalog.size === 0) return { answer: later('machine types are not known yet'), isForAll: false };
+    if (!replica.isLoaded) return { answer: retryLater('the records are not read yet'), isForAll: true };
+    if (lookup.isStoreUnavailable) return { answer: retryLater(STORE_UNAVAILABLE), isForAll: true };
+    if (inventory.catalog.size === 0) return { answer: retryLater('machine types are not known yet'), isForAll: false };
     const why =
       whyNeverRunnable(spec, this.teams.get(spec.team), inventory.catalog.values()) ??
       this.whyTooLarge(spec, dependencies);
-    if (why !== undefined) return { answer: never(why), isForAll: false };
+    if (why !== undefined) return { answer: rejectForever(why), isForAll: false };
     // Over budget: told at once, with the time until the writers before this one are through.
     const behindS = transactions.backlog(Priority.accept) / settings.cluster.store.present.writesPerSecond;
     if (behindS <= 1) return undefined;
@@ -96,8 +97,8 @@
   /** Jobs whose records no transaction could hold. */
   private whyTooLarge(spec: JobSpec, dependencies: readonly string[]): string | undefined {
     const { limits } = this.dependencies;
-    const chunks = Math.ceil(spec.taskCount / this.chunk);
-    const room = this.valueBytes - RECORD_ENVELOPE_BYTES;
+    const chunks = Math.ceil(spec.taskCount / this.tasksPerChunk);
+    const room = this.maxRecordBytes - RECORD_ENVELOPE_BYTES;
     if (jsonLength(encodeJobSpec(spec)) > room) return 'its record is too large';
     if (jsonLength(encodeJobSpec(spec)) + jsonLength(dependencies) > room)
       return 'more predecessors than its record can hold';
@@ -108,17 +109,20 @@
   }
 
   /** Predecessors must have been accepted, by whichever node, and must be able to end. */
-  private async refusalForPredecessors(spec: JobSpec, dependencies: readonly string[]) {
+  private async checkDependencies(spec: JobSpec, dependencies: readonly string[]) {
     const { lookup, states, clusterState } = this.dependencies;
     if (dependencies.length === 0) return undefined;
-    if (dependencies.includes(spec.id)) return { answer: never('a job can not wait for itself'), isForAll: false };
+    if (dependencies.includes(spec.id))
+      return { answer: rejectForever('a job can not wait for itself'), isForAll: false };
     const unknown = dependencies.filter((each) => states.stateOf(each) === 'unknown');
-    const found = await Promise.all(unknown.map((each) => lookup.findNow(each)));
+    const found = await Promise.all(unknown.map((each) => lookup.findUnbatched(each)));
     const missing = unknown.find((_, index) => found[index] === 'unknown');
-    if (missing !== undefined) return { answer: never(`${missing} was never accepted`), isForAll: false };
-    if (found.includes('no answer') || !lookup.knowsCancellations) return { answer: later(OUT), isForAll: false };
+    if (missing !== undefined) return { answer: rejectForever(`${missing} was never accepted`), isForAll: false };
+    if (found.includes('no answer') || !lookup.knowsCancellations)
+      return { answer: retryLater(STORE_UNAVAILABLE), isForAll: false };
     const service = dependencies.find((each) => clusterState.jobs.get(each)?.record.spec.kind === 'service');
-    if (service !== undefined) return { answer: never(`${service} is a service, which never ends`), isForAll: false };
+    if (service !== undefined)
+      return { answer: rejectForever(`${service} is a service, which never ends`), isForAll: false };
     return undefined;
   }
 
@@ -130,13 +134,13 @@
       Priority.accept,
       (draft) => {
         if (draft.get(finalJobKey(spec.id)) !== undefined || draft.get(jobKey(spec.id)) !== undefined) return false;
-        state = this.record(draft, spec, dependencies);
+        state = this.writeRecord(draft, spec, dependencies);
         return true;
       },
       SUBMIT_DEADLINE_MS,
     );
-    if (outcome.kind === 'void') return this.ifKnown(spec.id, later(OUT));
-    if (outcome.kind !== 'done') return later(OUT);
+    if (outcome.kind === 'void') return this.statusOr(spec.id, retryLater(STORE_UNAVAILABLE));
+    if (outcome.kind !== 'done') return retryLater(STORE_UNAVAILABLE);
     log.info(
       {
         jobId: spec.id,
@@ -161,10 +165,10 @@
    * Writes the record of a new job. Nothing is a condition that is said of its predecessors: that one is done or cancelled is
    * final, and while one is open the job waits, which is looked at again as soon as its record is seen.
    */
-  private record(draft: TransactionDraft, spec: JobSpec, dependencies: readonly string[]): JobRecord['state'] {
+  private writeRecord(draft: TransactionDraft, spec: JobSpec, dependencies: readonly string[]): JobRecord['state'] {
     const { states, clock } = this.dependencies;
     const submittedAtMs = Math.round(clock.wall());
-    const job: JobRecord = { spec, state: 'active', submittedAtMs, tasksPerChunk: this.chunk };
+    const job: JobRecord = { spec, state: 'active', submittedAtMs, tasksPerChunk: this.tasksPerChunk };
     if (dependencies.length > 0 && states.ancestryOf(dependencies).isCancelled) {
       draft.set(finalJobKey(spec.id), encodeFinalJobRecord({ state: 'cancelled', taskCount: spec.taskCount }));
       return 'cancelled';
@@ -175,28 +179,28 @@
   }
 
   /** A job that is known gets its state, whatever else would have been said: accepted once, accepted for ever. */
-  private async ifKnown(jobId: string, otherwise: HttpAnswer): Promise<HttpAnswer> {
+  private async statusOr(jobId: string, otherwise: HttpAnswer): Promise<HttpAnswer> {
     const found = await this.dependencies.lookup.find(jobId);
-    if (found === 'no answer') return later(OUT);
+    if (found === 'no answer') return retryLater(STORE_UNAVAILABLE);
     return found === 'unknown' ? otherwise : { status: 200, body: encodeJobStatus(found) };
   }
 
   async poll(jobId: string): Promise<HttpAnswer> {
-    return this.ifKnown(jobId, { status: 404, body: { error: 'no such job' } });
+    return this.statusOr(jobId, { status: 404, body: { error: 'no such job' } });
   }
 
   async cancel(jobId: string): Promise<HttpAnswer> {
     const { lookup, clock, transactions, log } = this.dependencies;
-    const over = lookup.final(jobId);
+    const over = lookup.finalStatus(jobId);
     if (over !== undefined) return { status: 200, body: encodeJobState(over) };
-    if (lookup.isOut) return later(OUT);
+    if (lookup.isStoreUnavailable) return retryLater(STORE_UNAVAILABLE);
     const deadline = clock.now() + SUBMIT_DEADLINE_MS;
     while (clock.now() < deadline) {
-      const decide = (draft: TransactionDraft) => this.recordCancellation(draft, jobId);
+      const decide = (draft: TransactionDraft) => this.writeCancellation(draft, jobId);
       const outcome = await transactions.commit('withdraw', Priority.cancel, decide, deadline - clock.now());
       if (outcome.kind === 'done') {
-        log.info({ jobId: jobId }, 'job cancelled');
-        return { status: 200, body: encodeJobState({ jobId: jobId, state: 'cancelled' }) };
+        log.info({ jobId }, 'job cancelled');
+        return { status: 200, body: encodeJobState({ jobId, state: 'cancelled' }) };
       }
       if (outcome.kind !== 'void') break;
       // This node's copy has no such active job; the store may know better.
@@ -207,10 +211,10 @@
         return { status: 200, body: encodeJobState(found) };
       }
     }
-    return later(OUT);
+    return retryLater(STORE_UNAVAILABLE);
   }
 
-  private recordCancellation(draft: TransactionDraft, jobId: string): boolean {
+  private writeCancellation(draft: TransactionDraft, jobId: string): boolean {
     const value = draft.get(jobKey(jobId));
     if (value === undefined) return false;
     if (decodeJobRecord(value).state === 'cancelled') return false;
