--- /dev/null
+++ b/src/api/job-admission.ts
@@ -0,0 +1,106 @@
+/** Decides whether a well-formed submission is admitted. */
+import { MAX_RETRY_AFTER_S } from '../constants/api.js';
+import type { JobSpec } from '../domain/job.js';
+import type { MachineType } from '../domain/machine-type.js';
+import type { Settings } from '../domain/settings.js';
+import type { Team } from '../domain/team.js';
+import type { DependencyStates } from '../jobs/dependency-states.js';
+import type { HttpAnswer } from '../net/http-answer.js';
+import { Priority } from '../net/token-bucket.js';
+import type { ClusterState } from '../records/cluster-state.js';
+import type { Replica } from '../store/replica.js';
+import type { TransactionBatcher } from '../store/transaction-batcher.js';
+import type { TransactionLimits } from '../store/transaction-draft.js';
+import { rejectForever, retryLater, storeUnavailable } from './job-answers.js';
+import type { JobLookup } from './job-lookup.js';
+import { whyTooLarge } from './record-size-check.js';
+import { whyNeverRunnable } from './runnable-check.js';
+
+/** The cloud's machine types, as far as they are known. */
+export interface MachineTypeCatalog {
+  readonly catalog: ReadonlyMap<string, MachineType>;
+}
+
+export interface JobAdmissionDependencies {
+  settings: Settings;
+  replica: Replica;
+  clusterState: ClusterState;
+  transactions: TransactionBatcher;
+  lookup: JobLookup;
+  states: DependencyStates;
+  limits: TransactionLimits;
+  inventory: MachineTypeCatalog;
+}
+
+/** Why a submission is not admitted. */
+export type Rejection =
+  /** The node can't take any submission now, so that it does not look up the job either. */
+  | { kind: 'node_unavailable'; answer: HttpAnswer }
+  /** The submission is not taken, unless the job is already known: then its status is told. */
+  | { kind: 'rejected'; answer: HttpAnswer };
+
+const nodeUnavailable = (answer: HttpAnswer): Rejection => ({ kind: 'node_unavailable', answer });
+const rejected = (answer: HttpAnswer): Rejection => ({ kind: 'rejected', answer });
+
+/** Checks the state of the node first, then the job by itself, then the jobs that it depends on. */
+export class JobAdmission {
+  private readonly teams: ReadonlyMap<string, Team>;
+  /** Bytes of a record at most, also after an announced change of the store's limits. */
+  private readonly maxRecordBytes: number;
+
+  constructor(private readonly dependencies: JobAdmissionDependencies) {
+    const { teams, store } = dependencies.settings.cluster;
+    this.teams = new Map(teams.map((team) => [team.name, team]));
+    this.maxRecordBytes = store.lasting.valueBytes;
+  }
+
+  /** undefined: admitted. */
+  async check(spec: JobSpec, dependencies: readonly string[]): Promise<Rejection | undefined> {
+    return (
+      this.checkReadiness() ??
+      this.checkJob(spec, dependencies) ??
+      this.checkBacklog() ??
+      (dependencies.length === 0 ? undefined : await this.checkDependencies(spec, dependencies))
+    );
+  }
+
+  private checkReadiness(): Rejection | undefined {
+    const { replica, lookup, inventory } = this.dependencies;
+    if (!replica.isLoaded) return nodeUnavailable(retryLater('the records are not read yet'));
+    if (lookup.isStoreUnavailable) return nodeUnavailable(storeUnavailable());
+    if (inventory.catalog.size === 0) return rejected(retryLater('machine types are not known yet'));
+    return undefined;
+  }
+
+  private checkJob(spec: JobSpec, dependencies: readonly string[]): Rejection | undefined {
+    const { inventory, limits } = this.dependencies;
+    const reason =
+      whyNeverRunnable(spec, this.teams.get(spec.team), inventory.catalog.values()) ??
+      whyTooLarge(spec, dependencies, { transaction: limits, maxRecordBytes: this.maxRecordBytes });
+    return reason === undefined ? undefined : rejected(rejectForever(reason));
+  }
+
+  /** Over the store's write budget: told at once, with the time until the writes queued before this one are through. */
+  private checkBacklog(): Rejection | undefined {
+    const { settings, transactions } = this.dependencies;
+    const backlogS = transactions.backlog(Priority.accept) / settings.cluster.store.present.writesPerSecond;
+    if (backlogS <= 1) return undefined;
+    const retryAfter = Math.min(MAX_RETRY_AFTER_S, Math.ceil(backlogS));
+    return nodeUnavailable({ status: 429, body: { error: 'busy' }, retryAfter });
+  }
+
+  /** Dependencies must have been accepted, by whichever node, and must be able to end. */
+  private async checkDependencies(spec: JobSpec, dependencies: readonly string[]): Promise<Rejection | undefined> {
+    const { lookup, states, clusterState } = this.dependencies;
+    if (dependencies.includes(spec.id)) return rejected(rejectForever('a job can not wait for itself'));
+    const unknown = dependencies.filter((each) => states.stateOf(each) === 'unknown');
+    const results = await Promise.all(unknown.map((each) => lookup.findUnbatched(each)));
+    const missing = unknown.find((_, index) => results[index]!.kind === 'not_found');
+    if (missing !== undefined) return rejected(rejectForever(`${missing} was never accepted`));
+    const isUndecided = results.some(({ kind }) => kind === 'unavailable') || !lookup.knowsCancellations;
+    if (isUndecided) return rejected(storeUnavailable());
+    const service = dependencies.find((each) => clusterState.jobs.get(each)?.record.spec.kind === 'service');
+    if (service !== undefined) return rejected(rejectForever(`${service} is a service, which never ends`));
+    return undefined;
+  }
+}
--- /dev/null
+++ b/src/api/job-cancellation.ts
@@ -0,0 +1,63 @@
+/** Records the cancellation of a job. */
+import { SUBMIT_DEADLINE_MS } from '../constants/api.js';
+import type { Log } from '../logging/log.js';
+import type { Clock } from '../net/clock.js';
+import { Priority } from '../net/token-bucket.js';
+import { cancelStoredJob, decodeJobRecord } from '../records/record-codecs.js';
+import { jobKey } from '../records/record-keys.js';
+import type { TransactionBatcher } from '../store/transaction-batcher.js';
+import type { TransactionDraft } from '../store/transaction-draft.js';
+import type { JobLookup } from './job-lookup.js';
+import type { JobStatus } from './job-wire-codec.js';
+
+export interface JobCancellationDependencies {
+  lookup: JobLookup;
+  clock: Clock;
+  transactions: TransactionBatcher;
+  log: Log;
+}
+
+export type CancellationOutcome =
+  /** The job's state is final, or will be: cancelled now or before, or done. */
+  | { kind: 'ended'; job: Pick<JobStatus, 'jobId' | 'state'> }
+  | { kind: 'not_found' }
+  /** Not recorded in time, or it is not known whether. */
+  | { kind: 'unavailable' };
+
+/** Cancels jobs; idempotent, since a job that has ended stays as it is. */
+export class JobCancellation {
+  constructor(private readonly dependencies: JobCancellationDependencies) {}
+
+  /** Gives up after the deadline of a submission. */
+  async cancel(jobId: string): Promise<CancellationOutcome> {
+    const { lookup, clock, transactions, log } = this.dependencies;
+    const final = lookup.finalStatus(jobId);
+    if (final !== undefined) return { kind: 'ended', job: final };
+    if (lookup.isStoreUnavailable) return { kind: 'unavailable' };
+    const deadlineMs = clock.now() + SUBMIT_DEADLINE_MS;
+    const decide = (draft: TransactionDraft) => writeCancellation(draft, jobId);
+    while (clock.now() < deadlineMs) {
+      const outcome = await transactions.commit('cancel', Priority.cancel, decide, deadlineMs - clock.now());
+      if (outcome.kind === 'done') {
+        log.info({ jobId }, 'job cancelled');
+        return { kind: 'ended', job: { jobId, state: 'cancelled' } };
+      }
+      if (outcome.kind !== 'void') break;
+      // This node's replica has no such active job; the store may know better.
+      const result = await lookup.find(jobId);
+      if (result.kind !== 'found') return result;
+      if (isEnded(result.status)) return { kind: 'ended', job: result.status };
+    }
+    return { kind: 'unavailable' };
+  }
+}
+
+const isEnded = ({ state }: JobStatus): boolean => state === 'cancelled' || state === 'done';
+
+/** False: there is no live record of the job, or it is cancelled already. */
+function writeCancellation(draft: TransactionDraft, jobId: string): boolean {
+  const value = draft.get(jobKey(jobId));
+  if (value === undefined || decodeJobRecord(value).state === 'cancelled') return false;
+  draft.set(jobKey(jobId), cancelStoredJob(value));
+  return true;
+}
--- a/src/api/job-wire-codec.ts
+++ b/src/api/job-wire-codec.ts
@@ -1,4 +1,4 @@
-/** What users send and are told about jobs, in the wire form, and its translation. */
+/** The wire form of what users send and are told about jobs, and its translation. */
 import * as v from 'valibot';
 import { decodeJobSpec } from '../records/job-spec-codec.js';
 import { JOB_PRIORITIES, type JobSpec } from '../domain/job.js';
@@ -12,6 +12,7 @@
 const MAX_MACHINE_TYPES = 100;
 const MAX_ERROR_CHARACTERS = 300;
 
+/** What a job's id must look like. */
 export const JOB_ID = /^j-[A-Za-z0-9._-]{1,100}$/;
 
 /** The order of the fields is the order in which they are stored. */
@@ -38,7 +39,7 @@
   DueS: orNull(amount),
 });
 
-/** The jobs that have to be done before; repeated names count once. */
+/** The jobs that have to be done before; repeated ids count once. */
 const DependenciesSchema = v.object({
   Awaits: orNull(v.array(v.pipe(v.string(), v.regex(JOB_ID, 'must name jobs')))),
 });
@@ -46,7 +47,7 @@
 /** A submission that was read, or what is wrong with it. */
 export type ParsedSubmission =
   | { ok: true; spec: JobSpec; dependencies: string[] }
-  /** `jobId`: the job that it speaks of, if it can be told: should that be known, nothing else about it matters. */
+  /** `jobId`: the job that it names, if that is readable: should that job be known, nothing else about the submission matters. */
   | { ok: false; error: string; jobId: string | undefined };
 
 /** Reads a submission; unknown fields are ignored. */
@@ -55,11 +56,11 @@
     return { ok: false, error: 'not an object', jobId: undefined };
   }
   const job = v.safeParse(JobSchema, body);
-  const predecessors = v.safeParse(DependenciesSchema, body);
-  if (job.success && predecessors.success) {
-    return { ok: true, spec: decodeJobSpec(job.output), dependencies: [...new Set(predecessors.output.Awaits)] };
+  const dependencies = v.safeParse(DependenciesSchema, body);
+  if (job.success && dependencies.success) {
+    return { ok: true, spec: decodeJobSpec(job.output), dependencies: [...new Set(dependencies.output.Awaits)] };
   }
-  const issue = (job.issues ?? predecessors.issues)![0];
+  const issue = (job.issues ?? dependencies.issues)![0];
   const { Ref: id } = body as { Ref?: unknown };
   return {
     ok: false,
