--- a/src/jobs/dependency-states.ts
+++ b/src/jobs/dependency-states.ts
@@ -1,6 +1,6 @@
 /**
- * What is known of the jobs before a waiting one. That a job was cancelled or is done is final, however it was learnt; how a
- * job ended that is gone from the copy of the live records has to be read, unless a peer has told.
+ * What is known of the jobs that a waiting job depends on. That a job was cancelled or is done is final, however it was
+ * learnt; how a job ended that is no longer in the replica of the live records has to be read, unless a peer has told.
  */
 import type { ClusterState } from '../records/cluster-state.js';
 import { decodeFinalJobRecord } from '../records/record-codecs.js';
@@ -13,10 +13,10 @@
 /** `unknown`: not among the live jobs, and nothing says whether or how it has ended. */
 export type DependencyState = 'open' | 'done' | 'cancelled' | 'unknown';
 
-/** What is known of all jobs before one, directly or through others. */
+/** What is known of all direct and indirect dependencies of a job. */
 export interface Ancestry {
   isCancelled: boolean;
-  /** Those of which it is not known how they have ended. */
+  /** Jobs of which it is not known how they have ended. */
   unknown: string[];
 }
 
@@ -27,40 +27,42 @@
   client: StoreClient;
 }
 
+/** Answers from memory; `learn` reads what is missing. */
 export class DependencyStates {
-  /** Final records that are being read. */
-  private readonly reading = new Map<string, Promise<void>>();
+  /** Reads of final records in flight, by job. */
+  private readonly readsInFlight = new Map<string, Promise<void>>();
 
   constructor(private readonly dependencies: DependencyStatesDependencies) {}
 
+  /** The state of one job, as far as it is known here. */
   stateOf(jobId: string): DependencyState {
     const { clusterState, replica, transactions } = this.dependencies;
     const record = clusterState.jobs.get(jobId)?.record;
     if (record !== undefined) return record.state === 'cancelled' ? 'cancelled' : 'open';
-    const ended = transactions.read(finalJobKey(jobId)).value;
-    if (ended !== undefined) return decodeFinalJobRecord(ended).state === 'done' ? 'done' : 'cancelled';
+    const finalRecord = transactions.read(finalJobKey(jobId)).value;
+    if (finalRecord !== undefined) return decodeFinalJobRecord(finalRecord).state === 'done' ? 'done' : 'cancelled';
     // A record that can't be read is open for all that is known.
     return replica.get(jobKey(jobId)).value === undefined ? 'unknown' : 'open';
   }
 
-  /** May a job with these predecessors start, or never? */
-  stateOfAll(predecessors: readonly string[]): DependencyState {
-    const standings = predecessors.map((each) => this.stateOf(each));
-    if (standings.includes('cancelled')) return 'cancelled';
-    if (standings.includes('unknown')) return 'unknown';
-    return standings.includes('open') ? 'open' : 'done';
+  /** `done`: a job with these dependencies may start; `cancelled`: it never may. */
+  stateOfAll(jobIds: readonly string[]): DependencyState {
+    const states = jobIds.map((jobId) => this.stateOf(jobId));
+    if (states.includes('cancelled')) return 'cancelled';
+    if (states.includes('unknown')) return 'unknown';
+    return states.includes('open') ? 'open' : 'done';
   }
 
-  /** Looks through all jobs before one that names these. */
-  ancestryOf(predecessors: readonly string[]): Ancestry {
+  /** Searches all direct and indirect dependencies of a job that names these. */
+  ancestryOf(jobIds: readonly string[]): Ancestry {
     const { dependencies } = this.dependencies.clusterState;
-    const seen = new Set(predecessors);
+    const seen = new Set(jobIds);
     const unknown: string[] = [];
     for (const jobId of seen) {
-      const standing = this.stateOf(jobId);
-      if (standing === 'cancelled') return { isCancelled: true, unknown };
-      if (standing === 'unknown') unknown.push(jobId);
-      // A set hands out what is added to it while it is looked through.
+      const state = this.stateOf(jobId);
+      if (state === 'cancelled') return { isCancelled: true, unknown };
+      if (state === 'unknown') unknown.push(jobId);
+      // Iteration over a set reaches what is added to it meanwhile.
       for (const each of dependencies.dependenciesOf(jobId)) seen.add(each);
     }
     return { isCancelled: false, unknown };
@@ -72,15 +74,15 @@
   }
 
   private read(jobId: string): Promise<void> {
-    const running = this.reading.get(jobId);
-    if (running !== undefined) return running;
+    const inFlight = this.readsInFlight.get(jobId);
+    if (inFlight !== undefined) return inFlight;
     const { client, transactions } = this.dependencies;
     const reading = client
       .get(finalJobKey(jobId), Priority.start)
       .then((row) => transactions.remember(finalJobKey(jobId), row))
       .catch(() => undefined)
-      .finally(() => this.reading.delete(jobId));
-    this.reading.set(jobId, reading);
+      .finally(() => this.readsInFlight.delete(jobId));
+    this.readsInFlight.set(jobId, reading);
     return reading;
   }
 }
--- a/src/jobs/job-reactions.ts
+++ b/src/jobs/job-reactions.ts
@@ -1,4 +1,4 @@
-/** What follows from a change of a job's records: launches and stops, plans, its end, and the steps of jobs after it. */
+/** What follows from a change of a job's records: launches and stops, plans, its end, and the steps of its dependents. */
 import { BATCH_PUSH_GATHER_SHARE } from '../constants/workers.js';
 import type { ClusterState, JobView } from '../records/cluster-state.js';
 import { taskIdOf } from '../domain/task.js';
@@ -6,7 +6,7 @@
 import type { RoleLeadership } from '../leadership/role-leadership.js';
 import { isPlacedByLeader } from '../domain/job.js';
 import { isResponsibleFor } from '../leadership/responsibility.js';
-import type { JobCompletion } from './job-completion.js';
+import { hasJobEnded, type JobCompletion } from './job-completion.js';
 import type { DependencyProgress } from './dependency-progress.js';
 
 /** The workers that this node commands. */
@@ -16,6 +16,7 @@
   pushCommands(machineId: string, gatherMs?: number): void;
 }
 
+/** Asks for a placement plan. */
 export interface PlanTrigger {
   /** Something has changed that the next plan should know. */
   planSoon(isUrgent?: boolean): void;
@@ -28,14 +29,15 @@
   planner: PlanTrigger;
   completion: JobCompletion;
   dependencyProgress: DependencyProgress;
-  /** ms between two reports of a worker. */
+  /** ms between two heartbeats of a worker. */
   reportPeriodMs: number;
 }
 
+/** Passes each change on to whom it concerns on this node. */
 export class JobReactions {
   constructor(private readonly dependencies: JobReactionsDependencies) {}
 
-  /** `shards`: of the job's ledger only these have changed; undefined: its record has. */
+  /** `taskIndexes`: only the placements of these tasks have changed; undefined: the job's record has. */
   jobChanged(jobId: string, taskIndexes?: readonly number[]): void {
     const { leadership, clusterState, planner, completion, dependencyProgress } = this.dependencies;
     const view = clusterState.jobs.get(jobId);
@@ -43,14 +45,13 @@
     planner.planSoon(view !== undefined && this.isUrgent(view));
     if (view === undefined) return;
     for (const taskIndex of taskIndexes ?? [...view.knownPlacements()].map(([each]) => each))
-      this.tellWorker(view, taskIndex);
-    // All nodes see the end at the same moment: changes that fail for another node's being first count like others.
-    const isOver = view.placed === 0 && (view.record.state === 'cancelled' || view.isComplete);
-    if (isOver && isResponsibleFor(leadership, jobId)) void completion.complete(jobId);
+      this.pushCommands(view, taskIndex);
+    // All nodes see the end at the same moment, and a transaction that fails since another node was first costs like others.
+    if (hasJobEnded(view) && isResponsibleFor(leadership, jobId)) void completion.complete(jobId);
   }
 
-  /** Tells the machine of a task what it is to do about it, where that is new. */
-  private tellWorker(view: JobView, taskIndex: number): void {
+  /** Pushes to the machine of a task what it is to do about it, where that is new. */
+  private pushCommands(view: JobView, taskIndex: number): void {
     const { workerManager, reportPeriodMs } = this.dependencies;
     const placement = view.placementOf(taskIndex);
     if (placement.kind !== 'placed') return;
@@ -58,14 +59,16 @@
     if (worker === undefined) return;
     const isStopped = view.record.state === 'cancelled' || placement.gracePeriodS !== null;
     const task = worker.tasks.get(taskIdOf(view.jobId, taskIndex));
-    const isLaunched = task !== undefined && task.attempt === placement.attempt;
+    if (isStopped) {
+      workerManager.pushCommands(placement.machineId);
+      return;
+    }
+    if (task?.attempt === placement.attempt) return;
     const isBatch = view.record.spec.kind === 'array';
-    if (isStopped) workerManager.pushCommands(placement.machineId);
-    else if (!isLaunched)
-      workerManager.pushCommands(placement.machineId, isBatch ? reportPeriodMs * BATCH_PUSH_GATHER_SHARE : undefined);
+    workerManager.pushCommands(placement.machineId, isBatch ? reportPeriodMs * BATCH_PUSH_GATHER_SHARE : undefined);
   }
 
-  /** Does work wait here for seconds at most, that this very node places? */
+  /** Has the job tasks that may wait for seconds at most, and that this very node places? */
   private isUrgent({ jobId, record, queued }: JobView): boolean {
     const { leadership } = this.dependencies;
     if (record.spec.kind === 'array' || record.state === 'waiting' || queued.length === 0) return false;
