--- a/src/autoscaling/machine-type-reader.ts
+++ b/src/autoscaling/machine-type-reader.ts
@@ -1,7 +1,7 @@
 /** Keeps the stored catalogue of machine types in step with the cloud's. */
 import { CATALOG_PERIOD_MS } from '../constants/autoscaling.js';
 import type { CloudClient } from '../cloud/cloud-client.js';
-import { decodeMachineType } from '../cloud/cloud-wire-codec.js';
+import { decodeMachineType, type StoredMachineType } from '../cloud/cloud-wire-codec.js';
 import type { MachineType } from '../domain/machine-type.js';
 import { CLUSTER_LEADER_ROLE } from '../domain/role.js';
 import type { RoleLeadership } from '../leadership/role-leadership.js';
@@ -11,6 +11,7 @@
 import type { TransactionBatcher } from '../store/transaction-batcher.js';
 import type { TransactionDraft } from '../store/transaction-draft.js';
 
+/** What the reader needs of the other parts. */
 export interface MachineTypeReaderDependencies {
   leadership: RoleLeadership;
   transactions: TransactionBatcher;
@@ -40,7 +41,7 @@
     );
   }
 
-  private storeIfChanged(draft: TransactionDraft, stored: unknown): boolean {
+  private storeIfChanged(draft: TransactionDraft, stored: StoredMachineType): boolean {
     if (!this.dependencies.leadership.requireLeadership(draft, CLUSTER_LEADER_ROLE)) return false;
     const current = decodeMachineType(stored)!;
     const key = machineTypeKey(current.name);
--- a/src/cloud/cloud-wire-codec.ts
+++ b/src/cloud/cloud-wire-codec.ts
@@ -1,8 +1,8 @@
-/** The cloud's wire form: machine types, rentals and the list of machines, and their translation. */
+/** The cloud's wire form of machine types, rentals and the list of machines, and its translation. */
 import * as v from 'valibot';
 import { MachineType } from '../domain/machine-type.js';
 
-/** A machine as the cloud's list shows it, which lags. */
+/** A machine as the cloud's list shows it, which lags behind what the cloud has done. */
 export interface ListedMachine {
   machineId: string;
   endpoint: string;
@@ -14,7 +14,7 @@
   ageS: number;
 }
 
-/** A request for machines, repeated under the same id until it is answered. */
+/** A request for machines, repeated under the same id until it is answered. The cloud answers a repetition as the first. */
 export interface ScaleOutRequest {
   /** Idempotency key: nobody may ever use it for another request. */
   rentalId: string;
@@ -24,6 +24,9 @@
   count: number;
 }
 
+/** A machine type in the cloud's own form, which is also the form in which it is stored. */
+export type StoredMachineType = Readonly<Record<string, unknown>>;
+
 const DEFAULT_FETCH_GB_PER_S = 1;
 const DEFAULT_BOOT_S = 60;
 
@@ -70,8 +73,10 @@
 };
 
 /** The machine types of a readable catalogue, each in the form in which it is stored. */
-export const machineTypesOf = (body: unknown): unknown[] => (body as { Flavors: unknown[] }).Flavors;
+export const machineTypesOf = (body: unknown): StoredMachineType[] =>
+  (body as { Flavors: StoredMachineType[] }).Flavors;
 
+/** The body of a request for machines. */
 export const encodeScaleOutRequest = (request: ScaleOutRequest): unknown => ({
   Hire: request.rentalId,
   Flavor: request.machineType,
@@ -80,14 +85,16 @@
   HowMany: request.count,
 });
 
+/** The body of a request to return machines. */
 export const encodeScaleInRequest = (machineIds: readonly string[]): unknown => ({ Hosts: machineIds });
 
-/** The machines that a request has got. */
+/** Ids of the machines that a request was granted. */
 export const decodeRentedMachines = (body: unknown): string[] =>
   (body as { Hosts?: string[] } | undefined)?.Hosts ?? [];
 
 const NO_CAPACITY = 'no capacity';
 
+/** Does a 503 say that the offer has no capacity, rather than that the cloud is in trouble? */
 export const isNoCapacity = (body: unknown): boolean => (body as { error?: string } | undefined)?.error === NO_CAPACITY;
 
 interface WireMachineList {
@@ -106,7 +113,7 @@
 const stateOfPhase = (phase: string): ListedMachine['state'] =>
   phase === 'failed' || phase === 'starting' ? phase : 'running';
 
-/** One page of the list. */
+/** One page of the list; `hasMore`: the next page starts after its last machine. */
 export function decodeMachineList(body: unknown): { machines: ListedMachine[]; hasMore: boolean } {
   const { Hosts, HasNext } = body as WireMachineList;
   const machines = Hosts.map((wire) => ({
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -211,13 +211,13 @@
       random: this.random,
       log,
     });
-    const cloud = new CloudClient(
+    const cloud = new CloudClient({
       http,
-      settings.cloudAddress,
-      settings.cluster.cloud.requestsPerSecond,
+      address: settings.cloudAddress,
+      requestsPerSecond: settings.cluster.cloud.requestsPerSecond,
       clock,
-      (call) => (this.standby === undefined ? true : maySend(call, () => this.leadership.isLeader)),
-    );
+      maySend: (call) => (this.standby === undefined ? true : maySend(call, () => this.leadership.isLeader)),
+    });
     this.leader = new ClusterLeader({
       settings,
       leadership: this.leadership,
--- a/test/clients-and-settings.test.ts
+++ b/test/clients-and-settings.test.ts
@@ -59,7 +59,9 @@
 describe('answers of the cloud and of workers', () => {
   const rental = { rentalId: 'r-1-1', machineType: 'c8', zone: 'a', isSpot: false, count: 1 };
   const rent = (reply: Reply | NoResponseError) =>
-    new CloudClient(answering(reply), 'x:1', 8, new FakeClock()).scaleOut(rental);
+    new CloudClient({ http: answering(reply), address: 'x:1', requestsPerSecond: 8, clock: new FakeClock() }).scaleOut(
+      rental,
+    );
 
   it('tell a lack of machines from trouble, after which the same request is sent again', async () => {
     assert.deepEqual(await rent({ status: 200, body: { Hosts: ['i-1'] } }), { kind: 'rented', machineIds: ['i-1'] });
@@ -79,7 +81,7 @@
         return { status: 200, body: { Hosts: ['i-1'] } };
       },
     };
-    const cloud = new CloudClient(http, 'x:1', 1, clock, () => isLeader);
+    const cloud = new CloudClient({ http, address: 'x:1', requestsPerSecond: 1, clock, maySend: () => isLeader });
     assert.equal(await cloud.scaleIn(['i-1']), true);
     const waiting = [cloud.scaleIn(['i-2']), cloud.scaleOut(rental)] as const;
     await clock.advance(1);
