--- a/src/api/api-server.ts
+++ b/src/api/api-server.ts
@@ -14,10 +14,11 @@
 const TOO_LARGE: HttpAnswer = { status: 400, body: { error: 'body over 64 KiB' } };
 const FAILED: HttpAnswer = { status: 503, body: { error: 'internal' }, retryAfter: RETRY_AFTER_S };
 
+/** Routes requests to their handlers. Users' requests are bounded in number, so that memory stays bounded. */
 export class ApiServer {
   private readonly server: Server;
   private readonly routes: Routes;
-  /** Bounded requests that are being read or handled. */
+  /** Users' requests that are being read or handled. */
   private openRequests = 0;
 
   constructor(
@@ -30,7 +31,7 @@
       { requestTimeout: REQUEST_TIMEOUT_MS, headersTimeout: REQUEST_TIMEOUT_MS },
       (request, response) => this.serve(request, response),
     );
-    // One inactivity timer for each connection, in place of one that is set and taken off again at each request.
+    // One inactivity timer for each connection, in place of one that is set and cleared at each request.
     this.server.keepAliveTimeout = 0;
     this.server.timeout = KEEP_ALIVE_MS;
     this.server.maxConnections = maxSockets;
@@ -40,6 +41,7 @@
     });
   }
 
+  /** Resolves once the server listens. The signal closes it and all its connections. */
   listen(host: string, port: number, signal: AbortSignal): Promise<void> {
     return new Promise((resolve, reject) => {
       this.server.once('error', reject);
@@ -89,7 +91,7 @@
     return route.isBounded && this.openRequests >= MAX_OPEN_REQUESTS ? BUSY : undefined;
   }
 
-  /** Counts a request as open until it is released, or its sender goes away before it has been read. */
+  /** Counts a request as open until it is released, or its sender disconnects before it has been read. */
   private countOpen(request: IncomingMessage): () => void {
     let isOpen = true;
     this.openRequests++;
@@ -129,23 +131,23 @@
   }
 }
 
-/** Answers without looking at the body. */
+/** Answers without reading the body. */
 function sendWithoutReading(request: IncomingMessage, response: ServerResponse, refusal: HttpAnswer): void {
   request.resume();
   send(response, refusal);
 }
 
-/** `closing` says that the connection ends with this answer, and is called when the answer is on its way. */
-function send(response: ServerResponse, answer: HttpAnswer, closing?: () => void): void {
+/** `onSent`: the connection is to be closed after this answer; called when the answer has been handed to the socket. */
+function send(response: ServerResponse, answer: HttpAnswer, onSent?: () => void): void {
   const body = JSON.stringify(answer.body);
   const { status } = answer;
   const headers = ['Content-Type', 'application/json', 'Content-Length', String(Buffer.byteLength(body))];
   if (status === 405) headers.push('Allow', 'GET, POST');
   if (status === 429 || status === 503) headers.push('Retry-After', String(answer.retryAfter ?? RETRY_AFTER_S));
-  if (closing !== undefined) headers.push('Connection', 'close');
-  // Nobody reads the date, and Node.js keeps it up with a timer.
+  if (onSent !== undefined) headers.push('Connection', 'close');
+  // No client reads the date, and Node.js keeps it up to date with a timer.
   response.sendDate = false;
   response.writeHead(status, headers);
-  if (closing === undefined) response.end(body);
-  else response.end(body, closing);
+  if (onSent === undefined) response.end(body);
+  else response.end(body, onSent);
 }
--- a/src/api/job-acceptance.ts
+++ b/src/api/job-acceptance.ts
@@ -13,6 +13,7 @@
 import type { TransactionDraft } from '../store/transaction-draft.js';
 import { tasksPerChunkFor } from './record-size-check.js';
 
+/** What acceptance needs of the other parts. */
 export interface JobAcceptanceDependencies {
   settings: Settings;
   transactions: TransactionBatcher;
@@ -21,6 +22,7 @@
   log: Log;
 }
 
+/** What became of an attempt to accept a job. */
 export type AcceptanceOutcome =
   /** The job is recorded; it may be cancelled from the start, with a job that it depends on. */
   | { kind: 'accepted'; state: JobRecord['state'] }
--- a/src/api/job-admission.ts
+++ b/src/api/job-admission.ts
@@ -21,6 +21,7 @@
   readonly catalog: ReadonlyMap<string, MachineType>;
 }
 
+/** What admission needs of the other parts. */
 export interface JobAdmissionDependencies {
   settings: Settings;
   replica: Replica;
--- a/src/api/job-answers.ts
+++ b/src/api/job-answers.ts
@@ -9,8 +9,10 @@
 /** A submission that can never succeed. */
 export const rejectForever = (error: string): HttpAnswer => ({ status: 422, body: { error } });
 
+/** The store does not respond, so that nothing certain can be told or recorded. */
 export const storeUnavailable = (): HttpAnswer => retryLater('the state service does not answer');
 
+/** There never was such a job. */
 export const noSuchJob = (): HttpAnswer => ({ status: 404, body: { error: 'no such job' } });
 
 /** A known job with its status. */
--- a/src/api/job-cancellation.ts
+++ b/src/api/job-cancellation.ts
@@ -10,6 +10,7 @@
 import type { JobLookup } from './job-lookup.js';
 import type { JobStatus } from './job-wire-codec.js';
 
+/** What cancellation needs of the other parts. */
 export interface JobCancellationDependencies {
   lookup: JobLookup;
   clock: Clock;
@@ -17,6 +18,7 @@
   log: Log;
 }
 
+/** What became of an attempt to cancel a job. */
 export type CancellationOutcome =
   /** The job's state is final, or will be: cancelled now or before, or done. */
   | { kind: 'ended'; job: Pick<JobStatus, 'jobId' | 'state'> }
--- a/src/api/job-lookup.ts
+++ b/src/api/job-lookup.ts
@@ -15,6 +15,7 @@
 import { Priority } from '../net/token-bucket.js';
 import { JOB_ID, type JobStatus } from './job-wire-codec.js';
 
+/** What a lookup has found out. */
 export type LookupResult =
   | { kind: 'found'; status: JobStatus }
   /** The store has just confirmed that there never was such a job. */
@@ -34,6 +35,7 @@
   resolve: (result: LookupResult) => void;
 }
 
+/** What lookups need of the other parts. */
 export interface JobLookupDependencies {
   client: StoreClient;
   replica: Replica;
--- a/src/api/job-service.ts
+++ b/src/api/job-service.ts
@@ -7,6 +7,7 @@
 import { JobCancellation, type JobCancellationDependencies } from './job-cancellation.js';
 import { encodeJobState, parseSubmission, type ParsedSubmission } from './job-wire-codec.js';
 
+/** What the parts of the service need together. */
 export type JobServiceDependencies = JobAdmissionDependencies & JobAcceptanceDependencies & JobCancellationDependencies;
 
 /** A job that was once accepted is known for ever: whatever else is wrong with a repeated submission, it gets the status. */
--- a/src/api/job-wire-codec.ts
+++ b/src/api/job-wire-codec.ts
@@ -85,6 +85,7 @@
   cancelled: 'withdrawn',
 };
 
+/** The answer to a poll, or to a submission of a known job. */
 export const encodeJobStatus = ({ jobId, state, done, running }: JobStatus): unknown => ({
   Ref: jobId,
   Phase: PHASE_OF_STATE[state],
--- a/src/api/record-size-check.ts
+++ b/src/api/record-size-check.ts
@@ -9,6 +9,7 @@
 const OTHER_CONDITIONS = 8;
 const OTHER_OPERATIONS = 2;
 
+/** The store's limits that a job's records must keep. */
 export interface RecordLimits {
   transaction: TransactionLimits;
   /** Bytes of a record at most. */
--- a/src/api/request-body.ts
+++ b/src/api/request-body.ts
@@ -2,13 +2,14 @@
 import type { IncomingMessage } from 'node:http';
 import { MAX_BODY_BYTES } from '../constants/api.js';
 
-export type RequestBody = { kind: 'json'; value: unknown } | { kind: 'malformed' } | { kind: 'too large' };
+/** A body that was read, or why it can't be. */
+export type RequestBody = { kind: 'json'; value: unknown } | { kind: 'malformed' } | { kind: 'too_large' };
 
-const TOO_LARGE: RequestBody = { kind: 'too large' };
+const TOO_LARGE: RequestBody = { kind: 'too_large' };
 
 /**
- * Calls `done` once, with the whole body; never, if the sender goes away before. Callbacks in place of promises, and no
- * listener that is not needed, since this runs for each report of each worker.
+ * Calls `done` once, with the whole body; never, if the sender disconnects before. Callbacks in place of promises, and no
+ * listener that is not needed, since this runs for each heartbeat of each worker.
  */
 export function readBody(request: IncomingMessage, done: (body: RequestBody) => void): void {
   if (Number(request.headers['content-length'] ?? 0) > MAX_BODY_BYTES) {
@@ -16,18 +17,19 @@
     return;
   }
   const parts: Buffer[] = [];
-  let size = 0;
+  let sizeBytes = 0;
   request.on('data', (part: Buffer) => {
-    const wasTooLarge = size > MAX_BODY_BYTES;
-    size += part.length;
-    if (size <= MAX_BODY_BYTES) parts.push(part);
+    const wasTooLarge = sizeBytes > MAX_BODY_BYTES;
+    sizeBytes += part.length;
+    if (sizeBytes <= MAX_BODY_BYTES) parts.push(part);
     else if (!wasTooLarge) done(TOO_LARGE);
   });
   request.on('end', () => {
-    if (size <= MAX_BODY_BYTES) done(parse(parts));
+    if (sizeBytes <= MAX_BODY_BYTES) done(parse(parts));
   });
 }
 
+/** The parts are joined only if there are several: a heartbeat mostly comes in one. */
 function parse(parts: readonly Buffer[]): RequestBody {
   const whole = parts.length === 1 ? parts[0]! : Buffer.concat(parts);
   try {
--- a/src/api/routes.ts
+++ b/src/api/routes.ts
@@ -1,20 +1,24 @@
 /** Which handler serves a request, by its path and method. */
 import type { HttpAnswer } from '../net/http-answer.js';
 
-/** What the service does for users, workers and health checks. */
+/** What the node does for users, workers and health checks. */
 export interface Handlers {
+  /** Submission of a job. */
   submit(body: unknown): Promise<HttpAnswer>;
+  /** Status of a job. */
   poll(jobId: string): Promise<HttpAnswer>;
   cancel(jobId: string): Promise<HttpAnswer>;
   answerHeartbeat(body: unknown): HttpAnswer | Promise<HttpAnswer>;
+  /** Health check. */
   up(): HttpAnswer;
 }
 
+/** How one path is served. */
 export interface Route {
   method: 'GET' | 'POST';
-  /** Users' requests are bounded; workers' reports and health checks always get through. */
+  /** Users' requests are bounded in number; workers' heartbeats and health checks are always handled. */
   isBounded: boolean;
-  /** The handler takes the request's JSON body; otherwise the body is not looked at. */
+  /** The handler takes the request's JSON body; otherwise the body is not read. */
   takesBody: boolean;
   handle(body: unknown): HttpAnswer | Promise<HttpAnswer>;
 }
--- a/src/autoscaling/autoscaler.ts
+++ b/src/autoscaling/autoscaler.ts
@@ -27,6 +27,7 @@
 
 type Machines = ReturnType<MachineInventory['machines']>;
 
+/** What scale out needs of the other parts. */
 export interface AutoscalerDependencies {
   settings: Settings;
   leadership: RoleLeadership;
--- a/src/autoscaling/booting-machines.ts
+++ b/src/autoscaling/booting-machines.ts
@@ -7,6 +7,7 @@
 /** Times its boot time after which a machine is not counted on any more; it is kept a while in case it comes. */
 const EXPECTED_BOOT_TIMES = 2;
 
+/** The snapshot that booting machines are found in. */
 export interface BootingMachinesInput {
   rentals: readonly RentalRecord[];
   listedMachines: Iterable<ListedMachine>;
--- a/src/autoscaling/capacity-needs.ts
+++ b/src/autoscaling/capacity-needs.ts
@@ -8,6 +8,7 @@
 import type { PendingTask } from '../scheduling/task-placer.js';
 import type { CapacityNeed } from './scale-out-decision.js';
 
+/** Where pending tasks, their jobs and the machines are read from. */
 export interface CapacityNeedsDependencies {
   clusterState: ClusterState;
   inventory: MachineInventory;
--- a/src/autoscaling/cluster-leader.ts
+++ b/src/autoscaling/cluster-leader.ts
@@ -25,6 +25,7 @@
 import { UnresponsiveMachineDetector } from './unresponsive-machine-detector.js';
 import { UnusableMachineDetector } from './unusable-machine-detector.js';
 
+/** What the leader's duties need together of the other parts. */
 export interface ClusterLeaderDependencies {
   settings: Settings;
   leadership: RoleLeadership;
--- a/src/autoscaling/cluster-status.ts
+++ b/src/autoscaling/cluster-status.ts
@@ -2,6 +2,7 @@
 import type { MachineInventory } from '../inventory/machine-inventory.js';
 import type { PlacementPlanner } from '../scheduling/placement-planner.js';
 
+/** Where machines and pending tasks are read from. */
 export interface ClusterStatusDependencies {
   inventory: MachineInventory;
   planner: PlacementPlanner;
--- a/src/autoscaling/idle-machine-detector.ts
+++ b/src/autoscaling/idle-machine-detector.ts
@@ -7,6 +7,7 @@
 import type { PlacementPlanner } from '../scheduling/placement-planner.js';
 import { isBelowReserve } from './scale-out-decision.js';
 
+/** Where tasks, machines and free resources are read from. */
 export interface IdleMachineDetectorDependencies {
   clusterState: ClusterState;
   inventory: MachineInventory;
--- a/src/autoscaling/machine-scale-in.ts
+++ b/src/autoscaling/machine-scale-in.ts
@@ -16,6 +16,7 @@
 /** Machines of one scale-in request. */
 const MAX_SCALE_IN_AT_ONCE = 50;
 
+/** What scale in needs of the other parts. */
 export interface MachineScaleInDependencies {
   leadership: RoleLeadership;
   clusterState: ClusterState;
--- a/src/autoscaling/rental-records.ts
+++ b/src/autoscaling/rental-records.ts
@@ -8,6 +8,7 @@
 import type { TransactionBatcher } from '../store/transaction-batcher.js';
 import type { TransactionDraft } from '../store/transaction-draft.js';
 
+/** What writing rentals needs of the other parts. */
 export interface RentalRecordsDependencies {
   leadership: RoleLeadership;
   transactions: TransactionBatcher;
--- a/src/autoscaling/reserve-decision.ts
+++ b/src/autoscaling/reserve-decision.ts
@@ -10,6 +10,7 @@
   freeCpus: number;
 }
 
+/** The snapshot that is decided on. */
 export interface ReserveDecisionInput {
   openMachines: readonly ReserveMachine[];
   booting: readonly MachineOffer[];
--- a/src/autoscaling/spot-notice-evictor.ts
+++ b/src/autoscaling/spot-notice-evictor.ts
@@ -5,6 +5,7 @@
 import type { ClusterState } from '../records/cluster-state.js';
 import type { EvictionMarker } from '../scheduling/eviction-marker.js';
 
+/** What evictions need of the other parts. */
 export interface SpotNoticeEvictorDependencies {
   clusterState: ClusterState;
   evictionMarker: EvictionMarker;
--- a/src/autoscaling/unresponsive-machine-detector.ts
+++ b/src/autoscaling/unresponsive-machine-detector.ts
@@ -11,6 +11,7 @@
 import type { ClusterState } from '../records/cluster-state.js';
 import { findCutZones, findMachinesToReplace, type WatchedMachine } from './unresponsive-machines.js';
 
+/** Where heartbeats, leaders and placements are read from. */
 export interface UnresponsiveMachineDetectorDependencies {
   settings: Settings;
   leadership: RoleLeadership;
--- a/src/autoscaling/unusable-machine-detector.ts
+++ b/src/autoscaling/unusable-machine-detector.ts
@@ -8,6 +8,7 @@
 import type { MachineListReader } from './machine-list-reader.js';
 import { bootLimitMs } from './scale-out-decision.js';
 
+/** Where machines and their tasks are read from. */
 export interface UnusableMachineDetectorDependencies {
   clusterState: ClusterState;
   inventory: MachineInventory;
--- a/src/jobs/dependency-progress.ts
+++ b/src/jobs/dependency-progress.ts
@@ -14,6 +14,7 @@
 import type { DependencyStates } from './dependency-states.js';
 import { isResponsibleFor } from '../leadership/responsibility.js';
 
+/** What advancing jobs needs of the other parts. */
 export interface DependencyProgressDependencies {
   leadership: RoleLeadership;
   clusterState: ClusterState;
--- a/src/jobs/dependency-states.ts
+++ b/src/jobs/dependency-states.ts
@@ -20,6 +20,7 @@
   unknown: string[];
 }
 
+/** Where states are read from. */
 export interface DependencyStatesDependencies {
   clusterState: ClusterState;
   replica: Replica;
--- a/src/jobs/job-completion.ts
+++ b/src/jobs/job-completion.ts
@@ -15,6 +15,7 @@
 import type { Log } from '../logging/log.js';
 import type { DependencyStates } from './dependency-states.js';
 
+/** What ending jobs needs of the other parts. */
 export interface JobCompletionDependencies {
   leadership: RoleLeadership;
   clusterState: ClusterState;
--- a/src/jobs/job-reactions.ts
+++ b/src/jobs/job-reactions.ts
@@ -22,6 +22,7 @@
   planSoon(isUrgent?: boolean): void;
 }
 
+/** The parts that changes are passed on to, and what that is decided by. */
 export interface JobReactionsDependencies {
   leadership: RoleLeadership;
   clusterState: ClusterState;
