--- a/test/api/api-server.test.ts
+++ b/test/api/api-server.test.ts
@@ -46,7 +46,7 @@
 const bodyOf = (answer: string) => JSON.parse(answer.slice(answer.indexOf('\r\n\r\n') + 4)) as unknown;
 
 describe('the HTTP server', () => {
-  it('answers report after report on one connection, also one that comes in pieces', async () => {
+  it('answers heartbeat after heartbeat on one connection, also one that arrives in pieces', async () => {
     const heard: unknown[] = [];
     const { open } = connect({
       answerHeartbeat: (body) => {
@@ -65,7 +65,7 @@
     assert.deepEqual(heard, [{ Tick: 1 }, { Tick: 2 }]);
   });
 
-  it('tells paths, methods and bodies that it can not serve', async () => {
+  it('rejects unknown paths, wrong methods and malformed bodies, each with its status', async () => {
     const { open } = connect({ up: () => ({ status: 200, body: { up: true } }) });
     const connection = open();
     assert.equal(statusOf(await ask(connection, get('/up?why=check'))), 200);
@@ -79,7 +79,7 @@
     assert.deepEqual(bodyOf(malformed), { error: 'not JSON' });
   });
 
-  it('refuses a body over the limit, announced or not, and closes the connection', async () => {
+  it('rejects a body over the limit, with or without Content-Length, and closes the connection', async () => {
     const { open } = connect({});
     const announced = await ask(
       open(),
@@ -106,7 +106,7 @@
     }
   });
 
-  it('refuses users at once while too many of their requests are open, and takes them again after', async () => {
+  it('rejects users at once while too many of their requests are open, and accepts them again after', async () => {
     let answerAll: (answer: HttpAnswer) => void = () => undefined;
     const later = new Promise<HttpAnswer>((resolve) => (answerAll = resolve));
     const { open } = connect({ poll: () => later, answerHeartbeat: () => ({ status: 200, body: {} }) });
@@ -121,7 +121,7 @@
     assert.equal(statusOf(await ask(connection, get('/v1/jobs/j-1'))), 200);
   });
 
-  it('forgets a submission whose sender has gone before it was read', async () => {
+  it('drops a submission whose sender disconnects before it was read', async () => {
     const { open, openBoth } = connect({ poll: () => Promise.resolve({ status: 200, body: {} }) });
     for (let count = 0; count < MAX_OPEN_REQUESTS; count++) {
       const [client, served] = openBoth();
--- a/test/api/submissions.test.ts
+++ b/test/api/submissions.test.ts
@@ -59,7 +59,7 @@
     });
   }
 
-  it('may leave out what may be null, and add what nobody knows', async () => {
+  it('may omit nullable fields, and add unknown ones', async () => {
     await ready();
     const sent = { ...jobOf({ Ref: 'j-good' }), Colour: 'blue' };
     for (const name of ['Flavors', 'Site', 'DueS']) assert.ok(!(name in sent));
@@ -67,12 +67,12 @@
     assert.equal((await send({ ...jobOf({ Ref: 'j-null' }), Flavors: null, Site: null, DueS: null })).status, 201);
   });
 
-  it('that is no object gets 400', async () => {
+  it('that is not an object gets 400', async () => {
     await ready();
     for (const sent of [null, 7, 'j-000001', [], [jobOf({})], true]) assert.equal((await send(sent)).status, 400);
   });
 
-  it('that fits no machine, or needs more than the limit of its team, gets 422', async () => {
+  it('that fits no machine type, or exceeds the quota of its team, gets 422', async () => {
     await ready({ teams: [{ name: 'red', cpus_max: 4 }] });
     const never: object[] = [
       { Owner: 'nobody' },
@@ -128,7 +128,7 @@
     }
   });
 
-  it('that is malformed is not refused for good while the store can not say whether the job is known', async () => {
+  it('that is malformed is not rejected for good while the store can not confirm whether the job is known', async () => {
     await ready();
     assert.equal((await cluster.submit({ Ref: 'j-again', Shape: 'service' })).status, 201);
     cluster.crash(0);
@@ -146,7 +146,7 @@
 });
 
 describe('a cancellation', () => {
-  it('of a job that is done answers `done`, also while the store is out', async () => {
+  it('of a job that is done answers `done`, also while the store is unavailable', async () => {
     await ready({ nodes: 3 });
     await cluster.submit({ Ref: 'j-done' });
     await cluster.advance(12_000);
@@ -162,7 +162,7 @@
 });
 
 describe('an unknown job', () => {
-  it('gets 404 only where the store says so, else 503 at once', async () => {
+  it('gets 404 only where the store confirms it, else 503 at once', async () => {
     await ready({ nodes: 3 });
     assert.equal((await cluster.poll('j-nobody')).status, 404);
     assert.equal((await cluster.withdraw('j-nobody')).status, 404);
@@ -193,7 +193,7 @@
 describe('a message of a peer', () => {
   const row = { Ref: 'j-new' };
 
-  it('whose news can not be read is refused whole, and what it told is asked of the store', async () => {
+  it('with an unreadable delta is rejected whole, and its contents are read from the store', async () => {
     await ready({ nodes: 2 });
     const node = cluster.node(1);
     await cluster.submit({ Ref: 'j-old', Shape: 'service' });
@@ -211,7 +211,7 @@
     assert.equal(body(await cluster.poll('j-old', 1)).Phase, 'running');
   });
 
-  it('that relays no report is left unanswered and ends nothing', async () => {
+  it('that forwards an invalid heartbeat is left unanswered and ends nothing', async () => {
     await ready({ nodes: 2 });
     for (const status of ['{', '7', 'null', '{"Host":"i-000000"}']) {
       assert.doesNotThrow(() => cluster.node(1).receive({ relay: { node: 'n0', id: 1, status } }));
@@ -220,7 +220,7 @@
     assert.equal((await cluster.submit({ Ref: 'j-after' }, 1)).status, 201);
   });
 
-  it('that builds on one which never came is told once more in full, and no machine is known by halves', async () => {
+  it('that builds on one which was lost is sent again in full, and no machine is known partially', async () => {
     await ready({ nodes: 2 }, 4);
     cluster.parted.add('n0>n1');
     await cluster.advance(1500);
--- a/test/jobs/dependencies.test.ts
+++ b/test/jobs/dependencies.test.ts
@@ -24,8 +24,8 @@
 const recordOf = (jobId: string) =>
   cluster.store.rows.get(`live/job/${jobId}`)?.value as { phase: string; awaits?: string[] } | undefined;
 
-describe('a job that names others', () => {
-  it('starts soon after the last of them is done', async () => {
+describe('a job with dependencies', () => {
+  it('starts soon after the last dependency is done', async () => {
     await ready(3, {}, 3, 14_000);
     assert.equal(await submit('j-a', null, { Shards: 2 }), 201);
     assert.equal(await submit('j-b', [], { Owner: 'red' }, 1), 201);
@@ -38,7 +38,7 @@
     assert.equal(await phase('j-d', 1), 'done');
   });
 
-  it('that are all done, also long ago, starts at once', async () => {
+  it('starts at once if all are done, also long ago', async () => {
     await ready();
     assert.equal(await submit('j-a', null), 201);
     await cluster.advance(8000);
@@ -51,7 +51,7 @@
     assert.equal(await phase('j-b', 2), 'done');
   });
 
-  it('is refused if one was never accepted, is the job itself or a service, or names are malformed', async () => {
+  it('is rejected if one was never accepted, is the job itself or a service, or ids are malformed', async () => {
     await ready(2);
     assert.equal(await submit('j-svc', null, { Shape: 'service', GuessS: 0 }), 201);
     assert.equal(await submit('j-a', ['j-nobody']), 422);
@@ -67,7 +67,7 @@
     assert.equal(await submit('j-b', 'odd'), 200);
   });
 
-  it('that the node has not heard of yet is taken, and told to come back while the store is out of reach', async () => {
+  it('that the node does not know yet is accepted, and gets 503 while the store is unreachable', async () => {
     await ready(2);
     cluster.parted.add('n0>n1');
     cluster.network.fault({ from: 'n1', to: 'store:1', path: /^\/watch/, kind: 'lose' });
@@ -77,7 +77,7 @@
     assert.equal(await submit('j-c', ['j-new'], {}, 1), 503);
   });
 
-  it('holds no part of its team while it waits', async () => {
+  it("uses none of its team's quota while it waits", async () => {
     await ready(2, { teams: [{ name: 'red', cpus_max: 4 }] });
     assert.equal(await submit('j-a', null, { Shards: 2 }), 201);
     assert.equal(await submit('j-wait', ['j-a'], { Shards: 2 }), 201);
@@ -88,7 +88,7 @@
 });
 
 describe('a cancellation', () => {
-  it('reaches all jobs after it over any number of levels, also new ones, and none before it', async () => {
+  it('reaches all direct and indirect dependents, also new ones, and no dependency', async () => {
     await ready(3, {}, 3, 100_000);
     assert.equal(await submit('j-0', null), 201);
     for (let n = 1; n <= 12; n++) assert.equal(await submit(`j-${n}`, [`j-${n - 1}`], {}, n % 3), 201);
@@ -104,7 +104,7 @@
     assert.equal(await phase('j-0'), 'running');
   });
 
-  it('is told of all jobs after it at once, however few changes the store allows', async () => {
+  it('shows at once on all dependents, however few writes the store allows', async () => {
     await ready(3, {}, 3, 100_000);
     assert.equal(await submit('j-0', null), 201);
     for (let n = 1; n <= 8; n++) assert.equal(await submit(`j-${n}`, [`j-${n - 1}`], {}, n % 3), 201);
@@ -114,7 +114,7 @@
     assert.equal(recordOf('j-8')?.phase, 'waiting');
   });
 
-  it('is not answered with an older word by a node that has not heard of it, and whose peers are gone', async () => {
+  it('is not contradicted with an older state by a node that has not seen it, and whose peers are down', async () => {
     await ready(2, {}, 2, 200_000);
     assert.equal(await submit('j-a', null), 201);
     assert.equal(await submit('j-b', ['j-a'], {}, 1), 201);
@@ -139,7 +139,7 @@
     assert.equal(await phase('j-b', 1), 'withdrawn');
   });
 
-  it('that comes with the last exit ends in one of two ways for the whole pipeline', async () => {
+  it('that coincides with the last exit ends in one of two ways for the whole dependency chain', async () => {
     for (const afterMs of [0, 20, 60, 150, 400]) {
       await ready(3);
       assert.equal(await submit('j-a', null), 201);
@@ -153,7 +153,7 @@
     }
   });
 
-  it('that is confirmed as the store goes away is never answered with an older word once it is due', async () => {
+  it('that is confirmed as the store fails is never contradicted with an older state after its deadline', async () => {
     await ready(3, {}, 3, 100_000);
     assert.equal(await submit('j-a', null), 201);
     assert.equal(await submit('j-b', ['j-a'], {}, 1), 201);
@@ -175,8 +175,8 @@
   });
 });
 
-describe('a waiting job goes on', () => {
-  it('when the node that ended the last job before it is gone, and nobody has told', async () => {
+describe('a waiting job advances', () => {
+  it('when the node that ended its last dependency is down, and no peer was told', async () => {
     await ready(3, {}, 3, 8000);
     assert.equal(await submit('j-a', null), 201);
     assert.equal(await submit('j-b', ['j-a'], {}, 1), 201);
@@ -208,8 +208,8 @@
   });
 });
 
-describe('the urgency of a job', () => {
-  it('is that of the most urgent job that needs it, and follows as such jobs come and go', async () => {
+describe('the priority of a job', () => {
+  it('is that of its most urgent dependent, and follows as dependents come and go', async () => {
     await ready(2, {}, 1, 60_000);
     const priorityIndex = (jobId: string) => cluster.node(0).clusterState.jobs.get(jobId)?.record.spec.priority;
     assert.equal(await submit('j-a', null, { Rank: 'low', GuessS: 20 }), 201);
@@ -224,7 +224,7 @@
     assert.equal(priorityIndex('j-a'), 'low');
   });
 
-  it('lets the first step of an urgent pipeline pass work of its own rank', async () => {
+  it('lets the first job of an urgent dependency chain pass work of its own priority', async () => {
     await ready(2, { teams: [{ name: 'red' }] }, 1, 15_000);
     assert.equal(await submit('j-full', null, { Cpus: 8, MemGb: 60 }), 201);
     assert.equal(await submit('j-other', null, { Cpus: 8, MemGb: 60, Rank: 'normal', GuessS: 1 }), 201);
