--- a/src/autoscaling/cluster-leader.ts
+++ b/src/autoscaling/cluster-leader.ts
@@ -1,21 +1,12 @@
 /** The duties of the cluster's leader: catalogue, scale out and in, preemption, and evictions before spot notices end. */
 import { LIST_PERIOD_MS, SCALE_OUT_PERIOD_MS, SCALE_OUT_ROUNDS, STATUS_PERIOD_MS } from '../constants/autoscaling.js';
 import { PREEMPT_PERIOD_MS } from '../constants/scheduling.js';
-import type { CloudClient } from '../cloud/cloud-client.js';
-import type { Settings } from '../domain/settings.js';
 import type { PeerDirectory } from '../gossip/peer-directory.js';
-import type { MachineInventory } from '../inventory/machine-inventory.js';
-import { LeaderMemory } from '../leadership/advisory-memory.js';
-import type { RoleLeadership } from '../leadership/role-leadership.js';
-import type { Log } from '../logging/log.js';
-import type { Clock } from '../net/clock.js';
-import type { ClusterState } from '../records/cluster-state.js';
+import type { LeaderMemory } from '../leadership/advisory-memory.js';
 import type { TeamAccounting } from '../records/team-accounting.js';
 import { EvictionMarker } from '../scheduling/eviction-marker.js';
-import type { PlacementPlanner } from '../scheduling/placement-planner.js';
 import { Preemptor } from '../scheduling/preemptor.js';
-import type { TransactionBatcher } from '../store/transaction-batcher.js';
-import { Autoscaler } from './autoscaler.js';
+import { Autoscaler, type AutoscalerDependencies } from './autoscaler.js';
 import { clusterStatus } from './cluster-status.js';
 import { IdleMachineDetector } from './idle-machine-detector.js';
 import { MachineListReader } from './machine-list-reader.js';
@@ -26,18 +17,9 @@
 import { UnusableMachineDetector } from './unusable-machine-detector.js';
 
 /** What the leader's duties need together of the other parts. */
-export interface ClusterLeaderDependencies {
-  settings: Settings;
-  leadership: RoleLeadership;
-  clusterState: ClusterState;
-  inventory: MachineInventory;
-  planner: PlacementPlanner;
-  transactions: TransactionBatcher;
+export interface ClusterLeaderDependencies extends Omit<AutoscalerDependencies, 'machineList'> {
   accounting: TeamAccounting;
-  cloud: CloudClient;
   peerDirectory: PeerDirectory;
-  clock: Clock;
-  log: Log;
 }
 
 /** Joins the duties and repeats each while this node is the leader; a follower's instance only keeps its memory. */
--- a/src/autoscaling/scale-out-decision.ts
+++ b/src/autoscaling/scale-out-decision.ts
@@ -1,7 +1,7 @@
 /** Decides which machines to add for tasks without a placement. */
 import { BOOT_PATIENCE, RESERVE_SHARE } from '../constants/autoscaling.js';
 import type { JobSpec } from '../domain/job.js';
-import { resourcesOfMachineType, tasksPerMachine, MachineType } from '../domain/machine-type.js';
+import { type MachineType, resourcesOfMachineType, tasksPerMachine } from '../domain/machine-type.js';
 import { type Resources, fits, subtractResources } from '../domain/resources.js';
 import { isAllowedOn } from '../records/placement-rules.js';
 
