--- a/src/controller/scheduling-parts.ts
+++ b/src/controller/scheduling-parts.ts
@@ -29,7 +29,12 @@
   const planner = new PlacementPlanner({ ...environment, ...records, leadership, inventory });
   const canSend = (call: Parameters<typeof maySend>[0]): boolean =>
     !tuning.standby.enabled || maySend(call, () => leadership.isLeader);
-  const cloud = new CloudClient(http, cloudAddress, cluster.cloud.requestsPerSecond, clock, canSend);
+  const cloud = new CloudClient({
+    ...{ http, clock },
+    address: cloudAddress,
+    requestsPerSecond: cluster.cloud.requestsPerSecond,
+    maySend: canSend,
+  });
   const leader = new ClusterLeader({ ...environment, ...records, leadership, inventory, planner, cloud });
   const rescheduler = new Rescheduler({
     ...{ tuning, leadership, clusterState, inventory, planner, transactions, happiness, clock, random, log },
