--- a/src/workers/cancellation-enforcer.ts
+++ b/src/workers/cancellation-enforcer.ts
@@ -9,6 +9,7 @@
 import type { HttpClient } from '../net/http-client.js';
 import type { Log } from '../logging/log.js';
 
+/** What the enforcer reads, and how it reaches the workers. `inventory` knows endpoints also of machines that others lead. */
 export interface CancellationEnforcerDependencies {
   leadership: RoleLeadership;
   clusterState: ClusterState;
--- a/src/workers/cancelled-launch-guard.ts
+++ b/src/workers/cancelled-launch-guard.ts
@@ -8,6 +8,7 @@
 import type { Worker } from './worker.js';
 import type { WorkerStatus } from './worker-wire-codec.js';
 
+/** What the guard decides from. */
 export interface CancelledLaunchGuardDependencies {
   leadership: RoleLeadership;
   timings: WorkerTimings;
--- a/src/workers/command-sender.ts
+++ b/src/workers/command-sender.ts
@@ -16,6 +16,7 @@
 import type { WorkerCommand } from './worker-wire-codec.js';
 import type { Worker } from './worker.js';
 
+/** What the sender reads and reconciles with, and how it reaches the workers. */
 export interface CommandSenderDependencies {
   timings: WorkerTimings;
   leadership: RoleLeadership;
--- a/src/workers/exit-recorder.ts
+++ b/src/workers/exit-recorder.ts
@@ -5,7 +5,7 @@
 import type { TeamAccounting } from '../records/team-accounting.js';
 import { exitPriority } from '../records/transaction-priority.js';
 import type { Clock } from '../net/clock.js';
-import type { TransactionBatcher } from '../store/transaction-batcher.js';
+import type { CommitOutcome, TransactionBatcher } from '../store/transaction-batcher.js';
 import { attemptKeyOf, taskIdOfPlaced } from './attempt-key.js';
 import type { PlacementRelease } from './reconciliation.js';
 import type { Worker } from './worker.js';
@@ -22,6 +22,7 @@
   died(placedTask: PlacedTask): void;
 }
 
+/** Where exits are recorded, and who learns of them. */
 export interface ExitRecorderDependencies {
   settings: Settings;
   leadership: RoleLeadership;
@@ -62,7 +63,7 @@
     role: string,
     { placedTask, ending }: PlacementRelease,
     currentProof: () => Proof | undefined,
-  ) {
+  ): Promise<CommitOutcome> {
     const { leadership, clusterState, transactions, accounting } = this.dependencies;
     const { jobId, taskIndex } = placedTask;
     const term = leadership.termOf(role);
--- a/src/workers/fencing-token-advancer.ts
+++ b/src/workers/fencing-token-advancer.ts
@@ -12,6 +12,7 @@
 
   constructor(private readonly dependencies: { leadership: RoleLeadership; clock: Clock }) {}
 
+  /** Starts to advance the token, unless that was done a moment ago; the outcome shows in the leadership record. */
   advance(role: string): void {
     const { leadership, clock } = this.dependencies;
     const now = clock.now();
--- a/src/workers/fencing-token-sender.ts
+++ b/src/workers/fencing-token-sender.ts
@@ -9,6 +9,7 @@
 import type { WorkerRegistry } from './worker-registry.js';
 import { Worker } from './worker.js';
 
+/** What the sender reads, and how it reaches the workers; `commandSender` follows up the first contact. */
 export interface FencingTokenSenderDependencies {
   leadership: RoleLeadership;
   clusterState: ClusterState;
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -18,6 +18,7 @@
 import { encodeCommand, type WireCommand, type WorkerCommand, type WorkerStatus } from './worker-wire-codec.js';
 import { Worker } from './worker.js';
 
+/** What a heartbeat is judged by, and the parts that its status is handed to. */
 export interface HeartbeatHandlerDependencies {
   settings: Settings;
   leadership: RoleLeadership;
--- a/src/workers/heartbeat-service.ts
+++ b/src/workers/heartbeat-service.ts
@@ -6,6 +6,7 @@
 import type { WorkerManager } from './worker-manager.js';
 import type { HeartbeatOutcome } from './worker-manager-dependencies.js';
 
+/** This node, its workers, and the way to the nodes that lead the others. */
 export interface HeartbeatServiceDependencies {
   node: string;
   workerManager: WorkerManager;
--- a/src/workers/image-cache.ts
+++ b/src/workers/image-cache.ts
@@ -7,6 +7,7 @@
   /** Attempts whose image has been recorded. */
   private readonly recordedAttempts = new Set<string>();
 
+  /** GB of each image, most recently used last. */
   get images(): ReadonlyMap<string, number> {
     return this.sizesGb;
   }
--- a/src/workers/machine-health.ts
+++ b/src/workers/machine-health.ts
@@ -37,6 +37,7 @@
     return [...this.failures].filter(([, { until }]) => isQuarantined || now < until).map(([jobId]) => jobId);
   }
 
+  /** Does the machine take no new work, since tasks of several jobs failed there? */
   isQuarantined(now: number): boolean {
     return now < this.quarantinedUntil;
   }
--- a/src/workers/machine-slowness.ts
+++ b/src/workers/machine-slowness.ts
@@ -37,6 +37,7 @@
     return this.evictedAttempts.has(attemptKey);
   }
 
+  /** The attempt is evicted because the machine is slow. */
   markEvicted(attemptKey: string): void {
     this.evictedAttempts.add(attemptKey);
   }
--- a/src/workers/misrouted-workers.ts
+++ b/src/workers/misrouted-workers.ts
@@ -12,6 +12,7 @@
   /** Since when each is taken to be cut off from its leader. */
   private readonly cutOffSince = new Map<string, number>();
 
+  /** Did the machine's worker send a heartbeat here lately? */
   has(machineId: string): boolean {
     return this.lastHeartbeatAt.has(machineId);
   }
--- a/src/workers/pending-launches.ts
+++ b/src/workers/pending-launches.ts
@@ -29,6 +29,7 @@
     return this.unanswered.get(attemptKey);
   }
 
+  /** Was a launch of the attempt sent directly, and not answered yet? */
   isUnanswered(attemptKey: string): boolean {
     return this.unanswered.has(attemptKey);
   }
@@ -38,6 +39,7 @@
     return this.unanswered.has(attemptKey) || this.inAnswers.has(attemptKey);
   }
 
+  /** A launch goes out directly, under this token. */
   recordSent(attemptKey: string, fencingToken: number): void {
     this.unanswered.set(attemptKey, fencingToken);
   }
@@ -47,6 +49,7 @@
     if (this.unanswered.get(attemptKey) === fencingToken) this.unanswered.delete(attemptKey);
   }
 
+  /** A launch goes out in the answer to the heartbeat with this sequence number. */
   recordInAnswer(attemptKey: string, sequence: number): void {
     this.inAnswers.set(attemptKey, sequence);
   }
--- a/src/workers/placement-releaser.ts
+++ b/src/workers/placement-releaser.ts
@@ -8,6 +8,7 @@
 import { findProof, type PlacementRelease } from './reconciliation.js';
 import type { WorkerRegistry } from './worker-registry.js';
 
+/** What proofs are drawn from, and where releases are recorded. */
 export interface PlacementReleaserDependencies {
   leadership: RoleLeadership;
   clusterState: ClusterState;
--- a/src/workers/straggler-detector.ts
+++ b/src/workers/straggler-detector.ts
@@ -10,6 +10,7 @@
 import type { RoleLeadership } from '../leadership/role-leadership.js';
 import type { Log } from '../logging/log.js';
 
+/** Where run times are read, and evictions recorded. */
 export interface StragglerDetectorDependencies {
   leadership: RoleLeadership;
   clusterState: ClusterState;
--- a/src/workers/token-announcer.ts
+++ b/src/workers/token-announcer.ts
@@ -14,6 +14,7 @@
   announceToken(target: AnnouncementTarget): Promise<void>;
 }
 
+/** Which machines are in use, where they listen, and who sends them the token. */
 export interface TokenAnnouncerDependencies {
   leadership: RoleLeadership;
   clusterState: ClusterState;
--- a/src/workers/worker-manager-dependencies.ts
+++ b/src/workers/worker-manager-dependencies.ts
@@ -39,6 +39,7 @@
   cacheGb(machineType: string): number;
 }
 
+/** The controller's parts that the manager hands on to its own. */
 export interface WorkerManagerDependencies {
   settings: Settings;
   leadership: RoleLeadership;
--- a/src/workers/worker-manager.ts
+++ b/src/workers/worker-manager.ts
@@ -19,7 +19,9 @@
  * heartbeats, direct commands, announcements of the token and releases of placements are parts of their own.
  */
 export class WorkerManager {
+  /** The workers of the partitions that this node leads. */
   readonly workers: WorkerRegistry;
+  /** Workers of other nodes that send their heartbeats here. */
   readonly misroutedWorkers = new MisroutedWorkers();
   private readonly stragglers: StragglerDetector;
   private readonly releaser: PlacementReleaser;
--- a/src/workers/worker-reconciler.ts
+++ b/src/workers/worker-reconciler.ts
@@ -18,6 +18,7 @@
   isHeartbeatAnswer: boolean;
 }
 
+/** What plans are made from, and who carries them out. */
 export interface WorkerReconcilerDependencies {
   leadership: RoleLeadership;
   replica: Replica;
--- a/src/workers/worker-registry.ts
+++ b/src/workers/worker-registry.ts
@@ -36,6 +36,7 @@
     return this.partitionOfMachine(machineId)?.workers.get(machineId);
   }
 
+  /** Was there contact with the machine's worker in the present term? */
   has(machineId: string): boolean {
     return this.get(machineId) !== undefined;
   }
@@ -45,10 +46,12 @@
     for (let partition = 0; partition < this.leadership.partitionCount; partition++) yield* this.ofPartition(partition);
   }
 
+  /** The workers of one partition; none if it is not led here. */
   ofPartition(partition: number): Iterable<Worker> {
     return this.partitionAt(partition)?.workers.values() ?? [];
   }
 
+  /** How many workers there are in all partitions led here. */
   get size(): number {
     let size = 0;
     for (let partition = 0; partition < this.leadership.partitionCount; partition++) {
--- a/src/workers/worker-wire-codec.ts
+++ b/src/workers/worker-wire-codec.ts
@@ -30,6 +30,7 @@
   Shards: v.optional(v.nullable(v.array(WireTaskSchema)), []),
 });
 
+/** Where an attempt is on its machine. */
 export type ReportedTaskState = 'fetching' | 'waiting' | 'running' | 'checkpointing' | 'exited';
 
 /** A task as its worker shows it. */
@@ -118,6 +119,7 @@
 /** A command in the wire form. */
 export type WireCommand = object;
 
+/** The wire form of one command. */
 export const encodeCommand = (command: WorkerCommand): WireCommand => ({
   Verb: command.kind,
   Shard: command.taskId,
@@ -134,6 +136,7 @@
   commands: readonly WorkerCommand[];
 }
 
+/** The body of a request with commands. */
 export const encodeDirectCommands = ({ fencingToken, agentEpoch, commands }: DirectCommands): unknown => ({
   Fence: fencingToken,
   Tenure: agentEpoch,
--- a/src/workers/worker.ts
+++ b/src/workers/worker.ts
@@ -90,6 +90,7 @@
     return this.health.backoffUntil;
   }
 
+  /** Does the machine take no new work, since tasks of several jobs failed there? */
   isQuarantined(now: number): boolean {
     return this.health.isQuarantined(now);
   }
@@ -99,6 +100,7 @@
     return this.health.failedJobs(now);
   }
 
+  /** Did the last tasks run far longer here than their siblings elsewhere? */
   isSlow(now: number): boolean {
     return this.slowness.isSlow(now);
   }
