--- a/packages/standby/src/takeover-timeline.ts
+++ b/packages/standby/src/takeover-timeline.ts
@@ -1,17 +1,20 @@
 /** The steps of a takeover and when each came, as the new leader sees them. */
 
-export const TAKEOVER_STEPS = ['vacant', 'acquired', 'records_complete', 'worker_answered', 'decided'] as const;
-export type TakeoverStep = (typeof TAKEOVER_STEPS)[number];
+export type TakeoverStep = 'vacant' | 'acquired' | 'records_complete' | 'worker_answered' | 'decided';
 
-/** A finished takeover: its first decision has been made, or none was needed within 30 s. */
-export interface TakeoverReport {
-  readonly role: string;
+/** What is known of the term that a takeover follows. */
+export interface FormerTerm {
   /** The node that led the role before. */
   readonly formerLeader: string;
   /** Fencing token of the former leader: with the role it identifies the takeover at both nodes. */
   readonly formerFencingToken: number;
   /** Steady ms when the former leader was last heard from. */
   readonly lastSeenAt: number;
+}
+
+/** A finished takeover: its first decision has been made, or none was needed within 30 s. */
+export interface TakeoverReport extends FormerTerm {
+  readonly role: string;
   /** Steady ms of each step that was reached. */
   readonly steps: ReadonlyMap<TakeoverStep, number>;
 }
@@ -22,10 +25,7 @@
   return Object.fromEntries(entries);
 }
 
-interface TakeoverInProgress {
-  readonly formerLeader: string;
-  readonly formerFencingToken: number;
-  readonly lastSeenAt: number;
+interface TakeoverInProgress extends FormerTerm {
   readonly steps: Map<TakeoverStep, number>;
 }
 
@@ -42,9 +42,9 @@
   ) {}
 
   /** A role that another node led has become vacant. */
-  startTakeover(role: string, formerLeader: string, formerFencingToken: number, lastSeenAt: number): void {
+  startTakeover(role: string, former: FormerTerm): void {
     const steps = new Map<TakeoverStep, number>([['vacant', this.now()]]);
-    this.inProgress.set(role, { formerLeader, formerFencingToken, lastSeenAt, steps });
+    this.inProgress.set(role, { ...former, steps });
   }
 
   /** Another node has acquired the role. */
--- a/packages/standby/test/tracing.test.ts
+++ b/packages/standby/test/tracing.test.ts
@@ -25,7 +25,7 @@
     (report) => reports.push(report),
   );
   timeline.recordStep('leader', 'decided');
-  timeline.startTakeover('leader', 'n0', 41, 7000);
+  timeline.startTakeover('leader', { formerLeader: 'n0', formerFencingToken: 41, lastSeenAt: 7000 });
   timeline.recordStep('leader', 'decided');
   for (const step of ['acquired', 'records_complete', 'decided'] as const) {
     time += 20;
@@ -49,7 +49,7 @@
       () => time,
       () => reports++,
     );
-    timeline.startTakeover('leader', 'n0', 41, 0);
+    timeline.startTakeover('leader', { formerLeader: 'n0', formerFencingToken: 41, lastSeenAt: 0 });
     timeline.acquiredElsewhere('leader');
     time += 60_000;
     timeline.expire();
--- a/src/leadership/leadership-history.ts
+++ b/src/leadership/leadership-history.ts
@@ -66,7 +66,11 @@
     this.vacantRoles.add(role);
     const former = this.formerLeaders.get(role);
     if (former === undefined) return;
-    timeline.startTakeover(role, former.node, former.fencingToken, peerDirectory.lastHeardAt(former.node));
+    timeline.startTakeover(role, {
+      formerLeader: former.node,
+      formerFencingToken: former.fencingToken,
+      lastSeenAt: peerDirectory.lastHeardAt(former.node),
+    });
   }
 
   private noteLoss(role: string): void {
