--- a/packages/standby/src/advisory-log.ts
+++ b/packages/standby/src/advisory-log.ts
@@ -10,6 +10,7 @@
   readonly sequence: number;
 }
 
+/** Bounds of the memory of a log. */
 export interface AdvisoryLimits {
   /** Entries kept; the oldest are dropped first. */
   readonly entries: number;
--- a/packages/standby/src/follow-throttle.ts
+++ b/packages/standby/src/follow-throttle.ts
@@ -3,11 +3,12 @@
  * suspended, when the process's own timers fire late, and resumes in the same steps when they have been in time for a while.
  */
 
-/** `following`: at the normal rate. `throttled`: a quarter of it. `suspended`: none; takeovers then start from the records alone. */
+/** Rate of requests: the normal one, a quarter of it, or none; takeovers then start from the records alone. */
 export type FollowStage = 'following' | 'throttled' | 'suspended';
 
 const STAGES: readonly FollowStage[] = ['following', 'throttled', 'suspended'];
 
+/** When the stage changes. */
 export interface FollowThrottleLimits {
   /** Lateness of a timer, ms, from which on a tick counts as late. */
   readonly lateThresholdMs: number;
@@ -25,6 +26,7 @@
 
 const THROTTLED_PERIOD_FACTOR = 4;
 
+/** Starts in the stage `following`; each change moves by one stage. */
 export class FollowThrottle {
   private stageIndex = 0;
   private lateTicks = 0;
--- a/packages/standby/src/outbound-calls.ts
+++ b/packages/standby/src/outbound-calls.ts
@@ -27,8 +27,10 @@
   cloud_return: CHECKED_WHEN_SENT,
 } as const satisfies Record<string, StalenessGuard>;
 
+/** A kind of message that a controller sends. */
 export type OutboundCall = keyof typeof GUARDS;
 
+/** What makes a call of the kind safe when it is late. */
 export const stalenessGuardOf = (call: OutboundCall): StalenessGuard => GUARDS[call];
 
 /** Whether the call may be sent at this moment. `isLeading`: whether the sender may act in its role now. */
--- a/packages/standby/src/settings.ts
+++ b/packages/standby/src/settings.ts
@@ -1,6 +1,7 @@
 /** The operators' settings of the warm standby, the `[standby]` table of the tuning file. */
 import * as v from 'valibot';
 
+/** The settings as the program uses them. Times are in ms, sizes in bytes. */
 export interface StandbySettings {
   /** Designated successors, the takeover barrier and planned handovers. */
   readonly enabled: boolean;
@@ -20,6 +21,7 @@
   readonly traceFile: string;
 }
 
+/** The settings of an empty table: all off. */
 export const DEFAULT_STANDBY_SETTINGS: StandbySettings = {
   enabled: false,
   follow: false,
@@ -66,7 +68,10 @@
   linkMessageBytes: number;
 }
 
-/** The first field that contradicts another or the bounds, as `field: reason` with the field's name in the tuning file; undefined: none does. */
+/**
+ * The first field that contradicts another or the bounds, as `field: reason` with the field's name in the tuning file;
+ * undefined: none does.
+ */
 export function findContradiction(settings: StandbySettings, bounds: StandbyBounds): string | undefined {
   if (settings.follow && !settings.enabled) return 'follow: needs enabled = true';
   // Operators know this wording, and a test pins it: a hold is a store lease.
--- a/packages/standby/src/stream-follower.ts
+++ b/packages/standby/src/stream-follower.ts
@@ -13,6 +13,7 @@
   /** It comes from an incarnation of the leader that a later one has replaced. */
   | 'former_incarnation';
 
+/** What became of a batch that was received. */
 export type BatchOutcome =
   | { readonly kind: 'applied'; readonly lagMs: number }
   /** A part of an update whose other parts have not arrived yet. */
@@ -33,6 +34,7 @@
   arrivedAt: number;
 }
 
+/** Follows one node. The view is at all times what that node knew at one of its sequence numbers. */
 export class StreamFollower {
   private view = new Map<string, AdvisoryEntry>();
   private followedIncarnation = 0;
--- a/packages/standby/src/stream-messages.ts
+++ b/packages/standby/src/stream-messages.ts
@@ -2,8 +2,10 @@
 
 /** See docs/standby.md, "What is followed". The order is part of the encoding. */
 export const ADVISORY_KINDS = ['health', 'moved', 'stopping', 'idle', 'no_capacity'] as const;
+/** What an entry is about. */
 export type AdvisoryKind = (typeof ADVISORY_KINDS)[number];
 
+/** One thing that a controller remembers beside the records. */
 export interface AdvisoryEntry {
   readonly kind: AdvisoryKind;
   /** Name of the task, attempt, machine or offer. */
@@ -53,12 +55,15 @@
   readonly entries: readonly SentEntry[];
 }
 
+/** A message of the stream. */
 export type StreamMessage = { readonly follow: FollowRequest } | { readonly batch: StreamBatch };
 
 /** Bytes of an entry beside its name, and of a message beside its entries: upper bounds of what the encoding takes. */
 const ENTRY_BYTES = 24;
 const BATCH_BYTES = 96;
 
+/** Bytes of an entry in a message, at most. */
 export const entryBytes = (entry: SentEntry): number => ENTRY_BYTES + Buffer.byteLength(entry.name);
+/** Bytes of a message, at most. */
 export const batchBytes = ({ entries }: StreamBatch): number =>
   entries.reduce((bytes, entry) => bytes + entryBytes(entry), BATCH_BYTES);
--- a/packages/standby/src/stream-sender.ts
+++ b/packages/standby/src/stream-sender.ts
@@ -3,6 +3,7 @@
 import { ByteAllowance } from './byte-allowance.js';
 import { batchBytes, entryBytes, type FollowRequest, type SentEntry, type StreamBatch } from './stream-messages.js';
 
+/** What the stream may cost. */
 export interface StreamLimits {
   readonly bytesPerSecond: number;
   readonly messageBytes: number;
@@ -12,6 +13,7 @@
   readonly followerTimeoutMs: number;
 }
 
+/** The log that is sent, and by whom. */
 export interface StreamSenderOptions {
   readonly node: string;
   /** Tells this process from its former incarnations. */
@@ -51,6 +53,7 @@
   readonly maxPendingChanges: number;
 }
 
+/** Serves all followers of this node from one log, so its memory does not grow with their lag. */
 export class StreamSender {
   private readonly followers = new Map<string, Follower>();
   private readonly allowance: ByteAllowance;
--- a/packages/standby/src/succession.ts
+++ b/packages/standby/src/succession.ts
@@ -12,6 +12,7 @@
   readonly ledRoleCount: number;
 }
 
+/** The role for which a successor is sought. */
 export interface RoleToSucceed {
   readonly role: string;
   /** The node that leads it, or led it last; undefined: none is known to have. */
--- a/packages/standby/src/takeover-barrier.ts
+++ b/packages/standby/src/takeover-barrier.ts
@@ -3,6 +3,7 @@
 /** What is missing; see docs/standby.md, "The barrier". */
 export type BarrierReason = 'not_leader' | 'lease_unconfirmed' | 'replica_stale' | 'replica_behind';
 
+/** Whether a decision may be made, and if not, why. */
 export type BarrierOutcome = { readonly kind: 'open' } | { readonly kind: 'closed'; readonly reason: BarrierReason };
 
 /** One unbroken term of a role with this process, identified by the object itself. */
--- a/packages/standby/src/takeover-timeline.ts
+++ b/packages/standby/src/takeover-timeline.ts
@@ -1,5 +1,6 @@
 /** The steps of a takeover and when each came, as the new leader sees them. */
 
+/** The steps in their usual order. */
 export type TakeoverStep = 'vacant' | 'acquired' | 'records_complete' | 'worker_answered' | 'decided';
 
 /** What is known of the term that a takeover follows. */
@@ -32,6 +33,7 @@
 /** ms after which a takeover counts as finished although nothing had to be decided. */
 const TAKEOVER_TIMEOUT_MS = 30_000;
 
+/** Follows takeovers in progress, one a role at most, and reports each once when it is finished. */
 export class TakeoverTimeline {
   private readonly inProgress = new Map<string, TakeoverInProgress>();
 
--- a/packages/standby/src/takeover-tracer.ts
+++ b/packages/standby/src/takeover-tracer.ts
@@ -11,12 +11,14 @@
   readonly noticedAt: number;
 }
 
+/** Receives what is to be traced; must neither fail nor wait. */
 export interface TakeoverTracer {
   /** This process has taken a role over. */
   takeoverFinished(report: TakeoverReport): void;
   leadershipLost(loss: LeadershipLoss): void;
 }
 
+/** Used where tracing is off. */
 export const NO_TRACER: TakeoverTracer = { takeoverFinished: () => undefined, leadershipLost: () => undefined };
 
 /** What the module with the implementation exports. `wallOf` maps the steady clock to the time of day, ms. */
--- a/packages/standby/src/tracing.ts
+++ b/packages/standby/src/tracing.ts
@@ -123,6 +123,7 @@
   }
 }
 
+/** Creates a tracer that appends to the file; `wallOf` maps the steady clock to the time of day, ms. */
 export const createTakeoverTracer = (
   file: string,
   node: string,
--- a/src/leadership/advisory-collector.ts
+++ b/src/leadership/advisory-collector.ts
@@ -12,6 +12,7 @@
   clock: Clock;
 }
 
+/** Reads the parts that remember something, and writes the advisory log. What only the cluster leader knows is empty elsewhere. */
 export class AdvisoryCollector {
   constructor(private readonly dependencies: AdvisoryCollectorDependencies) {}
 
--- a/src/leadership/advisory-restorer.ts
+++ b/src/leadership/advisory-restorer.ts
@@ -21,6 +21,7 @@
   log: Log;
 }
 
+/** Only saves time: an entry that the records contradict is left out, and no decision rests on one. */
 export class AdvisoryRestorer {
   constructor(private readonly dependencies: AdvisoryRestorerDependencies) {}
 
--- a/src/leadership/advisory-stream.ts
+++ b/src/leadership/advisory-stream.ts
@@ -29,6 +29,7 @@
   send: (node: string, message: { stream: StreamMessage }) => void;
 }
 
+/** One sender for all followers of this node, and one follower for each node that this one is ready to succeed. */
 export class AdvisoryStream {
   private readonly sender: StreamSender;
   /** By the node that is followed. */
--- a/src/leadership/handover.ts
+++ b/src/leadership/handover.ts
@@ -17,6 +17,7 @@
   log: Log;
 }
 
+/** Runs once, when the controller is told to stop. */
 export class Handover {
   private hasBegun = false;
 
--- a/src/leadership/held-roles.ts
+++ b/src/leadership/held-roles.ts
@@ -9,6 +9,7 @@
   succession: () => SuccessionPolicy;
 }
 
+/** A role is led here only while the stored record has both this lease and the fencing token that is known here. */
 export class HeldRoles {
   private leaseId: number | undefined;
   private readonly leaderships = new Map<string, HeldLeadership>();
--- a/src/leadership/leadership-history.ts
+++ b/src/leadership/leadership-history.ts
@@ -15,11 +15,13 @@
   clock: Clock;
 }
 
+/** The node that led a role last, with the fencing token that it had. */
 export interface FormerLeader {
   readonly node: string;
   readonly fencingToken: number;
 }
 
+/** The history since this process read the records; it is not stored. */
 export class LeadershipHistory {
   private readonly roles: readonly string[];
   /** Who led each role last, other than this node. */
--- a/src/leadership/responsibility.ts
+++ b/src/leadership/responsibility.ts
@@ -2,6 +2,7 @@
 import { partitionRole } from '../domain/role.js';
 import type { RoleLeadership } from './role-leadership.js';
 
+/** Whether this node maintains the records of the job now. */
 export function isResponsibleFor(leadership: RoleLeadership, jobId: string): boolean {
   const role = partitionRole(leadership.partitionOf(jobId));
   const isLedHere = leadership.leadershipOf(role) !== undefined;
--- a/src/leadership/role-barriers.ts
+++ b/src/leadership/role-barriers.ts
@@ -16,6 +16,7 @@
   log: Log;
 }
 
+/** Keeps one barrier a role and logs each change of its state. */
 export class RoleBarriers {
   private readonly barriers = new Map<string, TakeoverBarrier>();
   /** The last outcome that was logged, by role. */
--- a/src/leadership/role-leadership.ts
+++ b/src/leadership/role-leadership.ts
@@ -51,6 +51,7 @@
   log: Log;
 }
 
+/** The leadership of this node. What is asked before something is sent or decided is answered as of that very moment. */
 export class RoleLeadership {
   /**
    * Who succeeds whom, and what must hold before a decision. Attached after construction, as the standby itself needs the
--- a/src/leadership/role-preferences.ts
+++ b/src/leadership/role-preferences.ts
@@ -2,6 +2,7 @@
 import { CLUSTER_LEADER_ROLE, partitionRole } from '../domain/role.js';
 import type { Settings } from '../domain/settings.js';
 
+/** The preferences that follow from the settings; they do not change while the process runs. */
 export class RolePreferences {
   readonly partitionCount: number;
   /** The partition that prefers this node. */
--- a/src/leadership/role-rebalancer.ts
+++ b/src/leadership/role-rebalancer.ts
@@ -26,6 +26,7 @@
   clock: Clock;
 }
 
+/** Moves roles, not tasks. The release is left to role leadership, which avoids the role for a while. */
 export class RoleRebalancer {
   constructor(private readonly dependencies: RoleRebalancerDependencies) {}
 
--- a/src/leadership/role-transactions.ts
+++ b/src/leadership/role-transactions.ts
@@ -23,6 +23,7 @@
   log: Log;
 }
 
+/** At most one acquisition or token advance of a role is in flight at a time. None of the transactions is tried for longer than a store lease lives. */
 export class RoleTransactions {
   private readonly acquiring = new Set<string>();
 
--- a/src/leadership/standby-announcer.ts
+++ b/src/leadership/standby-announcer.ts
@@ -15,6 +15,7 @@
   transactions: TransactionBatcher;
 }
 
+/** The record expires with the store lease, so it never outlives the process for long. */
 export class StandbyAnnouncer {
   constructor(private readonly dependencies: StandbyAnnouncerDependencies) {}
 
--- a/src/leadership/standby.ts
+++ b/src/leadership/standby.ts
@@ -58,6 +58,7 @@
 const TICKS_PER_STATUS = Math.round(STATUS_PERIOD_MS / STANDBY_PERIOD_MS);
 const TICKS_PER_COLLECTION = Math.round(ADVICE_PERIOD_MS / STANDBY_PERIOD_MS);
 
+/** The one object of the warm standby that the controller knows. */
 export class Standby implements SuccessionPolicy {
   private readonly guard: PauseGuard;
   private readonly advisoryLog: AdvisoryLog;
--- a/src/leadership/store-lease-renewal.ts
+++ b/src/leadership/store-lease-renewal.ts
@@ -16,6 +16,7 @@
   log: Log;
 }
 
+/** A lease that the store does not renew any more is replaced by a new one, under which no role is led yet. */
 export class StoreLeaseRenewal {
   constructor(private readonly dependencies: StoreLeaseRenewalDependencies) {}
 
--- a/src/leadership/succession-policy.ts
+++ b/src/leadership/succession-policy.ts
@@ -1,6 +1,7 @@
 /** What role leadership asks of the warm standby: who acquires a vacant role first, and what must hold before a decision. */
 import type { HeldLeadership } from './leadership-term.js';
 
+/** Implemented by the warm standby (standby.ts). */
 export interface SuccessionPolicy {
   /** The node that should acquire the vacant role first; undefined: no node in particular. */
   successorOf(role: string): string | undefined;
--- a/src/leadership/successor-designation.ts
+++ b/src/leadership/successor-designation.ts
@@ -16,6 +16,7 @@
   history: LeadershipHistory;
 }
 
+/** Nodes that know different things may designate different successors; the store lets only one acquire the role. */
 export class SuccessorDesignation {
   constructor(private readonly dependencies: SuccessorDesignationDependencies) {}
 
--- a/src/leadership/vacant-role-selector.ts
+++ b/src/leadership/vacant-role-selector.ts
@@ -27,6 +27,7 @@
   random: Random;
 }
 
+/** Only chooses; whether a role is acquired is decided by the transaction. */
 export class VacantRoleSelector {
   /** Steady ms, by role. */
   private readonly vacantSince = new Map<string, number>();
