--- a/test/gossip/gossip-format.test.ts
+++ b/test/gossip/gossip-format.test.ts
@@ -1,6 +1,6 @@
 /**
- * The bytes of every message between controllers, with each field set to a value of its own. Controllers of two versions run
- * side by side while a deployment is renewed: whatever the program calls a field inside, these bytes stay.
+ * Pins the bytes of every message between controllers, with each field set to a distinct value. Controllers of two versions run side by
+ * side during a deployment: renaming a field in the program must not change these bytes.
  */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
@@ -81,22 +81,22 @@
 
 const ENCODED: readonly [name: string, message: Message, hex: string][] = [
   [
-    'gossip with everything set',
+    'gossip with every field set',
     { kind: 'gossip', payload: FULL },
     '02046e3000000000004ced400000000000d06240010000000000c9ed4002d0e6c3b5c69c0d00000000808aed40015404046e31046e320096c5f88cd58d062201010210692d303030303031d8041a692d3030303030313a393030300463380c7a6f6e652d610106e0c50800000000000029400000000000406f4002000000000052dc400101010101040a696d672d310a696d672d320002106a2d30303030303100046e320004020400043c500004e807b009000210692d3030303030330000000000c0524000020c706172742d31000210692d303030303034000000000000',
   ],
   [
-    'gossip with nothing to tell',
+    'gossip with every optional field empty',
     { kind: 'gossip', payload: QUIET },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610006e0c50800000000000029400000000000406f400000000000000000046e32000000000000000000000000',
   ],
   [
-    'gossip of a machine that is only sick',
+    'gossip of a machine that is only quarantined',
     { kind: 'gossip', payload: { ...QUIET, machines: [{ ...PLAIN, isQuarantined: true }] } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610006e0c50800000000000029400000000000406f400001000000000000046e32000000000000000000000000',
   ],
   [
-    'gossip of a machine that is only cooling',
+    'gossip of a machine that is only backing off',
     { kind: 'gossip', payload: { ...QUIET, machines: [{ ...PLAIN, isBackingOff: true }] } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610006e0c50800000000000029400000000000406f400000010000000000046e32000000000000000000000000',
   ],
@@ -116,42 +116,42 @@
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610006e0c50800000000000029400000000000406f400000000000010000046e32000000000000000000000000',
   ],
   [
-    'gossip of a machine that is only reclaimable',
+    'gossip of a machine that is only spot',
     { kind: 'gossip', payload: { ...QUIET, machines: [{ ...PLAIN, isSpot: true }] } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610106e0c50800000000000029400000000000406f400000000000000000046e32000000000000000000000000',
   ],
   [
-    'gossip with only the flag withoutStore',
+    'gossip with only the flag isWithoutStore',
     { kind: 'gossip', payload: { ...QUIET, machines: [], isWithoutStore: true } },
     '02046e3000000000004ced400000000000d06240010000000000c9ed400000540096c5f88cd58d06220000000000000000000000000000',
   ],
   [
-    'gossip with only the flag loaded',
+    'gossip with only the flag isLoaded',
     { kind: 'gossip', payload: { ...QUIET, machines: [], isLoaded: true } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400001540096c5f88cd58d06220000000000000000000000000000',
   ],
   [
-    'gossip with only the flag whole',
+    'gossip with only the flag isSnapshot',
     { kind: 'gossip', payload: { ...QUIET, machines: [], isSnapshot: true } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d06220100000000000000000000000000',
   ],
   [
-    'gossip with only the flag wants',
+    'gossip with only the flag wantsSnapshot',
     { kind: 'gossip', payload: { ...QUIET, machines: [], wantsSnapshot: true } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d06220001000000000000000000000000',
   ],
   [
-    'relay',
+    'forwarded heartbeat',
     { kind: 'forwarded_heartbeat', payload: { node: 'n1', id: 300, status: '{"Host":"i-000001"}' } },
     '0002046e31d804267b22486f7374223a22692d303030303031227d00000000',
   ],
   [
-    'answer to a relay',
+    'answer to a forwarded heartbeat',
     { kind: 'forwarded_heartbeat_answer', payload: { node: 'n2', id: 300, status: 421, body: '{"Steward":"n0"}' } },
     '000002046e32d804ca06207b2253746577617264223a226e30227d000000',
   ],
   [
-    'news',
+    'record delta',
     {
       kind: 'record_delta',
       payload: {
@@ -164,12 +164,12 @@
     '00000002041a6c6976652f7465616d2f72656402147b2263707573223a347dc601186c6976652f6a6f622f6a2d3100c801000000',
   ],
   [
-    'ask',
+    'delta request',
     { kind: 'delta_request', payload: { node: 'n1', fromRevision: 1000, afterRevision: 2000 } },
     '0000000002046e31d00fa01f00',
   ],
   [
-    'delta with more to come',
+    'incomplete replica delta',
     {
       kind: 'replica_delta',
       payload: {
@@ -190,7 +190,7 @@
     '000000000002046e3296c5f88cd58d0654d00fa01ff02e00c03e041a6c6976652f7465616d2f72656402147b2263707573223a347df02e186c6976652f6a6f622f6a2d3100ee2e00',
   ],
   [
-    'empty delta that ends',
+    'empty complete replica delta',
     {
       kind: 'replica_delta',
       payload: {
@@ -271,9 +271,9 @@
   ],
 ];
 
-describe('the bytes of a message between controllers', () => {
+describe('message codec, for each kind of message', () => {
   for (const [name, message, hex] of ENCODED) {
-    it(`stay: ${name}`, () => {
+    it(`encodes and decodes the pinned bytes: ${name}`, () => {
       assert.equal(encodeMessage(message).toString('hex'), hex);
       const decoded = decodeMessage(Buffer.from(hex, 'hex'));
       assert.deepEqual(JSON.parse(JSON.stringify(decoded)), message);
--- a/test/gossip/message-encoding.test.ts
+++ b/test/gossip/message-encoding.test.ts
@@ -46,7 +46,7 @@
   terminatedMachines: ['i-3'],
 };
 
-/** Controllers of two versions run side by side while a deployment is renewed: renaming a field must not move a byte. */
+/** Controllers of two versions run side by side during a deployment: renaming a field must not change a byte. */
 const ENCODED: [name: string, message: Message, hex: string][] = [
   [
     'gossip',
@@ -54,17 +54,17 @@
     '02046e30000000000000f03f000000000000004000000000000000084002080000000000001440010c02046e31000e1001000206692d310006653a310463380261010204000000000000084000000000000000000000000100000206696d670000046e30000202000204000206000206692d32000000000000224000020c706172742d31000206692d33000000000000',
   ],
   [
-    'relay',
+    'forwarded heartbeat',
     { kind: 'forwarded_heartbeat', payload: { node: 'n0', id: 1, status: '{}' } },
     '0002046e3002047b7d00000000',
   ],
   [
-    'relayed answer',
+    'answer to a forwarded heartbeat',
     { kind: 'forwarded_heartbeat_answer', payload: { node: 'n0', id: 1, status: 200, body: '{}' } },
     '000002046e30029003047b7d000000',
   ],
   [
-    'news',
+    'record delta',
     {
       kind: 'record_delta',
       payload: {
@@ -77,12 +77,12 @@
     '00000002040c6c6976652f61020231040c6c6976652f620006000000',
   ],
   [
-    'ask',
+    'delta request',
     { kind: 'delta_request', payload: { node: 'n0', fromRevision: 1, afterRevision: 2 } },
     '0000000002046e30020400',
   ],
   [
-    'delta',
+    'replica delta',
     {
       kind: 'replica_delta',
       payload: {
@@ -101,9 +101,9 @@
   ],
 ];
 
-describe('a message between controllers', () => {
+describe('message codec', () => {
   for (const [name, message, hex] of ENCODED) {
-    it(`keeps its encoding: ${name}`, () => {
+    it(`keeps the encoding: ${name}`, () => {
       assert.equal(encodeMessage(message).toString('hex'), hex);
       assert.deepEqual(JSON.parse(JSON.stringify(decodeMessage(Buffer.from(hex, 'hex')))), message);
     });
