--- a/src/scheduling/decisions/matching.ts
+++ b/src/scheduling/decisions/matching.ts
@@ -31,7 +31,7 @@
 }
 
 /** Euclidean distance from a task's use to a machine's free CPU and memory. */
-export const distanceBetween = (usage: Resources, free: Resources): number =>
+const distanceBetween = (usage: Resources, free: Resources): number =>
   Math.hypot(free.cpus - usage.cpus, free.memoryGb - usage.memoryGb);
 
 /** The machines that a group may go to, nearest first. */
--- a/src/scheduling/decisions/queue-order.ts
+++ b/src/scheduling/decisions/queue-order.ts
@@ -15,11 +15,14 @@
   remainingCpuS: number;
   /** None of its tasks has begun, and it has waited for longer than any job should. */
   isOverdue: boolean;
-  /** Time of day, ms, by which it must start for the sake of the pipeline that it is part of; Infinity: it is part of none, or nothing depends on it. */
+  /**
+   * Time of day, ms, by which it must start for the sake of the pipeline that it is part of; Infinity: it is part of none, or
+   * nothing depends on it.
+   */
   startByMs: number;
 }
 
-/** The resource by which a job counts against its team's guarantee; 0 means that the team has none of that kind. */
+/** The resource by which a job counts against its team's guarantee; undefined: the team has none for such jobs. */
 export function guaranteedResourceOf(team: Team, spec: JobSpec): 'cpus' | 'gpus' | undefined {
   if (spec.gpus > 0 && team.guaranteed.gpus > 0) return 'gpus';
   return spec.gpus === 0 && team.guaranteed.cpus > 0 ? 'cpus' : undefined;
