--- a/test/cloud/cloud-client.test.ts
+++ b/test/cloud/cloud-client.test.ts
@@ -5,12 +5,12 @@
 import { answering } from '../../testing/answering-http-client.js';
 import { FakeClock } from '../../testing/fake-clock.js';
 
-describe('answers of the cloud', () => {
+describe('the cloud client', () => {
   const rental = { rentalId: 'r-1-1', machineType: 'c8', zone: 'a', isSpot: false, count: 1 };
   const rent = (reply: Reply | NoResponseError) =>
     new CloudClient(answering(reply), 'x:1', 8, new FakeClock()).scaleOut(rental);
 
-  it('tell a lack of machines from trouble, after which the same request is sent again', async () => {
+  it('tells a lack of capacity from failures after which the same request is sent again', async () => {
     assert.deepEqual(await rent({ status: 200, body: { Hosts: ['i-1'] } }), { kind: 'rented', machineIds: ['i-1'] });
     assert.equal((await rent({ status: 503, body: { error: 'no capacity' } })).kind, 'no_capacity');
     assert.equal((await rent({ status: 503, body: { error: 'trouble' } })).kind, 'refused');
@@ -18,7 +18,7 @@
     assert.equal((await rent(new NoResponseError('timeout', true))).kind, 'unknown');
   });
 
-  it('are not asked for by a leader that has lost its claim while the call waited for its turn', async () => {
+  it('sends nothing for a leader that has lost its leadership while the call waited for its turn', async () => {
     const clock = new FakeClock();
     let isLeader = true;
     let sent = 0;
--- a/test/config/load-settings.test.ts
+++ b/test/config/load-settings.test.ts
@@ -13,7 +13,7 @@
 import { settingsFileOf } from '../../testing/fixtures.js';
 
 describe('settings', () => {
-  it('that are bad are refused with the name of the field', () => {
+  it('are refused with the name of the field that is invalid', () => {
     assert.throws(() => parseSettings('{', 'f.json'), /f\.json: not JSON/);
     assert.throws(
       () => parseSettings('{"node":"n"}', 'f.json'),
@@ -30,7 +30,7 @@
     assert.equal(standby('enabled = true')().standby.enabled, true);
   });
 
-  it('with a limit too small to run with are refused with the name of the field and what is needed', () => {
+  it('are refused with the name of a limit that is too small, and what is needed', () => {
     const good = settingsFileOf(0, 3);
     const parse = (cluster: object) => parseSettings(JSON.stringify({ ...good, cluster }), 'f.json');
     const tooSmall: [group: 'limits' | 'state', field: string, value: number][] = [
--- a/test/records/dependency-mutations.test.ts
+++ b/test/records/dependency-mutations.test.ts
@@ -23,7 +23,7 @@
   Object.fromEntries(Object.entries(phases).map(([jobId, phase]) => [finalJobKey(jobId), { phase, shards: 1 }]));
 
 describe('a waiting job', () => {
-  it('is released only when each job before it has its final record, and that says done', () => {
+  it('is released only when each of its dependencies has a final record that says done', () => {
     const tries: Record<string, string>[] = [
       {},
       { [BEFORE[0]!]: 'done' },
@@ -52,7 +52,7 @@
     assert.deepEqual([...draft.conditions], [[jobKey(JOB_ID), 3]]);
   });
 
-  it('is neither released nor cancelled once it does not wait any more', () => {
+  it('is neither released nor cancelled once it no longer waits', () => {
     const done = ended({ [BEFORE[0]!]: 'done', [BEFORE[1]!]: 'done' });
     for (const state of ['active', 'cancelled'] as const) {
       const records = { [jobKey(JOB_ID)]: encodeJobRecord({ ...waiting, state }), ...done };
--- a/test/records/job-dependencies.test.ts
+++ b/test/records/job-dependencies.test.ts
@@ -7,7 +7,7 @@
 import { noLog, specOf } from '../../testing/fixtures.js';
 
 let changes = 0;
-const pipelines = () => {
+const countedDependencies = () => {
   changes = 0;
   return new JobDependencies(() => changes++);
 };
@@ -20,9 +20,9 @@
 });
 const priorityIndexOf = (index: JobDependencies, jobId: string) => JOB_PRIORITIES[index.urgencyOf(jobId).priorityIndex];
 
-describe('what jobs inherit from those that need them', () => {
-  it('costs a chain of thousands one step for each new job, and one walk for a more urgent one', () => {
-    const index = pipelines();
+describe('the urgency that jobs inherit from their dependents', () => {
+  it('is computed along a chain of thousands in one step for each new job, and in one pass for a more urgent one', () => {
+    const index = countedDependencies();
     const length = 5000;
     for (let n = 1; n < length; n++) index.update(`j-${n}`, waiting([`j-${n - 1}`]));
     assert.equal(changes, length - 1);
@@ -36,8 +36,8 @@
     assert.equal(priorityIndexOf(index, 'j-1'), 'high');
   });
 
-  it('costs a wide fan and a diamond no more than their edges, in whatever order they come', () => {
-    const index = pipelines();
+  it('is computed in a wide fan and a diamond at the cost of their edges, in whatever order the records come', () => {
+    const index = countedDependencies();
     const width = 500;
     const middle = Array.from({ length: width }, (_, n) => `j-middle-${n}`);
     // Pages of records bring them in the order of their names, not of their submission.
@@ -54,8 +54,8 @@
     assert.equal(index.waitingCount, 0);
   });
 
-  it('keeps the earlier of two deadlines, counting the estimates on each way', () => {
-    const index = pipelines();
+  it('keeps the earlier of two deadlines, less the estimated run times on each path', () => {
+    const index = countedDependencies();
     index.update('j-short', waiting(['j-a'], { DueS: 100, GuessS: 60 }));
     index.update('j-long', waiting(['j-a'], { DueS: 90, GuessS: 10 }));
     assert.equal(index.urgencyOf('j-a').finishBy, 40_000);
@@ -66,7 +66,7 @@
 
 describe('the sweep over waiting jobs', () => {
   it('costs a long chain its length, and takes the one step that is due', () => {
-    const index = pipelines();
+    const index = countedDependencies();
     const length = 2000;
     for (let n = 1; n <= length; n++) index.update(`j-${n}`, waiting([`j-${n - 1}`]));
     let looks = 0;
--- a/test/records/record-formats.test.ts
+++ b/test/records/record-formats.test.ts
@@ -47,8 +47,8 @@
   return assert.equal(kind, 'claim');
 }
 
-describe('what the version in production writes', () => {
-  it('is read by this one, every kind of record', () => {
+describe('data of the version in production', () => {
+  it('holds records that this version decodes, every kind of them', () => {
     const kinds = Object.keys(samples.records);
     for (const kind of ['job active', 'job withdrawn', 'ledger', 'large ledger', 'team', 'hire', 'claim', 'flavor']) {
       assert.ok(kinds.includes(kind), kind);
@@ -56,7 +56,7 @@
     for (const list of Object.values(samples.records)) for (const { key, value } of list) read(key, value);
   });
 
-  it('goes over the mesh byte for byte as this one sends it', () => {
+  it('is gossip that this version encodes byte for byte alike', () => {
     const kinds = Object.keys(samples.messages).sort();
     assert.deepEqual(kinds, ['ask', 'delta', 'gossip', 'news', 'relay', 'relayAnswer']);
     for (const hex of Object.values(samples.messages).flat()) {
@@ -65,7 +65,7 @@
   });
 });
 
-describe('a ledger chunk', () => {
+describe('a chunk of task placements', () => {
   const zones = ['bucuresti-nord', 'cluj-vest', 'iasi-est'];
   const placed = (n: number): TaskPlacement => ({
     kind: 'placed',
@@ -82,7 +82,7 @@
     return value;
   };
 
-  it('means the same in its compact form, also where slots of it change', () => {
+  it('decodes alike from its compact form, also after placements in it have changed', () => {
     const size = 64;
     const value = whole(size);
     const compact = compactChunk(value);
@@ -96,12 +96,12 @@
     assert.deepEqual(decodeChunk(JSON.parse(JSON.stringify(changed)), size)[7], placed(7));
   });
 
-  it('with a zone that it does not name can not be read', () => {
+  it('is corrupt if a placement refers to a zone that the chunk does not name', () => {
     assert.throws(() => decodeChunk({ z: ['a'], s: [[1, 0, 'i-1', 1, -1, 3]] }, 1), CorruptRecord);
     assert.throws(() => decodeChunk({ z: 'a', s: [0] }, 1), CorruptRecord);
   });
 
-  it('is written in its compact form where it is too large, once all controllers read that', () => {
+  it('is written in its compact form if it is too large, once all controllers read that form', () => {
     const value = whole(64);
     const key = placementChunkKey('j-000001', 0);
     let isComplete = false;
@@ -115,7 +115,7 @@
 });
 
 describe('a job record that is larger than the store will take', () => {
-  it('loses its machine types when the job is called off, and only then', () => {
+  it('loses its machine types when the job is cancelled, and only then', () => {
     const spec = jobOf({ Flavors: Array.from({ length: 60 }, (_, n) => `type-${n}-${'x'.repeat(40)}`) });
     const job = { spec, phase: 'active', at: 0, chunk: 64 } as unknown as JobRecord;
     const resize = recordSizer(2048, () => false);
@@ -127,10 +127,10 @@
   });
 });
 
-describe('the record that all controllers read the present form', () => {
+describe('the record of a completed format upgrade', () => {
   const format = (cluster: Cluster) => [...cluster.store.rows.keys()].filter((key) => key.startsWith('live/format/'));
 
-  it('comes once all have said so, and stays', async () => {
+  it('is written once all controllers have announced the format at one time, and stays', async () => {
     const cluster = new Cluster({ nodes: 3 });
     cluster.crash(2);
     await cluster.advance(20_000);
@@ -139,7 +139,7 @@
     await cluster.advance(8000);
     cluster.start(2);
     await cluster.advance(12_000);
-    // Each has said so, but not at one time: the one that is away may come back as another version.
+    // Each has announced it, but not at one time: the one that is down may come back as another version.
     assert.deepEqual(format(cluster).sort(), ['live/format/node/n0', 'live/format/node/n2']);
     cluster.start(1);
     await cluster.advance(12_000);
--- a/test/records/team-accounting.test.ts
+++ b/test/records/team-accounting.test.ts
@@ -10,7 +10,7 @@
 const team: Team = { name: 'red', guaranteed: { cpus: 0, gpus: 0 }, limit: { cpus: 20, gpus: 0 } };
 const spec = specOf({ Cpus: 2 });
 const KEY = teamKey('red');
-/** The revision of the team's last change, and the one up to which the copy is complete. */
+/** The revision of the team's last change, and the one up to which the replica is complete. */
 const REVISION = 7;
 
 function prepare({ recorded = 10, placed = 4, completeTo = REVISION, mayDefer = true } = {}) {
@@ -31,7 +31,7 @@
 }
 
 describe("a team's record", () => {
-  it('counts what the ledger shows and the new task, under the condition that nobody has started another', () => {
+  it('counts the placed tasks and the new one, under the condition that nobody has started another', () => {
     const { accounting, draft, written } = prepare();
     accounting.addStart(draft, team, spec);
     accounting.addStart(draft, team, spec);
@@ -39,18 +39,18 @@
     assert.equal(draft.conditions.get(KEY), REVISION);
   });
 
-  it('is believed where the copy may lack a start that it counts', () => {
+  it('is trusted where the replica may lack a start that it counts', () => {
     const { accounting, draft, written } = prepare({ completeTo: REVISION - 1 });
     accounting.addStart(draft, team, spec);
     assert.equal(written(), 12);
   });
 
-  it('is never raised by what the ledger shows', () => {
+  it('is never raised to what the placements show', () => {
     const { accounting, draft } = prepare({ placed: 16 });
     assert.equal(accounting.usageOf(draft, team, spec).cpus, 10);
   });
 
-  it('is left as it is by exits far below the limit, once all controllers know of that', () => {
+  it('is left unchanged by exits far below the limit, once all controllers know of that', () => {
     const far = prepare();
     far.accounting.addExit(far.draft, spec);
     assert.equal(far.written(), undefined);
@@ -63,7 +63,7 @@
     assert.equal(early.written(), 8);
   });
 
-  it('is settled where it says too much', () => {
+  it('is settled where it says more than the placements show', () => {
     const { accounting, draft, written } = prepare();
     assert.ok(accounting.isOverstated('red'));
     assert.ok(accounting.settle(draft, 'red'));
--- a/test/store/store-client.test.ts
+++ b/test/store/store-client.test.ts
@@ -20,8 +20,8 @@
 const transact = (reply: Reply | NoResponseError) =>
   clientOf(reply).transact([], [{ key: 'a', value: 1 }], Priority.record);
 
-describe('answers of the store', () => {
-  it('to a transaction say whether it was, was not, or may yet be carried out', async () => {
+describe('the store client', () => {
+  it('tells whether a transaction was, was not, or may yet be committed', async () => {
     assert.deepEqual(await transact({ status: 200, body: { Epoch: 5 } }), { kind: 'done', revision: 5 });
     const conflict = await transact({ status: 409, body: { failed: ['a'], Epoch: 5 } });
     assert.deepEqual(conflict, { kind: 'conflict', failed: ['a'], revision: 5 });
@@ -34,7 +34,7 @@
     assert.equal((await transact({ status: 500, body: {} })).kind, 'unknown');
   });
 
-  it('to a watch from too long ago ask for a new reading, and to a renewal say that the hold is over', async () => {
+  it('tells that a watch began at a compacted revision, and that a lease has expired', async () => {
     assert.equal(await clientOf({ status: 410, body: {} }).watch('a', 1, 0, Priority.lease), undefined);
     assert.equal(await clientOf({ status: 404, body: {} }).renewLease(3), false);
     await assert.rejects(clientOf({ status: 503, body: {} }).renewLease(3), StoreError);
--- a/test/store/transaction-batcher.test.ts
+++ b/test/store/transaction-batcher.test.ts
@@ -10,8 +10,8 @@
 import { FakeClock } from '../../testing/fake-clock.js';
 import { anyTransactionLimits } from '../../testing/fixtures.js';
 
-describe('the committer', () => {
-  it('lets a submission pass batch starts that wait for the write rate', async () => {
+describe('the transaction batcher', () => {
+  it('sends a submission past batch starts that wait for the write rate', async () => {
     const clock = new FakeClock();
     const asked: string[] = [];
     const transact = (_: unknown, writes: { key: string }[], priority: number): Promise<TransactionResult> => {
@@ -47,7 +47,7 @@
     assert.equal((await outcome).kind, 'done');
   });
 
-  it('makes decisions again by themselves that the store has rejected together, and tells of one that it rejects alone', async () => {
+  it('retries mutations one by one that the store has rejected together, and reports one that it rejects alone', async () => {
     const clock = new FakeClock();
     const sent: string[][] = [];
     const transact = (_: unknown, writes: { key: string }[]): Promise<TransactionResult> => {
@@ -86,7 +86,7 @@
     assert.equal(sent.length, 4);
   });
 
-  it('lets starts of a job that has become urgent leave the batch work behind', async () => {
+  it('sends starts of a job that has become urgent before the batch work', async () => {
     const clock = new FakeClock();
     const sent: string[] = [];
     let isHeld = true;
--- a/test/workers/command-client.test.ts
+++ b/test/workers/command-client.test.ts
@@ -4,8 +4,8 @@
 import { sendCommands } from '../../src/workers/command-client.js';
 import { answering } from '../../testing/answering-http-client.js';
 
-describe('answers of workers', () => {
-  it('to commands say whether these may still be executed', async () => {
+describe('the command client', () => {
+  it('tells whether commands were, were not, or may yet be executed', async () => {
     const send = (reply: Reply | NoResponseError) => sendCommands(answering(reply), 'x:1', 1, 1, []);
     assert.equal((await send({ status: 200, body: {} })).kind, 'done');
     assert.equal((await send({ status: 409, body: {} })).kind, 'refused');
