--- a/src/config/load-settings.ts
+++ b/src/config/load-settings.ts
@@ -1,4 +1,4 @@
-/** Reads the settings files and checks them field by field. */
+/** Reads the settings files, and checks them field by field. */
 import { readFileSync } from 'node:fs';
 import { findContradiction } from '@dewlatch/standby';
 import { parse as parseToml } from 'smol-toml';
@@ -22,6 +22,7 @@
   readonly code = 'settings_invalid';
 }
 
+/** Throws a `SettingsError` that names the first field that does not match. */
 function check<S extends v.GenericSchema>(schema: S, value: unknown, where: string): v.InferOutput<S> {
   const result = v.safeParse(schema, value);
   if (result.success) return result.output;
@@ -37,7 +38,8 @@
   }
 }
 
-/** The checked content of a settings file, in the file's own form. `where` names it in errors. */
+/** The checked content of a settings file, in the file's own names and units. `where` names the file in errors. Throws a
+ * `SettingsError`. */
 export function parseSettingsFile(json: string, where: string): SettingsFile {
   let raw: unknown;
   try {
@@ -46,8 +48,8 @@
     throw new SettingsError(`${where}: not JSON: ${(error as Error).message}`, { cause: error });
   }
   const file = check(SettingsFileSchema, raw, where);
-  const fault = findLimitTooSmall(file);
-  if (fault !== undefined) throw new SettingsError(`${where}: ${fault}`);
+  const problem = findLimitTooSmall(file);
+  if (problem !== undefined) throw new SettingsError(`${where}: ${problem}`);
   return file;
 }
 
@@ -61,17 +63,20 @@
   return check(TuningFileSchema, raw, where);
 }
 
+/** The platform's settings from the content of their file. Throws a `SettingsError`. */
 export const parseSettings = (json: string, where: string): Settings => decodeSettings(parseSettingsFile(json, where));
 
+/** The operators' settings from the content of their file. Throws a `SettingsError`. */
 export function parseTuning(toml: string, where: string): Tuning {
   const tuning = decodeTuning(parseTuningFile(toml, where));
-  const fault = findContradiction(tuning.standby, { holdMs: STORE_LEASE_TTL_MS, linkMessageBytes: MAX_GOSSIP_BYTES });
-  if (fault !== undefined) throw new SettingsError(`${where}: standby.${fault}`);
+  const problem = findContradiction(tuning.standby, { holdMs: STORE_LEASE_TTL_MS, linkMessageBytes: MAX_GOSSIP_BYTES });
+  if (problem !== undefined) throw new SettingsError(`${where}: standby.${problem}`);
   return tuning;
 }
 
+/** Reads the platform's settings. Throws a `SettingsError`. */
 export const loadSettings = (path: string): Settings => parseSettings(readText(path), path);
 
-/** Without a file the defaults are in force. */
+/** Reads the operators' settings; without a file the defaults are in force. Throws a `SettingsError`. */
 export const loadTuning = (path: string | undefined): Tuning =>
   path === undefined ? parseTuning('', '(defaults)') : parseTuning(readText(path), path);
--- a/src/config/settings-file-codec.ts
+++ b/src/config/settings-file-codec.ts
@@ -1,4 +1,7 @@
-/** The platform's settings (JSON) and the operators' (TOML) as they stand in the files, and their translation. */
+/**
+ * The platform's settings (JSON) and the operators' (TOML) as they stand in the files, and their translation to the names and
+ * units of the program.
+ */
 import { DEFAULT_STANDBY_SETTINGS, StandbySettingsSchema } from '@dewlatch/standby';
 import * as v from 'valibot';
 import { DEFAULT_TUNING } from '../constants/scheduling.js';
@@ -30,12 +33,14 @@
   times: v.optional(v.number()),
 });
 
+/** Requests and writes a second, KB of a value, writes of a transaction. */
 const StoreLimitsSchema = { rps: positive, write_rps: positive, value_kb: positive, txn_ops: count };
 
-/** What `limits` says where it is left out. */
+/** The process limits in force where `limits` leaves them out. */
 const DEFAULT_PROCESS_LIMITS = { cpu: 1, ram_mb: 146, sockets: 500 };
 const DEFAULT_CLOCK_ERROR_MS = 100;
 
+/** The platform's settings file; fields that it does not name are ignored. */
 export const SettingsFileSchema = v.object({
   node: text,
   location: v.optional(v.string(), ''),
@@ -71,6 +76,7 @@
 
 const share = v.pipe(v.number(), v.minValue(0), v.maxValue(1));
 
+/** The operators' settings file; a field that it does not name is an error, since it is probably misspelt. */
 export const TuningFileSchema = v.strictObject({
   threshold: v.optional(share, DEFAULT_TUNING.threshold),
   window_s: v.optional(positive, DEFAULT_TUNING.window_s),
@@ -111,19 +117,21 @@
   transactionWrites: store.txn_ops,
 });
 
-/** What is not announced to change stays as it is. */
+/** Limits that hold before and after an announced change; what is not announced to change stays as it is. */
 const lastingLimits = (store: StoreSection): StoreLimits => ({
   writesPerSecond: Math.min(store.write_rps, store.next?.write_rps ?? Infinity),
   valueBytes: Math.min(store.value_kb, store.next?.value_kb ?? Infinity) * BYTES_PER_KB,
   transactionWrites: Math.min(store.txn_ops, store.next?.txn_ops ?? Infinity),
 });
 
+/** The store's limits, at present and after an announced change. */
 export const decodeStoreSettings = (store: StoreSection): StoreSettings => ({
   requestsPerSecond: store.rps,
   present: presentLimits(store),
   lasting: lastingLimits(store),
 });
 
+/** The platform's settings in the names and units of the program. */
 export const decodeSettings = (file: SettingsFile): Settings => ({
   node: file.node,
   zone: file.location,
@@ -143,6 +151,7 @@
   },
 });
 
+/** The operators' settings in the names and units of the program. */
 export const decodeTuning = (file: TuningFile): Tuning => ({
   happinessThreshold: file.threshold,
   happinessWindowMs: file.window_s * MS_PER_S,
--- a/src/store/json-size.ts
+++ b/src/store/json-size.ts
@@ -9,8 +9,10 @@
 /** The length of the value as JSON, in bytes. */
 export function jsonLength(value: unknown): number {
   if (typeof value !== 'object' || value === null) return bytesOf(value);
-  let length = measuredBytes.get(value);
-  if (length === undefined) measuredBytes.set(value, (length = bytesOf(value)));
+  const known = measuredBytes.get(value);
+  if (known !== undefined) return known;
+  const length = bytesOf(value);
+  measuredBytes.set(value, length);
   return length;
 }
 
--- a/src/store/replica.ts
+++ b/src/store/replica.ts
@@ -197,7 +197,9 @@
 
   /** Asks for all changes since, without waiting; one request serves all who ask at once. False: the store did not answer. */
   refresh(): Promise<boolean> {
-    this.refreshing ??= this.pull(0).finally(() => (this.refreshing = undefined));
+    this.refreshing ??= this.pull(0).finally(() => {
+      this.refreshing = undefined;
+    });
     return this.refreshing;
   }
 
--- a/src/store/transaction-batcher.ts
+++ b/src/store/transaction-batcher.ts
@@ -189,6 +189,7 @@
     const conditions: Condition[] = [...draft.conditions].map(([key, modRevision]) => ({ key, modRevision }));
     const writes: Write[] = [...draft.writes].map(([key, value]) => ({ key, value, leaseId: draft.leases.get(key) }));
     const result = await this.options.client.transact(conditions, writes, queue.priority);
+    // Nothing is awaited after a success: keys are released in the same turn in which the callers are told of it.
     const reading = this.readBeforeRetry(result);
     if (reading !== undefined) await reading;
     this.settle(queue, mutations, writes, result);
