--- a/src/records/placement-mutations.ts
+++ b/src/records/placement-mutations.ts
@@ -28,7 +28,7 @@
 }
 
 /** Reads the placements of all tasks of a job and makes them conditions. */
-export function* readPlacements(draft: TransactionDraft, job: JobRecord): Generator<TaskPlacement> {
+function* readPlacements(draft: TransactionDraft, job: JobRecord): Generator<TaskPlacement> {
   for (let chunkIndex = 0; chunkIndex < chunkCount(job); chunkIndex++) yield* readChunk(draft, job, chunkIndex);
 }
 
--- a/src/records/placement-rules.ts
+++ b/src/records/placement-rules.ts
@@ -12,7 +12,7 @@
   (job.allowsSpot || !machine.isSpot);
 
 /** The most tasks that one zone may hold, of a job that is spread across zones. */
-export const spreadLimit = (job: JobSpec): number => Math.ceil(job.taskCount / 2);
+const spreadLimit = (job: JobSpec): number => Math.ceil(job.taskCount / 2);
 
 /** Tasks of the job in each zone; a task counts until its exit is known. */
 export function countTasksPerZone(placements: Iterable<TaskPlacement>): Map<string, number> {
