--- a/test/api/submissions.test.ts
+++ b/test/api/submissions.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { afterEach, describe, it } from 'node:test';
 import { Cluster } from '../../testing/cluster.js';
-import { jobOf, type ClusterOptions } from '../../testing/fixtures.js';
+import { rawJobOf, type ClusterOptions } from '../../testing/fixtures.js';
 
 let cluster: Cluster;
 afterEach(() => assert.deepEqual(cluster.verdict(), []));
@@ -17,6 +17,7 @@
 
 const body = (answer: { body: unknown }) => answer.body as { Phase: string; done: number };
 const send = (sent: unknown, node = 0) => cluster.during(cluster.post(sent, node));
+const submit = (wireFields: object, node = 0) => send(rawJobOf(wireFields), node);
 const without = (fields: object, name: string): object =>
   Object.fromEntries(Object.entries(fields).filter(([key]) => key !== name));
 
@@ -50,7 +51,7 @@
       await ready();
       const before = cluster.store.rows.size;
       for (const value of values) {
-        const whole = jobOf({ Ref: 'j-bad' });
+        const whole = rawJobOf({ Ref: 'j-bad' });
         const sent = value === undefined ? without(whole, name) : { ...whole, [name]: value };
         assert.equal((await send(sent)).status, 400, JSON.stringify(value));
       }
@@ -61,15 +62,15 @@
 
   it('may leave out what may be null, and add what nobody knows', async () => {
     await ready();
-    const sent = { ...jobOf({ Ref: 'j-good' }), Colour: 'blue' };
+    const sent = { ...rawJobOf({ Ref: 'j-good' }), Colour: 'blue' };
     for (const name of ['Flavors', 'Site', 'DueS']) assert.ok(!(name in sent));
     assert.equal((await send(sent)).status, 201);
-    assert.equal((await send({ ...jobOf({ Ref: 'j-null' }), Flavors: null, Site: null, DueS: null })).status, 201);
+    assert.equal((await send({ ...rawJobOf({ Ref: 'j-null' }), Flavors: null, Site: null, DueS: null })).status, 201);
   });
 
   it('that is no object gets 400', async () => {
     await ready();
-    for (const sent of [null, 7, 'j-000001', [], [jobOf({})], true]) assert.equal((await send(sent)).status, 400);
+    for (const sent of [null, 7, 'j-000001', [], [rawJobOf({})], true]) assert.equal((await send(sent)).status, 400);
   });
 
   it('that fits no machine, or needs more than the limit of its team, gets 422', async () => {
@@ -87,10 +88,10 @@
       { Shape: 'ensemble', Shards: 3 },
     ];
     for (const fields of never) {
-      assert.equal((await cluster.submit({ Ref: 'j-never', ...fields })).status, 422, JSON.stringify(fields));
+      assert.equal((await submit({ Ref: 'j-never', ...fields })).status, 422, JSON.stringify(fields));
     }
     assert.equal((await cluster.poll('j-never')).status, 404);
-    assert.equal((await cluster.submit({ Ref: 'j-many', Shards: 3 })).status, 201, 'an array takes turns');
+    assert.equal((await submit({ Ref: 'j-many', Shards: 3 })).status, 201, 'an array takes turns');
   });
 });
 
@@ -106,14 +107,14 @@
   for (const [name, fields] of Object.entries(repeats)) {
     it(`${name} gets the state of the job, at every node, before its end and after`, async () => {
       await ready({ nodes: 3 });
-      assert.equal((await cluster.submit({ Ref: 'j-again', Shards: 2 })).status, 201);
+      assert.equal((await submit({ Ref: 'j-again', Shards: 2 })).status, 201);
       for (const node of [0, 1, 2]) {
-        const answer = await cluster.submit({ Ref: 'j-again', Shards: 2, ...fields }, node);
+        const answer = await submit({ Ref: 'j-again', Shards: 2, ...fields }, node);
         assert.equal(answer.status, 200);
       }
       await cluster.advance(12_000);
       for (const node of [0, 1, 2]) {
-        const answer = await cluster.submit({ Ref: 'j-again', Shards: 2, ...fields }, node);
+        const answer = await submit({ Ref: 'j-again', Shards: 2, ...fields }, node);
         assert.deepEqual([answer.status, body(answer).Phase], [200, 'done']);
       }
       assert.equal(cluster.runs('j-again/0').length, 1);
@@ -122,15 +123,15 @@
 
   it('that lacks a field gets the state of the job', async () => {
     await ready();
-    assert.equal((await cluster.submit({ Ref: 'j-again' })).status, 201);
+    assert.equal((await submit({ Ref: 'j-again' })).status, 201);
     for (const name of Object.keys(WRONG).filter((each) => each !== 'Ref')) {
-      assert.equal((await send(without(jobOf({ Ref: 'j-again' }), name))).status, 200, name);
+      assert.equal((await send(without(rawJobOf({ Ref: 'j-again' }), name))).status, 200, name);
     }
   });
 
   it('that is malformed is not refused for good while the store can not say whether the job is known', async () => {
     await ready();
-    assert.equal((await cluster.submit({ Ref: 'j-again', Shape: 'service' })).status, 201);
+    assert.equal((await submit({ Ref: 'j-again', Shape: 'service' })).status, 201);
     cluster.crash(0);
     cluster.store.out = true;
     cluster.start(0);
@@ -148,7 +149,7 @@
 describe('a cancellation', () => {
   it('of a job that is done answers `done`, also while the store is out', async () => {
     await ready({ nodes: 3 });
-    await cluster.submit({ Ref: 'j-done' });
+    await submit({ Ref: 'j-done' });
     await cluster.advance(12_000);
     for (const node of [0, 1, 2]) {
       const answer = await cluster.withdraw('j-done', node);
@@ -171,7 +172,7 @@
     for (const ask of [
       () => cluster.ask('j-nobody', 1),
       () => cluster.cancel('j-nobody', 1),
-      () => cluster.post(jobOf({ Ref: 'j-nobody' }), 1),
+      () => cluster.post(rawJobOf({ Ref: 'j-nobody' }), 1),
       () => cluster.post({ Ref: 'j-nobody' }, 1),
     ]) {
       const answer = await cluster.during(ask(), 10);
@@ -196,7 +197,7 @@
   it('whose news can not be read is refused whole, and what it told is asked of the store', async () => {
     await ready({ nodes: 2 });
     const node = cluster.node(1);
-    await cluster.submit({ Ref: 'j-old', Shape: 'service' });
+    await submit({ Ref: 'j-old', Shape: 'service' });
     const { modRevision } = node.replica.get('live/job/j-old');
     const changes = [
       { key: 'live/job/j-old', value: null, modRevision: modRevision + 1000 },
@@ -217,7 +218,7 @@
       assert.doesNotThrow(() => cluster.node(1).receive({ relay: { node: 'n0', id: 1, status } }));
     }
     cluster.node(1).receive({ relayAnswer: { node: 'n0', id: 99, status: 200, body: '{' } });
-    assert.equal((await cluster.submit({ Ref: 'j-after' }, 1)).status, 201);
+    assert.equal((await submit({ Ref: 'j-after' }, 1)).status, 201);
   });
 
   it('that builds on one which never came is told once more in full, and no machine is known by halves', async () => {
--- a/test/jobs/dependencies.test.ts
+++ b/test/jobs/dependencies.test.ts
@@ -2,6 +2,7 @@
 import { afterEach, describe, it } from 'node:test';
 import { Cluster } from '../../testing/cluster.js';
 import type { ClusterOptions } from '../../testing/fixtures.js';
+import type { Submission } from '../../testing/submission-wire-codec.js';
 
 let cluster: Cluster;
 afterEach(() => assert.deepEqual(cluster.verdict(), []));
@@ -16,8 +17,8 @@
   return cluster;
 }
 
-const submit = async (Ref: string, Awaits: unknown, fields: object = {}, node = 0) =>
-  (await cluster.submit({ Ref, Awaits, ...fields }, node)).status;
+const submit = async (jobId: string, dependencies: unknown, fields: Partial<Submission> = {}, node = 0) =>
+  (await cluster.submit({ id: jobId, dependencies: dependencies as string[] | null, ...fields }, node)).status;
 const phase = async (jobId: string, node = 0) => ((await cluster.poll(jobId, node)).body as { Phase: string }).Phase;
 const startOf = (taskId: string) => cluster.runs(taskId)[0]?.from ?? Infinity;
 const endOf = (taskId: string) => cluster.runs(taskId)[0]?.to ?? Infinity;
@@ -27,9 +28,9 @@
 describe('a job that names others', () => {
   it('starts soon after the last of them is done', async () => {
     await ready(3, {}, 3, 14_000);
-    assert.equal(await submit('j-a', null, { Shards: 2 }), 201);
-    assert.equal(await submit('j-b', [], { Owner: 'red' }, 1), 201);
-    assert.equal(await submit('j-c', ['j-a', 'j-b', 'j-a'], { Shards: 2 }, 2), 201);
+    assert.equal(await submit('j-a', null, { taskCount: 2 }), 201);
+    assert.equal(await submit('j-b', [], { team: 'red' }, 1), 201);
+    assert.equal(await submit('j-c', ['j-a', 'j-b', 'j-a'], { taskCount: 2 }, 2), 201);
     assert.equal(await submit('j-d', ['j-c'], {}, 1), 201);
     assert.equal(await phase('j-d', 2), 'queued');
     await cluster.advance(45_000);
@@ -53,7 +54,7 @@
 
   it('is refused if one was never accepted, is the job itself or a service, or names are malformed', async () => {
     await ready(2);
-    assert.equal(await submit('j-svc', null, { Shape: 'service', GuessS: 0 }), 201);
+    assert.equal(await submit('j-svc', null, { kind: 'service', estimatedRunS: 0 }), 201);
     assert.equal(await submit('j-a', ['j-nobody']), 422);
     assert.equal(await submit('j-a', ['j-a']), 422);
     assert.equal(await submit('j-a', ['j-svc'], {}, 1), 422);
@@ -79,8 +80,8 @@
 
   it('holds no part of its team while it waits', async () => {
     await ready(2, { teams: [{ name: 'red', cpus_max: 4 }] });
-    assert.equal(await submit('j-a', null, { Shards: 2 }), 201);
-    assert.equal(await submit('j-wait', ['j-a'], { Shards: 2 }), 201);
+    assert.equal(await submit('j-a', null, { taskCount: 2 }), 201);
+    assert.equal(await submit('j-wait', ['j-a'], { taskCount: 2 }), 201);
     assert.deepEqual(cluster.store.rows.get('live/team/red')?.value, { cpus: 4, cards: 0 });
     await cluster.advance(10_000);
     assert.equal(await phase('j-wait'), 'done');
@@ -95,7 +96,7 @@
     assert.equal((await cluster.withdraw('j-2', 1)).status, 200);
     for (const node of [0, 1, 2]) assert.equal(await phase('j-12', node), 'withdrawn');
     assert.equal(await phase('j-1'), 'queued');
-    const late = await cluster.submit({ Ref: 'j-late', Awaits: ['j-12'] }, 2);
+    const late = await cluster.submit({ id: 'j-late', dependencies: ['j-12'] }, 2);
     assert.equal(late.status, 201);
     assert.equal((late.body as { Phase: string }).Phase, 'withdrawn');
     await cluster.advance(15_000);
@@ -193,10 +194,10 @@
 
   it('through a crash of all nodes, and under limits that shrink at any moment', async () => {
     await ready(3);
-    assert.equal(await submit('j-a', null, { Shards: 3 }), 201);
+    assert.equal(await submit('j-a', null, { taskCount: 3 }), 201);
     for (let n = 0; n < 6; n++) assert.equal(await submit(`j-b${n}`, ['j-a'], {}, n % 3), 201);
     const fan = Array.from({ length: 6 }, (_, n) => `j-b${n}`);
-    assert.equal(await submit('j-c', fan, { Shape: 'ensemble', Shards: 3 }, 1), 201);
+    assert.equal(await submit('j-c', fan, { kind: 'gang', taskCount: 3 }, 1), 201);
     cluster.store.limits = { valueBytes: 2048, transactionWrites: 4, writesPerSecond: 15 };
     await cluster.advance(3000);
     for (const node of [0, 1, 2]) cluster.crash(node);
@@ -212,10 +213,10 @@
   it('is that of the most urgent job that needs it, and follows as such jobs come and go', async () => {
     await ready(2, {}, 1, 60_000);
     const priorityIndex = (jobId: string) => cluster.node(0).clusterState.jobs.get(jobId)?.record.spec.priority;
-    assert.equal(await submit('j-a', null, { Rank: 'low', GuessS: 20 }), 201);
-    assert.equal(await submit('j-b', ['j-a'], { Rank: 'low', GuessS: 30 }), 201);
+    assert.equal(await submit('j-a', null, { priority: 'low', estimatedRunS: 20 }), 201);
+    assert.equal(await submit('j-b', ['j-a'], { priority: 'low', estimatedRunS: 30 }), 201);
     assert.equal(priorityIndex('j-a'), 'low');
-    assert.equal(await submit('j-c', ['j-b'], { Rank: 'high', DueS: 300, GuessS: 10 }), 201);
+    assert.equal(await submit('j-c', ['j-b'], { priority: 'high', deadlineS: 300, estimatedRunS: 10 }), 201);
     assert.equal(priorityIndex('j-a'), 'high');
     const { finishBy } = cluster.node(0).clusterState.jobs.get('j-a')!;
     const { submittedAtMs } = cluster.node(0).clusterState.jobs.get('j-c')!.record;
@@ -226,10 +227,10 @@
 
   it('lets the first step of an urgent pipeline pass work of its own rank', async () => {
     await ready(2, { teams: [{ name: 'red' }] }, 1, 15_000);
-    assert.equal(await submit('j-full', null, { Cpus: 8, MemGb: 60 }), 201);
-    assert.equal(await submit('j-other', null, { Cpus: 8, MemGb: 60, Rank: 'normal', GuessS: 1 }), 201);
-    assert.equal(await submit('j-a', null, { Cpus: 8, MemGb: 60, Rank: 'low' }), 201);
-    assert.equal(await submit('j-b', ['j-a'], { Rank: 'high', DueS: 100 }), 201);
+    assert.equal(await submit('j-full', null, { cpus: 8, memoryGb: 60 }), 201);
+    assert.equal(await submit('j-other', null, { cpus: 8, memoryGb: 60, priority: 'normal', estimatedRunS: 1 }), 201);
+    assert.equal(await submit('j-a', null, { cpus: 8, memoryGb: 60, priority: 'low' }), 201);
+    assert.equal(await submit('j-b', ['j-a'], { priority: 'high', deadlineS: 100 }), 201);
     await cluster.advance(60_000);
     assert.ok(startOf('j-a/0') < startOf('j-other/0'));
   });
--- a/test/leadership/standby-schedules.test.ts
+++ b/test/leadership/standby-schedules.test.ts
@@ -63,8 +63,8 @@
   await cluster.advance(7000);
   for (let at = 0; at < SPELL_MS; at += 2000) {
     cluster.clock.after(at, () => {
-      const gang = at % 4000 === 0 ? { Shape: 'ensemble', Rank: 'high' } : { Shape: 'array' };
-      void cluster.users.submit(jobOf({ Ref: `j-${String(at).padStart(6, '0')}`, Shards: 2, ...gang }));
+      const gang = at % 4000 === 0 ? ({ kind: 'gang', priority: 'high' } as const) : ({ kind: 'array' } as const);
+      void cluster.users.submit(jobOf({ id: `j-${String(at).padStart(6, '0')}`, taskCount: 2, ...gang }));
     });
   }
   for (const each of steps) cluster.clock.after(each.atMs, () => inject(cluster, each));
--- a/test/leadership/standby-stream.test.ts
+++ b/test/leadership/standby-stream.test.ts
@@ -100,7 +100,7 @@
 describe('checks of unhealthy tasks', () => {
   it('are known to the successor of their partition', async () => {
     await ready();
-    await cluster.submit({ Ref: 'j-svc', Shape: 'service', Rank: 'prod', GuessS: 0, Shards: 3 });
+    await cluster.submit({ id: 'j-svc', kind: 'service', priority: 'prod', estimatedRunS: 0, taskCount: 3 });
     const place = cluster.runs('j-svc/0')[0]!.machineId;
     const role = cluster.anyNode().workerManager.roleOf(place);
     const owner = Number(cluster.anyNode().leadership.leaderOf(role)!.slice(1));
--- a/test/leadership/standby.test.ts
+++ b/test/leadership/standby.test.ts
@@ -9,7 +9,7 @@
 
 const NODES = [0, 1, 2];
 const ON = { enabled: true, follow: true };
-const service = { Ref: 'j-svc', Shape: 'service', Rank: 'prod', GuessS: 0, Shards: 3 };
+const service = { id: 'j-svc', kind: 'service', priority: 'prod', estimatedRunS: 0, taskCount: 3 } as const;
 
 async function ready(options: ClusterOptions = {}, machines = 6): Promise<void> {
   cluster = new Cluster({ nodes: 3, teams: [{ name: 'red' }], standby: ON, ...options });
@@ -28,9 +28,9 @@
 function submitFor(ms: number): void {
   for (let at = 0; at < ms; at += 900) {
     cluster.clock.after(at, () => {
-      const gang = at % 2700 === 0 ? { Shape: 'ensemble', Rank: 'high', Shards: 2 } : { Shards: 2 };
-      const Ref = `j-${String(cluster.clock.now()).padStart(7, '0')}`;
-      void cluster.users.submit(jobOf({ Ref, ...gang }));
+      const gang = at % 2700 === 0 ? ({ kind: 'gang', priority: 'high', taskCount: 2 } as const) : { taskCount: 2 };
+      const jobId = `j-${String(cluster.clock.now()).padStart(7, '0')}`;
+      void cluster.users.submit(jobOf({ id: jobId, ...gang }));
     });
   }
 }
@@ -40,7 +40,7 @@
   cluster.checker.troublesOver(cluster.clock.now());
   await cluster.advance(20_000);
   const node = NODES.find((each) => cluster.has(each))!;
-  await cluster.submit({ Ref: 'j-last', Shards: 2 }, node);
+  await cluster.submit({ id: 'j-last', taskCount: 2 }, node);
   await cluster.advance(8000);
   const answer = await cluster.poll('j-last', node);
   assert.equal((answer.body as { Phase: string }).Phase, 'done');
@@ -146,7 +146,7 @@
     // Only records of rentals are written by transactions that name one.
     const isRental = (body: unknown) => JSON.stringify(body).includes('live/hire/');
     cluster.freezeAt(leader, { path: /^\/txn/, when: 'answered', where: isRental, forMs: 6000 });
-    await cluster.submit({ Ref: 'j-big', Shards: 12, Cpus: 8 }, others(leader)[0]);
+    await cluster.submit({ id: 'j-big', taskCount: 12, cpus: 8 }, others(leader)[0]);
     const recorded = () => [...cluster.store.rows.keys()].some((key) => key.startsWith('live/hire/'));
     await cluster.until(recorded, 10_000);
     await cluster.until(() => claimOf('leader') !== undefined && holderOf('leader') !== leader, 8000);
--- a/test/records/dependency-mutations.test.ts
+++ b/test/records/dependency-mutations.test.ts
@@ -12,7 +12,7 @@
 
 const JOB_ID = 'j-000002';
 const BEFORE = ['j-000000', 'j-000001'];
-const spec = specOf({ Ref: JOB_ID });
+const spec = specOf({ id: JOB_ID });
 const waiting: JobRecord = { spec, state: 'waiting', submittedAtMs: 5, tasksPerChunk: 64, dependencies: BEFORE };
 
 const draftOf = (records: Record<string, unknown>) => {
--- a/test/records/job-dependencies.test.ts
+++ b/test/records/job-dependencies.test.ts
@@ -12,7 +12,7 @@
   return new JobDependencies(() => changes++);
 };
 const waiting = (dependencies: string[], fields: object = {}): JobRecord => ({
-  spec: specOf({ Rank: 'low', DueS: null, ...fields }),
+  spec: specOf({ priority: 'low', deadlineS: null, ...fields }),
   state: 'waiting',
   submittedAtMs: 0,
   tasksPerChunk: 64,
@@ -26,7 +26,7 @@
     const length = 5000;
     for (let n = 1; n < length; n++) index.update(`j-${n}`, waiting([`j-${n - 1}`]));
     assert.equal(changes, length - 1);
-    index.update('j-last', waiting([`j-${length - 1}`], { Rank: 'high', DueS: 1000, GuessS: 10 }));
+    index.update('j-last', waiting([`j-${length - 1}`], { priority: 'high', deadlineS: 1000, estimatedRunS: 10 }));
     assert.equal(changes, 2 * length - 1);
     assert.equal(priorityIndexOf(index, 'j-0'), 'high');
     // The first one is done: nothing before the others changes.
@@ -41,8 +41,8 @@
     const width = 500;
     const middle = Array.from({ length: width }, (_, n) => `j-middle-${n}`);
     // Pages of records bring them in the order of their names, not of their submission.
-    index.update('j-end', waiting(middle, { Rank: 'prod', DueS: 100, GuessS: 10 }));
-    for (const jobId of middle) index.update(jobId, waiting(['j-begin'], { GuessS: 20 }));
+    index.update('j-end', waiting(middle, { priority: 'prod', deadlineS: 100, estimatedRunS: 10 }));
+    for (const jobId of middle) index.update(jobId, waiting(['j-begin'], { estimatedRunS: 20 }));
     assert.equal(priorityIndexOf(index, 'j-begin'), 'prod');
     assert.equal(index.urgencyOf('j-begin').finishBy, (100 - 10 - 20) * 1000);
     assert.ok(changes <= 2 * width + 1, `${changes}`);
@@ -56,8 +56,8 @@
 
   it('keeps the earlier of two deadlines, counting the estimates on each way', () => {
     const index = pipelines();
-    index.update('j-short', waiting(['j-a'], { DueS: 100, GuessS: 60 }));
-    index.update('j-long', waiting(['j-a'], { DueS: 90, GuessS: 10 }));
+    index.update('j-short', waiting(['j-a'], { deadlineS: 100, estimatedRunS: 60 }));
+    index.update('j-long', waiting(['j-a'], { deadlineS: 90, estimatedRunS: 10 }));
     assert.equal(index.urgencyOf('j-a').finishBy, 40_000);
     index.update('j-short', undefined);
     assert.equal(index.urgencyOf('j-a').finishBy, 80_000);
--- a/test/records/record-formats.test.ts
+++ b/test/records/record-formats.test.ts
@@ -116,7 +116,7 @@
 
 describe('a job record that is larger than the store will take', () => {
   it('loses its machine types when the job is called off, and only then', () => {
-    const spec = jobOf({ Flavors: Array.from({ length: 60 }, (_, n) => `type-${n}-${'x'.repeat(40)}`) });
+    const spec = jobOf({ machineTypes: Array.from({ length: 60 }, (_, n) => `type-${n}-${'x'.repeat(40)}`) });
     const job = { spec, phase: 'active', at: 0, chunk: 64 } as unknown as JobRecord;
     const resize = recordSizer(2048, () => false);
     const key = jobKey('j-000001');
--- a/test/records/team-accounting.test.ts
+++ b/test/records/team-accounting.test.ts
@@ -8,7 +8,7 @@
 import { specOf } from '../../testing/fixtures.js';
 
 const team: Team = { name: 'red', guaranteed: { cpus: 0, gpus: 0 }, limit: { cpus: 20, gpus: 0 } };
-const spec = specOf({ Cpus: 2 });
+const spec = specOf({ cpus: 2 });
 const KEY = teamKey('red');
 /** The revision of the team's last change, and the one up to which the copy is complete. */
 const REVISION = 7;
--- a/test/scenarios/cluster.test.ts
+++ b/test/scenarios/cluster.test.ts
@@ -16,27 +16,27 @@
 }
 
 const body = (answer: { body: unknown }) => answer.body as { Phase: string; done: number };
-const service = { Ref: 'j-svc', Shape: 'service', Rank: 'prod', GuessS: 0, Spread: true };
+const service = { id: 'j-svc', kind: 'service', priority: 'prod', estimatedRunS: 0, spreadAcrossZones: true } as const;
 
 describe('jobs', () => {
   it('run to their end, and are known for ever, also after a restart of all nodes', async () => {
     await ready();
-    assert.equal((await cluster.submit({ Shards: 3 })).status, 201);
+    assert.equal((await cluster.submit({ taskCount: 3 })).status, 201);
     await cluster.advance(12_000);
     assert.deepEqual((await cluster.poll('j-000001')).body, { Ref: 'j-000001', Phase: 'done', done: 3, running: 0 });
     cluster.crash(0);
     cluster.start(0);
     await cluster.advance(6000);
     assert.equal(body(await cluster.poll('j-000001')).Phase, 'done');
-    const again = await cluster.submit({ Shards: 3 });
+    const again = await cluster.submit({ taskCount: 3 });
     assert.equal(again.status, 200);
     assert.equal(body(again).Phase, 'done');
     for (const taskIndex of [0, 1, 2]) assert.equal(cluster.runs(`j-000001/${taskIndex}`).length, 1);
   });
 
   it('of many tasks leave no ledger behind', async () => {
-    await ready({ teams: [{ name: 'red' }], machineTypes: [{ ...C8, Cpus: 1000, MemGb: 10_000 }] }, 1);
-    await cluster.submit({ Ref: 'j-big', Shards: 1000, Cpus: 1, MemGb: 1 });
+    await ready({ teams: [{ name: 'red' }], machineTypes: [{ ...C8, cpus: 1000, memoryGb: 10_000 }] }, 1);
+    await cluster.submit({ id: 'j-big', taskCount: 1000, cpus: 1, memoryGb: 1 });
     await cluster.advance(40_000);
     assert.equal(body(await cluster.poll('j-big')).Phase, 'done');
     await cluster.advance(3000);
@@ -54,7 +54,7 @@
 
   it('that were withdrawn stay so at every node, stop, and start no more', async () => {
     await ready({ nodes: 3 }, 3);
-    await cluster.submit({ ...service, Shards: 3 });
+    await cluster.submit({ ...service, taskCount: 3 });
     await cluster.advance(3000);
     assert.equal(body(await cluster.withdraw('j-svc', 1)).Phase, 'withdrawn');
     for (const node of [0, 1, 2]) assert.equal(body(await cluster.poll('j-svc', node)).Phase, 'withdrawn');
@@ -64,12 +64,12 @@
       assert.equal(runs.length, 1);
       assert.notEqual(runs[0]!.to, undefined);
     }
-    assert.equal(body(await cluster.submit({ ...service, Shards: 3 }, 2)).Phase, 'withdrawn');
+    assert.equal(body(await cluster.submit({ ...service, taskCount: 3 }, 2)).Phase, 'withdrawn');
   });
 
   it('are told as new as any node has told, though a node has missed the news', async () => {
     await ready({ nodes: 3 });
-    await cluster.submit({ ...service, Shards: 1 });
+    await cluster.submit({ ...service, taskCount: 1 });
     // Node 2 hears nothing more from its watch.
     cluster.network.fault({ from: 'n2', path: /^\/watch/, kind: 'lose' });
     await cluster.withdraw('j-svc', 0);
@@ -78,11 +78,11 @@
 
   it('that can never run are refused for good, others only for now', async () => {
     await ready({ teams: [{ name: 'red', cpus_max: 4 }] });
-    assert.equal((await cluster.submit({ Owner: 'nobody' })).status, 422);
-    assert.equal((await cluster.submit({ Cpus: 100 })).status, 422);
-    assert.equal((await cluster.submit({ ...service, Shards: 3 })).status, 422, "over the team's limit");
-    assert.equal((await cluster.submit({ Ref: 'x' })).status, 400);
-    assert.equal((await cluster.submit({ Shards: 0 })).status, 400);
+    assert.equal((await cluster.submit({ team: 'nobody' })).status, 422);
+    assert.equal((await cluster.submit({ cpus: 100 })).status, 422);
+    assert.equal((await cluster.submit({ ...service, taskCount: 3 })).status, 422, "over the team's limit");
+    assert.equal((await cluster.submit({ id: 'x' })).status, 400);
+    assert.equal((await cluster.submit({ taskCount: 0 })).status, 400);
     cluster.store.out = true;
     const answer = await cluster.submit({});
     assert.equal(answer.status, 503);
@@ -92,16 +92,16 @@
   it('accepted without the node hearing so are known at the retry', async () => {
     await ready();
     cluster.network.fault({ path: /^\/txn/, kind: 'answerLost', times: 1 });
-    const first = await cluster.submit({ ...service, Shards: 1 });
+    const first = await cluster.submit({ ...service, taskCount: 1 });
     assert.ok(first.status === 201 || first.status === 200 || first.status === 503);
-    assert.equal((await cluster.submit({ ...service, Shards: 1 })).status, 200);
+    assert.equal((await cluster.submit({ ...service, taskCount: 1 })).status, 200);
   });
 });
 
 describe('a task', () => {
   it('of a dead machine starts elsewhere, once the cloud has confirmed that the machine is gone', async () => {
     await ready({}, 3);
-    await cluster.submit({ ...service, Shards: 1 });
+    await cluster.submit({ ...service, taskCount: 1 });
     const [run] = cluster.runs('j-svc/0');
     cluster.remember();
     cluster.cut.add(run!.machineId);
@@ -113,7 +113,7 @@
 
   it('of a machine cut off while the cloud is down waits for the lease to be over', async () => {
     await ready({}, 3);
-    await cluster.submit({ ...service, Shards: 1 });
+    await cluster.submit({ ...service, taskCount: 1 });
     const [run] = cluster.runs('j-svc/0');
     cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
     cluster.cut.add(run!.machineId);
@@ -128,7 +128,7 @@
     await ready({}, 1);
     const worker = cluster.workers.get('i-000000')!;
     const heal = cluster.network.fault({ to: worker.endpoint, path: /^\/commands/, kind: 'hold' });
-    await cluster.submit({ Ref: 'j-late' });
+    await cluster.submit({ id: 'j-late' });
     await cluster.advance(9000);
     heal();
     // The held copy arrives after the task was done, recorded and forgotten, or before: it never runs a second time.
@@ -141,7 +141,7 @@
   it('that fails everywhere is retried with growing pauses and starves nobody', async () => {
     await ready({ cluster: {} }, 1);
     cluster.workers.get('i-000000')!.options.sick = true;
-    await cluster.submit({ ...service, Shards: 1 });
+    await cluster.submit({ ...service, taskCount: 1 });
     await cluster.advance(20_000);
     const tries = cluster.runs('j-svc/0').length;
     assert.ok(tries >= 1 && tries < 8, `${tries} tries`);
@@ -150,7 +150,7 @@
   it('never takes a team over its limit, whoever places it', async () => {
     await ready({ nodes: 3, teams: [{ name: 'red', cpus: 4, cpus_max: 6 }] }, 3);
     for (let n = 0; n < 4; n++) {
-      await cluster.submit({ Ref: `j-q${n}`, Shards: 4 }, n % 3);
+      await cluster.submit({ id: `j-q${n}`, taskCount: 4 }, n % 3);
       const running = [...cluster.workers.values()].flatMap((worker) =>
         [...worker.tasks.values()].filter((task) => task.Phase === 'running'),
       );
@@ -164,14 +164,14 @@
 
   it('shares a machine with a sibling only if it must', async () => {
     await ready({}, 4);
-    await cluster.submit({ ...service, Shards: 4 });
+    await cluster.submit({ ...service, taskCount: 4 });
     const counts = [...cluster.workers.values()].map((worker) => worker.tasks.size);
     assert.deepEqual(counts, [1, 1, 1, 1]);
   });
 
   it('keeps to its zones: half of a spread service at most in one', async () => {
     await ready({}, 3);
-    await cluster.submit({ ...service, Shards: 5 });
+    await cluster.submit({ ...service, taskCount: 5 });
     const zones = new Map<string, number>();
     for (const worker of cluster.workers.values()) {
       const count = [...worker.tasks.values()].filter((task) => task.Phase === 'running').length;
@@ -186,7 +186,7 @@
 });
 
 describe('a gang', () => {
-  const gang = { Ref: 'j-gang', Shape: 'ensemble', Rank: 'high', Shards: 10, GuessS: 30 };
+  const gang = { id: 'j-gang', kind: 'gang', priority: 'high', taskCount: 10, estimatedRunS: 30 } as const;
 
   it('starts whole or not at all, and all its tasks under one attempt', async () => {
     await ready({ teams: [{ name: 'red' }] }, 2);
@@ -205,7 +205,7 @@
     cluster.addWorker({ machineId: 'i-000007', zone: 'b' });
     cluster.addWorker({ machineId: 'i-000008', zone: 'b' });
     await cluster.advance(3000);
-    await cluster.submit({ ...gang, Ref: 'j-svc-gang', Shards: 6, OneZone: true });
+    await cluster.submit({ ...gang, id: 'j-svc-gang', taskCount: 6, singleZone: true });
     const started = [...cluster.workers.values()].filter((worker) => worker.history.length > 0);
     assert.deepEqual([...new Set(started.map((worker) => worker.options.zone))], ['b']);
     // One member's machine is cut off: while the others may still be there, nothing starts in another zone or attempt.
@@ -220,13 +220,20 @@
 });
 
 describe('members of a gang', () => {
-  const gang = { Ref: 'j-svc-g', Shape: 'ensemble', Rank: 'high', Shards: 6, SnapshotEveryS: 10, SnapshotS: 2 };
+  const gang = {
+    id: 'j-svc-g',
+    kind: 'gang',
+    priority: 'high',
+    taskCount: 6,
+    checkpointIntervalS: 10,
+    checkpointS: 2,
+  } as const;
   const taskIds = [0, 1, 2, 3, 4, 5].map((taskIndex) => `j-svc-g/${taskIndex}`);
 
   it('that are lost while the others wait are replaced under the same attempt', async () => {
     await ready({ teams: [{ name: 'red' }] }, 3);
     cluster.workers.get('i-000002')!.options.imageMs = 15_000;
-    await cluster.submit({ ...gang, Cpus: 4 });
+    await cluster.submit({ ...gang, cpus: 4 });
     const waiting = taskIds.filter((name) => cluster.runs(name).length > 0);
     assert.equal(waiting.length, 4, 'two fetch their image');
     const lost = waiting.filter((name) => cluster.runs(name)[0]!.machineId === cluster.runs(waiting[0]!)[0]!.machineId);
@@ -267,8 +274,8 @@
     cluster.addWorker({ machineId: 'i-000002', zone: 'b' });
     cluster.cloud.full.add('a').add('b').add('c');
     await cluster.advance(3000);
-    await cluster.submit({ Ref: 'j-r1', Shards: 8 });
-    await cluster.submit({ Ref: 'j-b1', Owner: 'blue', Shards: 4 });
+    await cluster.submit({ id: 'j-r1', taskCount: 8 });
+    await cluster.submit({ id: 'j-b1', team: 'blue', taskCount: 4 });
     await cluster.advance(3000);
     const running = (jobId: string) =>
       [...cluster.workers.values()].flatMap((worker) =>
@@ -285,14 +292,14 @@
       { name: 'red', gpus: 2 },
       { name: 'blue', gpus: 2 },
     ];
-    await ready({ teams, machineTypes: [{ ...C8, Cards: 4 }] }, 0);
+    await ready({ teams, machineTypes: [{ ...C8, gpus: 4 }] }, 0);
     cluster.addWorker({ machineId: 'i-000001' });
     cluster.cloud.full.add('a').add('b').add('c');
     await cluster.advance(3000);
-    await cluster.submit({ Ref: 'j-cards', Cpus: 1, Cards: 1, Shards: 4 });
-    await cluster.submit({ ...service, Shards: 2, Spread: false });
+    await cluster.submit({ id: 'j-cards', cpus: 1, gpus: 1, taskCount: 4 });
+    await cluster.submit({ ...service, taskCount: 2, spreadAcrossZones: false });
     // All room is taken, and red uses more cards than its guarantee: blue's plain batch work must wait all the same.
-    await cluster.submit({ Ref: 'j-blue', Owner: 'blue', Shards: 2 });
+    await cluster.submit({ id: 'j-blue', team: 'blue', taskCount: 2 });
     await cluster.advance(5000);
     assert.equal(cluster.runs('j-svc/0')[0]!.to, undefined);
     assert.equal(cluster.runs('j-svc/1')[0]!.to, undefined);
@@ -303,7 +310,7 @@
 describe('a node', () => {
   it('that crashes is replaced as an owner, and its tasks run on', async () => {
     await ready({ nodes: 3 }, 3);
-    await cluster.submit({ ...service, Shards: 3 });
+    await cluster.submit({ ...service, taskCount: 3 });
     cluster.crash(0);
     await cluster.advance(9000);
     assert.deepEqual(cluster.node(1).leadership.leaderOf('part-0') !== 'n0', true);
@@ -355,7 +362,7 @@
 
   it('gets the reports of workers that can not reach it by way of another, and no task dies', async () => {
     await ready({ nodes: 3 }, 3);
-    await cluster.submit({ ...service, Shards: 3 });
+    await cluster.submit({ ...service, taskCount: 3 });
     const [run] = cluster.runs('j-svc/0');
     const partitionLeader = cluster.node(0).leadership.leaderOf(cluster.node(0).workerManager.roleOf(run!.machineId));
     cluster.unreachable.add(`${run!.machineId}>${partitionLeader}`);
@@ -370,7 +377,7 @@
 
   it('gives machines back that died while all nodes were down, long before their leases are proved over', async () => {
     await ready({ nodes: 3 }, 6);
-    for (let n = 0; n < 6; n++) await cluster.submit({ ...service, Ref: `j-svc${n}`, Shards: 1 });
+    for (let n = 0; n < 6; n++) await cluster.submit({ ...service, id: `j-svc${n}`, taskCount: 1 });
     const [run] = cluster.runs('j-svc0/0');
     cluster.remember();
     for (const node of [0, 1, 2]) cluster.crash(node);
@@ -385,7 +392,7 @@
 
   it('goes on answering through an outage of the store, however long, and nothing dies', async () => {
     await ready({ nodes: 3 }, 3);
-    await cluster.submit({ ...service, Shards: 3 });
+    await cluster.submit({ ...service, taskCount: 3 });
     cluster.store.out = true;
     await cluster.advance(60_000);
     cluster.store.endOutage();
@@ -402,17 +409,17 @@
   it('are rented for what has no place, once for each need, and another zone is tried when one is full', async () => {
     await ready({}, 0);
     cluster.cloud.full.add('a');
-    await cluster.submit({ Shards: 8 });
+    await cluster.submit({ taskCount: 8 });
     await cluster.advance(20_000);
     const machineIds = [...cluster.cloud.rentals.values()].flat();
     assert.equal(machineIds.length, 2, '8 tasks of 2 CPUs on machines of 8');
-    assert.ok([...cluster.cloud.machines.values()].every((machine) => machine.Site !== 'a'));
+    assert.ok([...cluster.cloud.machines.values()].every((machine) => machine.zone !== 'a'));
   });
 
   it('are not rented twice when the answer is lost', async () => {
     await ready({}, 0);
     cluster.network.fault({ to: 'cloud:1', path: /^\/rentals$/, kind: 'answerLost', times: 1 });
-    await cluster.submit({ Shards: 4 });
+    await cluster.submit({ taskCount: 4 });
     await cluster.advance(25_000);
     assert.equal([...cluster.cloud.rentals.values()].flat().length, 1);
   });
@@ -423,7 +430,7 @@
     cluster.addWorker({ machineId: 'i-000002', runMs: 5000, zone: 'b' });
     await cluster.advance(3000);
     // 16 tasks of 2 CPUs: four at a time on each; the other machine ends its share many times over.
-    await cluster.submit({ Ref: 'j-slow', Shards: 16 });
+    await cluster.submit({ id: 'j-slow', taskCount: 16 });
     await cluster.advance(32_000);
     assert.equal(body(await cluster.poll('j-slow')).Phase, 'done', 'long before the slow machine would be through');
     assert.ok(slow.history.length <= 5);
@@ -457,7 +464,7 @@
     cluster.addWorker({ machineId: 'i-000001', runMs: 60_000, sick: true });
     cluster.addWorker({ machineId: 'i-000002', runMs: 60_000, zone: 'b' });
     await cluster.advance(3000);
-    for (let n = 0; n < 4; n++) await cluster.submit({ Ref: `j-s${n}`, Shards: 2, Cpus: 8 });
+    for (let n = 0; n < 4; n++) await cluster.submit({ id: `j-s${n}`, taskCount: 2, cpus: 8 });
     await cluster.advance(15_000);
     assert.ok(cluster.cloud.returned.includes('i-000001'));
     assert.ok(!cluster.cloud.returned.includes('i-000002'));
--- a/test/scenarios/combined-faults-jobs.test.ts
+++ b/test/scenarios/combined-faults-jobs.test.ts
@@ -3,6 +3,7 @@
 import type { HttpAnswer } from '../../src/net/http-answer.js';
 import { Cluster } from '../../testing/cluster.js';
 import { jobOf, type ClusterOptions } from '../../testing/fixtures.js';
+import type { Submission } from '../../testing/submission-wire-codec.js';
 
 /** Two faults combined on the way of users' jobs; each scenario ends with the verdict of the invariant checker. */
 let cluster: Cluster;
@@ -24,7 +25,7 @@
 
 const body = (answer: HttpAnswer) => answer.body as { Phase: string; done: number; running: number };
 const phase = async (jobId: string, node = 0) => body(await cluster.poll(jobId, node)).Phase;
-const service = { Shape: 'service', Rank: 'prod', GuessS: 0 };
+const service = { kind: 'service', priority: 'prod', estimatedRunS: 0 } as const;
 const running = (jobId: string) =>
   [...cluster.workers.values()].flatMap((worker) =>
     [...worker.tasks].filter(([name, task]) => name.startsWith(`${jobId}/`) && task.Phase === 'running'),
@@ -105,10 +106,10 @@
       const jobIds = Array.from({ length: 40 }, (_, n) => `j-end${n}`);
       for (const [n, jobId] of jobIds.entries()) {
         const job = jobOf({
-          Ref: jobId,
-          Cpus: 0.1,
-          MemGb: 0.1,
-          Shards: 1 + (n % 2),
+          id: jobId,
+          cpus: 0.1,
+          memoryGb: 0.1,
+          taskCount: 1 + (n % 2),
         });
         void cluster.post(job, n % 3);
         const at = 4600 + n * 60;
@@ -143,8 +144,8 @@
   for (const cancelAt of [0, 700, 2500, 6000]) {
     it(`whose leader ends, with machines out of reach and a cancellation ${cancelAt} ms later, neither leaks nor exceeds`, async () => {
       await ready({ teams }, 6);
-      for (let n = 0; n < 3; n++) await cluster.submit({ ...service, Ref: `j-svc${n}` }, n);
-      for (let n = 0; n < 4; n++) await cluster.submit({ Ref: `j-more${n}`, Shards: 2 }, n % 3);
+      for (let n = 0; n < 3; n++) await cluster.submit({ ...service, id: `j-svc${n}` }, n);
+      for (let n = 0; n < 4; n++) await cluster.submit({ id: `j-more${n}`, taskCount: 2 }, n % 3);
       const lost = [0, 1].map((n) => cluster.runs(`j-svc${n}/0`)[0]!.machineId);
       const cloudBack = cluster.network.fault({
         to: 'cloud:1',
@@ -198,7 +199,8 @@
     for (const from of [0, 1, 2]) for (const to of [0, 1, 2]) cluster.parted.add(`n${from}>n${to}`);
     slowStore(300, 900);
     const jobIds = Array.from({ length: 9 }, (_, n) => `j-same${n}`);
-    for (const [n, jobId] of jobIds.entries()) void cluster.post(jobOf({ Ref: jobId, Shards: 2, Rank: 'prod' }), n % 3);
+    for (const [n, jobId] of jobIds.entries())
+      void cluster.post(jobOf({ id: jobId, taskCount: 2, priority: 'prod' }), n % 3);
     await cluster.advance(60_000);
     heal();
     cluster.parted.clear();
@@ -229,13 +231,13 @@
       for (let n = 0; n < 24; n++) {
         const jobId = `j-mix${n}`;
         jobIds.push(jobId);
-        const kinds = [
-          { Rank: 'low', Shards: 6 },
-          { Rank: 'normal', Shards: 4, Owner: 'blue' },
-          { Rank: 'high', Shape: 'ensemble', Shards: 5 },
-          { Rank: 'prod', Shards: 2 },
+        const kinds: Partial<Submission>[] = [
+          { priority: 'low', taskCount: 6 },
+          { priority: 'normal', taskCount: 4, team: 'blue' },
+          { priority: 'high', kind: 'gang', taskCount: 5 },
+          { priority: 'prod', taskCount: 2 },
         ];
-        after(n * 300, () => cluster.post(jobOf({ Ref: jobId, ...kinds[n % 4] }), n % 3));
+        after(n * 300, () => cluster.post(jobOf({ id: jobId, ...kinds[n % 4] }), n % 3));
       }
       await cluster.advance(12_000);
       let up = 0;
@@ -257,20 +259,20 @@
 });
 
 describe('jobs bound to one zone', () => {
-  const shapes: Record<string, object> = {
-    'an array in one zone': { OneZone: true, Shards: 6 },
-    'an array of one site': { Site: 'a', Shards: 6 },
-    'a spread array': { Spread: true, Shards: 6 },
-    'a gang in one zone': { OneZone: true, Shape: 'ensemble', Shards: 4 },
+  const kinds: Record<string, Partial<Submission>> = {
+    'an array in one zone': { singleZone: true, taskCount: 6 },
+    'an array of one site': { zone: 'a', taskCount: 6 },
+    'a spread array': { spreadAcrossZones: true, taskCount: 6 },
+    'a gang in one zone': { singleZone: true, kind: 'gang', taskCount: 4 },
     'a service in one zone': {
       ...service,
-      Ref: 'j-svc-z',
-      OneZone: true,
-      Shards: 3,
+      id: 'j-svc-z',
+      singleZone: true,
+      taskCount: 3,
     },
-    'a spread service': { ...service, Ref: 'j-svc-z', Spread: true, Shards: 4 },
+    'a spread service': { ...service, id: 'j-svc-z', spreadAcrossZones: true, taskCount: 4 },
   };
-  for (const [name, fields] of Object.entries(shapes)) {
+  for (const [name, fields] of Object.entries(kinds)) {
     for (const cloudDown of [true, false]) {
       it(`like ${name} lose all machines of a zone, the cloud ${cloudDown ? 'silent' : 'well'}`, async () => {
         await ready({ teams: [{ name: 'red' }] }, 0);
@@ -281,10 +283,10 @@
             runMs: 9000,
           });
         await cluster.advance(3000);
-        const job = { Ref: 'j-zone', GuessS: 9, ...fields };
+        const job = { id: 'j-zone', estimatedRunS: 9, ...fields };
         await cluster.submit(job, 1);
         await cluster.advance(1000);
-        const [first] = cluster.runs(`${job.Ref}/0`);
+        const [first] = cluster.runs(`${job.id}/0`);
         const zone = cluster.workers.get(first!.machineId)!.options.zone!;
         const lost = [...cluster.workers.values()].filter((worker) => worker.options.zone === zone);
         const cloudBack = cloudDown
@@ -304,13 +306,14 @@
         cluster.start(old);
         await cluster.advance(31_000);
         cloudBack();
-        if ('Site' in fields || 'Spread' in fields) cluster.addWorker({ machineId: 'i-000020', zone, runMs: 9000 });
+        if ('zone' in fields || 'spreadAcrossZones' in fields)
+          cluster.addWorker({ machineId: 'i-000020', zone, runMs: 9000 });
         await cluster.advance(3000);
         cluster.checker.troublesOver(cluster.clock.now());
-        askAll([job.Ref], 100_000);
+        askAll([job.id], 100_000);
         await cluster.advance(100_000);
-        const state = body(await cluster.poll(job.Ref));
-        if (job.Ref === 'j-svc-z') assert.equal(running(job.Ref), (fields as { Shards: number }).Shards);
+        const state = body(await cluster.poll(job.id));
+        if (job.id === 'j-svc-z') assert.equal(running(job.id), fields.taskCount);
         else assert.equal(state.Phase, 'done', JSON.stringify(state));
       });
     }
@@ -326,7 +329,7 @@
       await ready({ teams: [{ name: 'red' }] }, 6, 90_000);
       const jobIds = Array.from({ length: 12 }, (_, n) => `j-ask${n}`);
       for (const [n, jobId] of jobIds.entries()) {
-        await cluster.submit({ Ref: jobId, Cpus: 1, MemGb: 1, Shards: 2 }, n % 3);
+        await cluster.submit({ id: jobId, cpus: 1, memoryGb: 1, taskCount: 2 }, n % 3);
       }
       const answers = askAll(jobIds, 150_000);
       slowStore(...slow);
@@ -382,9 +385,9 @@
     for (const zone of ['a', 'b', 'c']) cluster.cloud.full.add(zone);
     await cluster.submit({
       ...service,
-      Ref: 'j-svc-f',
-      Shards: 3,
-      Rank: 'normal',
+      id: 'j-svc-f',
+      taskCount: 3,
+      priority: 'normal',
     });
     await cluster.advance(20_000);
     for (const worker of cluster.workers.values()) worker.options.sick = false;
@@ -398,7 +401,7 @@
     for (let n = 0; n < 4; n++) {
       cluster.addWorker({ machineId: `i-00001${n}`, runMs: 5000, sick: true });
       await cluster.advance(4000);
-      if (n === 0) await cluster.submit({ ...service, Ref: 'j-svc-r', Rank: 'normal' });
+      if (n === 0) await cluster.submit({ ...service, id: 'j-svc-r', priority: 'normal' });
       await cluster.advance(12_000);
     }
     assert.ok(cluster.runs('j-svc-r/0').length > 2, 'it has failed more than twice');
@@ -412,9 +415,9 @@
     await ready({ teams: [{ name: 'red' }] });
     for (const zone of ['a', 'b', 'c']) cluster.cloud.full.add(zone);
     for (const worker of cluster.workers.values()) worker.options.fails = (taskId) => taskId.startsWith('j-bad');
-    for (let n = 0; n < 3; n++) await cluster.submit({ Ref: `j-bad${n}`, Shards: 6 }, n);
+    for (let n = 0; n < 3; n++) await cluster.submit({ id: `j-bad${n}`, taskCount: 6 }, n);
     await cluster.advance(10_000);
-    for (let n = 0; n < 6; n++) await cluster.submit({ Ref: `j-good${n}`, Shards: 4, Rank: 'low' }, n % 3);
+    for (let n = 0; n < 6; n++) await cluster.submit({ id: `j-good${n}`, taskCount: 4, priority: 'low' }, n % 3);
     await cluster.advance(60_000);
     for (let n = 0; n < 6; n++) assert.equal(await phase(`j-good${n}`), 'done');
     assert.deepEqual(cluster.cloud.returned, []);
@@ -423,11 +426,11 @@
   it('a gang is done though one machine was given up before another told of the end', async () => {
     await ready({ teams: [{ name: 'red' }] }, 2, 12_000);
     await cluster.submit({
-      Ref: 'j-gang',
-      Shape: 'ensemble',
-      Shards: 2,
-      Cpus: 8,
-      Rank: 'high',
+      id: 'j-gang',
+      kind: 'gang',
+      taskCount: 2,
+      cpus: 8,
+      priority: 'high',
     });
     const [first, second] = [0, 1].map((taskIndex) => cluster.runs(`j-gang/${taskIndex}`)[0]!);
     const end = first!.from + 12_000;
@@ -449,10 +452,10 @@
     await ready({ teams: [{ name: 'red' }] }, 0);
     for (const zone of ['a', 'b', 'c']) cluster.cloud.full.add(zone);
     await cluster.submit({
-      Ref: 'j-gang',
-      Shape: 'ensemble',
-      Shards: 4,
-      Rank: 'high',
+      id: 'j-gang',
+      kind: 'gang',
+      taskCount: 4,
+      priority: 'high',
     });
     // As after an attempt that one member's error ended, not its first.
     const V = {
--- a/test/scenarios/combined-faults-leaders.test.ts
+++ b/test/scenarios/combined-faults-leaders.test.ts
@@ -8,9 +8,9 @@
 
 const NODES = [0, 1, 2];
 const red = { teams: [{ name: 'red' }] };
-const service = { Ref: 'j-svc', Shape: 'service', Rank: 'prod', GuessS: 0, Shards: 1 };
+const service = { id: 'j-svc', kind: 'service', priority: 'prod', estimatedRunS: 0, taskCount: 1 } as const;
 /** Their tasks fill a machine each. */
-const gang = { Ref: 'j-gang', Shape: 'ensemble', Rank: 'high', Shards: 2, Cpus: 8 };
+const gang = { id: 'j-gang', kind: 'gang', priority: 'high', taskCount: 2, cpus: 8 } as const;
 
 async function ready(machines: number, options: ClusterOptions = {}, runMs = 5000): Promise<void> {
   cluster = new Cluster({ nodes: 3, ...options });
@@ -56,10 +56,10 @@
       cluster.addWorker({ machineId: `i-00000${n}`, zone: ['a', 'b', 'c'][n]!, runMs });
     }
     await cluster.advance(4000);
-    await cluster.submit({ Ref: 'j-three', Shards: 3, Cpus: 8 });
+    await cluster.submit({ id: 'j-three', taskCount: 3, cpus: 8 });
     // One after the other, on the only machine of its zone, which for a while takes no new work.
     for (const zone of ['a', 'b', 'c']) cluster.cloud.full.add(zone);
-    await cluster.submit({ Ref: 'j-next', Shards: 3, Cpus: 8, Site: 'a' });
+    await cluster.submit({ id: 'j-next', taskCount: 3, cpus: 8, zone: 'a' });
     cluster.remember();
     for (let round = 0; round < 9; round++) {
       const leader = holder('leader');
@@ -162,7 +162,7 @@
 describe('controllers that hand over and back, all end, and return', () => {
   it('keep answering while a handover is refused by an outage, however long, and nothing dies', async () => {
     await ready(6);
-    for (let n = 0; n < 4; n++) await cluster.submit({ ...service, Ref: `j-svc${n}`, Shards: 3 });
+    for (let n = 0; n < 4; n++) await cluster.submit({ ...service, id: `j-svc${n}`, taskCount: 3 });
     cluster.store.out = true;
     for (const node of NODES) void cluster.node(node).leadership.release(`part-${node}`, 'scenario', 3000);
     await cluster.advance(45_000);
@@ -189,8 +189,8 @@
     it(`within moments, one of them ${awayMs} ms after all have ended, start nothing twice and forget nothing`, async () => {
       await ready(6);
       cluster.remember();
-      await cluster.submit({ ...service, Shards: 4 });
-      await cluster.submit({ Ref: 'j-batch', Shards: 12 });
+      await cluster.submit({ ...service, taskCount: 4 });
+      await cluster.submit({ id: 'j-batch', taskCount: 12 });
       for (let round = 0; round < 6; round++) {
         const from = holder(`part-${round % 3}`);
         if (!cluster.has(from)) continue;
@@ -276,7 +276,7 @@
     await cluster.advance(5000);
     cluster.start(leader);
     const held = worker.report();
-    const saves = { Ref: 'j-svc-saves', SnapshotEveryS: 2, SnapshotS: 12 };
+    const saves = { id: 'j-svc-saves', checkpointIntervalS: 2, checkpointS: 12 };
     assert.equal((await cluster.submit(saves, (leader + 1) % 3)).status, 201);
     cluster.addWorker({ machineId: 'i-000001', zone: 'b' });
     await cluster.advance(6000);
@@ -294,9 +294,9 @@
     await ready(6);
     cluster.remember();
     cluster.lateReports = { share: 0.4, lateMs: [2000, 25_000] };
-    await cluster.submit({ ...service, Shards: 4 });
-    await cluster.submit({ ...gang, Cpus: 4, Shards: 3 });
-    await cluster.submit({ Ref: 'j-batch', Shards: 20 });
+    await cluster.submit({ ...service, taskCount: 4 });
+    await cluster.submit({ ...gang, cpus: 4, taskCount: 3 });
+    await cluster.submit({ id: 'j-batch', taskCount: 20 });
     for (let round = 0; round < 6; round++) {
       const leader = holder('leader');
       cluster.crash(leader);
@@ -322,10 +322,10 @@
       await ready(8, {}, 25_000);
       cluster.remember();
       const release = lostCommands ? cluster.network.cut({ path: /^\/commands/ }) : () => undefined;
-      await cluster.submit({ ...service, Shards: 4, Spread: true });
-      await cluster.submit({ ...gang, Cpus: 4, Shards: 3 });
-      await cluster.submit({ Ref: 'j-batch', Shards: 8 });
-      await cluster.submit({ Ref: 'j-off', Shards: 2 });
+      await cluster.submit({ ...service, taskCount: 4, spreadAcrossZones: true });
+      await cluster.submit({ ...gang, cpus: 4, taskCount: 3 });
+      await cluster.submit({ id: 'j-batch', taskCount: 8 });
+      await cluster.submit({ id: 'j-off', taskCount: 2 });
       const confirmed = await cluster.withdraw('j-off', 1);
       assert.equal(confirmed.status, 200);
       for (const node of NODES) cluster.crash(node);
@@ -362,10 +362,10 @@
     it(`${outageMs > 0 ? `also in an outage of ${outageMs / 1000} s, ` : ''}break no rule and leave nothing waiting`, async () => {
       await ready(8, {}, 20_000);
       cluster.remember();
-      await cluster.submit({ ...service, Shards: 4, Spread: true });
-      await cluster.submit({ ...gang, Cpus: 4, Shards: 3 });
-      await cluster.submit({ Ref: 'j-zone', Shards: 3, OneZone: true, Cpus: 4 });
-      await cluster.submit({ Ref: 'j-batch', Shards: 16 });
+      await cluster.submit({ ...service, taskCount: 4, spreadAcrossZones: true });
+      await cluster.submit({ ...gang, cpus: 4, taskCount: 3 });
+      await cluster.submit({ id: 'j-zone', taskCount: 3, singleZone: true, cpus: 4 });
+      await cluster.submit({ id: 'j-batch', taskCount: 16 });
       const heal = cloudDown();
       const [, one] = cluster.runs('j-svc/0').concat(cluster.runs('j-svc/1'));
       cluster.cut.add(one!.machineId);
@@ -375,7 +375,7 @@
         cluster.crash(leader);
         await cluster.advance([300, 4000, 900][round % 3]!);
         cluster.start(leader);
-        await cluster.submit({ Ref: `j-more${round}`, Shards: 2 }, (leader + 1) % 3);
+        await cluster.submit({ id: `j-more${round}`, taskCount: 2 }, (leader + 1) % 3);
         await cluster.advance(4000);
         if (round === 2) cluster.cut.clear();
         if (round === 4 && outageMs > 0) {
@@ -410,10 +410,12 @@
       const heal = cluster.network.fault({ to: 'store:1', path: /^\/(txn|holds)/, kind: 'late', share });
       for (let round = 0; round < 8; round++) {
         for (let n = 0; n < 3; n++) {
-          void cluster.users.submit(jobOf({ Ref: `j-a${round}${n}`, Shards: 3, Cpus: 4 }));
-          void cluster.users.submit(jobOf({ ...service, Ref: `j-svc${round}${n}`, Shards: 2, Spread: true }));
+          void cluster.users.submit(jobOf({ id: `j-a${round}${n}`, taskCount: 3, cpus: 4 }));
+          void cluster.users.submit(
+            jobOf({ ...service, id: `j-svc${round}${n}`, taskCount: 2, spreadAcrossZones: true }),
+          );
         }
-        void cluster.users.submit(jobOf({ ...gang, Ref: `j-g${round}`, Cpus: 4 }));
+        void cluster.users.submit(jobOf({ ...gang, id: `j-g${round}`, cpus: 4 }));
         await cluster.advance(5000);
         for (let n = 0; n < 3; n++) void cluster.users.withdraw(`j-svc${round}${n}`);
         if (round % 2 === 1) void cluster.users.withdraw(`j-a${round}0`);
@@ -445,7 +447,7 @@
       kind: 'late',
       share: 0.5,
     });
-    await cluster.submit({ Shards: 8 });
+    await cluster.submit({ taskCount: 8 });
     await cluster.advance(20_000);
     heal();
     cluster.cloud.full.clear();
--- a/test/scenarios/combined-faults-workers.test.ts
+++ b/test/scenarios/combined-faults-workers.test.ts
@@ -16,7 +16,7 @@
   return cluster;
 }
 
-const service = { Ref: 'j-svc', Shape: 'service', Rank: 'prod', GuessS: 0, Shards: 1 };
+const service = { id: 'j-svc', kind: 'service', priority: 'prod', estimatedRunS: 0, taskCount: 1 } as const;
 const where = (name: string) => cluster.runs(name).at(-1)!.machineId;
 const phase = (answer: { body: unknown }) => (answer.body as { Phase: string }).Phase;
 const isOpen = (node: number, machineId: string) => {
@@ -35,7 +35,7 @@
     cluster.mute.add(machineId);
     for (let second = 0; second < 40; second++) {
       // Some job goes to every machine that counts as open, and each command's answer is one more report of it.
-      void cluster.post(jobOf({ Ref: `j-${second}`, Shards: 1, Cpus: 1 }), second % 3);
+      void cluster.post(jobOf({ id: `j-${second}`, taskCount: 1, cpus: 1 }), second % 3);
       await cluster.advance(1000);
     }
     assert.deepEqual(
@@ -77,7 +77,7 @@
     // The kill arrives, its answer does not: nobody knows that the task has gone.
     cluster.network.fault({ to: `${machineId}:9000`, kind: 'answerLost' });
     await cluster.advance(1000);
-    await cluster.submit({ ...service, Ref: 'j-svc2' });
+    await cluster.submit({ ...service, id: 'j-svc2' });
     assert.equal(phase(await cluster.withdraw('j-svc', 1)), 'withdrawn');
     const [run] = cluster.runs('j-svc/0');
     assert.notEqual(run!.to, undefined);
@@ -130,7 +130,7 @@
   it('costs no other task of its machine while the store gives new tokens, however short a cancellation may take', async () => {
     const workers = { report_s: 1, lease_s: 10, gang_wait_s: 30, gang_peer_s: 4, cancel_s: 16 };
     await ready(1, { nodes: 3, cluster: { workers } });
-    await cluster.submit({ ...service, Ref: 'j-svc-old' });
+    await cluster.submit({ ...service, id: 'j-svc-old' });
     cluster.network.fault({ to: 'i-000000:9000', kind: 'hold' });
     void cluster.post(jobOf(service));
     await cluster.advance(200);
@@ -165,13 +165,13 @@
     cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
     for (const hangMs of [8000, 14_000]) {
       const jobId = `j-svc-${hangMs}`;
-      await cluster.submit({ ...service, Ref: jobId });
+      await cluster.submit({ ...service, id: jobId });
       const machineId = where(`${jobId}/0`);
       const machine = cluster.workers.get(machineId)!;
       machine.hang();
       void cluster.cancel(jobId, 1);
       // Launches are on their way there too.
-      for (let n = 0; n < 4; n++) void cluster.post(jobOf({ Ref: `j-${hangMs}-${n}`, Shards: 2 }), n % 3);
+      for (let n = 0; n < 4; n++) void cluster.post(jobOf({ id: `j-${hangMs}-${n}`, taskCount: 2 }), n % 3);
       await cluster.advance(hangMs);
       machine.goOn();
       await cluster.advance(2000);
@@ -200,7 +200,7 @@
     )!;
     for (const other of others) cluster.workers.get(other)!.warningS = 1000;
     await cluster.advance(2000);
-    await cluster.submit({ ...service, Ref: jobId, Rank: 'high' });
+    await cluster.submit({ ...service, id: jobId, priority: 'high' });
     assert.equal(where(`${jobId}/0`), machineId);
     cluster.mute.add(machineId);
     await cluster.advance(8500);
@@ -244,7 +244,7 @@
     assert.notEqual(former, home);
     for (const other of cluster.workers.keys()) if (other !== machineId) cluster.workers.get(other)!.warningS = 1000;
     await cluster.advance(2000);
-    await cluster.submit({ ...service, Rank: 'high' }, former);
+    await cluster.submit({ ...service, priority: 'high' }, former);
     assert.equal(where('j-svc/0'), machineId);
     for (const other of cluster.workers.keys()) if (other !== machineId) cluster.workers.get(other)!.warningS = null;
     // Its heartbeats come every 0.8 s from its start on: the last before its watch is lost must keep it in touch for long enough.
@@ -283,7 +283,7 @@
       cluster.cut.add(machineId);
       void cluster.cancel('j-svc', owner);
       await cluster.advance(50);
-      void cluster.post(jobOf({ ...service, Ref: 'j-svc2' }), owner);
+      void cluster.post(jobOf({ ...service, id: 'j-svc2' }), owner);
       if (restarts) {
         void cluster.restart(owner);
         await cluster.advance(300);
@@ -306,7 +306,7 @@
     // The gang waits for the image of its last task.
     cluster.addWorker({ machineId: 'i-000004', imageMs: 60_000 });
     await cluster.advance(3000);
-    const gang = { Ref: 'j-svc-g', Shape: 'ensemble', Rank: 'high', Shards: 5, Cpus: 8, GuessS: 30 };
+    const gang = { id: 'j-svc-g', kind: 'gang', priority: 'high', taskCount: 5, cpus: 8, estimatedRunS: 30 } as const;
     await cluster.submit(gang);
     const first = [0, 1, 2, 3, 4].find((taskIndex) => cluster.runs(`j-svc-g/${taskIndex}`).length > 0)!;
     const name = `j-svc-g/${first}`;
@@ -336,10 +336,10 @@
   it('free nothing wrongly and keep nothing waiting, while nodes restart and jobs are cancelled', async () => {
     await ready(6, { nodes: 3, teams: [{ name: 'red', cpus_max: 10 }] });
     cluster.lateReports = { share: 1, lateMs: [2000, 15_000] };
-    await cluster.submit({ ...service, Ref: 'j-svc', Shards: 2, Cpus: 1 });
+    await cluster.submit({ ...service, id: 'j-svc', taskCount: 2, cpus: 1 });
     for (let round = 0; round < 8; round++) {
-      void cluster.post(jobOf({ Ref: `j-a${round}`, Shards: 6, Cpus: 1 }), round % 3);
-      void cluster.post(jobOf({ ...service, Ref: `j-svc${round}`, Shards: 2 }), (round + 1) % 3);
+      void cluster.post(jobOf({ id: `j-a${round}`, taskCount: 6, cpus: 1 }), round % 3);
+      void cluster.post(jobOf({ ...service, id: `j-svc${round}`, taskCount: 2 }), (round + 1) % 3);
       await cluster.advance(2500);
       void cluster.cancel(`j-svc${round}`, (round + 1) % 3);
       // Tasks are moved, and sessions end too: what their copies say is older than what the machines do now.
@@ -373,7 +373,7 @@
 
   it('while machines hear no answer: what they run ends in time, and comes up elsewhere only then', async () => {
     await ready(6);
-    for (const Ref of four) await cluster.submit({ ...service, Ref });
+    for (const jobId of four) await cluster.submit({ ...service, id: jobId });
     const machineIds = [...new Set(four.map((jobId) => where(`${jobId}/0`)))];
     cluster.remember();
     cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
@@ -402,7 +402,7 @@
 
   it('while machines can not be reached: their tasks start elsewhere once the leases are proved over', async () => {
     await ready(6);
-    for (const Ref of four) await cluster.submit({ ...service, Ref });
+    for (const jobId of four) await cluster.submit({ ...service, id: jobId });
     const machineIds = [...new Set(four.map((jobId) => where(`${jobId}/0`)))];
     cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
     const leader = Number(cluster.node(0).leadership.leaderOf('leader')!.slice(1));
@@ -440,11 +440,11 @@
     }
     await cluster.advance(6000);
     const jobIds = [0, 1, 2, 3, 4, 5].map((n) => `j-svc${n}`);
-    for (const [n, Ref] of jobIds.entries()) {
-      const more = n % 2 === 0 ? { Site: 'b' } : { Spread: true };
-      await cluster.submit({ ...service, ...more, Ref, Shards: 2, Cpus: 1 });
+    for (const [n, jobId] of jobIds.entries()) {
+      const more = n % 2 === 0 ? { zone: 'b' } : { spreadAcrossZones: true };
+      await cluster.submit({ ...service, ...more, id: jobId, taskCount: 2, cpus: 1 });
     }
-    for (let n = 0; n < 3; n++) void cluster.post(jobOf({ Ref: `j-a${n}`, Shards: 4, Cpus: 1 }), n);
+    for (let n = 0; n < 3; n++) void cluster.post(jobOf({ id: `j-a${n}`, taskCount: 4, cpus: 1 }), n);
     await cluster.advance(1000);
     const inside = [...cluster.workers.values()].filter((worker) => worker.options.zone === 'b');
     assert.ok(inside.length >= 4);
--- a/test/scenarios/large-clusters.test.ts
+++ b/test/scenarios/large-clusters.test.ts
@@ -262,7 +262,7 @@
     });
     cluster.addWorker({ machineId: 'i-900001', runMs: 600_000 });
     await cluster.advance(5000);
-    await cluster.submit({ Ref: 'j-big1', Shards: 400, Cpus: 8, GuessS: 600 });
+    await cluster.submit({ id: 'j-big1', taskCount: 400, cpus: 8, estimatedRunS: 600 });
     await cluster.advance(40_000);
     const rented = [...cluster.cloud.machines.keys()].length;
     assert.ok(rented > 150, `${rented} machines`);
@@ -274,7 +274,7 @@
 describe('a node that takes over hundreds of machines', () => {
   it('greets them a few at a time, each in its turn, also where many do not answer', async () => {
     await ready(2, 240);
-    await cluster!.submit({ Ref: 'j-svc1', Shape: 'service', Shards: 400, MemGb: 1, Rank: 'prod' });
+    await cluster!.submit({ id: 'j-svc1', kind: 'service', taskCount: 400, memoryGb: 1, priority: 'prod' });
     await cluster!.advance(8000);
     const asked = () => cluster!.network.log.filter(({ from, path }) => from === 'n0' && path === '/commands').length;
     for (const machineId of cluster!.workers.keys()) cluster!.cut.add(machineId);
@@ -318,7 +318,7 @@
     };
     const refuse = cluster!.network.fault({ from: 'n0', path: /txn/, kind: 'status', status: 429 });
     const jobs = Array.from({ length: 12 }, (_, n) =>
-      cluster!.post(jobOf({ Ref: `j-wait${n}`, Shards: 12, GuessS: 5 }), 1),
+      cluster!.post(jobOf({ id: `j-wait${n}`, taskCount: 12, estimatedRunS: 5 }), 1),
     );
     for (let n = 0; n < 40; n++) {
       await cluster!.advance(50);
--- a/test/scenarios/limits.test.ts
+++ b/test/scenarios/limits.test.ts
@@ -8,7 +8,7 @@
 import { Replica } from '../../src/store/replica.js';
 import { Cluster } from '../../testing/cluster.js';
 import { FakeClock } from '../../testing/fake-clock.js';
-import { anyTransactionLimits } from '../../testing/fixtures.js';
+import { anyTransactionLimits, jobOf } from '../../testing/fixtures.js';
 
 let cluster: Cluster | undefined;
 afterEach(() => {
@@ -57,7 +57,7 @@
   it('a burst of starts and exits shares changes of the store', async () => {
     await ready(3, 60);
     const before = cluster!.store.revision;
-    await cluster!.submit({ Ref: 'j-many', Shards: 200, MemGb: 1 });
+    await cluster!.submit({ id: 'j-many', taskCount: 200, memoryGb: 1 });
     await cluster!.advance(12_000);
     assert.equal((await cluster!.poll('j-many')).status, 200);
     const runs = Array.from({ length: 200 }, (_, taskIndex) => cluster!.runs(`j-many/${taskIndex}`).length);
@@ -73,10 +73,10 @@
     cluster.addWorker({ machineId: 'i-000001', runMs: 4000 });
     cluster.cloud.full.add('a').add('b').add('c');
     await cluster.advance(4000);
-    const small = (n: number) => cluster!.submit({ Ref: `j-small${n}`, Shards: 6, GuessS: 4 });
+    const small = (n: number) => cluster!.submit({ id: `j-small${n}`, taskCount: 6, estimatedRunS: 4 });
     for (let n = 0; n < 4; n++) await small(n);
-    await cluster.submit({ Ref: 'j-largest', Shards: 300, GuessS: 60 });
-    await cluster.submit({ Ref: 'j-lowest', Shards: 2, Rank: 'low', GuessS: 4 });
+    await cluster.submit({ id: 'j-largest', taskCount: 300, estimatedRunS: 60 });
+    await cluster.submit({ id: 'j-lowest', taskCount: 2, priority: 'low', estimatedRunS: 4 });
     for (let n = 4; n < 70; n++) await small(n);
     for (const jobId of ['j-largest', 'j-lowest']) {
       const begun = [0, 1, 2, 3].flatMap((taskIndex) => cluster!.runs(`${jobId}/${taskIndex}`));
@@ -90,11 +90,16 @@
   it('hears of a change from the node that made it, before its own watch tells it', async () => {
     await ready(3, 3);
     cluster!.network.fault({ path: /^\/watch/, kind: 'lose' });
-    const answer = cluster!.post({
-      ...{ Ref: 'j-svc', Jobclass: 'web', Owner: 'red', Shape: 'service', Rank: 'prod', Shards: 3, Cpus: 2, Cards: 0 },
-      ...{ MemGb: 4, Bundle: 'img-1', SizeGb: 1, OneZone: false, Spread: true, Reclaimable: false, GuessS: 0 },
-      ...{ SnapshotEveryS: 0, SnapshotS: 0 },
-    });
+    const answer = cluster!.post(
+      jobOf({
+        id: 'j-svc',
+        kind: 'service',
+        priority: 'prod',
+        taskCount: 3,
+        spreadAcrossZones: true,
+        estimatedRunS: 0,
+      }),
+    );
     await cluster!.advance(1000);
     assert.equal((await answer).status, 201);
     for (const taskIndex of [0, 1, 2]) assert.equal(cluster!.runs(`j-svc/${taskIndex}`).length, 1);
--- a/test/scenarios/single-execution.test.ts
+++ b/test/scenarios/single-execution.test.ts
@@ -20,7 +20,7 @@
  * The stand-in runs jobs of such names until they are killed; without checkpoints they are not stopped on a notice of the
  * cloud. The leader places what must be in one zone, so it is not the owner of the machine that finds it a new place.
  */
-const longJob = (n: number) => ({ Ref: `j-svc-${n}`, Shards: 1, Cpus: 3, OneZone: true });
+const longJob = (n: number) => ({ id: `j-svc-${n}`, taskCount: 1, cpus: 3, singleZone: true });
 
 const partitionOf = (machineId: string) => cluster.node(0).leadership.partitionOf(machineId);
 const ownerOf = (role: string) => Number(cluster.node(0).leadership.leaderOf(role)!.slice(1));
@@ -78,7 +78,7 @@
       kind: 'answerLost',
       times: 1,
     });
-    for (let n = 0; n < 9; n++) void cluster.post(jobOf({ Ref: `j-once-${n}`, Cpus: 3 }), n % 3);
+    for (let n = 0; n < 9; n++) void cluster.post(jobOf({ id: `j-once-${n}`, cpus: 3 }), n % 3);
     await cluster.advance(600);
     // The other workers of the partition do not get through for less than a lease: they and their tasks live on.
     await closeToNewWork(others);
@@ -127,7 +127,7 @@
     }
     await closeToNewWork([second]);
     const release = cluster.network.cut({ from: 'n1', to: 'n0' });
-    void cluster.post(jobOf({ Ref: 'j-svc-0' }), 0);
+    void cluster.post(jobOf({ id: 'j-svc-0' }), 0);
     await cluster.advance(1500);
     const blocked = cluster.network.fault({ from: first, to: 'n1:8080', kind: 'refuse' });
     cluster.crash(1);
--- a/test/scenarios/store-outage.test.ts
+++ b/test/scenarios/store-outage.test.ts
@@ -9,7 +9,13 @@
 
 const CANCEL_MS = 36_000;
 const NODES = [0, 1, 2];
-const service = { Shape: 'service', Rank: 'prod', GuessS: 0, Spread: false, Shards: 1 };
+const service = {
+  kind: 'service',
+  priority: 'prod',
+  estimatedRunS: 0,
+  spreadAcrossZones: false,
+  taskCount: 1,
+} as const;
 
 async function ready(options: ClusterOptions = {}): Promise<void> {
   cluster = new Cluster({ nodes: 3, ...options });
@@ -23,7 +29,7 @@
 async function runOnNode0(): Promise<string> {
   for (let n = 0; n < 8; n++) {
     const jobId = `j-svc${n}`;
-    await cluster.submit({ ...service, Ref: jobId });
+    await cluster.submit({ ...service, id: jobId });
     const machineId = cluster.runs(`${jobId}/0`)[0]?.machineId;
     if (
       machineId !== undefined &&
--- a/test/testing/invariant-checker.test.ts
+++ b/test/testing/invariant-checker.test.ts
@@ -1,8 +1,9 @@
 import assert from 'node:assert/strict';
 import { beforeEach, describe, it } from 'node:test';
 import { Cluster } from '../../testing/cluster.js';
-import { C8, jobOf } from '../../testing/fixtures.js';
+import { C8, DEFAULT_SUBMISSION, jobOf } from '../../testing/fixtures.js';
 import { InvariantChecker, type UserAnswer } from '../../testing/invariant-checker.js';
+import { encodeSubmission, type Submission } from '../../testing/submission-wire-codec.js';
 
 let checker: InvariantChecker;
 let now: number;
@@ -10,7 +11,7 @@
   now = 1000;
   checker = new InvariantChecker({
     teams: [{ name: 'red', cpus_max: 8 }, { name: 'blue' }],
-    machineTypes: [C8, { ...C8, Sku: 'big', Cpus: 64, MemGb: 512 }],
+    machineTypes: [C8, { ...C8, name: 'big', cpus: 64, memoryGb: 512 }],
     cancelS: 36,
   });
   checker.machineUp('i-1', { machineType: 'c8', zone: 'a', isSpot: false });
@@ -29,7 +30,7 @@
     body: phase === undefined ? {} : { Ref: jobId, Phase: phase },
   });
 /** A user submits a job and is told that it is accepted. */
-const accept = (fields: object = {}) => {
+const accept = (fields: Partial<Submission> = {}) => {
   checker.submitted(jobOf(fields));
   answer('submit', 201, 'queued');
   now += 100;
@@ -54,7 +55,7 @@
 
 describe('the checker finds nothing wrong', () => {
   it('with a job that runs to its end, and one that is cancelled in time', () => {
-    accept({ Shards: 2 });
+    accept({ taskCount: 2 });
     start('i-1');
     start('i-2', 1);
     now += 5000;
@@ -77,7 +78,7 @@
   });
 
   it('with a question that was asked before another answer came', () => {
-    accept({ Shape: 'service' });
+    accept({ kind: 'service' });
     start('i-1');
     const askedAt = now - 500;
     cancel();
@@ -94,12 +95,12 @@
     checker.answered({ kind, jobId: job, askedAt: now - 1, at: now, status: 200, body: { Ref: job, Phase: phase } });
   /** A chain of three jobs, all accepted. */
   const acceptChain = () => {
-    accept({ Shards: 2 });
+    accept({ taskCount: 2 });
     for (const [job, before] of [
       [AFTER, jobId],
       [LAST, AFTER],
     ] as const) {
-      checker.submitted(jobOf({ Ref: job, Awaits: [before] }));
+      checker.submitted(jobOf({ id: job, dependencies: [before] }));
       tell(job, 'queued', 'submit');
     }
   };
@@ -150,7 +151,7 @@
   });
 
   it('catches a job that is accepted though it needs one that nobody has submitted', () => {
-    checker.submitted(jobOf({ Ref: AFTER, Awaits: ['j-nobody'] }));
+    checker.submitted(jobOf({ id: AFTER, dependencies: ['j-nobody'] }));
     tell(AFTER, 'queued', 'submit');
     assert.deepEqual(rules(), ['wrongly_accepted']);
   });
@@ -168,8 +169,8 @@
   });
 
   it('quota: tasks of all jobs of a team count together', () => {
-    accept({ Cpus: 4, Shards: 2 });
-    checker.submitted(jobOf({ Ref: 'j-000002', Cpus: 2 }));
+    accept({ cpus: 4, taskCount: 2 });
+    checker.submitted(jobOf({ id: 'j-000002', cpus: 2 }));
     start('i-1');
     start('i-2', 1);
     assert.deepEqual(rules(), []);
@@ -178,16 +179,16 @@
   });
 
   it('wrong_place: type, zone and kind', () => {
-    const jobs = [{ Flavors: ['c8'], Reclaimable: true }, { Site: 'b', Reclaimable: true }, { Reclaimable: false }];
+    const jobs = [{ machineTypes: ['c8'], allowsSpot: true }, { zone: 'b', allowsSpot: true }, { allowsSpot: false }];
     jobs.forEach((fields, n) => {
-      checker.submitted(jobOf({ Ref: `j-${n}`, ...fields }));
+      checker.submitted(jobOf({ id: `j-${n}`, ...fields }));
       checker.taskStarted(now, 'i-spot', `j-${n}/0`);
     });
     assert.deepEqual(rules(), ['wrong_place', 'wrong_place', 'wrong_place']);
   });
 
   it('wrong_place: one zone for all, as long as any task is there', () => {
-    accept({ Shards: 3, OneZone: true });
+    accept({ taskCount: 3, singleZone: true });
     start('i-1');
     start('i-2', 1);
     assert.deepEqual(rules(), ['wrong_place']);
@@ -197,7 +198,7 @@
   });
 
   it('wrong_place: more than half, rounded up, of a spread job in one zone', () => {
-    accept({ Shards: 3, Spread: true });
+    accept({ taskCount: 3, spreadAcrossZones: true });
     start('i-1');
     start('i-1', 1);
     assert.deepEqual(rules(), []);
@@ -252,7 +253,7 @@
   });
 
   it('forgotten: no question is answered for 75 s after the troubles', () => {
-    accept({ Cpus: 8 });
+    accept({ cpus: 8 });
     start('i-1');
     const ask = (s: number) => {
       for (let n = 0; n < s; n += 5) {
@@ -279,12 +280,12 @@
   });
 
   it('not_done: a task is missing, or a service', () => {
-    accept({ Shards: 2 });
+    accept({ taskCount: 2 });
     start('i-1');
     end('i-1');
     answer('poll', 200, 'done');
     assert.deepEqual(rules(), ['not_done']);
-    checker.submitted(jobOf({ Ref: 'j-svc', Shape: 'service' }));
+    checker.submitted(jobOf({ id: 'j-svc', kind: 'service' }));
     checker.answered({ kind: 'poll', jobId: 'j-svc', askedAt: now, at: now, status: 200, body: { Phase: 'done' } });
     assert.deepEqual(rules(), ['not_done', 'not_done']);
   });
@@ -324,16 +325,16 @@
   });
 
   it('wrongly_accepted: a job that can never run', () => {
-    const never = [
-      { Owner: 'nobody' },
-      { Owner: 'blue', Cpus: 65 },
-      { Owner: 'blue', Cpus: 9, Flavors: ['c8'] },
-      { Owner: 'blue', Site: 'z' },
-      { Shape: 'service', Shards: 5 },
-      { Shape: 'ensemble', Shards: 5 },
+    const never: Partial<Submission>[] = [
+      { team: 'nobody' },
+      { team: 'blue', cpus: 65 },
+      { team: 'blue', cpus: 9, machineTypes: ['c8'] },
+      { team: 'blue', zone: 'z' },
+      { kind: 'service', taskCount: 5 },
+      { kind: 'gang', taskCount: 5 },
     ];
     never.forEach((fields, n) => {
-      checker.submitted(jobOf({ Ref: `j-${n}`, ...fields }));
+      checker.submitted(jobOf({ id: `j-${n}`, ...fields }));
       const told = { kind: 'submit' as const, jobId: `j-${n}`, askedAt: now, at: now, status: 201 };
       checker.answered({ ...told, body: { Phase: 'queued' } });
       assert.equal(rules().length, n + 1, JSON.stringify(fields));
@@ -342,19 +343,19 @@
   });
 
   it('wrongly_accepted: each field that is missing or invalid, but null may be left out', () => {
-    accept({ Flavors: undefined, Site: null, DueS: undefined });
+    accept({ machineTypes: undefined, zone: null, deadlineS: undefined });
     assert.deepEqual(rules(), []);
-    const names = Object.keys(jobOf({})).filter((name) => name !== 'Ref');
+    const names = Object.keys(DEFAULT_SUBMISSION).filter((name) => name !== 'id');
     for (const name of names) {
       [undefined, null, {}].forEach((value, n) => {
-        checker.submitted(jobOf({ Ref: `j-${name}-${n}`, [name]: value }));
+        checker.submitted(encodeSubmission({ ...DEFAULT_SUBMISSION, id: `j-${name}-${n}`, [name]: value }));
         const told = { kind: 'submit' as const, jobId: `j-${name}-${n}`, askedAt: now, at: now, status: 201 };
         checker.answered({ ...told, body: { Phase: 'queued' } });
       });
     }
     assert.equal(rules().length, names.length * 3);
     // A repeat of an accepted job gets its state, whatever it looks like.
-    checker.submitted({ Ref: jobId });
+    checker.submitted(encodeSubmission({ id: jobId }));
     answer('submit', 200, 'queued');
     assert.equal(rules().length, names.length * 3);
   });
@@ -371,10 +372,10 @@
   });
 
   it('left_waiting only if there is room: free machines that fit and can be reached, under the limit', () => {
-    accept({ Cpus: 6 });
+    accept({ cpus: 6 });
     checker.troublesOver(now);
-    checker.submitted(jobOf({ Ref: 'j-000002', Owner: 'blue', Cpus: 4 }));
-    checker.submitted(jobOf({ Ref: 'j-000003', Cpus: 4 }));
+    checker.submitted(jobOf({ id: 'j-000002', team: 'blue', cpus: 4 }));
+    checker.submitted(jobOf({ id: 'j-000003', cpus: 4 }));
     start('i-1', 0, now, 'j-000002');
     checker.machineUsable('i-2', false);
     pass(100);
@@ -388,7 +389,7 @@
   });
 
   it('left_waiting of a gang only if there is room for all of it, in its zones', () => {
-    accept({ Owner: 'blue', Shape: 'ensemble', Shards: 8, Cpus: 2, OneZone: true });
+    accept({ team: 'blue', kind: 'gang', taskCount: 8, cpus: 2, singleZone: true });
     checker.troublesOver(now);
     pass(100);
     assert.deepEqual(rules(), [], 'four fit in each zone');
@@ -404,7 +405,7 @@
     const first = cluster.addWorker({ machineId: 'i-1' });
     const second = cluster.addWorker({ machineId: 'i-2', zone: 'b' });
     await cluster.advance(5000);
-    await cluster.submit({ Ref: 'j-svc', Shape: 'service', Rank: 'prod', GuessS: 0 });
+    await cluster.submit({ id: 'j-svc', kind: 'service', priority: 'prod', estimatedRunS: 0 });
     const machineId = cluster.runs('j-svc/0')[0]!.machineId;
     const other = machineId === 'i-1' ? second : first;
     const orders = [{ Verb: 'launch', Shard: 'j-svc/0', Try: 9 }];
--- a/test/testing/stand-ins.test.ts
+++ b/test/testing/stand-ins.test.ts
@@ -39,7 +39,7 @@
 describe('a machine that hangs', () => {
   it('executes neither tasks nor commands, and goes on with both where it stopped', async () => {
     alone(1, 5000, 60);
-    void cluster.post(jobOf({ Shards: 2 }));
+    void cluster.post(jobOf({ taskCount: 2 }));
     void launch(0, 'j-000001/0');
     await cluster.advance(2000);
     worker(0).hang();
@@ -58,7 +58,7 @@
 
   it('beyond its lease begins a new session at once when it goes on, and drops commands of the old one', async () => {
     alone();
-    void cluster.post(jobOf({ Shards: 2 }));
+    void cluster.post(jobOf({ taskCount: 2 }));
     void launch(0, 'j-000001/0');
     await cluster.advance(1000);
     worker(0).hang();
@@ -258,7 +258,7 @@
 });
 
 describe('the tasks of a gang', () => {
-  const gang = { Shape: 'ensemble', Shards: 2, SnapshotEveryS: 10, SnapshotS: 1 };
+  const gang = { kind: 'gang', taskCount: 2, checkpointIntervalS: 10, checkpointS: 1 } as const;
   const [first, second] = ['j-000001/0', 'j-000001/1'] as const;
 
   it('wait for each other, run together and are done together', async () => {
@@ -322,7 +322,7 @@
 describe('a worker', () => {
   it('refuses what has no room, what is there with another attempt, and what nobody has submitted', async () => {
     alone();
-    void cluster.post(jobOf({ Shards: 5 }));
+    void cluster.post(jobOf({ taskCount: 5 }));
     for (const taskIndex of [0, 1, 2, 3, 4]) void launch(0, `j-000001/${taskIndex}`);
     void launch(0, 'j-nobody/0');
     await cluster.advance(100);
@@ -366,11 +366,11 @@
     ready({ nodes: 2 }, 2);
     await cluster.advance(4000);
     cluster.store.out = true;
-    const answer = cluster.users.submit(jobOf({ Ref: 'j-000001' }));
+    const answer = cluster.users.submit(jobOf({ id: 'j-000001' }));
     await cluster.advance(8000);
     cluster.store.endOutage();
     assert.equal((await cluster.during(answer)).status, 201);
-    void cluster.users.submit(jobOf({ Ref: 'j-svc', Shape: 'service', GuessS: 0 }));
+    void cluster.users.submit(jobOf({ id: 'j-svc', kind: 'service', estimatedRunS: 0 }));
     await cluster.advance(16_000);
     assert.equal(cluster.users.jobs.get('j-000001')!.phase, 'done');
     assert.equal(cluster.users.jobs.get('j-svc')!.phase, 'running');
--- a/test/wire-format.test.ts
+++ b/test/wire-format.test.ts
@@ -164,7 +164,7 @@
 
   it('of a chunk that is too large for the store: its compact form', async () => {
     const zone = 'z'.repeat(190);
-    const machineTypes = [{ Sku: 'c8/x', Cpus: 8, MemGb: 64, Sites: [] }];
+    const machineTypes = [{ name: 'c8/x', cpus: 8, memoryGb: 64, zones: [] }];
     const state = { rps: 500, write_rps: 200, value_kb: 1, txn_ops: 12 };
     begin({ cluster: { zones: [zone], state }, locations: [zone], machineTypes });
     const old = '"Shape":"array","Rank":"normal","Shards":6,"Cpus":1';
--- a/test/workers/exit-recorder.test.ts
+++ b/test/workers/exit-recorder.test.ts
@@ -14,7 +14,7 @@
 
 const FENCE = 7;
 const HOST = 'i-000001';
-const GANG = specOf({ Ref: 'j-000001', Shape: 'ensemble', Shards: 2 });
+const GANG = specOf({ id: 'j-000001', kind: 'gang', taskCount: 2 });
 const placedTask: PlacedTask = {
   jobId: GANG.id,
   taskIndex: 0,
--- a/test/workers/heartbeats.test.ts
+++ b/test/workers/heartbeats.test.ts
@@ -17,7 +17,7 @@
   return cluster;
 }
 
-const service = { Ref: 'j-svc', Shape: 'service', Rank: 'prod', GuessS: 0, Shards: 1 };
+const service = { id: 'j-svc', kind: 'service', priority: 'prod', estimatedRunS: 0, taskCount: 1 } as const;
 const where = (name: string) => cluster.runs(name).at(-1)!.machineId;
 const ownerOf = (machineId: string) =>
   Number(cluster.node(0).leadership.leaderOf(cluster.node(0).workerManager.roleOf(machineId))!.slice(1));
@@ -139,7 +139,7 @@
 describe('a node cut off from store and peers, but not from its workers', () => {
   it('sends them to the new owner as soon as they show its token, and no task dies', async () => {
     await ready(3, 6);
-    for (let n = 0; n < 6; n++) await cluster.submit({ ...service, Ref: `j-svc${n}` });
+    for (let n = 0; n < 6; n++) await cluster.submit({ ...service, id: `j-svc${n}` });
     cluster.network.fault({ from: 'n0', to: 'store:1', kind: 'lose' });
     for (const pair of ['n0>n1', 'n0>n2', 'n1>n0', 'n2>n0']) cluster.parted.add(pair);
     await cluster.advance(25_000);
@@ -158,7 +158,7 @@
     await cluster.submit(service);
     cluster.store.out = true;
     const jobs = cluster.node(0).jobs;
-    const spec = { ...jobOf(service), Ref: 'j-later' };
+    const spec = jobOf({ ...service, id: 'j-later' });
     // In the first moments the store's own refusal is passed on, later it is known on arrival.
     for (const sinceMs of [0, 5000]) {
       await cluster.advance(sinceMs);
@@ -180,7 +180,7 @@
   it('keeps its machines, its tasks start elsewhere when the leases are over, and its machines are used again', async () => {
     await ready(3, 9);
     const inZone = [...cluster.workers.values()].filter((worker) => worker.options.zone === 'b');
-    await cluster.submit({ ...service, Shards: 4, Spread: true });
+    await cluster.submit({ ...service, taskCount: 4, spreadAcrossZones: true });
     for (const { options } of inZone) cluster.cut.add(options.machineId);
     await cluster.advance(14_000);
     const cutOff = [0, 1, 2, 3].filter((n) => cluster.runs(`j-svc/${n}`).length > 1);
@@ -202,7 +202,7 @@
     for (const node of [0, 1, 2]) {
       for (const machineId of cluster.workers.keys()) assert.ok(isOpen(node, machineId), `${machineId} at n${node}`);
     }
-    await cluster.submit({ ...service, Shards: 6, Spread: true });
+    await cluster.submit({ ...service, taskCount: 6, spreadAcrossZones: true });
     const machineIds = new Set([0, 1, 2, 3, 4, 5].map((n) => where(`j-svc/${n}`)));
     assert.equal(machineIds.size, 6);
   });
--- a/testing/cluster.ts
+++ b/testing/cluster.ts
@@ -4,6 +4,8 @@
 import { Random } from '../src/net/random.js';
 import { DEFAULT_STANDBY_SETTINGS } from '@dewlatch/standby';
 import { DEFAULT_TUNING } from '../src/constants/scheduling.js';
+import type { MachineType } from '../src/domain/machine-type.js';
+import type { Resources } from '../src/domain/resources.js';
 import type { Controller } from '../src/controller/controller.js';
 import {
   PRESENT_VERSION,
@@ -20,8 +22,9 @@
 import { FakeUsers } from './fake-users.js';
 import { C8, jobOf, settingsFileOf, type ClusterOptions } from './fixtures.js';
 import { Freezer, type Trap } from './freezer.js';
-import { ANSWER_MS, FakeWorker, type Description, type Room, type WorkerOptions } from './fake-worker.js';
+import { ANSWER_MS, FakeWorker, type JobDescription, type WorkerOptions } from './fake-worker.js';
 import { InvariantChecker, type UserAnswer } from './invariant-checker.js';
+import { decodeSubmission, decodeSubmittedId, type Submission } from './submission-wire-codec.js';
 
 /** ms that users wait for an answer. */
 const POLL_PATIENCE_MS = 2000;
@@ -37,7 +40,7 @@
 }
 
 /** Room of machines of a type that the cloud does not list. */
-const ANY_ROOM: Room = { Cpus: Infinity, Cards: Infinity, MemGb: Infinity };
+const UNLIMITED: Resources = { cpus: Infinity, gpus: Infinity, memoryGb: Infinity };
 
 /** Whole controllers in one process, on a network, a clock, a store, a cloud and workers that tests command. */
 export class Cluster {
@@ -64,7 +67,7 @@
   readonly users: FakeUsers;
   /** Called when a task has ended, at that very moment. */
   onTaskEnd: (taskId: string, cause: string) => void = () => undefined;
-  private readonly jobs = new Map<string, Description>();
+  private readonly jobs = new Map<string, JobDescription>();
   private readonly results = new Set<string>();
   private readonly gangs: FakeGangs;
   private readonly random = new Random(11);
@@ -79,10 +82,14 @@
     const { teams, workers } = settingsFileOf(0, 1, options).cluster;
     this.leaseS = workers.lease_s;
     this.gangs = new FakeGangs(this.clock, workers.gang_wait_s * 1000, workers.gang_peer_s * 1000);
-    this.checker = new InvariantChecker({ teams, machineTypes, cancelS: workers.cancel_s });
+    this.checker = new InvariantChecker({
+      teams,
+      machineTypes: machineTypes as MachineType[],
+      cancelS: workers.cancel_s,
+    });
     this.cloud = new FakeCloud(machineTypes);
     this.cloud.onReturn = (machineId) => this.kill(machineId);
-    this.cloud.onHire = (machineId) => this.boot(machineId);
+    this.cloud.onRent = (machineId) => this.boot(machineId);
     this.network.serve('store:1', (method, path, body, { from, late }) =>
       // What comes late had reached the store before it began to refuse its sender.
       this.store.handle(method, path, body, late === true ? undefined : from),
@@ -212,7 +219,7 @@
     const worker = new FakeWorker(
       this.clock,
       options,
-      (this.cloud.machineType(machineType) as Room | undefined) ?? ANY_ROOM,
+      (this.cloud.machineType(machineType) as Resources | undefined) ?? UNLIMITED,
       {
         leaseS: this.leaseS,
         describe: (jobId) => this.jobs.get(jobId),
@@ -231,11 +238,11 @@
     };
     this.network.serve(worker.endpoint, (method, path, body, sender) => worker.handle(method, path, body, sender.at));
     this.cloud.machines.set(machineId, {
-      Flavor: machineType,
-      Site: zone,
-      Reclaimable: isSpot,
-      Phase: 'running',
-      HeldS: 100,
+      machineType,
+      zone,
+      isSpot,
+      state: 'running',
+      ageS: 100,
     });
     return worker;
   }
@@ -246,7 +253,7 @@
     this.clock.after(bootMs, () => {
       const machine = this.cloud.machines.get(machineId);
       if (machine === undefined) return;
-      const { Flavor: machineType, Site: zone, Reclaimable: isSpot } = machine;
+      const { machineType, zone, isSpot } = machine;
       this.addWorker({ machineId, machineType, zone, isSpot, ...(runMs === undefined ? {} : { runMs }) });
     });
   }
@@ -318,9 +325,9 @@
   /** A user sends a job; the answer comes as time passes. */
   post(body: unknown, node = 0): Promise<HttpAnswer> {
     this.checker.submitted(body);
-    const jobId = String((body as { Ref?: unknown } | null)?.Ref);
+    const jobId = String(decodeSubmittedId(body));
     // Its user uploads it for the workers.
-    if (!this.jobs.has(jobId)) this.jobs.set(jobId, body as Description);
+    if (!this.jobs.has(jobId)) this.jobs.set(jobId, decodeSubmission(body));
     return this.asUser('submit', jobId, node, (controller) => controller.submit(body));
   }
 
@@ -355,7 +362,7 @@
     return told;
   }
 
-  submit(fields: object, node = 0): Promise<HttpAnswer> {
+  submit(fields: Partial<Submission>, node = 0): Promise<HttpAnswer> {
     return this.during(this.post(jobOf(fields), node));
   }
 
--- a/testing/fake-cloud.ts
+++ b/testing/fake-cloud.ts
@@ -1,53 +1,73 @@
+/** A stand-in of the cloud. */
+import type { ListedMachine, ScaleOutRequest } from '../src/cloud/cloud-wire-codec.js';
 import type { Reply } from '../src/net/http-client.js';
+import {
+  decodeScaleInRequest,
+  decodeScaleOutRequest,
+  encodeCatalog,
+  encodeMachineList,
+  encodeRentedMachines,
+  type CatalogEntry,
+} from './fake-cloud-wire-codec.js';
 
-/** A stand-in of the cloud: a catalogue, rentals by name, returns. */
+/** A machine of the cloud, by its id. */
+export type CloudMachine = Pick<ListedMachine, 'machineType' | 'zone' | 'isSpot' | 'state' | 'ageS'>;
+
+/** A catalogue, scale-out by idempotency key, scale-in, and a list of machines without lag. */
 export class FakeCloud {
+  /** Machines by the idempotency key of the request that they were rented with. */
   readonly rentals = new Map<string, string[]>();
+  /** Machines that were returned, in order. */
   readonly returned: string[] = [];
-  readonly machines = new Map<
-    string,
-    { Flavor: string; Site: string; Reclaimable: boolean; Phase: string; HeldS: number }
-  >();
+  readonly machines = new Map<string, CloudMachine>();
+  /** Zones without capacity. */
   readonly full = new Set<string>();
-  private next = 100;
+  private nextMachine = 100;
   /** Called when a machine has been rented. */
-  onHire: (machineId: string) => void = () => undefined;
+  onRent: (machineId: string) => void = () => undefined;
   /** Called when a machine has been returned. */
   onReturn: (machineId: string) => void = () => undefined;
 
-  constructor(readonly machineTypes: Record<string, unknown>[]) {}
+  constructor(readonly machineTypes: readonly CatalogEntry[]) {}
 
-  machineType(sku: string): Record<string, unknown> | undefined {
-    return this.machineTypes.find((each) => each['Sku'] === sku);
+  machineType(name: string): CatalogEntry | undefined {
+    return this.machineTypes.find((each) => each.name === name);
   }
 
+  /** Answers a request. */
   handle(method: string, path: string, body: unknown): Reply {
-    if (path === '/machine_types') return { status: 200, body: { Flavors: this.machineTypes } };
-    if (path === '/rentals/return') {
-      for (const machineId of (body as { Hosts: string[] }).Hosts) {
-        this.machines.delete(machineId);
-        this.returned.push(machineId);
-        this.onReturn(machineId);
-      }
-      return { status: 200, body: {} };
-    }
-    if (method === 'GET') {
-      const Hosts = [...this.machines]
-        .sort(([a], [b]) => (a < b ? -1 : 1))
-        .map(([Ref, machine]) => ({ Ref, Endpoint: `${Ref}:9000`, ...machine }));
-      return { status: 200, body: { Hosts, HasNext: false } };
+    if (path === '/machine_types') return { status: 200, body: encodeCatalog(this.machineTypes) };
+    if (path === '/rentals/return') return this.scaleIn(decodeScaleInRequest(body));
+    if (method === 'GET') return this.listMachines();
+    return this.scaleOut(decodeScaleOutRequest(body));
+  }
+
+  private scaleIn(machineIds: readonly string[]): Reply {
+    for (const machineId of machineIds) {
+      this.machines.delete(machineId);
+      this.returned.push(machineId);
+      this.onReturn(machineId);
     }
-    const rental = body as { Hire: string; Flavor: string; Site: string; Reclaimable: boolean; HowMany: number };
-    const known = this.rentals.get(rental.Hire);
-    if (known !== undefined) return { status: 200, body: { Hosts: known } };
-    if (this.full.has(rental.Site)) return { status: 503, body: { error: 'no capacity' } };
-    const machineIds = Array.from({ length: rental.HowMany }, () => `i-${String(this.next++).padStart(6, '0')}`);
-    this.rentals.set(rental.Hire, machineIds);
+    return { status: 200, body: {} };
+  }
+
+  private listMachines(): Reply {
+    const machines = [...this.machines]
+      .sort(([a], [b]) => (a < b ? -1 : 1))
+      .map(([machineId, machine]) => ({ machineId, endpoint: `${machineId}:9000`, ...machine }));
+    return { status: 200, body: encodeMachineList(machines) };
+  }
+
+  private scaleOut({ rentalId, machineType, zone, isSpot, count }: ScaleOutRequest): Reply {
+    const known = this.rentals.get(rentalId);
+    if (known !== undefined) return { status: 200, body: encodeRentedMachines(known) };
+    if (this.full.has(zone)) return { status: 503, body: { error: 'no capacity' } };
+    const machineIds = Array.from({ length: count }, () => `i-${String(this.nextMachine++).padStart(6, '0')}`);
+    this.rentals.set(rentalId, machineIds);
     for (const machineId of machineIds) {
-      const { Flavor, Site, Reclaimable } = rental;
-      this.machines.set(machineId, { Flavor, Site, Reclaimable, Phase: 'starting', HeldS: 0 });
-      this.onHire(machineId);
+      this.machines.set(machineId, { machineType, zone, isSpot, state: 'starting', ageS: 0 });
+      this.onRent(machineId);
     }
-    return { status: 200, body: { Hosts: machineIds } };
+    return { status: 200, body: encodeRentedMachines(machineIds) };
   }
 }
--- a/testing/fake-gangs.ts
+++ b/testing/fake-gangs.ts
@@ -1,8 +1,8 @@
 import type { Clock } from '../src/net/clock.js';
-import type { Description, FakeWorker } from './fake-worker.js';
+import type { JobDescription, FakeWorker } from './fake-worker.js';
 
 interface Gang {
-  job: Description;
+  job: JobDescription;
   members: Map<string, FakeWorker>;
   state: 'waiting' | 'running' | 'stopping' | 'broken';
   /** Members that were told to stop in time to save. */
@@ -24,7 +24,7 @@
   }
 
   /** A task has its image and waits for the others of its attempt; the last one starts them all. */
-  join(worker: FakeWorker, taskId: string, attempt: number, job: Description): void {
+  join(worker: FakeWorker, taskId: string, attempt: number, job: JobDescription): void {
     const key = FakeGangs.key(taskId, attempt);
     let gang = this.gangs.get(key);
     if (gang === undefined || gang.members.size === 0) {
@@ -32,7 +32,7 @@
       this.gangs.set(key, gang);
     }
     gang.members.set(taskId, worker);
-    if (gang.state !== 'waiting' || gang.members.size < job.Shards) return;
+    if (gang.state !== 'waiting' || gang.members.size < job.taskCount) return;
     gang.state = 'running';
     let runMs = 0;
     for (const [name, member] of gang.members) {
@@ -69,11 +69,11 @@
     if (gang.state === 'running') {
       gang.state = 'stopping';
       void this.clock.sleep(this.peerMs).then(() => {
-        if (gang.state === 'stopping' && gang.told.size < gang.job.Shards) this.breakUp(gang);
+        if (gang.state === 'stopping' && gang.told.size < gang.job.taskCount) this.breakUp(gang);
       });
     }
-    if (gang.told.size < gang.job.Shards) return;
-    void this.clock.sleep(gang.job.SnapshotS * 1000).then(() => {
+    if (gang.told.size < gang.job.taskCount) return;
+    void this.clock.sleep(gang.job.checkpointS * 1000).then(() => {
       if (gang.state === 'stopping') this.endAll(gang, 'stopped', true);
     });
   }
--- a/testing/fake-users.ts
+++ b/testing/fake-users.ts
@@ -1,6 +1,7 @@
 import type { HttpAnswer } from '../src/net/http-answer.js';
 import type { Random } from '../src/net/random.js';
 import type { FakeClock } from './fake-clock.js';
+import { decodeSubmission, encodeSubmission, type AnySubmissionFields } from './submission-wire-codec.js';
 
 /** ms for which a user repeats a request, and between two questions about a job. */
 const RETRY_MS = 60_000;
@@ -8,6 +9,15 @@
 /** ms between two looks at a job that is over. */
 const LATER_MS = 20_000;
 
+/** Fields that no controller accepts. */
+const ODD_FIELDS: AnySubmissionFields[] = [
+  { cpus: 1e6 },
+  { team: 'nobody' },
+  { taskCount: undefined },
+  { priority: 'odd' },
+  { gpus: -1 },
+];
+
 /** The requests of a cluster that users send to a node. */
 export interface Service {
   nodes: number;
@@ -48,10 +58,10 @@
   /** Submits a job until that is decided, and then asks about it for ever. */
   async submit(body: object): Promise<HttpAnswer> {
     const answer = await this.repeat((node) => this.service.post(body, node));
-    const { Ref } = body as { Ref: string };
-    if (answer.status > 201 || answer.status === 0 || this.jobs.has(Ref)) return answer;
-    this.jobs.set(Ref, { body, phase: 'queued' });
-    void this.follow(Ref);
+    const { id } = decodeSubmission(body);
+    if (answer.status > 201 || answer.status === 0 || this.jobs.has(id)) return answer;
+    this.jobs.set(id, { body, phase: 'queued' });
+    void this.follow(id);
     return answer;
   }
 
@@ -86,13 +96,15 @@
       if (phase === 'done') await one((node) => this.service.cancel(jobId, node));
       if (phase === 'done' || phase === 'withdrawn') continue;
       await one((node) => this.service.post(body, node));
-      await one((node) => this.service.post({ ...body, Cpus: 1e9, MemGb: null }, node));
+      await one((node) => this.service.post({ ...body, ...encodeSubmission({ cpus: 1e9, memoryGb: null }) }, node));
     }
     const [first] = this.jobs.values();
     if (first === undefined) return answers;
-    const odd = (n: number, fields: object) => ({ ...first.body, Ref: `j-odd${n}-${this.clock.now()}`, ...fields });
-    const bodies = [{ Cpus: 1e6 }, { Owner: 'nobody' }, { Shards: undefined }, { Rank: 'odd' }, { Cards: -1 }];
-    for (const [n, fields] of bodies.entries()) await one((node) => this.service.post(odd(n, fields), node));
+    const odd = (n: number, fields: AnySubmissionFields) => ({
+      ...first.body,
+      ...encodeSubmission({ id: `j-odd${n}-${this.clock.now()}`, ...fields }),
+    });
+    for (const [n, fields] of ODD_FIELDS.entries()) await one((node) => this.service.post(odd(n, fields), node));
     await one((node) => this.service.post([], node));
     await one((node) => this.service.ask(`j-nobody-${this.clock.now()}`, node));
     return answers;
--- a/testing/fake-worker.ts
+++ b/testing/fake-worker.ts
@@ -1,6 +1,8 @@
 import type { Reply } from '../src/net/http-client.js';
 import type { Clock } from '../src/net/clock.js';
+import type { Resources } from '../src/domain/resources.js';
 import type { FakeGangs } from './fake-gangs.js';
+import type { Submission } from './submission-wire-codec.js';
 
 /** ms for which a worker waits for an answer to its report, and ms until it then tries the next node. */
 export const ANSWER_MS = 4000;
@@ -32,21 +34,15 @@
 }
 
 /** What a worker needs to know of a job; its user has uploaded it. */
-export interface Description {
-  Shape: string;
-  Shards: number;
-  Cpus: number;
-  Cards: number;
-  MemGb: number;
-  Bundle: string;
-  SnapshotEveryS: number;
-  SnapshotS: number;
-}
+export type JobDescription = Pick<
+  Submission,
+  'kind' | 'taskCount' | 'cpus' | 'gpus' | 'memoryGb' | 'image' | 'checkpointIntervalS' | 'checkpointS'
+>;
 
 /** What all workers share. */
 export interface Surroundings {
   leaseS: number;
-  describe(jobId: string): Description | undefined;
+  describe(jobId: string): JobDescription | undefined;
   gangs: FakeGangs;
   /** Tasks that are done: their results are kept. */
   results: Set<string>;
@@ -67,12 +63,6 @@
   fails?: (taskId: string) => boolean;
 }
 
-export interface Room {
-  Cpus: number;
-  Cards: number;
-  MemGb: number;
-}
-
 const refOf = (taskId: string) => taskId.slice(0, taskId.lastIndexOf('/'));
 
 /** A stand-in of a worker, by the protocol's words; it also keeps account of what ran when. */
@@ -106,7 +96,7 @@
   constructor(
     private readonly clock: Clock,
     readonly options: WorkerOptions,
-    private readonly room: Room,
+    private readonly room: Resources,
     private readonly around: Surroundings,
   ) {
     this.endpoint = `${options.machineId}:9000`;
@@ -197,12 +187,12 @@
 
   private hasImage(taskId: string, task: Task): void {
     const job = this.around.describe(refOf(taskId))!;
-    this.images.add(job.Bundle);
+    this.images.add(job.image);
     this.history.push({ taskId, attempt: task.Try, from: this.clock.now(), to: undefined });
     this.onStart(taskId, task.orderedAt);
     task.Phase = 'running';
     if (this.around.results.has(taskId)) return this.end(taskId, 'done');
-    if (job.Shape !== 'ensemble') return this.run(taskId);
+    if (job.kind !== 'gang') return this.run(taskId);
     task.Phase = 'waiting';
     task.dueAt = this.clock.now() + this.around.gangs.waitMs;
     this.around.gangs.join(this, taskId, task.Try, job);
@@ -211,15 +201,15 @@
   /** It runs from now on. How long a gang runs is up to all its members. */
   run(taskId: string): void {
     const task = this.tasks.get(taskId)!;
-    const { Shape } = this.around.describe(refOf(taskId))!;
+    const { kind } = this.around.describe(refOf(taskId))!;
     task.Phase = 'running';
-    task.dueAt = Shape === 'ensemble' ? Infinity : this.clock.now() + this.runMs(taskId);
+    task.dueAt = kind === 'gang' ? Infinity : this.clock.now() + this.runMs(taskId);
     this.wake();
   }
 
   runMs(taskId: string): number {
-    const { Shape } = this.around.describe(refOf(taskId))!;
-    return Shape === 'service' || taskId.startsWith('j-svc') ? Infinity : (this.options.runMs ?? Infinity);
+    const { kind } = this.around.describe(refOf(taskId))!;
+    return kind === 'service' || taskId.startsWith('j-svc') ? Infinity : (this.options.runMs ?? Infinity);
   }
 
   end(taskId: string, cause: string, saved?: boolean): void {
@@ -266,7 +256,7 @@
   private launch({ Shard, Try }: Order, known: Task | undefined, orderedAt: number): void {
     if (known?.Try === Try) return;
     const job = this.around.describe(refOf(Shard));
-    const dueAt = this.clock.now() + (job === undefined || this.images.has(job.Bundle) ? 0 : this.imageMs);
+    const dueAt = this.clock.now() + (job === undefined || this.images.has(job.image) ? 0 : this.imageMs);
     const task: Task = { Try, Phase: 'fetching', dueAt, orderedAt };
     const refusal = this.whyRefused(job, known);
     if (refusal === 'in_use') return;
@@ -280,7 +270,7 @@
     return this.options.imageMs ?? 0;
   }
 
-  private whyRefused(job: Description | undefined, known: Task | undefined): string | undefined {
+  private whyRefused(job: JobDescription | undefined, known: Task | undefined): string | undefined {
     if (job === undefined) return 'unknown';
     // Which of the two attempts a report then shows is not told; the one that goes on is the one that matters.
     if (known !== undefined && known.Phase !== 'exited') return 'in_use';
@@ -288,20 +278,20 @@
     for (const [taskId, task] of this.tasks) {
       if (task.Phase === 'exited') continue;
       const other = this.around.describe(refOf(taskId))!;
-      for (const amount of ['Cpus', 'Cards', 'MemGb'] as const) free[amount] -= other[amount];
+      for (const amount of ['cpus', 'gpus', 'memoryGb'] as const) free[amount] -= other[amount];
     }
-    const fits = job.Cpus <= free.Cpus && job.Cards <= free.Cards && job.MemGb <= free.MemGb;
+    const fits = job.cpus <= free.cpus && job.gpus <= free.gpus && job.memoryGb <= free.memoryGb;
     return fits ? undefined : 'no_room';
   }
 
   private stopTask({ Shard, Try, WindDownS = 0 }: Order, task: Task): void {
-    const { Shape, SnapshotEveryS, SnapshotS } = this.around.describe(refOf(Shard))!;
-    const saves = task.Phase === 'running' && SnapshotEveryS > 0 && WindDownS >= SnapshotS;
+    const { kind, checkpointIntervalS, checkpointS } = this.around.describe(refOf(Shard))!;
+    const saves = task.Phase === 'running' && checkpointIntervalS > 0 && WindDownS >= checkpointS;
     if (task.Phase === 'flushing' && WindDownS > 0) return;
     if (!saves) return this.end(Shard, 'stopped');
-    if (Shape === 'ensemble') return this.around.gangs.stop(Shard, Try);
+    if (kind === 'gang') return this.around.gangs.stop(Shard, Try);
     task.Phase = 'flushing';
-    task.dueAt = this.clock.now() + SnapshotS * 1000;
+    task.dueAt = this.clock.now() + checkpointS * 1000;
   }
 
   /** What `/commands` and `/show` do. */
--- a/testing/fixtures.ts
+++ b/testing/fixtures.ts
@@ -4,9 +4,12 @@
 import type { SettingsFile, TuningFile } from '../src/config/settings-file-codec.js';
 import { decodeJobSpec, type WireJobSpec } from '../src/records/job-spec-codec.js';
 import type { JobSpec } from '../src/domain/job.js';
+import type { MachineType } from '../src/domain/machine-type.js';
 import type { Log } from '../src/logging/log.js';
 import type { TransactionLimits } from '../src/store/transaction-draft.js';
+import type { CatalogEntry } from './fake-cloud-wire-codec.js';
 import type { ProgramVersion } from './program-version.js';
+import { encodeSubmission, type Submission } from './submission-wire-codec.js';
 
 export const noLog: Log = {
   error: () => undefined,
@@ -27,7 +30,8 @@
   standbyOf?: (node: number) => Partial<StandbySettings>;
   /** Zones of the nodes; all in `a` if left out. */
   locations?: readonly string[];
-  machineTypes?: Record<string, unknown>[];
+  /** The cloud's catalogue. */
+  machineTypes?: CatalogEntry[];
   /** Rented machines are up after so many ms; without it they never are. */
   bootMs?: number;
   /** The version of the program that all nodes run at first; the present one if it is not given. */
@@ -37,17 +41,17 @@
 }
 
 /** A machine type of eight CPUs. */
-export const C8 = {
-  Sku: 'c8',
-  Cpus: 8,
-  Cards: 0,
-  MemGb: 64,
-  LocalGb: 50,
-  FetchGbPerS: 1,
-  Hourly: 1,
-  LowPrice: 0.3,
-  BootS: 30,
-  Sites: ['a', 'b', 'c'],
+export const C8: MachineType = {
+  name: 'c8',
+  cpus: 8,
+  gpus: 0,
+  memoryGb: 64,
+  imageCacheGb: 50,
+  fetchGbPerS: 1,
+  hourlyPrice: 1,
+  spotHourlyPrice: 0.3,
+  bootS: 30,
+  zones: ['a', 'b', 'c'],
 };
 
 /** The settings file of one of the controllers. */
@@ -81,30 +85,35 @@
   );
 }
 
-/** A submission, complete but for the fields that a scenario cares for. */
-export const jobOf = (fields: object): object => ({
-  Ref: 'j-000001',
-  Jobclass: 'web',
-  Owner: 'red',
-  Shape: 'array',
-  Rank: 'normal',
-  Shards: 1,
-  Cpus: 2,
-  Cards: 0,
-  MemGb: 4,
-  Bundle: 'img-1',
-  SizeGb: 1,
-  OneZone: false,
-  Spread: false,
-  Reclaimable: false,
-  GuessS: 10,
-  SnapshotEveryS: 0,
-  SnapshotS: 0,
-  ...fields,
-});
+/** A job of one task, under the field names that `jobOf` takes. */
+export const DEFAULT_SUBMISSION: Submission = {
+  id: 'j-000001',
+  jobClass: 'web',
+  team: 'red',
+  kind: 'array',
+  priority: 'normal',
+  taskCount: 1,
+  cpus: 2,
+  gpus: 0,
+  memoryGb: 4,
+  image: 'img-1',
+  imageGb: 1,
+  singleZone: false,
+  spreadAcrossZones: false,
+  allowsSpot: false,
+  estimatedRunS: 10,
+  checkpointIntervalS: 0,
+  checkpointS: 0,
+};
+
+/** The body of a submission, complete but for the fields that a scenario cares for. */
+export const jobOf = (fields: Partial<Submission>): object => encodeSubmission({ ...DEFAULT_SUBMISSION, ...fields });
+
+/** The same with fields under their wire names, for tests of raw and malformed bodies. */
+export const rawJobOf = (wireFields: object): object => ({ ...jobOf({}), ...wireFields });
 
-/** The same, as the program works with it. */
-export const specOf = (fields: object): JobSpec => decodeJobSpec(jobOf(fields) as WireJobSpec);
+/** The job as the program works with it. */
+export const specOf = (fields: Partial<Submission>): JobSpec => decodeJobSpec(jobOf(fields) as WireJobSpec);
 
 /** Room in a transaction, where a test does not care for it. */
 export const anyTransactionLimits = (fields: Partial<TransactionLimits> = {}): TransactionLimits => ({
--- a/testing/invariant-checker.ts
+++ b/testing/invariant-checker.ts
@@ -2,9 +2,12 @@
  * Checks a scenario by the protocol's rules alone: by what ran on the machines and by what users were told. It knows nothing
  * of the product's records.
  */
+import type { MachineType } from '../src/domain/machine-type.js';
+import { resourcesOf } from '../src/domain/resources.js';
 import { PipelineChecker } from './pipeline-checker.js';
 import { PlacementHistory } from './placement-history.js';
-import { badField } from './submission-fields.js';
+import { decodeSubmission, decodeSubmittedId, type Submission } from './submission-wire-codec.js';
+import { invalidField } from './submission-wire-schema.js';
 
 export type Rule =
   | 'ran_twice'
@@ -30,36 +33,12 @@
 /** Amounts are decimal numbers, so sums may be off by their last digits. */
 const EPS = 1e-6;
 
-export interface JobFields {
-  Ref: string;
-  Owner: string;
-  Shape: 'array' | 'ensemble' | 'service';
-  Shards: number;
-  Cpus: number;
-  Cards: number;
-  MemGb: number;
-  Flavors?: string[] | null;
-  Site?: string | null;
-  OneZone: boolean;
-  Spread: boolean;
-  Reclaimable: boolean;
-  Awaits?: string[] | null;
-}
-
 export interface InvariantCheckerOptions {
   teams: readonly { name: string; cpus_max?: number; gpus_max?: number }[];
-  machineTypes: readonly Record<string, unknown>[];
+  machineTypes: readonly MachineType[];
   cancelS: number;
 }
 
-interface MachineType {
-  Sku: string;
-  Cpus: number;
-  Cards: number;
-  MemGb: number;
-  Sites: string[];
-}
-
 interface Machine {
   machineType: string;
   zone: string;
@@ -72,7 +51,7 @@
 
 interface Job {
   /** Undefined as long as every submission of it was malformed. */
-  spec?: JobFields;
+  spec?: Submission;
   /** Times of the first such answer that its user got. */
   acceptedAt?: number;
   doneAt?: number;
@@ -118,7 +97,7 @@
   private readonly pipelines: PipelineChecker;
   /** Which launches workers carried out, over takeovers. */
   readonly placements = new PlacementHistory(
-    (taskId) => this.jobs.get(refOf(taskId))?.spec?.Shape === 'ensemble',
+    (taskId) => this.jobs.get(refOf(taskId))?.spec?.kind === 'gang',
     (rule, at, what) => this.breaks(rule, at, what),
   );
 
@@ -148,7 +127,7 @@
   }
 
   private machineType(name: string): MachineType | undefined {
-    return this.options.machineTypes.find((each) => each.Sku === name) as MachineType | undefined;
+    return this.options.machineTypes.find((each) => each.name === name);
   }
 
   // What happens on machines.
@@ -210,7 +189,7 @@
     if (cause !== 'done') return;
     job.done.add(indexOf(taskId));
     // A gang completes together.
-    if (job.spec?.Shape === 'ensemble') for (let index = 0; index < job.spec.Shards; index++) job.done.add(index);
+    if (job.spec?.kind === 'gang') for (let index = 0; index < job.spec.taskCount; index++) job.done.add(index);
   }
 
   /** Is a task of a cancelled job still on its machine when it should be gone? */
@@ -224,33 +203,34 @@
     return [...this.runs].filter((run) => run.jobId === jobId);
   }
 
-  private whyWrongPlace(spec: JobFields, machine: Machine): string | undefined {
-    if (spec.Flavors?.includes(machine.machineType) === false) return `type ${machine.machineType}`;
-    if ((spec.Site ?? machine.zone) !== machine.zone) return `zone ${machine.zone}`;
-    if (machine.isSpot && !spec.Reclaimable) return 'a spot machine';
-    const zones = this.tasksOf(spec.Ref).map((run) => this.machines.get(run.machineId)?.zone);
+  private whyWrongPlace(spec: Submission, machine: Machine): string | undefined {
+    if (spec.machineTypes?.includes(machine.machineType) === false) return `type ${machine.machineType}`;
+    if ((spec.zone ?? machine.zone) !== machine.zone) return `zone ${machine.zone}`;
+    if (machine.isSpot && !spec.allowsSpot) return 'a spot machine';
+    const zones = this.tasksOf(spec.id).map((run) => this.machines.get(run.machineId)?.zone);
     const other = zones.find((zone) => zone !== machine.zone);
-    if (spec.OneZone && other !== undefined) return `zone ${machine.zone} beside tasks in ${other}`;
+    if (spec.singleZone && other !== undefined) return `zone ${machine.zone} beside tasks in ${other}`;
     const here = zones.filter((zone) => zone === machine.zone).length;
-    if (spec.Spread && here + 1 > Math.ceil(spec.Shards / 2)) return `${here + 1} tasks in zone ${machine.zone}`;
+    if (spec.spreadAcrossZones && here + 1 > Math.ceil(spec.taskCount / 2))
+      return `${here + 1} tasks in zone ${machine.zone}`;
     return undefined;
   }
 
   /** Would the job's team be over its limit with `more` of its tasks? */
-  private whyOverLimit(spec: JobFields, more: number): string | undefined {
-    const team = this.options.teams.find((each) => each.name === spec.Owner);
-    let cpus = more * spec.Cpus;
-    let gpus = more * spec.Cards;
+  private whyOverLimit(spec: Submission, more: number): string | undefined {
+    const team = this.options.teams.find((each) => each.name === spec.team);
+    let cpus = more * spec.cpus;
+    let gpus = more * spec.gpus;
     for (const run of this.runs) {
       const other = this.jobs.get(run.jobId)?.spec;
-      if (other?.Owner !== spec.Owner) continue;
-      cpus += other.Cpus;
-      gpus += other.Cards;
+      if (other?.team !== spec.team) continue;
+      cpus += other.cpus;
+      gpus += other.gpus;
     }
     // 0 means no limit.
     const { cpus_max = 0, gpus_max = 0 } = team ?? {};
-    if (cpus_max > 0 && spec.Cpus > 0 && cpus > cpus_max + EPS) return `${spec.Owner} uses ${cpus} CPUs`;
-    if (gpus_max > 0 && spec.Cards > 0 && gpus > gpus_max + EPS) return `${spec.Owner} uses ${gpus} cards`;
+    if (cpus_max > 0 && spec.cpus > 0 && cpus > cpus_max + EPS) return `${spec.team} uses ${cpus} CPUs`;
+    if (gpus_max > 0 && spec.gpus > 0 && gpus > gpus_max + EPS) return `${spec.team} uses ${gpus} cards`;
     return undefined;
   }
 
@@ -258,10 +238,10 @@
 
   /** A user sends a job, for the first time or again. */
   submitted(body: unknown): void {
-    const jobId = (body as { Ref?: unknown } | null)?.Ref;
-    if (typeof jobId !== 'string') return;
+    const jobId = decodeSubmittedId(body);
+    if (jobId === undefined) return;
     const job = this.job(jobId);
-    if (badField(body) === undefined) job.spec ??= body as JobFields;
+    if (invalidField(body) === undefined) job.spec ??= decodeSubmission(body);
   }
 
   cancelAsked(at: number, jobId: string): void {
@@ -317,8 +297,8 @@
     }
     if (phase === 'done') {
       const { spec } = job;
-      const isDone = spec !== undefined && spec.Shape !== 'service' && job.done.size === spec.Shards;
-      if (!isDone) this.breaks('not_done', at, `${jobId}: ${job.done.size} of ${spec?.Shards} tasks are done`);
+      const isDone = spec !== undefined && spec.kind !== 'service' && job.done.size === spec.taskCount;
+      if (!isDone) this.breaks('not_done', at, `${jobId}: ${job.done.size} of ${spec?.taskCount} tasks are done`);
       job.doneAt ??= at;
     }
   }
@@ -339,24 +319,24 @@
   }
 
   /** Why a job can never run, or is malformed. */
-  private whyNever(spec: JobFields | undefined): string | undefined {
+  private whyNever(spec: Submission | undefined): string | undefined {
     if (spec === undefined) return 'a field is missing or invalid';
-    const { Owner, Shape, Shards, Cpus, Cards, MemGb, Site } = spec;
-    const team = this.options.teams.find((each) => each.name === Owner);
+    const { team: teamName, kind, taskCount, cpus, gpus, memoryGb, zone } = spec;
+    const team = this.options.teams.find((each) => each.name === teamName);
     if (team === undefined) return 'unknown team';
-    const fits = (this.options.machineTypes as unknown as MachineType[]).some(
+    const fits = this.options.machineTypes.some(
       (each) =>
-        spec.Flavors?.includes(each.Sku) !== false &&
-        each.Sites.includes(Site ?? each.Sites[0]!) &&
-        Cpus <= each.Cpus &&
-        Cards <= each.Cards &&
-        MemGb <= each.MemGb,
+        spec.machineTypes?.includes(each.name) !== false &&
+        each.zones.includes(zone ?? each.zones[0]!) &&
+        cpus <= each.cpus &&
+        gpus <= each.gpus &&
+        memoryGb <= each.memoryGb,
     );
     if (!fits) return 'fits no allowed machine type';
-    const tasks = Shape === 'array' ? 1 : Shards;
+    const tasks = kind === 'array' ? 1 : taskCount;
     const { cpus_max = 0, gpus_max = 0 } = team;
-    if (cpus_max > 0 && Cpus * tasks > cpus_max + EPS) return "more CPUs than its team's limit";
-    if (gpus_max > 0 && Cards * tasks > gpus_max + EPS) return "more cards than its team's limit";
+    if (cpus_max > 0 && cpus * tasks > cpus_max + EPS) return "more CPUs than its team's limit";
+    if (gpus_max > 0 && gpus * tasks > gpus_max + EPS) return "more cards than its team's limit";
     return undefined;
   }
 
@@ -387,31 +367,31 @@
     const { spec, acceptedAt, cancelAskedAt, done } = job;
     if (spec === undefined || acceptedAt === undefined || cancelAskedAt !== undefined) return false;
     if (this.pipelines.openPredecessor(job) !== undefined || this.pipelines.isCancelled(job)) return false;
-    const on = this.tasksOf(spec.Ref);
-    const missing = spec.Shards - done.size - new Set(on.map((run) => run.taskId)).size;
+    const on = this.tasksOf(spec.id);
+    const missing = spec.taskCount - done.size - new Set(on.map((run) => run.taskId)).size;
     if (missing <= 0) return false;
-    const needed = spec.Shape === 'ensemble' ? missing : 1;
+    const needed = spec.kind === 'gang' ? missing : 1;
     if (this.whyOverLimit(spec, needed) !== undefined) return false;
     const slots = new Map<string, number>();
     for (const [machineId, machine] of this.machines) {
       if (!machine.usable || machine.faulty || this.whyWrongPlace(spec, machine) !== undefined) continue;
       slots.set(machine.zone, (slots.get(machine.zone) ?? 0) + this.slotsOn(machineId, machine, spec));
     }
-    const half = Math.ceil(spec.Shards / 2);
+    const half = Math.ceil(spec.taskCount / 2);
     const counts = [...slots].map(([zone, count]) => {
       const here = on.filter((run) => this.machines.get(run.machineId)?.zone === zone).length;
-      return spec.Spread ? Math.min(count, half - here) : count;
+      return spec.spreadAcrossZones ? Math.min(count, half - here) : count;
     });
-    const room = spec.OneZone ? Math.max(0, ...counts) : counts.reduce((a, b) => a + b, 0);
+    const room = spec.singleZone ? Math.max(0, ...counts) : counts.reduce((a, b) => a + b, 0);
     return room >= needed;
   }
 
   /** How many more tasks of that size the machine holds. */
-  private slotsOn(machineId: string, machine: Machine, spec: JobFields): number {
+  private slotsOn(machineId: string, machine: Machine, spec: Submission): number {
     const machineType = this.machineType(machine.machineType);
     if (machineType === undefined) return 0;
-    const free = { Cpus: machineType.Cpus, Cards: machineType.Cards, MemGb: machineType.MemGb };
-    const amounts = ['Cpus', 'Cards', 'MemGb'] as const;
+    const free = resourcesOf(machineType);
+    const amounts = ['cpus', 'gpus', 'memoryGb'] as const;
     for (const run of this.runs) {
       const other = run.machineId === machineId ? this.jobs.get(run.jobId)?.spec : undefined;
       if (other !== undefined) for (const amount of amounts) free[amount] -= other[amount];
--- a/testing/loopback-cluster.ts
+++ b/testing/loopback-cluster.ts
@@ -13,10 +13,11 @@
 import { FakeCloud } from './fake-cloud.js';
 import { FakeGangs } from './fake-gangs.js';
 import { FakeStore } from './fake-store.js';
-import { ANSWER_MS, FakeWorker, type Description } from './fake-worker.js';
+import { ANSWER_MS, FakeWorker, type JobDescription } from './fake-worker.js';
 import { C8, jobOf, settingsFileOf } from './fixtures.js';
 import { InvariantChecker } from './invariant-checker.js';
 import { freeAddress, LoopbackServer } from './loopback-server.js';
+import { decodeSubmission, type Submission } from './submission-wire-codec.js';
 
 export interface LoopbackOptions {
   nodes: number;
@@ -67,7 +68,7 @@
   private readonly servers: LoopbackServer[] = [];
   private readonly timers: NodeJS.Timeout[] = [];
   private readonly http = new NodeHttpClient(HTTP_SOCKETS);
-  private readonly jobs = new Map<string, Description>();
+  private readonly jobs = new Map<string, JobDescription>();
   private submitted = 0;
 
   constructor(private readonly options: LoopbackOptions) {}
@@ -120,7 +121,7 @@
   private watchWorker(worker: FakeWorker, machineId: string, zone: string): void {
     const now = () => systemClock.now();
     this.checker.machineUp(machineId, { machineType: 'c8', zone, isSpot: false });
-    this.cloud.machines.set(machineId, { Flavor: 'c8', Site: zone, Reclaimable: false, Phase: 'running', HeldS: 100 });
+    this.cloud.machines.set(machineId, { machineType: 'c8', zone, isSpot: false, state: 'running', ageS: 100 });
     worker.onStart = (taskId, orderedAt) => this.checker.taskStarted(now(), machineId, taskId, orderedAt);
     worker.onEnd = (taskId, cause) => this.checker.taskEnded(now(), machineId, taskId, cause);
     worker.onLaunch = (taskId, attempt, fencingToken) =>
@@ -168,10 +169,10 @@
   }
 
   /** A user submits a job to one of the nodes, trying one after the other. */
-  async submit(fields: object): Promise<boolean> {
+  async submit(fields: Partial<Submission>): Promise<boolean> {
     const jobId = `j-${String(this.submitted++).padStart(6, '0')}`;
-    const body = jobOf({ Ref: jobId, ...fields });
-    this.jobs.set(jobId, body as Description);
+    const body = jobOf({ id: jobId, ...fields });
+    this.jobs.set(jobId, decodeSubmission(body));
     this.checker.submitted(body);
     for (let turn = 0; turn < this.controllers.length * 2; turn++) {
       const { address } = this.controllers[(this.submitted + turn) % this.controllers.length]!;
--- a/testing/loopback-takeover.ts
+++ b/testing/loopback-takeover.ts
@@ -48,7 +48,9 @@
 /** Submits gangs and arrays until the signal fires: the leader always has something to decide. */
 export async function submitUntil(cluster: LoopbackCluster, everyMs: number, signal: AbortSignal): Promise<void> {
   for (let n = 0; !signal.aborted; n++) {
-    void cluster.submit(n % 2 === 0 ? { Shape: 'ensemble', Rank: 'high', Shards: 2, Cpus: 1 } : { Shards: 2, Cpus: 1 });
+    void cluster.submit(
+      n % 2 === 0 ? { kind: 'gang', priority: 'high', taskCount: 2, cpus: 1 } : { taskCount: 2, cpus: 1 },
+    );
     await systemClock.sleep(everyMs, signal);
   }
 }
--- a/testing/pipeline-checker.ts
+++ b/testing/pipeline-checker.ts
@@ -1,8 +1,10 @@
 /** The rules about jobs that wait for others, as the invariant checker asks for them: what came before what. */
 
+import type { Submission } from './submission-wire-codec.js';
+
 /** What the invariant checker knows of a job. */
 export interface CheckedJob {
-  spec?: { Shards: number; Awaits?: readonly string[] | null };
+  spec?: Pick<Submission, 'taskCount' | 'dependencies'>;
   done: ReadonlySet<number>;
   cancelledAt?: number;
   cancelAskedAt?: number;
@@ -17,15 +19,15 @@
 
   /** A job before this one of which not all tasks are done, if there is any. */
   openPredecessor(job: CheckedJob): string | undefined {
-    return job.spec?.Awaits?.find((jobId) => {
+    return job.spec?.dependencies?.find((jobId) => {
       const before = this.jobOf(jobId);
-      return before?.spec === undefined || before.done.size < before.spec.Shards;
+      return before?.spec === undefined || before.done.size < before.spec.taskCount;
     });
   }
 
   /** A job before this one that was never submitted, if there is any. */
   unknownPredecessor(job: CheckedJob): string | undefined {
-    return job.spec?.Awaits?.find((jobId) => this.jobOf(jobId)?.spec === undefined);
+    return job.spec?.dependencies?.find((jobId) => this.jobOf(jobId)?.spec === undefined);
   }
 
   /** Has a user asked to cancel a job before this one, directly or through others? */
@@ -46,14 +48,14 @@
   }
 
   private before(job: CheckedJob): CheckedJob[] {
-    const found = new Set(job.spec?.Awaits ?? []);
+    const found = new Set(job.spec?.dependencies ?? []);
     const jobs: CheckedJob[] = [];
     for (const jobId of found) {
       const before = this.jobOf(jobId);
       if (before === undefined) continue;
       jobs.push(before);
       // A set hands out what is added to it while it is looked through.
-      for (const each of before.spec?.Awaits ?? []) found.add(each);
+      for (const each of before.spec?.dependencies ?? []) found.add(each);
     }
     return jobs;
   }
--- a/testing/play-large.ts
+++ b/testing/play-large.ts
@@ -27,7 +27,7 @@
 await cluster.advance(10_000);
 show('at the start');
 for (let n = 0; n < JOBS; n++) {
-  await cluster.submit({ Ref: `j-${n}`, Shards: SHARDS_OF_A_JOB, Cpus: 4 }, n % NODES.length);
+  await cluster.submit({ id: `j-${n}`, taskCount: SHARDS_OF_A_JOB, cpus: 4 }, n % NODES.length);
 }
 await cluster.advance(10_000);
 const leader = cluster.leader()!;
--- a/testing/randomized-scenario.ts
+++ b/testing/randomized-scenario.ts
@@ -4,6 +4,7 @@
 import { FaultInjector, lastsMs } from './fault-injector.js';
 import { jobOf } from './fixtures.js';
 import { MACHINES, NODES, ZONES, SPELL_MS, type Schedule } from './random-schedule.js';
+import type { Submission } from './submission-wire-codec.js';
 
 /** ms until the cluster is up, and for which the invariant checker watches after the troubles. */
 const READY_MS = 6000;
@@ -59,18 +60,18 @@
   }
 
   private submitSome(): void {
-    const job = (fields: object) => {
-      const Ref = `j-${String(this.submitted++).padStart(6, '0')}`;
-      void this.cluster.users.submit(jobOf({ Ref, Owner: this.random.float() < 0.5 ? 'red' : 'blue', ...fields }));
+    const job = (fields: Partial<Submission>) => {
+      const id = `j-${String(this.submitted++).padStart(6, '0')}`;
+      void this.cluster.users.submit(jobOf({ id, team: this.random.float() < 0.5 ? 'red' : 'blue', ...fields }));
     };
     // One service is of the team with a limit: more would leave no room under it for what ends.
-    const Owner = this.submitted === 0 ? 'red' : 'blue';
-    job({ Shape: 'service', Rank: 'prod', GuessS: 0, Shards: 3, Spread: true, Owner });
-    job({ Shape: 'ensemble', Rank: 'high', Shards: 3, Cpus: 3, OneZone: this.random.float() < 0.5 });
-    job({ Shards: 1 + this.random.below(4), OneZone: this.random.float() < 0.3 });
-    job({ Shards: 2, Site: ZONES[this.random.below(3)], Rank: 'low' });
+    const team = this.submitted === 0 ? 'red' : 'blue';
+    job({ kind: 'service', priority: 'prod', estimatedRunS: 0, taskCount: 3, spreadAcrossZones: true, team });
+    job({ kind: 'gang', priority: 'high', taskCount: 3, cpus: 3, singleZone: this.random.float() < 0.5 });
+    job({ taskCount: 1 + this.random.below(4), singleZone: this.random.float() < 0.3 });
+    job({ taskCount: 2, zone: ZONES[this.random.below(3)], priority: 'low' });
     // They come to all nodes at once, and their team is at its limit.
-    for (let n = 0; n < 3; n++) job({ Shards: 1 + this.random.below(3), Owner: 'red' });
+    for (let n = 0; n < 3; n++) job({ taskCount: 1 + this.random.below(3), team: 'red' });
   }
 
   /** Users cancel jobs that are not over, as far as they know. */
--- a/testing/submission-fields.ts
+++ b/testing/submission-wire-schema.ts
@@ -31,8 +31,8 @@
   Awaits: orNull((value) => Array.isArray(value) && value.every(isText)),
 };
 
-/** The first field that is missing or invalid. */
-export function badField(body: unknown): string | undefined {
+/** The wire name of the first field that is missing or invalid; undefined: the submission is well-formed. */
+export function invalidField(body: unknown): string | undefined {
   if (typeof body !== 'object' || body === null || Array.isArray(body)) return 'not an object';
   return Object.entries(FIELDS).find(([name, check]) => !check((body as Record<string, unknown>)[name]))?.[0];
 }
--- a/testing/takeover-measurement.ts
+++ b/testing/takeover-measurement.ts
@@ -4,6 +4,7 @@
  */
 import { Cluster } from './cluster.js';
 import type { ClusterOptions } from './fixtures.js';
+import { encodeSubmission, type Submission } from './submission-wire-codec.js';
 
 export type Loss = 'kill' | 'freeze' | 'cut from the store' | 'told to stop';
 export type MeasuredRole = 'leader' | 'partition';
@@ -51,8 +52,9 @@
   await cluster.advance(WARM_UP_MS);
   let submitted = 0;
   const submitSome = (): void => {
-    const shape = !trial.load || submitted % 4 === 0 ? { Shape: 'ensemble', Shards: 2 } : { Shards: 2 };
-    void cluster.users.submit({ ...jobOf(submitted++), ...shape });
+    const isGang = !trial.load || submitted % 4 === 0;
+    const submission = submissionOf(submitted++);
+    void cluster.users.submit(encodeSubmission(isGang ? { ...submission, kind: 'gang' } : submission));
   };
   const load = new AbortController();
   const submitting = (async () => {
@@ -93,10 +95,27 @@
   return { times, broken: cluster.verdict() };
 }
 
-const jobOf = (n: number) => ({
-  ...{ Ref: `j-${String(n).padStart(6, '0')}`, Jobclass: 'train', Owner: 'red', Rank: 'normal', Shape: 'array' },
-  ...{ Cpus: 1, Cards: 0, MemGb: 1, Bundle: 'img', SizeGb: 1, Flavors: null, Site: null, OneZone: false },
-  ...{ Spread: false, Reclaimable: true, GuessS: 3, SnapshotEveryS: 0, SnapshotS: 0, DueS: null },
+const submissionOf = (n: number): Submission => ({
+  id: `j-${String(n).padStart(6, '0')}`,
+  jobClass: 'train',
+  team: 'red',
+  priority: 'normal',
+  kind: 'array',
+  cpus: 1,
+  gpus: 0,
+  memoryGb: 1,
+  image: 'img',
+  imageGb: 1,
+  machineTypes: null,
+  zone: null,
+  singleZone: false,
+  spreadAcrossZones: false,
+  allowsSpot: true,
+  estimatedRunS: 3,
+  checkpointIntervalS: 0,
+  checkpointS: 0,
+  deadlineS: null,
+  taskCount: 2,
 });
 
 function lose(cluster: Cluster, node: number, loss: Loss): void {
--- a/testing/upgrade-scenario.ts
+++ b/testing/upgrade-scenario.ts
@@ -9,6 +9,7 @@
 import { FaultInjector, lastsMs } from './fault-injector.js';
 import { jobOf } from './fixtures.js';
 import { anyTrouble, MACHINES, NODES, ZONES, SPELL_MS, type Trouble } from './random-schedule.js';
+import type { Submission } from './submission-wire-codec.js';
 
 export interface UpgradeSchedule {
   seed: number;
@@ -140,19 +141,26 @@
   }
 
   /** Submits a job, and returns its name once that is decided. */
-  private async submit(fields: object): Promise<string> {
-    const Ref = `j-${String(this.submitted++).padStart(6, '0')}`;
-    const Owner = this.random.float() < 0.5 ? 'red' : 'blue';
-    await this.cluster.users.submit(jobOf({ Ref, Owner, ...fields }));
-    return Ref;
+  private async submit(fields: Partial<Submission>): Promise<string> {
+    const id = `j-${String(this.submitted++).padStart(6, '0')}`;
+    const team = this.random.float() < 0.5 ? 'red' : 'blue';
+    await this.cluster.users.submit(jobOf({ id, team, ...fields }));
+    return id;
   }
 
   private submitJobs(): void {
-    void this.submit({ Shape: 'service', Rank: 'prod', GuessS: 0, Shards: 3, Spread: true, Owner: 'blue' });
-    void this.submit({ Shape: 'ensemble', Rank: 'high', Shards: 2, OneZone: true });
+    void this.submit({
+      kind: 'service',
+      priority: 'prod',
+      estimatedRunS: 0,
+      taskCount: 3,
+      spreadAcrossZones: true,
+      team: 'blue',
+    });
+    void this.submit({ kind: 'gang', priority: 'high', taskCount: 2, singleZone: true });
     // Its record of places is larger than the store will take later.
-    void this.submit({ Shards: 64, Cpus: 0.1, MemGb: 0.1, Flavors: ['c8'], Bundle: 'i'.repeat(100) });
-    void this.submit({ Shards: 1 + this.random.below(4), Rank: 'low' });
+    void this.submit({ taskCount: 64, cpus: 0.1, memoryGb: 0.1, machineTypes: ['c8'], image: 'i'.repeat(100) });
+    void this.submit({ taskCount: 1 + this.random.below(4), priority: 'low' });
   }
 
   private submitPipelines(): void {
@@ -162,13 +170,13 @@
 
   /** Each job as soon as those that it needs are accepted. */
   private async submitPipeline(): Promise<void> {
-    const first = await this.submit({ Shards: 2, Rank: 'low', GuessS: 4 });
+    const first = await this.submit({ taskCount: 2, priority: 'low', estimatedRunS: 4 });
     const middle = await Promise.all([
-      this.submit({ Awaits: [first], Rank: 'low' }),
-      this.submit({ Awaits: [first], Shards: 3, Rank: 'normal' }),
+      this.submit({ dependencies: [first], priority: 'low' }),
+      this.submit({ dependencies: [first], taskCount: 3, priority: 'normal' }),
     ]);
-    const gang = await this.submit({ Awaits: middle, Shape: 'ensemble', Shards: 2, OneZone: true });
-    await this.submit({ Awaits: [gang, first], Rank: 'high', DueS: 60 });
+    const gang = await this.submit({ dependencies: middle, kind: 'gang', taskCount: 2, singleZone: true });
+    await this.submit({ dependencies: [gang, first], priority: 'high', deadlineS: 60 });
   }
 
   /** Users cancel jobs that are not over, as far as they know. */
