--- a/test/leadership/standby.test.ts
+++ b/test/leadership/standby.test.ts
@@ -173,7 +173,7 @@
     const worker = [...cluster.workers.values()].find(
       ({ options }) => cluster.node(node).workerManager.roleOf(options.machineId) === `part-${node}`,
     )!;
-    const answer = await cluster.node(node).answerHeartbeat(worker.report());
+    const answer = await cluster.node(node).answerHeartbeat(worker.composeHeartbeat());
     assert.equal(answer.status, 503);
     assert.deepEqual(cluster.node(node).leadership.ledPartitions(), []);
   });
--- a/test/scenarios/cluster.test.ts
+++ b/test/scenarios/cluster.test.ts
@@ -140,7 +140,7 @@
 
   it('that fails everywhere is retried with growing pauses and starves nobody', async () => {
     await ready({ cluster: {} }, 1);
-    cluster.workers.get('i-000000')!.options.sick = true;
+    cluster.workers.get('i-000000')!.options.failsAllTasks = true;
     await cluster.submit({ ...service, taskCount: 1 });
     await cluster.advance(20_000);
     const tries = cluster.runs('j-svc/0').length;
@@ -152,7 +152,7 @@
     for (let n = 0; n < 4; n++) {
       await cluster.submit({ id: `j-q${n}`, taskCount: 4 }, n % 3);
       const running = [...cluster.workers.values()].flatMap((worker) =>
-        [...worker.tasks.values()].filter((task) => task.Phase === 'running'),
+        [...worker.tasks.values()].filter((task) => task.state === 'running'),
       );
       assert.ok(running.length <= 3, `${running.length} tasks of 2 CPUs`);
     }
@@ -174,7 +174,7 @@
     await cluster.submit({ ...service, taskCount: 5 });
     const zones = new Map<string, number>();
     for (const worker of cluster.workers.values()) {
-      const count = [...worker.tasks.values()].filter((task) => task.Phase === 'running').length;
+      const count = [...worker.tasks.values()].filter((task) => task.state === 'running').length;
       zones.set(worker.options.zone!, (zones.get(worker.options.zone!) ?? 0) + count);
     }
     assert.equal(
@@ -252,7 +252,7 @@
   it('are all told to stop within a moment when one machine is to go', async () => {
     await ready({ nodes: 3, teams: [{ name: 'red' }] }, 3);
     await cluster.submit(gang);
-    cluster.workers.get(cluster.runs(taskIds[0]!)[0]!.machineId)!.warningS = 20;
+    cluster.workers.get(cluster.runs(taskIds[0]!)[0]!.machineId)!.spotNoticeS = 20;
     await cluster.advance(6000);
     const ends = taskIds.map((name) => cluster.runs(name)[0]!.to ?? Infinity);
     assert.ok(Math.max(...ends) - Math.min(...ends) < 4000, ends.join(' '));
@@ -279,7 +279,7 @@
     await cluster.advance(3000);
     const running = (jobId: string) =>
       [...cluster.workers.values()].flatMap((worker) =>
-        [...worker.tasks].filter(([name, task]) => name.startsWith(jobId) && task.Phase === 'running'),
+        [...worker.tasks].filter(([name, task]) => name.startsWith(jobId) && task.state === 'running'),
       ).length;
     assert.equal(running('j-b1'), 4);
     assert.equal(running('j-r1'), 4, 'and no more than that is taken');
@@ -461,7 +461,7 @@
 
   it('that fail all their tasks are told from jobs that do, and given back', async () => {
     await ready({}, 0);
-    cluster.addWorker({ machineId: 'i-000001', runMs: 60_000, sick: true });
+    cluster.addWorker({ machineId: 'i-000001', runMs: 60_000, failsAllTasks: true });
     cluster.addWorker({ machineId: 'i-000002', runMs: 60_000, zone: 'b' });
     await cluster.advance(3000);
     for (let n = 0; n < 4; n++) await cluster.submit({ id: `j-s${n}`, taskCount: 2, cpus: 8 });
--- a/test/scenarios/combined-faults-jobs.test.ts
+++ b/test/scenarios/combined-faults-jobs.test.ts
@@ -28,7 +28,7 @@
 const service = { kind: 'service', priority: 'prod', estimatedRunS: 0 } as const;
 const running = (jobId: string) =>
   [...cluster.workers.values()].flatMap((worker) =>
-    [...worker.tasks].filter(([name, task]) => name.startsWith(`${jobId}/`) && task.Phase === 'running'),
+    [...worker.tasks].filter(([name, task]) => name.startsWith(`${jobId}/`) && task.state === 'running'),
   ).length;
 
 /** What users do at some time from now. */
@@ -381,7 +381,7 @@
 describe('once troubles are over', () => {
   it('a job whose tasks failed on every machine goes on, and no machine stays closed to it', async () => {
     await ready({ teams: [{ name: 'red' }] });
-    for (const worker of cluster.workers.values()) worker.options.sick = true;
+    for (const worker of cluster.workers.values()) worker.options.failsAllTasks = true;
     for (const zone of ['a', 'b', 'c']) cluster.cloud.full.add(zone);
     await cluster.submit({
       ...service,
@@ -390,7 +390,7 @@
       priority: 'normal',
     });
     await cluster.advance(20_000);
-    for (const worker of cluster.workers.values()) worker.options.sick = false;
+    for (const worker of cluster.workers.values()) worker.options.failsAllTasks = false;
     await cluster.advance(90_000);
     assert.equal(running('j-svc-f'), 3);
   });
@@ -399,7 +399,7 @@
     await ready({ teams: [{ name: 'red' }] }, 0);
     for (const zone of ['a', 'b', 'c']) cluster.cloud.full.add(zone);
     for (let n = 0; n < 4; n++) {
-      cluster.addWorker({ machineId: `i-00001${n}`, runMs: 5000, sick: true });
+      cluster.addWorker({ machineId: `i-00001${n}`, runMs: 5000, failsAllTasks: true });
       await cluster.advance(4000);
       if (n === 0) await cluster.submit({ ...service, id: 'j-svc-r', priority: 'normal' });
       await cluster.advance(12_000);
@@ -414,7 +414,7 @@
   it('jobs with a mistake do not close the machines to those without', async () => {
     await ready({ teams: [{ name: 'red' }] });
     for (const zone of ['a', 'b', 'c']) cluster.cloud.full.add(zone);
-    for (const worker of cluster.workers.values()) worker.options.fails = (taskId) => taskId.startsWith('j-bad');
+    for (const worker of cluster.workers.values()) worker.options.failsTask = (taskId) => taskId.startsWith('j-bad');
     for (let n = 0; n < 3; n++) await cluster.submit({ id: `j-bad${n}`, taskCount: 6 }, n);
     await cluster.advance(10_000);
     for (let n = 0; n < 6; n++) await cluster.submit({ id: `j-good${n}`, taskCount: 4, priority: 'low' }, n % 3);
--- a/test/scenarios/combined-faults-leaders.test.ts
+++ b/test/scenarios/combined-faults-leaders.test.ts
@@ -63,9 +63,9 @@
     cluster.remember();
     for (let round = 0; round < 9; round++) {
       const leader = holder('leader');
-      const { warningS } = cluster.workers.get('i-000000')!;
+      const { spotNoticeS } = cluster.workers.get('i-000000')!;
       if (cluster.runs('j-next/0').length === 1)
-        cluster.workers.get('i-000000')!.warningS = warningS === null ? 60 : null;
+        cluster.workers.get('i-000000')!.spotNoticeS = spotNoticeS === null ? 60 : null;
       cluster.crash(leader);
       await cluster.poll('j-three', (leader + 1) % 3);
       cluster.start(leader);
@@ -148,7 +148,7 @@
     const [here] = cluster.runs('j-gang/0');
     cluster.cut.add(cluster.runs('j-gang/1')[0]!.machineId);
     await cluster.advance(4000);
-    cluster.workers.get(here!.machineId)!.end('j-gang/0', 'peers');
+    cluster.workers.get(here!.machineId)!.end('j-gang/0', 'peer_lost');
     cluster.crash(holder('leader'));
     await cluster.advance(60_000);
     assert.deepEqual(
@@ -240,8 +240,8 @@
     await cluster.advance(3000);
     await cluster.submit(gang);
     const [first] = [...cluster.workers.get(early)!.tasks.keys()];
-    cluster.workers.get(early)!.end(first!, 'no_room');
-    const held = cluster.workers.get(early)!.report();
+    cluster.workers.get(early)!.end(first!, 'insufficient_resources');
+    const held = cluster.workers.get(early)!.composeHeartbeat();
     // It is recorded and forgotten, and the member is placed there once more: the others wait for it.
     await cluster.advance(15_000);
     assert.deepEqual(
@@ -275,14 +275,14 @@
     cluster.crash(leader);
     await cluster.advance(5000);
     cluster.start(leader);
-    const held = worker.report();
+    const held = worker.composeHeartbeat();
     const saves = { id: 'j-svc-saves', checkpointIntervalS: 2, checkpointS: 12 };
     assert.equal((await cluster.submit(saves, (leader + 1) % 3)).status, 201);
     cluster.addWorker({ machineId: 'i-000001', zone: 'b' });
     await cluster.advance(6000);
-    worker.warningS = 30;
+    worker.spotNoticeS = 30;
     await cluster.advance(3000);
-    assert.equal(worker.tasks.get('j-svc-saves/0')!.Phase, 'flushing');
+    assert.equal(worker.tasks.get('j-svc-saves/0')!.state, 'checkpointing');
     const owner = holder(roleOf(machineId));
     cluster.node(owner).answerHeartbeat(JSON.parse(JSON.stringify(held)));
     await cluster.advance(20_000);
@@ -341,7 +341,7 @@
       cluster.start(1);
       await cluster.advance(16_000);
       const running = [...cluster.workers.values()].flatMap((worker) =>
-        [...worker.tasks].filter(([name, task]) => name.startsWith('j-svc') && task.Phase === 'running'),
+        [...worker.tasks].filter(([name, task]) => name.startsWith('j-svc') && task.state === 'running'),
       );
       assert.equal(running.length, 4, 'within 20 s, not when the leases are proved over');
       cluster.checker.troublesOver(cluster.clock.now());
--- a/test/scenarios/combined-faults-workers.test.ts
+++ b/test/scenarios/combined-faults-workers.test.ts
@@ -95,11 +95,11 @@
   it('starts nothing for long, when its job is cancelled before the machine goes on', async () => {
     await ready(1);
     const machine = cluster.workers.get('i-000000')!;
-    machine.hang();
+    machine.suspend();
     void cluster.post(jobOf(service));
     await cluster.advance(600);
     assert.equal(phase(await cluster.withdraw('j-svc', 1)), 'withdrawn');
-    machine.goOn();
+    machine.resume();
     await cluster.advance(10_000);
     const [run] = cluster.runs('j-svc/0');
     // A worker waits 5 s for an answer that does not come before it reports again.
@@ -168,12 +168,12 @@
       await cluster.submit({ ...service, id: jobId });
       const machineId = where(`${jobId}/0`);
       const machine = cluster.workers.get(machineId)!;
-      machine.hang();
+      machine.suspend();
       void cluster.cancel(jobId, 1);
       // Launches are on their way there too.
       for (let n = 0; n < 4; n++) void cluster.post(jobOf({ id: `j-${hangMs}-${n}`, taskCount: 2 }), n % 3);
       await cluster.advance(hangMs);
-      machine.goOn();
+      machine.resume();
       await cluster.advance(2000);
       assert.notEqual(cluster.runs(`${jobId}/0`)[0]!.to, undefined);
       await cluster.advance(30_000);
@@ -198,7 +198,7 @@
     const jobId = ['j-svc1', 'j-svc2', 'j-svc3', 'j-svc4'].find(
       (each) => partitionOf(each) !== partitionOf(machineId),
     )!;
-    for (const other of others) cluster.workers.get(other)!.warningS = 1000;
+    for (const other of others) cluster.workers.get(other)!.spotNoticeS = 1000;
     await cluster.advance(2000);
     await cluster.submit({ ...service, id: jobId, priority: 'high' });
     assert.equal(where(`${jobId}/0`), machineId);
@@ -212,14 +212,14 @@
     // In the meantime the machine is back, in a new session.
     const machine = cluster.workers.get(machineId)!;
     for (let report = 0; report < 2; report++) {
-      void cluster.node(owner).answerHeartbeat(machine.report());
+      void cluster.node(owner).answerHeartbeat(machine.composeHeartbeat());
       await cluster.advance(report === 0 ? 490 : 0);
     }
     // It is slow to read again what has become of it.
     const heal = cluster.network.fault({ from: `n${owner}`, to: 'store:1', path: /^\/watch/, kind: 'lose' });
     await until(() => cluster.runs(`${jobId}/0`).length === 2, 1500);
     heal();
-    for (const other of others) cluster.workers.get(other)!.warningS = null;
+    for (const other of others) cluster.workers.get(other)!.spotNoticeS = null;
     await cluster.advance(12_000);
     const runs = cluster.runs(`${jobId}/0`);
     assert.equal(runs.length, 2);
@@ -242,16 +242,16 @@
     await cluster.advance(8000);
     const former = Number(cluster.node(others[0]!).leadership.leaderOf(role)!.slice(1));
     assert.notEqual(former, home);
-    for (const other of cluster.workers.keys()) if (other !== machineId) cluster.workers.get(other)!.warningS = 1000;
+    for (const other of cluster.workers.keys()) if (other !== machineId) cluster.workers.get(other)!.spotNoticeS = 1000;
     await cluster.advance(2000);
     await cluster.submit({ ...service, priority: 'high' }, former);
     assert.equal(where('j-svc/0'), machineId);
-    for (const other of cluster.workers.keys()) if (other !== machineId) cluster.workers.get(other)!.warningS = null;
+    for (const other of cluster.workers.keys()) if (other !== machineId) cluster.workers.get(other)!.spotNoticeS = null;
     // Its heartbeats come every 0.8 s from its start on: the last before its watch is lost must keep it in touch for long enough.
     await cluster.advance(2600);
     cluster.start(home);
     await cluster.advance(700);
-    cluster.workers.get(machineId)!.warningS = 1000;
+    cluster.workers.get(machineId)!.spotNoticeS = 1000;
     const leads = Number(cluster.node(former).leadership.leaderOf('leader')!.slice(1));
     await until(() => cluster.node(leads).inventory.get(machineId)!.spotNoticeUntil !== null);
     // What happens from here on it learns from nobody: the task is stopped, forgotten, and starts on another machine.
@@ -275,11 +275,11 @@
     it(`from before a launch proves nothing, ${restarts ? 'at its owner that is just back' : 'wherever it comes'}`, async () => {
       await ready(2, { nodes: 3, teams: [{ name: 'red', cpus_max: 2 }] });
       cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
-      const copies = [...cluster.workers.values()].map((worker) => worker.report());
+      const copies = new Map([...cluster.workers].map(([id, worker]) => [id, worker.composeHeartbeat()]));
       await cluster.submit(service);
       const machineId = where('j-svc/0');
       const owner = partitionOf(machineId);
-      const copy = copies.find(({ Host }) => Host === machineId)!;
+      const copy = copies.get(machineId)!;
       cluster.cut.add(machineId);
       void cluster.cancel('j-svc', owner);
       await cluster.advance(50);
@@ -312,8 +312,8 @@
     const name = `j-svc-g/${first}`;
     const machineId = where(name);
     const machine = cluster.workers.get(machineId)!;
-    machine.end(name, 'no_room');
-    const copy = JSON.parse(JSON.stringify(machine.report())) as unknown;
+    machine.end(name, 'insufficient_resources');
+    const copy = JSON.parse(JSON.stringify(machine.composeHeartbeat())) as unknown;
     await until(() => cluster.runs(name).length === 2, 20_000);
     assert.deepEqual([where(name), cluster.runs(name)[1]!.attempt], [machineId, 1]);
     cluster.addWorker({ machineId: 'i-000009' });
@@ -343,15 +343,15 @@
       await cluster.advance(2500);
       void cluster.cancel(`j-svc${round}`, (round + 1) % 3);
       // Tasks are moved, and sessions end too: what their copies say is older than what the machines do now.
-      for (const worker of cluster.workers.values()) worker.warningS = null;
-      cluster.workers.get(where('j-svc/0'))!.warningS = 1000;
+      for (const worker of cluster.workers.values()) worker.spotNoticeS = null;
+      cluster.workers.get(where('j-svc/0'))!.spotNoticeS = 1000;
       if (round % 3 === 1) cluster.mute.add([...cluster.workers.keys()][0]!);
       await cluster.advance(500);
       void cluster.restart(round % 3, 0);
       await cluster.advance(1500);
       if (round % 3 === 0) cluster.mute.clear();
     }
-    for (const worker of cluster.workers.values()) worker.warningS = null;
+    for (const worker of cluster.workers.values()) worker.spotNoticeS = null;
     cluster.mute.clear();
     await cluster.advance(15_000);
     cluster.checker.troublesOver(cluster.clock.now());
@@ -454,7 +454,7 @@
     for (const jobId of jobIds.slice(0, 3)) void cluster.cancel(jobId, 0);
     await cluster.advance(12_000);
     assert.ok(
-      inside.some((worker) => [...worker.tasks.values()].some((task) => task.Phase === 'running')),
+      inside.some((worker) => [...worker.tasks.values()].some((task) => task.state === 'running')),
       'the node inside keeps its workers alive beyond a lease',
     );
     await cluster.advance(40_000);
--- a/test/scenarios/single-execution.test.ts
+++ b/test/scenarios/single-execution.test.ts
@@ -43,7 +43,7 @@
 
 /** The cloud says that it will take these machines, so that nothing more is placed there. */
 async function closeToNewWork(machineIds: readonly string[]): Promise<void> {
-  for (const machineId of machineIds) cluster.workers.get(machineId)!.warningS = 1000;
+  for (const machineId of machineIds) cluster.workers.get(machineId)!.spotNoticeS = 1000;
   await cluster.advance(1000);
 }
 
--- a/test/testing/invariant-checker.test.ts
+++ b/test/testing/invariant-checker.test.ts
@@ -1,6 +1,7 @@
 import assert from 'node:assert/strict';
 import { beforeEach, describe, it } from 'node:test';
 import { Cluster } from '../../testing/cluster.js';
+import { encodeCommandBatch } from '../../testing/fake-worker-wire-codec.js';
 import { C8, DEFAULT_SUBMISSION, jobOf } from '../../testing/fixtures.js';
 import { InvariantChecker, type UserAnswer } from '../../testing/invariant-checker.js';
 import { encodeSubmission, type Submission } from '../../testing/submission-wire-codec.js';
@@ -408,18 +409,22 @@
     await cluster.submit({ id: 'j-svc', kind: 'service', priority: 'prod', estimatedRunS: 0 });
     const machineId = cluster.runs('j-svc/0')[0]!.machineId;
     const other = machineId === 'i-1' ? second : first;
-    const orders = [{ Verb: 'launch', Shard: 'j-svc/0', Try: 9 }];
-    await other.handle('POST', '/commands', { Fence: other.fencingToken, Tenure: 1, Orders: orders });
+    const launch = (attempt: number) =>
+      other.handle(
+        '/commands',
+        encodeCommandBatch({
+          fencingToken: other.fencingToken,
+          agentEpoch: 1,
+          commands: [{ kind: 'launch', taskId: 'j-svc/0', attempt }],
+        }),
+      );
+    await launch(9);
     assert.deepEqual(
       cluster.checker.broken.map((each) => each.rule),
       ['ran_twice'],
     );
     await cluster.withdraw('j-svc');
-    await other.handle('POST', '/commands', {
-      Fence: other.fencingToken,
-      Tenure: 1,
-      Orders: [{ ...orders[0], Try: 10 }],
-    });
+    await launch(10);
     assert.deepEqual(
       cluster.checker.broken.map((each) => each.rule),
       ['ran_twice', 'started_cancelled'],
--- a/test/testing/stand-ins.test.ts
+++ b/test/testing/stand-ins.test.ts
@@ -1,11 +1,13 @@
 import assert from 'node:assert/strict';
 import { afterEach, describe, it } from 'node:test';
 import { NoResponseError, type Reply } from '../../src/net/http-client.js';
+import { decodeWorkerStatus, type WorkerStatus } from '../../src/workers/worker-wire-codec.js';
 import { Cluster } from '../../testing/cluster.js';
 import { jobOf, type ClusterOptions } from '../../testing/fixtures.js';
 import { FakeClock } from '../../testing/fake-clock.js';
 import { FakeNetwork } from '../../testing/fake-network.js';
 import { FakeStore } from '../../testing/fake-store.js';
+import { encodeCommandBatch, type TaskCommand } from '../../testing/fake-worker-wire-codec.js';
 
 let cluster: Cluster;
 afterEach(() => cluster?.stop());
@@ -25,15 +27,23 @@
 }
 
 const worker = (n: number) => cluster.workers.get(`i-${n}`)!;
-const launch = (n: number, taskId: string, attempt = 1) => command(n, { Verb: 'launch', Shard: taskId, Try: attempt });
-const command = (n: number, order: object, agentEpoch = worker(n).agentEpoch) =>
+const launch = (n: number, taskId: string, attempt = 1) => send(n, { kind: 'launch', taskId, attempt });
+const kill = (n: number, taskId: string, attempt: number, gracePeriodS = 0) =>
+  send(n, { kind: 'kill', taskId, attempt, gracePeriodS });
+const send = (n: number, command: TaskCommand, agentEpoch = worker(n).agentEpoch) =>
   cluster.network
     .client('test')
-    .call(`i-${n}:9000`, 'POST', '/commands', { Fence: 5, Tenure: agentEpoch, Orders: [order] }, { timeoutMs: 1500 })
+    .call(
+      `i-${n}:9000`,
+      'POST',
+      '/commands',
+      encodeCommandBatch({ fencingToken: 5, agentEpoch, commands: [command] }),
+      { timeoutMs: 1500 },
+    )
     .catch(() => undefined);
 const phase = (n: number, taskId: string) => {
   const task = worker(n).tasks.get(taskId);
-  return task === undefined ? undefined : task.Phase === 'exited' ? task.Cause : task.Phase;
+  return task === undefined ? undefined : task.state === 'exited' ? task.exitReason : task.state;
 };
 
 describe('a machine that hangs', () => {
@@ -42,13 +52,13 @@
     void cluster.post(jobOf({ taskCount: 2 }));
     void launch(0, 'j-000001/0');
     await cluster.advance(2000);
-    worker(0).hang();
+    worker(0).suspend();
     const answer = launch(0, 'j-000001/1');
     await cluster.advance(5000);
     assert.equal(await answer, undefined);
     assert.equal(phase(0, 'j-000001/0'), 'running', 'three seconds are left');
     assert.equal(phase(0, 'j-000001/1'), undefined);
-    worker(0).goOn();
+    worker(0).resume();
     await cluster.advance(2000);
     assert.equal(phase(0, 'j-000001/0'), 'running');
     assert.equal(phase(0, 'j-000001/1'), 'running', 'the command had reached it');
@@ -61,13 +71,13 @@
     void cluster.post(jobOf({ taskCount: 2 }));
     void launch(0, 'j-000001/0');
     await cluster.advance(1000);
-    worker(0).hang();
+    worker(0).suspend();
     void launch(0, 'j-000001/1');
     await cluster.advance(15_000);
     assert.equal(worker(0).agentEpoch, 1);
     // It can't go on with it after the lease, so from then on it is on no machine.
     assert.equal(worker(0).history[0]!.to! - worker(0).lastAnswered, 10_000);
-    worker(0).goOn();
+    worker(0).resume();
     await cluster.advance(10);
     assert.equal(worker(0).agentEpoch, 2);
     assert.equal(worker(0).tasks.size, 0);
@@ -82,14 +92,12 @@
     cluster.mute.add('i-0');
     const { lastAnswered } = worker(0);
     void cluster.post(jobOf({}));
-    const fencingToken = {
-      Fence: worker(0).fencingToken,
-      Tenure: 1,
-      Orders: [{ Verb: 'launch', Shard: 'j-000001/0', Try: 7 }],
-    };
-    const answer = cluster.network
-      .client('n0')
-      .call('i-0:9000', 'POST', '/commands', fencingToken, { timeoutMs: 1500 });
+    const batch = encodeCommandBatch({
+      fencingToken: worker(0).fencingToken,
+      agentEpoch: 1,
+      commands: [{ kind: 'launch', taskId: 'j-000001/0', attempt: 7 }],
+    });
+    const answer = cluster.network.client('n0').call('i-0:9000', 'POST', '/commands', batch, { timeoutMs: 1500 });
     await cluster.advance(3000);
     assert.equal((await answer).status, 200);
     assert.equal(worker(0).history.length, 1);
@@ -103,11 +111,13 @@
     await cluster.advance(3000);
     cluster.deaf.add('i-0');
     assert.equal(await cluster.during(launch(0, 'j-000001/0')), undefined);
-    const sessions = () =>
-      cluster.network.log.filter((each) => each.from === 'i-0').map((each) => each.body as { Tenure: number });
-    assert.ok(!sessions().some(({ Tenure }) => Tenure === 2));
+    const agentEpochs = () =>
+      cluster.network.log
+        .filter((each) => each.from === 'i-0')
+        .map((each) => decodeWorkerStatus(each.body)!.agentEpoch);
+    assert.ok(!agentEpochs().includes(2));
     await cluster.advance(9000);
-    assert.ok(sessions().some(({ Tenure }) => Tenure === 2));
+    assert.ok(agentEpochs().includes(2));
     assert.equal(cluster.runs('j-000001/0').length, 0);
   });
 });
@@ -115,12 +125,12 @@
 describe('copies of reports', () => {
   it('come later than newer reports, also from a session that is over', async () => {
     ready();
-    const heard: { Tenure: number; Tick: number }[] = [];
+    const heard: WorkerStatus[] = [];
     cluster.lateReports = { share: 0.5, lateMs: [2000, 25_000] };
     const controller = cluster.node(0);
     const hello = controller.answerHeartbeat.bind(controller);
     controller.answerHeartbeat = (body) => {
-      heard.push(body as { Tenure: number; Tick: number });
+      heard.push(decodeWorkerStatus(body)!);
       return hello(body);
     };
     await cluster.advance(3000);
@@ -129,9 +139,10 @@
     await cluster.advance(11_000);
     cluster.unreachable.clear();
     await cluster.advance(20_000);
-    const late = heard.filter((each, at) => heard.slice(0, at).some((other) => other.Tick > each.Tick));
+    const late = heard.filter((each, at) => heard.slice(0, at).some((other) => other.sequence > each.sequence));
     assert.ok(late.length > 5);
-    assert.ok(late.some((each) => each.Tenure === 1 && heard.indexOf(each) > heard.findIndex((it) => it.Tenure === 2)));
+    const firstOfNext = heard.findIndex((each) => each.agentEpoch === 2);
+    assert.ok(firstOfNext >= 0 && late.some((each) => each.agentEpoch === 1 && heard.indexOf(each) > firstOfNext));
   });
 });
 
@@ -282,19 +293,19 @@
     void cluster.post(jobOf(gang));
     void launch(0, first);
     await cluster.advance(30_100);
-    assert.equal(phase(0, first), 'alone');
+    assert.equal(phase(0, first), 'gang_incomplete');
     for (const attempt of [2, 3, 4]) {
       void launch(1, first, attempt);
       void launch(2, second, attempt);
       await cluster.advance(100);
       assert.equal(phase(1, first), 'running');
-      if (attempt === 2) void command(2, { Verb: 'kill', Shard: second, Try: attempt, WindDownS: 0 });
-      if (attempt === 3) worker(2).hang();
+      if (attempt === 2) void kill(2, second, attempt);
+      if (attempt === 3) worker(2).suspend();
       if (attempt === 4) cluster.kill('i-2');
       await cluster.advance(4100);
-      assert.equal(phase(1, first), 'peers');
-      if (attempt === 3) worker(2).goOn();
-      if (attempt < 4) void command(2, { Verb: 'kill', Shard: second, Try: attempt, WindDownS: 0 });
+      assert.equal(phase(1, first), 'peer_lost');
+      if (attempt === 3) worker(2).resume();
+      if (attempt < 4) void kill(2, second, attempt);
       await cluster.advance(100);
     }
   });
@@ -302,8 +313,7 @@
   it('save together if all are told in time', async () => {
     alone(2, 60_000, 60);
     void cluster.post(jobOf(gang));
-    const stop = (n: number, taskId: string) =>
-      command(n, { Verb: 'kill', Shard: taskId, Try: worker(n).tasks.get(taskId)!.Try, WindDownS: 2 });
+    const stop = (n: number, taskId: string) => kill(n, taskId, worker(n).tasks.get(taskId)!.attempt, 2);
     for (const [attempt, both] of [true, false].entries()) {
       void launch(0, first, attempt);
       void launch(1, second, attempt);
@@ -313,8 +323,8 @@
       await cluster.advance(800);
       assert.deepEqual([phase(0, first), phase(1, second)], ['running', 'running']);
       await cluster.advance(3000 + (both ? 0 : 3000));
-      assert.equal(worker(0).tasks.get(first)!.Saved === true, both);
-      assert.equal(phase(1, second), both ? 'stopped' : 'peers');
+      assert.equal(worker(0).tasks.get(first)!.isCheckpointed === true, both);
+      assert.equal(phase(1, second), both ? 'stopped' : 'peer_lost');
     }
   });
 });
@@ -326,11 +336,11 @@
     for (const taskIndex of [0, 1, 2, 3, 4]) void launch(0, `j-000001/${taskIndex}`);
     void launch(0, 'j-nobody/0');
     await cluster.advance(100);
-    assert.equal(phase(0, 'j-000001/4'), 'no_room');
+    assert.equal(phase(0, 'j-000001/4'), 'insufficient_resources');
     assert.equal(phase(0, 'j-nobody/0'), 'unknown');
     void launch(0, 'j-000001/0', 2);
     await cluster.advance(100);
-    assert.equal(worker(0).tasks.get('j-000001/0')!.Try, 1);
+    assert.equal(worker(0).tasks.get('j-000001/0')!.attempt, 1);
     assert.equal(worker(0).history.length, 4);
   });
 
--- a/test/wire-format.test.ts
+++ b/test/wire-format.test.ts
@@ -128,14 +128,14 @@
 
   it('of places: queued, placed, to be stopped, failed, stopped, done', async () => {
     begin();
-    const machine = cluster.addWorker({ machineId: 'i-000001', fails: (shard) => shard.startsWith('j-bad') });
+    const machine = cluster.addWorker({ machineId: 'i-000001', failsTask: (shard) => shard.startsWith('j-bad') });
     cluster.addWorker({ machineId: 'i-000002', zone: 'b', runMs: 20_000 });
     await cluster.advance(5000);
     const two = '"Shape":"array","Rank":"normal","Shards":2,"Cpus":2';
     await submit(submission('j-sn', two) + ',"SnapshotEveryS":5,"SnapshotS":2}');
     await submit(submission('j-bad', ARRAY) + ',"SnapshotEveryS":0,"SnapshotS":0,"Site":"a"}');
     await cluster.advance(1000);
-    machine.warningS = 30;
+    machine.spotNoticeS = 30;
     await cluster.advance(15_000);
     assert.deepEqual(changes('live/ledger/j-sn/'), [
       '{"Set":"live/ledger/j-sn/0000","V":{"s":[[1,0,"i-000001",1,-1,"a"],[1,0,"i-000001",1,-1,"a"]]}}',
--- a/test/workers/heartbeats.test.ts
+++ b/test/workers/heartbeats.test.ts
@@ -59,7 +59,7 @@
   it('is no late copy, and its worker counts as reached', async () => {
     await ready(1, 1);
     const known = new Worker('i-000000');
-    const workerStatus = decodeWorkerStatus(cluster.workers.get('i-000000')!.report())!;
+    const workerStatus = decodeWorkerStatus(cluster.workers.get('i-000000')!.composeHeartbeat())!;
     known.applyStatus({ ...workerStatus, sequence: workerStatus.sequence + 5 }, 100, false);
     assert.equal(known.isLate(workerStatus), false);
     known.noteAnswer(workerStatus, 1, undefined, 2250, 100);
@@ -79,7 +79,7 @@
   it('judges no run that it has not seen start: the rest of it would make all later ones seem long', async () => {
     await ready(1, 1);
     const known = new Worker('i-000000');
-    const workerStatus = decodeWorkerStatus(cluster.workers.get('i-000000')!.report())!;
+    const workerStatus = decodeWorkerStatus(cluster.workers.get('i-000000')!.composeHeartbeat())!;
     const running = (...names: string[]) =>
       new Map(
         names.map((name) => [name, { attempt: 1, state: 'running' as const, exitReason: null, isCheckpointed: false }]),
@@ -95,7 +95,7 @@
     await ready(3, 4);
     await cluster.submit(service);
     const machineId = where('j-svc/0');
-    const copy = cluster.workers.get(machineId)!.report();
+    const copy = cluster.workers.get(machineId)!.composeHeartbeat();
     await cluster.advance(2000);
     cluster.remember();
     cluster.cut.add(machineId);
@@ -111,7 +111,7 @@
 
   it('does not bring a machine back that is gone', async () => {
     await ready(3, 3);
-    const copy = cluster.workers.get('i-000001')!.report();
+    const copy = cluster.workers.get('i-000001')!.composeHeartbeat();
     cluster.cut.add('i-000001');
     await cluster.advance(12_000);
     assert.ok(cluster.cloud.returned.includes('i-000001'));
@@ -124,7 +124,7 @@
 
   it('heard first by a node that has just started opens no machine to new work', async () => {
     await ready(1, 2);
-    const copy = cluster.workers.get('i-000000')!.report();
+    const copy = cluster.workers.get('i-000000')!.composeHeartbeat();
     cluster.cut.add('i-000000');
     cluster.crash(0);
     cluster.start(0);
--- a/testing/cluster.ts
+++ b/testing/cluster.ts
@@ -21,8 +21,10 @@
 import { FakeStore } from './fake-store.js';
 import { FakeUsers } from './fake-users.js';
 import { C8, jobOf, settingsFileOf, type ClusterOptions } from './fixtures.js';
+import { ANSWER_MS } from './heartbeat-sender.js';
 import { Freezer, type Trap } from './freezer.js';
-import { ANSWER_MS, FakeWorker, type JobDescription, type WorkerOptions } from './fake-worker.js';
+import { FakeWorker } from './fake-worker.js';
+import type { JobDescription, WorkerOptions } from './worker-environment.js';
 import { InvariantChecker, type UserAnswer } from './invariant-checker.js';
 import { decodeSubmission, decodeSubmittedId, type Submission } from './submission-wire-codec.js';
 
@@ -236,7 +238,7 @@
       this.checker.taskEnded(this.clock.now(), machineId, taskId, cause);
       this.onTaskEnd(taskId, cause);
     };
-    this.network.serve(worker.endpoint, (method, path, body, sender) => worker.handle(method, path, body, sender.at));
+    this.network.serve(worker.endpoint, (_method, path, body, sender) => worker.handle(path, body, sender.at));
     this.cloud.machines.set(machineId, {
       machineType,
       zone,
@@ -271,13 +273,13 @@
       await this.clock.sleep(500, this.ticking.signal);
       for (const [machineId, worker] of this.workers) {
         const isReached =
-          ![this.cut, this.deaf, this.mute].some((machineIds) => machineIds.has(machineId)) && !worker.hangs;
-        this.checker.machineUsable(machineId, isReached && worker.warningS === null);
+          ![this.cut, this.deaf, this.mute].some((machineIds) => machineIds.has(machineId)) && !worker.isSuspended;
+        this.checker.machineUsable(machineId, isReached && worker.spotNoticeS === null);
       }
       this.checker.look(this.clock.now());
       const names = Array.from({ length: this.options.nodes ?? 1 }, (_, index) => `n${index}`);
       for (const [machineId, worker] of this.workers) {
-        void worker.tell(names, (node, report) => this.report(machineId, node, report));
+        void worker.sendHeartbeat(names, (node, report) => this.report(machineId, node, report));
       }
       for (const [from, { controller, freezer }] of this.nodes) {
         if (freezer.isFrozen) continue;
--- a/testing/fake-gangs.ts
+++ b/testing/fake-gangs.ts
@@ -1,43 +1,66 @@
+/** How the tasks of a gang find each other, start, end and stop together. */
 import type { Clock } from '../src/net/clock.js';
-import type { JobDescription, FakeWorker } from './fake-worker.js';
+import type { ExitReason } from './fake-worker-wire-codec.js';
+import { jobIdOf } from './task-id.js';
+
+/** What the gang's members need to know of their job. */
+export interface GangJob {
+  taskCount: number;
+  checkpointS: number;
+}
+
+/** The worker on which a member of a gang runs. */
+export interface GangHost {
+  readonly isSuspended: boolean;
+  /** The member runs from now on. */
+  run(taskId: string): void;
+  /** How long the member would run by itself. */
+  runMs(taskId: string): number;
+  end(taskId: string, reason: ExitReason, isCheckpointed?: boolean): void;
+}
 
 interface Gang {
-  job: JobDescription;
-  members: Map<string, FakeWorker>;
+  job: GangJob;
+  members: Map<string, GangHost>;
   state: 'waiting' | 'running' | 'stopping' | 'broken';
-  /** Members that were told to stop in time to save. */
-  told: Set<string>;
+  /** Members that got a command to stop in time for a checkpoint. */
+  stopping: Set<string>;
 }
 
-/** How the tasks of a gang find each other, start, end and stop together, by the protocol's words. */
+/** The gangs of all workers of a scenario. */
 export class FakeGangs {
   private readonly gangs = new Map<string, Gang>();
 
   constructor(
     private readonly clock: Clock,
+    /** ms for which a member waits for the others. */
     readonly waitMs: number,
+    /** ms within which the members notice that one is gone. */
     private readonly peerMs: number,
   ) {}
 
   private static key(taskId: string, attempt: number): string {
-    return `${taskId.slice(0, taskId.lastIndexOf('/'))} ${attempt}`;
+    return `${jobIdOf(taskId)} ${attempt}`;
   }
 
   /** A task has its image and waits for the others of its attempt; the last one starts them all. */
-  join(worker: FakeWorker, taskId: string, attempt: number, job: JobDescription): void {
+  join(host: GangHost, taskId: string, attempt: number, job: GangJob): void {
     const key = FakeGangs.key(taskId, attempt);
     let gang = this.gangs.get(key);
     if (gang === undefined || gang.members.size === 0) {
-      gang = { job, members: new Map(), state: 'waiting', told: new Set() };
+      gang = { job, members: new Map(), state: 'waiting', stopping: new Set() };
       this.gangs.set(key, gang);
     }
-    gang.members.set(taskId, worker);
-    if (gang.state !== 'waiting' || gang.members.size < job.taskCount) return;
+    gang.members.set(taskId, host);
+    if (gang.state === 'waiting' && gang.members.size >= job.taskCount) this.startAll(gang);
+  }
+
+  private startAll(gang: Gang): void {
     gang.state = 'running';
     let runMs = 0;
-    for (const [name, member] of gang.members) {
-      member.run(name);
-      runMs = Math.max(runMs, member.runMs(name));
+    for (const [taskId, host] of gang.members) {
+      host.run(taskId);
+      runMs = Math.max(runMs, host.runMs(taskId));
     }
     if (runMs === Infinity) return;
     void this.clock.sleep(runMs).then(() => {
@@ -46,49 +69,50 @@
   }
 
   /** A task has ended, for whatever reason. */
-  left(taskId: string, attempt: number): void {
+  leave(taskId: string, attempt: number): void {
     const gang = this.gangs.get(FakeGangs.key(taskId, attempt));
     if (gang?.members.delete(taskId) !== true) return;
     if (gang.state === 'running' || gang.state === 'stopping') this.breakUp(gang);
   }
 
-  /** A task's machine hangs: the others notice, unless it goes on before. */
-  hung(worker: FakeWorker, taskId: string, attempt: number): void {
+  /** A task's machine is suspended: the others notice, unless it resumes before. */
+  suspend(host: GangHost, taskId: string, attempt: number): void {
     const gang = this.gangs.get(FakeGangs.key(taskId, attempt));
     if (gang === undefined) return;
     void this.clock.sleep(this.peerMs / 2).then(() => {
-      if (worker.hangs && gang.state === 'running' && gang.members.has(taskId)) this.breakUp(gang);
+      if (host.isSuspended && gang.state === 'running' && gang.members.has(taskId)) this.breakUp(gang);
     });
   }
 
-  /** A running task is told to stop with time to save; the save needs all to be told in time. */
+  /** A running task is to stop with time for a checkpoint, which needs all members to stop in time. */
   stop(taskId: string, attempt: number): void {
     const gang = this.gangs.get(FakeGangs.key(taskId, attempt));
     if (gang === undefined || gang.state === 'broken') return;
-    gang.told.add(taskId);
+    gang.stopping.add(taskId);
     if (gang.state === 'running') {
       gang.state = 'stopping';
       void this.clock.sleep(this.peerMs).then(() => {
-        if (gang.state === 'stopping' && gang.told.size < gang.job.taskCount) this.breakUp(gang);
+        if (gang.state === 'stopping' && gang.stopping.size < gang.job.taskCount) this.breakUp(gang);
       });
     }
-    if (gang.told.size < gang.job.taskCount) return;
+    if (gang.stopping.size < gang.job.taskCount) return;
     void this.clock.sleep(gang.job.checkpointS * 1000).then(() => {
       if (gang.state === 'stopping') this.endAll(gang, 'stopped', true);
     });
   }
 
-  /** The rest notice within a while and go. */
+  /** The rest notice within a while and exit. */
   private breakUp(gang: Gang): void {
     gang.state = 'broken';
-    void this.clock.sleep(this.peerMs / 2).then(() => this.endAll(gang, 'peers'));
+    void this.clock.sleep(this.peerMs / 2).then(() => this.endAll(gang, 'peer_lost'));
   }
 
-  private endAll(gang: Gang, cause: string, saved?: boolean): void {
+  private endAll(gang: Gang, reason: ExitReason, isCheckpointed?: boolean): void {
     gang.state = 'broken';
-    // A member that hangs notices nothing.
-    for (const [taskId, worker] of [...gang.members]) {
-      if (!worker.hangs) worker.end(taskId, gang.told.has(taskId) && cause === 'peers' ? 'stopped' : cause, saved);
+    // A member that is suspended notices nothing.
+    for (const [taskId, host] of [...gang.members]) {
+      const own = gang.stopping.has(taskId) && reason === 'peer_lost' ? 'stopped' : reason;
+      if (!host.isSuspended) host.end(taskId, own, isCheckpointed);
     }
   }
 }
--- a/testing/fake-worker.ts
+++ b/testing/fake-worker.ts
@@ -1,348 +1,302 @@
-import type { Reply } from '../src/net/http-client.js';
+/** A stand-in of a worker: it executes commands, keeps a lease, and sends heartbeats. */
+import { subtractResources, type Resources } from '../src/domain/resources.js';
 import type { Clock } from '../src/net/clock.js';
-import type { Resources } from '../src/domain/resources.js';
-import type { FakeGangs } from './fake-gangs.js';
-import type { Submission } from './submission-wire-codec.js';
-
-/** ms for which a worker waits for an answer to its report, and ms until it then tries the next node. */
-export const ANSWER_MS = 4000;
-const NEXT_NODE_MS = 1000;
-
-type Phase = 'fetching' | 'waiting' | 'running' | 'flushing' | 'exited';
-
-interface Task {
-  Try: number;
-  Phase: Phase;
-  Cause?: string;
-  Saved?: boolean;
-  /** When its next step is due if nobody commands otherwise. */
+import type { Reply } from '../src/net/http-client.js';
+import {
+  decodeCommandBatch,
+  encodeWorkerStatus,
+  type CommandBatch,
+  type ExitReason,
+  type TaskCommand,
+  type TaskStatus,
+} from './fake-worker-wire-codec.js';
+import { HeartbeatSender, type SendHeartbeat } from './heartbeat-sender.js';
+import { jobIdOf } from './task-id.js';
+import { whyRefused, type WorkerEnvironment, type WorkerOptions } from './worker-environment.js';
+
+interface Task extends TaskStatus {
+  /** When its next step is due if no command comes before. */
   dueAt: number;
-  orderedAt: number;
-}
-
-interface Order {
-  Verb: string;
-  Shard: string;
-  Try: number;
-  WindDownS?: number;
+  /** When the command that launched it was sent. */
+  commandedAt: number;
 }
 
-interface Orders {
-  Fence: number;
-  Tenure?: number;
-  Orders: Order[];
+/** One start of a task; `to` is undefined while it runs. */
+export interface TaskRun {
+  taskId: string;
+  attempt: number;
+  from: number;
+  to: number | undefined;
 }
 
-/** What a worker needs to know of a job; its user has uploaded it. */
-export type JobDescription = Pick<
-  Submission,
-  'kind' | 'taskCount' | 'cpus' | 'gpus' | 'memoryGb' | 'image' | 'checkpointIntervalS' | 'checkpointS'
->;
-
-/** What all workers share. */
-export interface Surroundings {
-  leaseS: number;
-  describe(jobId: string): JobDescription | undefined;
-  gangs: FakeGangs;
-  /** Tasks that are done: their results are kept. */
-  results: Set<string>;
-}
-
-export interface WorkerOptions {
-  machineId: string;
-  machineType?: string;
-  zone?: string;
-  isSpot?: boolean;
-  /** How long tasks run, ms; undefined, for services and for jobs named j-svc...: until they are killed. */
-  runMs?: number;
-  /** How long it takes to fetch an image; 0 if left out. */
-  imageMs?: number;
-  /** Every task that starts here fails. */
-  sick?: boolean;
-  /** Tasks that fail here, like those of a job that was submitted with a mistake. */
-  fails?: (taskId: string) => boolean;
-}
-
-const refOf = (taskId: string) => taskId.slice(0, taskId.lastIndexOf('/'));
-
-/** A stand-in of a worker, by the protocol's words; it also keeps account of what ran when. */
+/** A machine with its agent; it also keeps account of what ran when. */
 export class FakeWorker {
   readonly tasks = new Map<string, Task>();
   endpoint: string;
-  readonly history: { taskId: string; attempt: number; from: number; to: number | undefined }[] = [];
+  /** Every start of a task, in order. */
+  readonly history: TaskRun[] = [];
   agentEpoch = 1;
   sequence = 0;
+  /** The highest that it has seen. */
   fencingToken = 0;
-  warningS: number | null = null;
+  /** s until the cloud takes the machine away; null: no notice. */
+  spotNoticeS: number | null = null;
+  /** When the last heartbeat that was answered had been sent. */
   lastAnswered: number;
-  /** Called when a task has its image; `orderedAt`: when the command was sent. */
-  onStart: (taskId: string, orderedAt: number) => void = () => undefined;
-  /** Called when a launch has been carried out; `fence`: the token that it came with. */
+  /** Called when a task has its image; `commandedAt`: when the command was sent. */
+  onStart: (taskId: string, commandedAt: number) => void = () => undefined;
+  /** Called when a launch has been executed; `fencingToken`: the one that it came with. */
   onLaunch: (taskId: string, attempt: number, fencingToken: number) => void = () => undefined;
   /** Called when a task that has started ends, also with the machine. */
-  onEnd: (taskId: string, cause: string) => void = () => undefined;
+  onEnd: (taskId: string, reason: ExitReason) => void = () => undefined;
   private readonly images = new Set<string>();
-  private dead = false;
-  private hungSince: number | undefined;
-  /** Its lease ran out while it hung; it learns that when it goes on. */
-  private leaseOver = false;
-  private sleepers: (() => void)[] = [];
+  private readonly heartbeats: HeartbeatSender;
+  private isDead = false;
+  private suspendedAt: number | undefined;
+  /** Its lease expired while it was suspended; it learns that when it resumes. */
+  private hasExpired = false;
+  private resumed: (() => void)[] = [];
   private wakesAt = Infinity;
-  private at: string | undefined;
-  private telling = false;
-  /** Until then it waits before it tries another node. */
-  private waitsUntil = -Infinity;
 
   constructor(
     private readonly clock: Clock,
     readonly options: WorkerOptions,
-    private readonly room: Resources,
-    private readonly around: Surroundings,
+    private readonly capacity: Resources,
+    private readonly environment: WorkerEnvironment,
   ) {
     this.endpoint = `${options.machineId}:9000`;
     this.lastAnswered = clock.now();
-    this.wake();
+    this.heartbeats = new HeartbeatSender(clock, this);
+    this.scheduleWake();
   }
 
-  get hangs(): boolean {
-    return this.hungSince !== undefined;
+  get isSuspended(): boolean {
+    return this.suspendedAt !== undefined;
   }
 
-  /** It stops: no task goes on, no command is carried out, until it goes on. */
-  hang(): void {
-    this.hungSince ??= this.clock.now();
-    for (const [taskId, task] of this.tasks) this.around.gangs.hung(this, taskId, task.Try);
+  /** It stops: no task goes on, no command is executed, until it resumes. */
+  suspend(): void {
+    this.suspendedAt ??= this.clock.now();
+    for (const [taskId, task] of this.tasks) this.environment.gangs.suspend(this, taskId, task.attempt);
   }
 
   /** It goes on where it stopped; what reached it in the meantime comes next, in order. */
-  goOn(): void {
-    if (this.hungSince === undefined) return;
-    const hungMs = this.clock.now() - this.hungSince;
-    this.hungSince = undefined;
-    for (const task of this.tasks.values()) task.dueAt += hungMs;
-    if (this.leaseOver) this.beginSession();
-    this.leaseOver = false;
-    this.pass();
-    for (const go of this.sleepers.splice(0)) go();
+  resume(): void {
+    if (this.suspendedAt === undefined) return;
+    const suspendedMs = this.clock.now() - this.suspendedAt;
+    this.suspendedAt = undefined;
+    for (const task of this.tasks.values()) task.dueAt += suspendedMs;
+    if (this.hasExpired) this.beginAgentEpoch();
+    this.hasExpired = false;
+    this.processDue();
+    for (const resume of this.resumed.splice(0)) resume();
   }
 
-  private async awake(): Promise<void> {
-    while (this.hangs) await new Promise<void>((resolve) => this.sleepers.push(resolve));
+  async untilResumed(): Promise<void> {
+    while (this.isSuspended) await new Promise<void>((resolve) => this.resumed.push(resolve));
   }
 
   /** The machine is gone, with all that is on it. */
   die(): void {
-    for (const [taskId, task] of this.tasks) if (task.Phase !== 'exited') this.end(taskId, 'gone');
-    this.dead = true;
+    this.endAll('gone');
+    this.isDead = true;
   }
 
   private get leaseEnd(): number {
-    return this.lastAnswered + this.around.leaseS * 1000;
+    return this.lastAnswered + this.environment.leaseS * 1000;
   }
 
-  private beginSession(): void {
+  private beginAgentEpoch(): void {
     this.tasks.clear();
     this.agentEpoch++;
     this.lastAnswered = this.clock.now();
   }
 
-  /** Sees to it that leases and tasks end at their time, though nobody looks. */
-  private wake(): void {
-    let next = this.leaseOver ? Infinity : this.leaseEnd;
-    if (!this.hangs) for (const task of this.tasks.values()) next = Math.min(next, task.dueAt);
-    if (this.dead || next >= this.wakesAt || next === Infinity) return;
+  /** Sees to it that the lease and tasks end at their time, though nobody asks. */
+  private scheduleWake(): void {
+    let next = this.hasExpired ? Infinity : this.leaseEnd;
+    if (!this.isSuspended) for (const task of this.tasks.values()) next = Math.min(next, task.dueAt);
+    if (this.isDead || next >= this.wakesAt || next === Infinity) return;
     this.wakesAt = next;
     void this.clock.sleep(next - this.clock.now()).then(() => {
       if (this.wakesAt === next) this.wakesAt = Infinity;
-      this.pass();
+      this.processDue();
     });
   }
 
-  /** All that is due by now. */
-  private pass(): void {
-    if (this.dead) return;
+  /** Does all that is due by now. */
+  processDue(): void {
+    if (this.isDead) return;
     const now = this.clock.now();
-    if (now >= this.leaseEnd && !this.leaseOver) {
-      // What hangs can't go on any more after this moment, so it has ended too.
-      for (const [taskId, task] of this.tasks) if (task.Phase !== 'exited') this.end(taskId, 'killed');
-      if (this.hangs) this.leaseOver = true;
-      else this.beginSession();
-    }
-    if (!this.hangs) {
-      for (const [taskId, task] of this.tasks) {
-        if (task.Phase === 'running' && (this.options.sick === true || this.options.fails?.(taskId) === true))
-          this.end(taskId, 'error');
-        else if (now >= task.dueAt) this.step(taskId, task);
-      }
-    }
-    this.wake();
+    if (now >= this.leaseEnd && !this.hasExpired) this.expireLease();
+    if (!this.isSuspended) for (const [taskId, task] of this.tasks) this.processTask(taskId, task, now);
+    this.scheduleWake();
+  }
+
+  private expireLease(): void {
+    // What is suspended can't go on any more after this moment, so it has ended too.
+    this.endAll('killed');
+    if (this.isSuspended) this.hasExpired = true;
+    else this.beginAgentEpoch();
+  }
+
+  private endAll(reason: ExitReason): void {
+    for (const [taskId, task] of this.tasks) if (task.state !== 'exited') this.end(taskId, reason);
+  }
+
+  private processTask(taskId: string, task: Task, now: number): void {
+    const { failsAllTasks, failsTask } = this.options;
+    const fails = failsAllTasks === true || failsTask?.(taskId) === true;
+    if (task.state === 'running' && fails) this.end(taskId, 'error');
+    else if (now >= task.dueAt) this.step(taskId, task);
   }
 
   private step(taskId: string, task: Task): void {
-    if (task.Phase === 'fetching') this.hasImage(taskId, task);
-    else if (task.Phase === 'waiting') this.end(taskId, 'alone');
-    else if (task.Phase === 'running') this.end(taskId, 'done');
-    else if (task.Phase === 'flushing') this.end(taskId, 'stopped', true);
+    switch (task.state) {
+      case 'fetching':
+        return this.start(taskId, task);
+      case 'waiting':
+        return this.end(taskId, 'gang_incomplete');
+      case 'running':
+        return this.end(taskId, 'done');
+      case 'checkpointing':
+        return this.end(taskId, 'stopped', true);
+      case 'exited':
+    }
   }
 
-  private hasImage(taskId: string, task: Task): void {
-    const job = this.around.describe(refOf(taskId))!;
+  /** The task has its image. */
+  private start(taskId: string, task: Task): void {
+    const job = this.environment.describe(jobIdOf(taskId))!;
     this.images.add(job.image);
-    this.history.push({ taskId, attempt: task.Try, from: this.clock.now(), to: undefined });
-    this.onStart(taskId, task.orderedAt);
-    task.Phase = 'running';
-    if (this.around.results.has(taskId)) return this.end(taskId, 'done');
+    this.history.push({ taskId, attempt: task.attempt, from: this.clock.now(), to: undefined });
+    this.onStart(taskId, task.commandedAt);
+    task.state = 'running';
+    if (this.environment.results.has(taskId)) return this.end(taskId, 'done');
     if (job.kind !== 'gang') return this.run(taskId);
-    task.Phase = 'waiting';
-    task.dueAt = this.clock.now() + this.around.gangs.waitMs;
-    this.around.gangs.join(this, taskId, task.Try, job);
+    task.state = 'waiting';
+    task.dueAt = this.clock.now() + this.environment.gangs.waitMs;
+    this.environment.gangs.join(this, taskId, task.attempt, job);
   }
 
-  /** It runs from now on. How long a gang runs is up to all its members. */
+  /** The task runs from now on. How long a gang runs is up to all its members. */
   run(taskId: string): void {
     const task = this.tasks.get(taskId)!;
-    const { kind } = this.around.describe(refOf(taskId))!;
-    task.Phase = 'running';
+    const { kind } = this.environment.describe(jobIdOf(taskId))!;
+    task.state = 'running';
     task.dueAt = kind === 'gang' ? Infinity : this.clock.now() + this.runMs(taskId);
-    this.wake();
+    this.scheduleWake();
   }
 
   runMs(taskId: string): number {
-    const { kind } = this.around.describe(refOf(taskId))!;
+    const { kind } = this.environment.describe(jobIdOf(taskId))!;
     return kind === 'service' || taskId.startsWith('j-svc') ? Infinity : (this.options.runMs ?? Infinity);
   }
 
-  end(taskId: string, cause: string, saved?: boolean): void {
+  /** The task exits. */
+  end(taskId: string, exitReason: ExitReason, isCheckpointed?: boolean): void {
     const task = this.tasks.get(taskId)!;
-    const hadImage = task.Phase !== 'fetching';
-    Object.assign(task, { Phase: 'exited', Cause: cause, Saved: saved, dueAt: Infinity });
-    if (!hadImage) return;
-    const run = this.history.findLast((each) => each.taskId === taskId && each.attempt === task.Try);
+    const hasStarted = task.state !== 'fetching';
+    Object.assign(task, { state: 'exited', exitReason, isCheckpointed, dueAt: Infinity } satisfies Partial<Task>);
+    if (!hasStarted) return;
+    const run = this.history.findLast((each) => each.taskId === taskId && each.attempt === task.attempt);
     if (run !== undefined) run.to = this.clock.now();
-    if (cause === 'done') this.around.results.add(taskId);
-    this.onEnd(taskId, cause);
-    this.around.gangs.left(taskId, task.Try);
+    if (exitReason === 'done') this.environment.results.add(taskId);
+    this.onEnd(taskId, exitReason);
+    this.environment.gangs.leave(taskId, task.attempt);
   }
 
-  /** Its report as it would send it now. */
-  report(): Record<string, unknown> {
-    this.pass();
-    return {
-      Host: this.options.machineId,
-      Endpoint: this.endpoint,
-      Flavor: this.options.machineType ?? 'c8',
-      Site: this.options.zone ?? 'a',
-      Reclaimable: this.options.isSpot ?? false,
-      Tenure: this.agentEpoch,
-      Tick: ++this.sequence,
-      Fence: this.fencingToken,
-      WarningS: this.warningS,
-      Shards: [...this.tasks].map(([Shard, { Try, Phase, Cause, Saved }]) => ({ Shard, Try, Phase, Cause, Saved })),
-    };
+  /** Its next heartbeat, as it would send it now. */
+  composeHeartbeat(): object {
+    this.processDue();
+    return encodeWorkerStatus({
+      machineId: this.options.machineId,
+      endpoint: this.endpoint,
+      machineType: this.options.machineType ?? 'c8',
+      zone: this.options.zone ?? 'a',
+      isSpot: this.options.isSpot ?? false,
+      agentEpoch: this.agentEpoch,
+      sequence: ++this.sequence,
+      fencingToken: this.fencingToken,
+      spotNoticeS: this.spotNoticeS,
+      tasks: this.tasks,
+    });
   }
 
-  private obey(body: Orders, sentAt: number): void {
-    for (const order of body.Orders) {
-      const task = this.tasks.get(order.Shard);
-      if (order.Verb === 'launch') this.launch(order, task, sentAt);
-      else if (task?.Try === order.Try) {
-        if (order.Verb === 'kill' && task.Phase !== 'exited') this.stopTask(order, task);
-        if (order.Verb === 'forget' && task.Phase === 'exited') this.tasks.delete(order.Shard);
+  private execute(commands: readonly TaskCommand[], sentAt: number): void {
+    for (const command of commands) {
+      const task = this.tasks.get(command.taskId);
+      if (command.kind === 'launch') this.launch(command, task, sentAt);
+      else if (task?.attempt === command.attempt) {
+        if (command.kind === 'kill' && task.state !== 'exited')
+          this.stopTask(command.taskId, task, command.gracePeriodS);
+        if (command.kind === 'forget' && task.state === 'exited') this.tasks.delete(command.taskId);
       }
     }
-    this.pass();
+    this.processDue();
   }
 
-  private launch({ Shard, Try }: Order, known: Task | undefined, orderedAt: number): void {
-    if (known?.Try === Try) return;
-    const job = this.around.describe(refOf(Shard));
+  private launch({ taskId, attempt }: TaskCommand, known: Task | undefined, commandedAt: number): void {
+    if (known?.attempt === attempt) return;
+    const job = this.environment.describe(jobIdOf(taskId));
     const dueAt = this.clock.now() + (job === undefined || this.images.has(job.image) ? 0 : this.imageMs);
-    const task: Task = { Try, Phase: 'fetching', dueAt, orderedAt };
-    const refusal = this.whyRefused(job, known);
-    if (refusal === 'in_use') return;
-    this.tasks.set(Shard, task);
-    if (refusal === undefined) this.onLaunch(Shard, Try, this.fencingToken);
-    if (refusal !== undefined) this.end(Shard, refusal);
-    else if (dueAt <= this.clock.now()) this.hasImage(Shard, task);
+    // Which of two attempts a heartbeat then shows is not told; the one that goes on is the one that matters.
+    if (job !== undefined && known !== undefined && known.state !== 'exited') return;
+    const refusal = whyRefused(job, this.freeResources());
+    const task: Task = { attempt, state: 'fetching', dueAt, commandedAt };
+    this.tasks.set(taskId, task);
+    if (refusal !== undefined) return this.end(taskId, refusal);
+    this.onLaunch(taskId, attempt, this.fencingToken);
+    if (dueAt <= this.clock.now()) this.start(taskId, task);
   }
 
   private get imageMs(): number {
     return this.options.imageMs ?? 0;
   }
 
-  private whyRefused(job: JobDescription | undefined, known: Task | undefined): string | undefined {
-    if (job === undefined) return 'unknown';
-    // Which of the two attempts a report then shows is not told; the one that goes on is the one that matters.
-    if (known !== undefined && known.Phase !== 'exited') return 'in_use';
-    const free = { ...this.room };
+  private freeResources(): Resources {
+    const free = { ...this.capacity };
     for (const [taskId, task] of this.tasks) {
-      if (task.Phase === 'exited') continue;
-      const other = this.around.describe(refOf(taskId))!;
-      for (const amount of ['cpus', 'gpus', 'memoryGb'] as const) free[amount] -= other[amount];
+      if (task.state !== 'exited') subtractResources(free, this.environment.describe(jobIdOf(taskId))!);
     }
-    const fits = job.cpus <= free.cpus && job.gpus <= free.gpus && job.memoryGb <= free.memoryGb;
-    return fits ? undefined : 'no_room';
+    return free;
   }
 
-  private stopTask({ Shard, Try, WindDownS = 0 }: Order, task: Task): void {
-    const { kind, checkpointIntervalS, checkpointS } = this.around.describe(refOf(Shard))!;
-    const saves = task.Phase === 'running' && checkpointIntervalS > 0 && WindDownS >= checkpointS;
-    if (task.Phase === 'flushing' && WindDownS > 0) return;
-    if (!saves) return this.end(Shard, 'stopped');
-    if (kind === 'gang') return this.around.gangs.stop(Shard, Try);
-    task.Phase = 'flushing';
+  private stopTask(taskId: string, task: Task, gracePeriodS: number): void {
+    const { kind, checkpointIntervalS, checkpointS } = this.environment.describe(jobIdOf(taskId))!;
+    const canSave = task.state === 'running' && checkpointIntervalS > 0 && gracePeriodS >= checkpointS;
+    if (task.state === 'checkpointing' && gracePeriodS > 0) return;
+    if (!canSave) return this.end(taskId, 'stopped');
+    if (kind === 'gang') return this.environment.gangs.stop(taskId, task.attempt);
+    task.state = 'checkpointing';
     task.dueAt = this.clock.now() + checkpointS * 1000;
   }
 
   /** What `/commands` and `/show` do. */
-  async handle(_method: string, path: string, body: unknown, sentAt = this.clock.now()): Promise<Reply> {
-    await this.awake();
+  async handle(path: string, body: unknown, sentAt = this.clock.now()): Promise<Reply> {
+    await this.untilResumed();
     // What a cut held back and delivers now finds nobody.
-    if (this.dead) return new Promise<Reply>(() => undefined);
-    this.pass();
-    if (path === '/show') return { status: 200, body: this.report() };
-    const orders = body as Orders;
-    if (orders.Fence < this.fencingToken || orders.Tenure !== this.agentEpoch)
-      return { status: 409, body: this.report() };
-    this.fencingToken = orders.Fence;
-    this.obey(orders, sentAt);
-    return { status: 200, body: this.report() };
+    if (this.isDead) return new Promise<Reply>(() => undefined);
+    this.processDue();
+    if (path === '/show') return { status: 200, body: this.composeHeartbeat() };
+    const batch = decodeCommandBatch(body);
+    if (batch.fencingToken < this.fencingToken || batch.agentEpoch !== this.agentEpoch)
+      return { status: 409, body: this.composeHeartbeat() };
+    this.fencingToken = batch.fencingToken;
+    this.execute(batch.commands, sentAt);
+    return { status: 200, body: this.composeHeartbeat() };
   }
 
-  /** Sends one report to a node; `send` brings that node's answer, or undefined if there is none. */
-  async tell(nodes: string[], send: (node: string, report: unknown) => Promise<Reply | undefined>): Promise<void> {
-    if (this.telling || this.hangs || this.clock.now() < this.waitsUntil) return;
-    this.telling = true;
-    await this.tellNow(nodes, send);
-    this.telling = false;
+  /** Sends one heartbeat to a node. */
+  sendHeartbeat(nodes: readonly string[], send: SendHeartbeat): Promise<void> {
+    return this.heartbeats.send(nodes, send);
   }
 
-  private async tellNow(
-    nodes: string[],
-    send: (node: string, report: unknown) => Promise<Reply | undefined>,
-  ): Promise<void> {
-    this.at ??= nodes[0]!;
-    const sentAt = this.clock.now();
-    const report = this.report();
-    const agentEpoch = this.agentEpoch;
-    const answer = await send(this.at, report);
-    await this.awake();
-    this.pass();
-    const reply = this.clock.now() - sentAt > ANSWER_MS ? undefined : answer;
-    if (reply?.status === 200) {
-      const orders = reply.body as Orders;
-      if (this.dead || orders.Fence < this.fencingToken || agentEpoch !== this.agentEpoch) return;
-      this.fencingToken = orders.Fence;
-      this.lastAnswered = sentAt;
-      this.obey(orders, this.clock.now());
-      return;
-    }
-    const steward = reply?.status === 421 ? (reply.body as { Steward?: string }).Steward : undefined;
-    if (steward !== undefined && steward !== this.at && nodes.includes(steward)) {
-      this.at = steward;
-      return;
-    }
-    this.at = nodes[(nodes.indexOf(this.at) + 1) % nodes.length]!;
-    this.waitsUntil = this.clock.now() + NEXT_NODE_MS;
+  /** The answer to a heartbeat renews the lease and brings commands. */
+  acceptAnswer(batch: CommandBatch, sentAt: number, agentEpoch: number): void {
+    if (this.isDead || batch.fencingToken < this.fencingToken || agentEpoch !== this.agentEpoch) return;
+    this.fencingToken = batch.fencingToken;
+    this.lastAnswered = sentAt;
+    this.execute(batch.commands, this.clock.now());
   }
 }
--- a/testing/fault-injector.ts
+++ b/testing/fault-injector.ts
@@ -2,6 +2,7 @@
 import type { Cluster } from './cluster.js';
 import type { Fault } from './fake-network.js';
 import { NODES, ZONES, type Trouble, type TroubleKind } from './random-schedule.js';
+import { jobIdOf } from './task-id.js';
 
 /** The most that a message is late, ms: well over a lease. */
 const LATE_MS = 25_000;
@@ -155,8 +156,8 @@
 
   private hang(machineIds: readonly string[], forMs: number): Promise<void> {
     const { workers } = this.cluster;
-    machineIds.forEach((machineId) => workers.get(machineId)?.hang());
-    return this.during(forMs, () => machineIds.forEach((machineId) => workers.get(machineId)?.goOn()));
+    machineIds.forEach((machineId) => workers.get(machineId)?.suspend());
+    return this.during(forMs, () => machineIds.forEach((machineId) => workers.get(machineId)?.resume()));
   }
 
   private async leadersChange({ times = 1, forMs }: Trouble): Promise<void> {
@@ -186,7 +187,7 @@
   private cancelAtEnd(forMs: number): Promise<void> {
     const { cluster } = this;
     cluster.onTaskEnd = (taskId, cause) => {
-      if (cause === 'done') void cluster.users.withdraw(taskId.slice(0, taskId.lastIndexOf('/')));
+      if (cause === 'done') void cluster.users.withdraw(jobIdOf(taskId));
     };
     return this.during(forMs, () => (cluster.onTaskEnd = () => undefined));
   }
--- a/testing/invariant-checker.ts
+++ b/testing/invariant-checker.ts
@@ -8,6 +8,7 @@
 import { PlacementHistory } from './placement-history.js';
 import { decodeSubmission, decodeSubmittedId, type Submission } from './submission-wire-codec.js';
 import { invalidField } from './submission-wire-schema.js';
+import { jobIdOf, taskIndexOf } from './task-id.js';
 
 export type Rule =
   | 'ran_twice'
@@ -79,9 +80,6 @@
   body: unknown;
 }
 
-const refOf = (taskId: string) => taskId.slice(0, taskId.lastIndexOf('/'));
-const indexOf = (taskId: string) => Number(taskId.slice(taskId.lastIndexOf('/') + 1));
-
 export class InvariantChecker {
   /** Every rule that was broken, in the order of finding. */
   readonly broken: { rule: Rule; at: number; what: string }[] = [];
@@ -97,7 +95,7 @@
   private readonly pipelines: PipelineChecker;
   /** Which launches workers carried out, over takeovers. */
   readonly placements = new PlacementHistory(
-    (taskId) => this.jobs.get(refOf(taskId))?.spec?.kind === 'gang',
+    (taskId) => this.jobs.get(jobIdOf(taskId))?.spec?.kind === 'gang',
     (rule, at, what) => this.breaks(rule, at, what),
   );
 
@@ -151,7 +149,7 @@
 
   /** A task is on a machine: it has its image. `orderedAt`: when the command that led to it was sent. */
   taskStarted(at: number, machineId: string, taskId: string, orderedAt = at): void {
-    const jobId = refOf(taskId);
+    const jobId = jobIdOf(taskId);
     const job = this.job(jobId);
     const { spec, cancelledAt } = job;
     for (const other of this.runs) {
@@ -178,7 +176,7 @@
   }
 
   taskEnded(at: number, machineId: string, taskId: string, cause: string): void {
-    const job = this.job(refOf(taskId));
+    const job = this.job(jobIdOf(taskId));
     for (const run of this.runs) {
       if (run.machineId !== machineId || run.taskId !== taskId) continue;
       this.checkGone(at, run);
@@ -187,7 +185,7 @@
     const machine = this.machines.get(machineId);
     if (machine !== undefined && cause === 'error') machine.faulty = true;
     if (cause !== 'done') return;
-    job.done.add(indexOf(taskId));
+    job.done.add(taskIndexOf(taskId));
     // A gang completes together.
     if (job.spec?.kind === 'gang') for (let index = 0; index < job.spec.taskCount; index++) job.done.add(index);
   }
--- a/testing/loopback-cluster.ts
+++ b/testing/loopback-cluster.ts
@@ -13,8 +13,10 @@
 import { FakeCloud } from './fake-cloud.js';
 import { FakeGangs } from './fake-gangs.js';
 import { FakeStore } from './fake-store.js';
-import { ANSWER_MS, FakeWorker, type JobDescription } from './fake-worker.js';
+import { FakeWorker } from './fake-worker.js';
+import type { JobDescription } from './worker-environment.js';
 import { C8, jobOf, settingsFileOf } from './fixtures.js';
+import { ANSWER_MS } from './heartbeat-sender.js';
 import { InvariantChecker } from './invariant-checker.js';
 import { freeAddress, LoopbackServer } from './loopback-server.js';
 import { decodeSubmission, type Submission } from './submission-wire-codec.js';
@@ -112,7 +114,7 @@
       const zone = ['a', 'b', 'c'][n % 3]!;
       const { runMs } = this.options;
       const worker = new FakeWorker(idleClock, { machineId, zone, runMs }, C8, around);
-      worker.endpoint = await this.serve((method, path, body) => worker.handle(method, path, body));
+      worker.endpoint = await this.serve((_method, path, body) => worker.handle(path, body));
       this.watchWorker(worker, machineId, zone);
       this.workers.push(worker);
     }
@@ -160,7 +162,7 @@
 
   private report(names: readonly string[]): void {
     for (const worker of this.workers) {
-      void worker.tell([...names], (node, report) =>
+      void worker.sendHeartbeat([...names], (node, report) =>
         this.http
           .call(this.controllers[Number(node.slice(1))]!.address, 'POST', '/hello', report, { timeoutMs: ANSWER_MS })
           .catch(() => undefined),
