--- a/test/scenarios/combined-faults-jobs.test.ts
+++ b/test/scenarios/combined-faults-jobs.test.ts
@@ -2,6 +2,7 @@
 import { afterEach, describe, it } from 'node:test';
 import type { HttpAnswer } from '../../src/net/http-answer.js';
 import { Cluster } from '../../testing/cluster.js';
+import { encodeTransaction, type StoreOperation } from '../../testing/fake-store-wire-codec.js';
 import { jobOf, type ClusterOptions } from '../../testing/fixtures.js';
 import type { Submission } from '../../testing/submission-wire-codec.js';
 
@@ -458,7 +459,7 @@
       priority: 'high',
     });
     // As after an attempt that one member's error ended, not its first.
-    const V = {
+    const value = {
       s: [
         [1, 0],
         [1, 0],
@@ -466,9 +467,8 @@
         [1, 0],
       ],
     };
-    await cluster.store.handle('POST', '/txn', {
-      Apply: [{ Set: 'live/ledger/j-gang/0000', V }],
-    });
+    const operations: StoreOperation[] = [{ kind: 'put', key: 'live/ledger/j-gang/0000', value }];
+    await cluster.store.handle('POST', '/txn', encodeTransaction({ operations }));
     for (const machineId of ['i-000011', 'i-000012']) cluster.addWorker({ machineId, runMs: 30_000 });
     await cluster.advance(25_000);
     const from = [0, 1, 2, 3].map((taskIndex) => cluster.runs(`j-gang/${taskIndex}`)[0]!.from);
--- a/test/scenarios/single-execution.test.ts
+++ b/test/scenarios/single-execution.test.ts
@@ -5,6 +5,7 @@
 import assert from 'node:assert/strict';
 import { afterEach, describe, it } from 'node:test';
 import { Cluster } from '../../testing/cluster.js';
+import { decodeTransaction, type StoreOperation } from '../../testing/fake-store-wire-codec.js';
 import { jobOf, type ClusterOptions } from '../../testing/fixtures.js';
 
 let cluster: Cluster;
@@ -47,8 +48,8 @@
   await cluster.advance(1000);
 }
 
-const writesClaim = (body: unknown, verb: 'Set' | 'Drop', role: string) =>
-  ((body as { Apply?: Record<string, unknown>[] }).Apply ?? []).some((write) => write[verb] === `live/claim/${role}`);
+const writesClaim = (body: unknown, kind: StoreOperation['kind'], role: string) =>
+  decodeTransaction(body).operations.some((each) => each.kind === kind && each.key === `live/claim/${role}`);
 
 /** Long tasks run on all machines, those of one partition are closed to new work. Returns the latter and their owner. */
 async function tasksOnOnePartition(): Promise<{ role: string; machineIds: string[]; owner: number }> {
@@ -74,7 +75,7 @@
       from: `n${owner}`,
       to: 'store:1',
       path: /^\/txn/,
-      where: (body) => writesClaim(body, 'Set', role),
+      where: (body) => writesClaim(body, 'put', role),
       kind: 'answerLost',
       times: 1,
     });
@@ -97,7 +98,7 @@
       from: `n${owner}`,
       to: 'store:1',
       path: /^\/txn/,
-      where: (body) => writesClaim(body, 'Drop', role),
+      where: (body) => writesClaim(body, 'delete', role),
       kind: 'status',
       status: 429,
     });
--- a/test/testing/stand-ins.test.ts
+++ b/test/testing/stand-ins.test.ts
@@ -6,6 +6,7 @@
 import { jobOf, type ClusterOptions } from '../../testing/fixtures.js';
 import { FakeClock } from '../../testing/fake-clock.js';
 import { FakeNetwork } from '../../testing/fake-network.js';
+import { encodeTransaction } from '../../testing/fake-store-wire-codec.js';
 import { FakeStore } from '../../testing/fake-store.js';
 import { encodeCommandBatch, type TaskCommand } from '../../testing/fake-worker-wire-codec.js';
 
@@ -41,6 +42,7 @@
       { timeoutMs: 1500 },
     )
     .catch(() => undefined);
+const putBody = (value: number) => encodeTransaction({ operations: [{ kind: 'put', key: 'k', value }] });
 const phase = (n: number, taskId: string) => {
   const task = worker(n).tasks.get(taskId);
   return task === undefined ? undefined : task.state === 'exited' ? task.exitReason : task.state;
@@ -154,14 +156,14 @@
     network.serve('store:1', (method, path, body, { from, late }) =>
       store.handle(method, path, body, late === true ? undefined : from),
     );
-    const set = (V: number) =>
-      network.client('n0').call('store:1', 'POST', '/txn', { Apply: [{ Set: 'k', V }] }, { timeoutMs: 1500 });
+    const put = (value: number) =>
+      network.client('n0').call('store:1', 'POST', '/txn', putBody(value), { timeoutMs: 1500 });
     network.fault({ path: /^\/txn/, kind: 'late', lateMs: [2000, 12_000], times: 1 });
-    const first = set(1).then(
+    const first = put(1).then(
       () => 'answered',
       (error: NoResponseError) => error.wasSent,
     );
-    const second = set(2);
+    const second = put(2);
     await clock.advance(1600);
     assert.equal(await first, true);
     assert.equal((await second).status, 200);
@@ -178,7 +180,7 @@
     const store = new FakeStore(clock);
     store.slowMs = 800;
     let answer: Reply | undefined;
-    void store.handle('POST', '/txn', { Apply: [{ Set: 'k', V: 1 }] }).then((reply) => (answer = reply));
+    void store.handle('POST', '/txn', putBody(1)).then((reply) => (answer = reply));
     await clock.advance(390);
     assert.equal(store.rows.size, 0);
     await clock.advance(20);
--- a/testing/loopback-cluster.ts
+++ b/testing/loopback-cluster.ts
@@ -12,6 +12,7 @@
 import { systemClock, type Clock } from '../src/net/clock.js';
 import { FakeCloud } from './fake-cloud.js';
 import { FakeGangs } from './fake-gangs.js';
+import { decodeTransaction, type StoreTransaction } from './fake-store-wire-codec.js';
 import { FakeStore } from './fake-store.js';
 import { FakeWorker } from './fake-worker.js';
 import type { JobDescription } from './worker-environment.js';
@@ -30,11 +31,6 @@
   runMs: number;
 }
 
-interface Txn {
-  If?: { K: string; Stamp: number }[];
-  Apply?: unknown[];
-}
-
 interface ControllerProcess {
   address: string;
   settingsFile: string;
@@ -63,7 +59,7 @@
   /** What the controllers write to standard error. */
   readonly logLines: string[] = [];
   /** Called with each transaction that the store has made. */
-  onTxn: (transact: { conditions: ReadonlyMap<string, number>; writes: number }) => void = () => undefined;
+  onTransaction: (transaction: StoreTransaction) => void = () => undefined;
   private readonly folder = mkdtempSync(join(tmpdir(), 'dewlatch-loopback-'));
   private readonly controllers: ControllerProcess[] = [];
   private readonly workers: FakeWorker[] = [];
@@ -96,8 +92,7 @@
   private async handleStore(method: string, path: string, body: unknown): Promise<Reply> {
     const reply = await this.store.handle(method, path, body);
     if (path === '/txn' && reply.status === 200) {
-      const { If = [], Apply = [] } = body as Txn;
-      this.onTxn({ conditions: new Map(If.map(({ K, Stamp }) => [K, Stamp])), writes: Apply.length });
+      this.onTransaction(decodeTransaction(body));
     }
     return reply;
   }
--- a/testing/loopback-takeover.ts
+++ b/testing/loopback-takeover.ts
@@ -21,11 +21,11 @@
   await cluster.until(() => cluster.claimOf('leader') !== undefined, 'a leader');
   const before = cluster.claimOf('leader')!;
   let decidedAt: number | undefined;
-  cluster.onTxn = ({ conditions, writes }) => {
+  cluster.onTransaction = ({ conditions, operations }) => {
     const claim = cluster.claimOf('leader');
-    const isNew =
-      claim !== undefined && claim.node !== before.node && conditions.get(LEADER_KEY) === claim.fencingToken;
-    if (isNew && writes > 0) decidedAt ??= systemClock.now();
+    if (claim === undefined || claim.node === before.node) return;
+    const isNew = conditions.some(({ key, modRevision }) => key === LEADER_KEY && modRevision === claim.fencingToken);
+    if (isNew && operations.length > 0) decidedAt ??= systemClock.now();
   };
   const lostAt = systemClock.now();
   cluster.signal(before.node, SIGNALS[loss]);
--- a/testing/takeover-measurement.ts
+++ b/testing/takeover-measurement.ts
@@ -3,6 +3,7 @@
  * stand-in cluster show, so that any version of the program can be measured.
  */
 import { Cluster } from './cluster.js';
+import { decodeTransaction } from './fake-store-wire-codec.js';
 import type { ClusterOptions } from './fixtures.js';
 import { encodeSubmission, type Submission } from './submission-wire-codec.js';
 
@@ -38,11 +39,6 @@
 const WARM_UP_MS = 12_000;
 const JOB_EVERY_MS = 400;
 
-interface Txn {
-  If?: { K: string; Stamp: number }[];
-  Apply?: { Set?: string; Drop?: string }[];
-}
-
 /** Plays one loss of a role and tells how soon it was taken over, and which rules were broken. */
 export async function measureTakeover(trial: Trial, options: ClusterOptions = {}) {
   const cluster = new Cluster({ nodes: 3, teams: [{ name: 'red' }], ...options });
@@ -143,7 +139,7 @@
 function hasDecided(cluster: Cluster, key: string, modRevision: number, logFrom: number): boolean {
   return cluster.network.log.slice(logFrom).some(({ path, body }) => {
     if (path !== '/txn') return false;
-    const { If = [], Apply = [] } = body as Txn;
-    return If.some(({ K, Stamp }) => K === key && Stamp === modRevision) && Apply.length > 0;
+    const { conditions, operations } = decodeTransaction(body);
+    return operations.length > 0 && conditions.some((each) => each.key === key && each.modRevision === modRevision);
   });
 }
