--- a/test/api/submissions.test.ts
+++ b/test/api/submissions.test.ts
@@ -152,12 +152,12 @@
     await submit({ Ref: 'j-done' });
     await cluster.advance(12_000);
     for (const node of [0, 1, 2]) {
-      const answer = await cluster.withdraw('j-done', node);
+      const answer = await cluster.cancelJob('j-done', node);
       assert.deepEqual([answer.status, body(answer).Phase], [200, 'done']);
     }
     cluster.store.out = true;
     await cluster.advance(5000);
-    const answer = await cluster.withdraw('j-done', 1);
+    const answer = await cluster.cancelJob('j-done', 1);
     assert.deepEqual([answer.status, body(answer).Phase], [200, 'done']);
   });
 });
@@ -166,12 +166,12 @@
   it('gets 404 only where the store says so, else 503 at once', async () => {
     await ready({ nodes: 3 });
     assert.equal((await cluster.poll('j-nobody')).status, 404);
-    assert.equal((await cluster.withdraw('j-nobody')).status, 404);
+    assert.equal((await cluster.cancelJob('j-nobody')).status, 404);
     cluster.store.out = true;
     await cluster.advance(4000);
     for (const ask of [
-      () => cluster.ask('j-nobody', 1),
-      () => cluster.cancel('j-nobody', 1),
+      () => cluster.requestStatus('j-nobody', 1),
+      () => cluster.requestCancellation('j-nobody', 1),
       () => cluster.post(rawJobOf({ Ref: 'j-nobody' }), 1),
       () => cluster.post({ Ref: 'j-nobody' }, 1),
     ]) {
@@ -186,7 +186,7 @@
     cluster.network.fault({ from: 'n1', to: 'store:1', kind: 'lose' });
     for (let turn = 0; turn < 4; turn++) {
       assert.equal((await cluster.poll('j-nobody', 1)).status, 503);
-      assert.equal((await cluster.withdraw('j-nobody', 1)).status, 503);
+      assert.equal((await cluster.cancelJob('j-nobody', 1)).status, 503);
     }
   });
 });
@@ -223,9 +223,9 @@
 
   it('that builds on one which never came is told once more in full, and no machine is known by halves', async () => {
     await ready({ nodes: 2 }, 4);
-    cluster.parted.add('n0>n1');
+    cluster.partitioned.add('n0>n1');
     await cluster.advance(1500);
-    cluster.parted.clear();
+    cluster.partitioned.clear();
     await cluster.advance(5000);
     for (const { inventory } of [cluster.node(0), cluster.node(1)]) {
       const machines = [...inventory.machines().values()];
--- a/test/jobs/dependencies.test.ts
+++ b/test/jobs/dependencies.test.ts
@@ -70,7 +70,7 @@
 
   it('that the node has not heard of yet is taken, and told to come back while the store is out of reach', async () => {
     await ready(2);
-    cluster.parted.add('n0>n1');
+    cluster.partitioned.add('n0>n1');
     cluster.network.fault({ from: 'n1', to: 'store:1', path: /^\/watch/, kind: 'lose' });
     assert.equal(await submit('j-a', null, {}, 0), 201);
     assert.equal(await submit('j-b', ['j-a'], {}, 1), 201);
@@ -93,7 +93,7 @@
     await ready(3, {}, 3, 100_000);
     assert.equal(await submit('j-0', null), 201);
     for (let n = 1; n <= 12; n++) assert.equal(await submit(`j-${n}`, [`j-${n - 1}`], {}, n % 3), 201);
-    assert.equal((await cluster.withdraw('j-2', 1)).status, 200);
+    assert.equal((await cluster.cancelJob('j-2', 1)).status, 200);
     for (const node of [0, 1, 2]) assert.equal(await phase('j-12', node), 'withdrawn');
     assert.equal(await phase('j-1'), 'queued');
     const late = await cluster.submit({ id: 'j-late', dependencies: ['j-12'] }, 2);
@@ -110,7 +110,7 @@
     assert.equal(await submit('j-0', null), 201);
     for (let n = 1; n <= 8; n++) assert.equal(await submit(`j-${n}`, [`j-${n - 1}`], {}, n % 3), 201);
     cluster.store.limits = { valueBytes: 2048, transactionWrites: 4, writesPerSecond: 1 };
-    assert.equal((await cluster.withdraw('j-0', 1)).status, 200);
+    assert.equal((await cluster.cancelJob('j-0', 1)).status, 200);
     for (const node of [0, 1, 2]) assert.equal(await phase('j-8', node), 'withdrawn');
     assert.equal(recordOf('j-8')?.phase, 'waiting');
   });
@@ -119,12 +119,12 @@
     await ready(2, {}, 2, 200_000);
     assert.equal(await submit('j-a', null), 201);
     assert.equal(await submit('j-b', ['j-a'], {}, 1), 201);
-    cluster.parted.add('n0>n1');
+    cluster.partitioned.add('n0>n1');
     cluster.network.fault({ from: 'n1', to: 'store:1', path: /^\/watch/, kind: 'lose' });
     await cluster.advance(3000);
     // The cancellation is the only change that the store takes, so the jobs after it keep their records.
     cluster.store.limits = { valueBytes: 2048, transactionWrites: 4, writesPerSecond: 1 };
-    void cluster.cancel('j-a', 0);
+    void cluster.requestCancellation('j-a', 0);
     await cluster.until(() => recordOf('j-a')?.phase === 'withdrawn', 2000);
     await cluster.advance(1);
     cluster.crash(0);
@@ -135,7 +135,7 @@
     }
     cluster.store.limits = undefined;
     cluster.network.heal();
-    cluster.parted.clear();
+    cluster.partitioned.clear();
     await cluster.advance(20_000);
     assert.equal(await phase('j-b', 1), 'withdrawn');
   });
@@ -147,7 +147,7 @@
       assert.equal(await submit('j-b', ['j-a'], {}, 1), 201);
       await cluster.until(() => endOf('j-a/0') < Infinity, 10_000);
       await cluster.advance(afterMs);
-      const told = ((await cluster.withdraw('j-a', 2)).body as { Phase: string }).Phase;
+      const told = ((await cluster.cancelJob('j-a', 2)).body as { Phase: string }).Phase;
       await cluster.advance(8000);
       assert.equal(await phase('j-b', 1), told);
       assert.deepEqual(cluster.verdict(), []);
@@ -160,8 +160,8 @@
     assert.equal(await submit('j-b', ['j-a'], {}, 1), 201);
     assert.equal(await submit('j-c', ['j-b'], {}, 2), 201);
     // The other nodes do not hear of it.
-    for (const node of ['n1', 'n2']) cluster.parted.add(`n0>${node}`);
-    const cancelled = cluster.cancel('j-a', 0);
+    for (const node of ['n1', 'n2']) cluster.partitioned.add(`n0>${node}`);
+    const cancelled = cluster.requestCancellation('j-a', 0);
     await cluster.until(() => recordOf('j-a')?.phase === 'withdrawn', 2000);
     cluster.store.out = true;
     await cluster.during(cancelled, 100);
@@ -169,7 +169,7 @@
       await cluster.advance(3000);
       for (const node of [1, 2]) await cluster.poll('j-c', node);
     }
-    cluster.parted.clear();
+    cluster.partitioned.clear();
     cluster.store.endOutage();
     await cluster.advance(5000);
     for (const node of [0, 1, 2]) assert.equal(await phase('j-c', node), 'withdrawn');
@@ -221,7 +221,7 @@
     const { finishBy } = cluster.node(0).clusterState.jobs.get('j-a')!;
     const { submittedAtMs } = cluster.node(0).clusterState.jobs.get('j-c')!.record;
     assert.equal(finishBy, submittedAtMs + (300 - 10 - 30) * 1000);
-    assert.equal((await cluster.withdraw('j-c')).status, 200);
+    assert.equal((await cluster.cancelJob('j-c')).status, 200);
     assert.equal(priorityIndex('j-a'), 'low');
   });
 
--- a/test/leadership/standby-schedules.test.ts
+++ b/test/leadership/standby-schedules.test.ts
@@ -35,7 +35,7 @@
       return void restart();
     case 'stop':
       if (isStopped) return;
-      void cluster.tellToStop(index).then(restart);
+      void cluster.terminate(index).then(restart);
       return;
     case 'freeze':
       return cluster.freeze(index, forMs);
@@ -69,7 +69,7 @@
   }
   for (const each of steps) cluster.clock.after(each.atMs, () => inject(cluster, each));
   await cluster.advance(SPELL_MS + 10_000);
-  cluster.checker.troublesOver(cluster.clock.now());
+  cluster.checker.faultsEnded(cluster.clock.now());
   await cluster.advance(CALM_MS);
   const broken = cluster.verdict();
   return cluster.leader() === undefined ? [...broken, 'nobody leads'] : broken;
--- a/test/leadership/standby-stream.test.ts
+++ b/test/leadership/standby-stream.test.ts
@@ -63,7 +63,7 @@
     const leader = cluster.leader()!;
     cluster.node(leader).leader.memory.restoreStopping('j-y/0#3', cluster.clock.now());
     await cluster.advance(600);
-    void cluster.tellToStop(leader);
+    void cluster.terminate(leader);
     const { memory } = cluster.node(await leaderAfter(leader)).leader;
     assert.ok([...memory.stopping()].some(({ attempt }) => attempt === 'j-y/0#3'));
   });
@@ -71,7 +71,8 @@
   it('does not stand in the way of a takeover when the stream is cut and the store is well', async () => {
     await ready();
     const leader = cluster.leader()!;
-    for (const node of NODES) for (const other of NODES) if (node !== other) cluster.parted.add(`n${node}>n${other}`);
+    for (const node of NODES)
+      for (const other of NODES) if (node !== other) cluster.partitioned.add(`n${node}>n${other}`);
     await cluster.advance(4000);
     const lostAt = cluster.clock.now();
     cluster.crash(leader);
@@ -84,7 +85,7 @@
     await ready();
     const leader = cluster.leader()!;
     for (let round = 0; round < 20; round++) {
-      for (const node of NODES) cluster.parted[round % 2 === 0 ? 'add' : 'delete'](`n${leader}>n${node}`);
+      for (const node of NODES) cluster.partitioned[round % 2 === 0 ? 'add' : 'delete'](`n${leader}>n${node}`);
       await cluster.advance(1000);
     }
     await cluster.advance(4000);
--- a/test/leadership/standby.test.ts
+++ b/test/leadership/standby.test.ts
@@ -37,7 +37,7 @@
 
 /** Service goes on after all that happened, and no rule was broken. */
 async function assertServes(): Promise<void> {
-  cluster.checker.troublesOver(cluster.clock.now());
+  cluster.checker.faultsEnded(cluster.clock.now());
   await cluster.advance(20_000);
   const node = NODES.find((each) => cluster.has(each))!;
   await cluster.submit({ id: 'j-last', taskCount: 2 }, node);
@@ -243,7 +243,7 @@
     const leader = cluster.leader()!;
     const running = NODES.map((n) => cluster.runs(`j-svc/${n}`).length);
     const toldAt = cluster.clock.now();
-    const stopped = cluster.tellToStop(leader);
+    const stopped = cluster.terminate(leader);
     await cluster.advance(5);
     // Also of roles that it does not hold: it is nobody's successor any more.
     const other = others(leader).at(0)!;
@@ -267,7 +267,7 @@
     const leader = cluster.leader()!;
     cluster.network.fault({ from: `n${leader}`, to: 'store:1', kind: 'lose' });
     const toldAt = cluster.clock.now();
-    void cluster.tellToStop(leader);
+    void cluster.terminate(leader);
     await cluster.until(() => !cluster.has(leader), 4000);
     assert.ok(since(toldAt) <= 3100, `${since(toldAt)} ms`);
     await assertServes();
--- a/test/scenarios/cluster.test.ts
+++ b/test/scenarios/cluster.test.ts
@@ -2,6 +2,7 @@
 import { afterEach, describe, it } from 'node:test';
 import { Cluster } from '../../testing/cluster.js';
 import { C8, type ClusterOptions } from '../../testing/fixtures.js';
+import { decodeJobStatus } from '../../testing/job-status-wire-codec.js';
 
 let cluster: Cluster;
 afterEach(() => assert.deepEqual(cluster.verdict(), []));
@@ -15,7 +16,7 @@
   return cluster;
 }
 
-const body = (answer: { body: unknown }) => answer.body as { Phase: string; done: number };
+const body = (answer: { body: unknown }) => decodeJobStatus(answer.body);
 const service = { id: 'j-svc', kind: 'service', priority: 'prod', estimatedRunS: 0, spreadAcrossZones: true } as const;
 
 describe('jobs', () => {
@@ -23,14 +24,15 @@
     await ready();
     assert.equal((await cluster.submit({ taskCount: 3 })).status, 201);
     await cluster.advance(12_000);
-    assert.deepEqual((await cluster.poll('j-000001')).body, { Ref: 'j-000001', Phase: 'done', done: 3, running: 0 });
+    const status = body(await cluster.poll('j-000001'));
+    assert.deepEqual(status, { id: 'j-000001', state: 'done', done: 3, running: 0 });
     cluster.crash(0);
     cluster.start(0);
     await cluster.advance(6000);
-    assert.equal(body(await cluster.poll('j-000001')).Phase, 'done');
+    assert.equal(body(await cluster.poll('j-000001')).state, 'done');
     const again = await cluster.submit({ taskCount: 3 });
     assert.equal(again.status, 200);
-    assert.equal(body(again).Phase, 'done');
+    assert.equal(body(again).state, 'done');
     for (const taskIndex of [0, 1, 2]) assert.equal(cluster.runs(`j-000001/${taskIndex}`).length, 1);
   });
 
@@ -38,7 +40,7 @@
     await ready({ teams: [{ name: 'red' }], machineTypes: [{ ...C8, cpus: 1000, memoryGb: 10_000 }] }, 1);
     await cluster.submit({ id: 'j-big', taskCount: 1000, cpus: 1, memoryGb: 1 });
     await cluster.advance(40_000);
-    assert.equal(body(await cluster.poll('j-big')).Phase, 'done');
+    assert.equal(body(await cluster.poll('j-big')).state, 'done');
     await cluster.advance(3000);
     assert.deepEqual(
       [...cluster.store.rows.keys()].filter((key) => key.includes('j-big')),
@@ -49,22 +51,22 @@
   it('are unknown unless somebody has submitted them', async () => {
     await ready();
     assert.equal((await cluster.poll('j-nobody')).status, 404);
-    assert.equal((await cluster.withdraw('j-nobody')).status, 404);
+    assert.equal((await cluster.cancelJob('j-nobody')).status, 404);
   });
 
-  it('that were withdrawn stay so at every node, stop, and start no more', async () => {
+  it('that were cancelled stay so at every node, stop, and start no more', async () => {
     await ready({ nodes: 3 }, 3);
     await cluster.submit({ ...service, taskCount: 3 });
     await cluster.advance(3000);
-    assert.equal(body(await cluster.withdraw('j-svc', 1)).Phase, 'withdrawn');
-    for (const node of [0, 1, 2]) assert.equal(body(await cluster.poll('j-svc', node)).Phase, 'withdrawn');
+    assert.equal(body(await cluster.cancelJob('j-svc', 1)).state, 'cancelled');
+    for (const node of [0, 1, 2]) assert.equal(body(await cluster.poll('j-svc', node)).state, 'cancelled');
     await cluster.advance(3000);
     for (const taskIndex of [0, 1, 2]) {
       const runs = cluster.runs(`j-svc/${taskIndex}`);
       assert.equal(runs.length, 1);
       assert.notEqual(runs[0]!.to, undefined);
     }
-    assert.equal(body(await cluster.submit({ ...service, taskCount: 3 }, 2)).Phase, 'withdrawn');
+    assert.equal(body(await cluster.submit({ ...service, taskCount: 3 }, 2)).state, 'cancelled');
   });
 
   it('are told as new as any node has told, though a node has missed the news', async () => {
@@ -72,8 +74,8 @@
     await cluster.submit({ ...service, taskCount: 1 });
     // Node 2 hears nothing more from its watch.
     cluster.network.fault({ from: 'n2', path: /^\/watch/, kind: 'lose' });
-    await cluster.withdraw('j-svc', 0);
-    assert.equal(body(await cluster.poll('j-svc', 2)).Phase, 'withdrawn');
+    await cluster.cancelJob('j-svc', 0);
+    assert.equal(body(await cluster.poll('j-svc', 2)).state, 'cancelled');
   });
 
   it('that can never run are refused for good, others only for now', async () => {
@@ -103,7 +105,7 @@
     await ready({}, 3);
     await cluster.submit({ ...service, taskCount: 1 });
     const [run] = cluster.runs('j-svc/0');
-    cluster.remember();
+    cluster.rememberWorkers();
     cluster.cut.add(run!.machineId);
     await cluster.advance(9000);
     assert.ok(cluster.cloud.returned.includes(run!.machineId));
@@ -135,7 +137,7 @@
     cluster.network.release();
     await cluster.advance(5000);
     assert.equal(cluster.runs('j-late/0').length, 1);
-    assert.equal(body(await cluster.poll('j-late')).Phase, 'done');
+    assert.equal(body(await cluster.poll('j-late')).state, 'done');
   });
 
   it('that fails everywhere is retried with growing pauses and starves nobody', async () => {
@@ -157,7 +159,7 @@
       assert.ok(running.length <= 3, `${running.length} tasks of 2 CPUs`);
     }
     await cluster.advance(60_000);
-    for (let n = 0; n < 4; n++) assert.equal(body(await cluster.poll(`j-q${n}`)).Phase, 'done');
+    for (let n = 0; n < 4; n++) assert.equal(body(await cluster.poll(`j-q${n}`)).state, 'done');
     const team = cluster.store.rows.get('live/team/red')?.value as { cpus: number };
     assert.equal(team.cpus, 0);
   });
@@ -209,7 +211,7 @@
     const started = [...cluster.workers.values()].filter((worker) => worker.history.length > 0);
     assert.deepEqual([...new Set(started.map((worker) => worker.options.zone))], ['b']);
     // One member's machine is cut off: while the others may still be there, nothing starts in another zone or attempt.
-    cluster.remember();
+    cluster.rememberWorkers();
     cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
     cluster.cut.add(started[0]!.options.machineId);
     await cluster.advance(40_000);
@@ -237,7 +239,7 @@
     const waiting = taskIds.filter((name) => cluster.runs(name).length > 0);
     assert.equal(waiting.length, 4, 'two fetch their image');
     const lost = waiting.filter((name) => cluster.runs(name)[0]!.machineId === cluster.runs(waiting[0]!)[0]!.machineId);
-    cluster.remember();
+    cluster.rememberWorkers();
     cluster.addWorker({ machineId: 'i-000009' });
     cluster.cut.add(cluster.runs(waiting[0]!)[0]!.machineId);
     await cluster.advance(25_000);
@@ -343,7 +345,7 @@
   it('cut off from store and peers answers no longer than a cancellation allows', async () => {
     await ready({ nodes: 3 }, 3);
     cluster.network.fault({ from: 'n0', to: 'store:1', kind: 'lose' });
-    for (const pair of ['n0>n1', 'n0>n2', 'n1>n0', 'n2>n0']) cluster.parted.add(pair);
+    for (const pair of ['n0>n1', 'n0>n2', 'n1>n0', 'n2>n0']) cluster.partitioned.add(pair);
     await cluster.advance(15_000);
     assert.notEqual(cluster.node(0).leadership.servingLeadershipOf('part-0'), undefined);
     await cluster.advance(12_000);
@@ -352,7 +354,7 @@
 
   it('learns of machines by way of a third when it can not hear their owner', async () => {
     await ready({ nodes: 3 }, 6);
-    for (const pair of ['n0>n1', 'n1>n0']) cluster.parted.add(pair);
+    for (const pair of ['n0>n1', 'n1>n0']) cluster.partitioned.add(pair);
     await cluster.advance(20_000);
     for (const node of [0, 1]) {
       const known = [...cluster.node(node).inventory.machines().values()];
@@ -370,7 +372,7 @@
     await cluster.advance(40_000);
     assert.equal(cluster.runs('j-svc/0').length, 1);
     assert.equal(cluster.runs('j-svc/0')[0]!.to, undefined);
-    assert.equal(body(await cluster.withdraw('j-svc', 1)).Phase, 'withdrawn');
+    assert.equal(body(await cluster.cancelJob('j-svc', 1)).state, 'cancelled');
     await cluster.advance(3000);
     assert.notEqual(cluster.runs('j-svc/0')[0]!.to, undefined, 'orders get there as well');
   });
@@ -379,7 +381,7 @@
     await ready({ nodes: 3 }, 6);
     for (let n = 0; n < 6; n++) await cluster.submit({ ...service, id: `j-svc${n}`, taskCount: 1 });
     const [run] = cluster.runs('j-svc0/0');
-    cluster.remember();
+    cluster.rememberWorkers();
     for (const node of [0, 1, 2]) cluster.crash(node);
     cluster.cut.add(run!.machineId);
     for (const node of [0, 1, 2]) cluster.start(node);
@@ -432,7 +434,7 @@
     // 16 tasks of 2 CPUs: four at a time on each; the other machine ends its share many times over.
     await cluster.submit({ id: 'j-slow', taskCount: 16 });
     await cluster.advance(32_000);
-    assert.equal(body(await cluster.poll('j-slow')).Phase, 'done', 'long before the slow machine would be through');
+    assert.equal(body(await cluster.poll('j-slow')).state, 'done', 'long before the slow machine would be through');
     assert.ok(slow.history.length <= 5);
   });
 
@@ -454,7 +456,7 @@
     assert.ok(machineIds.length > 0);
     // One zone with these machines and a node can't reach the leader's; the third node hears both.
     for (const machineId of machineIds) cluster.unreachable.add(`${machineId}>n${leader}`);
-    cluster.parted.add(`n${far}>n${leader}`).add(`n${leader}>n${far}`);
+    cluster.partitioned.add(`n${far}>n${leader}`).add(`n${leader}>n${far}`);
     await cluster.advance(30_000);
     assert.deepEqual(cluster.cloud.returned, []);
   });
--- a/test/scenarios/combined-faults-jobs.test.ts
+++ b/test/scenarios/combined-faults-jobs.test.ts
@@ -4,6 +4,7 @@
 import { Cluster } from '../../testing/cluster.js';
 import { encodeTransaction, type StoreOperation } from '../../testing/fake-store-wire-codec.js';
 import { jobOf, type ClusterOptions } from '../../testing/fixtures.js';
+import { decodeJobStatus } from '../../testing/job-status-wire-codec.js';
 import type { Submission } from '../../testing/submission-wire-codec.js';
 
 /** Two faults combined on the way of users' jobs; each scenario ends with the verdict of the invariant checker. */
@@ -24,8 +25,8 @@
   return cluster;
 }
 
-const body = (answer: HttpAnswer) => answer.body as { Phase: string; done: number; running: number };
-const phase = async (jobId: string, node = 0) => body(await cluster.poll(jobId, node)).Phase;
+const body = (answer: HttpAnswer) => decodeJobStatus(answer.body);
+const phase = async (jobId: string, node = 0) => body(await cluster.poll(jobId, node)).state;
 const service = { kind: 'service', priority: 'prod', estimatedRunS: 0 } as const;
 const running = (jobId: string) =>
   [...cluster.workers.values()].flatMap((worker) =>
@@ -61,7 +62,7 @@
   for (const [at, jobId] of jobIds.entries()) {
     for (let turn = 0; turn * 5000 < forMs; turn++) {
       after(turn * 5000 + ((at * 370) % 5000), async () =>
-        answers.get(jobId)!.push(await cluster.ask(jobId, (at + turn) % 3)),
+        answers.get(jobId)!.push(await cluster.requestStatus(jobId, (at + turn) % 3)),
       );
     }
   }
@@ -114,16 +115,16 @@
         });
         void cluster.post(job, n % 3);
         const at = 4600 + n * 60;
-        after(at, () => cluster.cancel(jobId, n % 3));
+        after(at, () => cluster.requestCancellation(jobId, n % 3));
         for (const late of [0, 150, 400, 1200]) {
-          after(at + late, () => cluster.ask(jobId, (n + 1) % 3));
+          after(at + late, () => cluster.requestStatus(jobId, (n + 1) % 3));
           after(at + late, () => cluster.post(job, (n + 2) % 3));
-          after(at + late + 50, () => cluster.cancel(jobId, (n + 1) % 3));
+          after(at + late + 50, () => cluster.requestCancellation(jobId, (n + 1) % 3));
         }
       }
       await cluster.advance(30_000);
       heal();
-      cluster.checker.troublesOver(cluster.clock.now());
+      cluster.checker.faultsEnded(cluster.clock.now());
       await cluster.advance(10_000);
       const ends = new Set<string>();
       for (const jobId of jobIds) {
@@ -135,7 +136,7 @@
           [`ended/${jobId}`],
         );
       }
-      assert.deepEqual([...ends].sort(), ['done', 'withdrawn'], 'the moments lie on both sides');
+      assert.deepEqual([...ends].sort(), ['cancelled', 'done'], 'the moments lie on both sides');
     });
   }
 });
@@ -154,7 +155,7 @@
         status: 503,
         body: { error: 'trouble' },
       });
-      cluster.remember();
+      cluster.rememberWorkers();
       for (const machineId of lost) cluster.cut.add(machineId);
       for (let turn = 0; turn < 3; turn++) {
         const old = cluster.leader()!;
@@ -169,8 +170,8 @@
             });
         }
         cluster.crash(old);
-        after(cancelAt, () => cluster.cancel(`j-svc${turn}`, (old + 1) % 3));
-        after(cancelAt + 2500, () => cluster.cancel(`j-svc${turn}`, (old + 2) % 3));
+        after(cancelAt, () => cluster.requestCancellation(`j-svc${turn}`, (old + 1) % 3));
+        after(cancelAt + 2500, () => cluster.requestCancellation(`j-svc${turn}`, (old + 2) % 3));
         await cluster.advance(4000);
         cluster.network.release();
         cluster.start(old);
@@ -180,8 +181,8 @@
       cloudBack();
       for (const machineId of lost) cluster.cut.delete(machineId);
       await cluster.advance(5000);
-      for (let n = 0; n < 3; n++) await cluster.withdraw(`j-svc${n}`, n);
-      cluster.checker.troublesOver(cluster.clock.now());
+      for (let n = 0; n < 3; n++) await cluster.cancelJob(`j-svc${n}`, n);
+      cluster.checker.faultsEnded(cluster.clock.now());
       const jobIds = [0, 1, 2, 3].map((n) => `j-more${n}`);
       askAll(jobIds, 100_000);
       await cluster.advance(100_000);
@@ -197,15 +198,15 @@
 describe('a team whose jobs come to nodes that do not hear each other', () => {
   it('never exceeds its limit, though no copy is up to date', async () => {
     await ready({ teams: [{ name: 'red', cpus: 4, cpus_max: 6 }] }, 6);
-    for (const from of [0, 1, 2]) for (const to of [0, 1, 2]) cluster.parted.add(`n${from}>n${to}`);
+    for (const from of [0, 1, 2]) for (const to of [0, 1, 2]) cluster.partitioned.add(`n${from}>n${to}`);
     slowStore(300, 900);
     const jobIds = Array.from({ length: 9 }, (_, n) => `j-same${n}`);
     for (const [n, jobId] of jobIds.entries())
       void cluster.post(jobOf({ id: jobId, taskCount: 2, priority: 'prod' }), n % 3);
     await cluster.advance(60_000);
     heal();
-    cluster.parted.clear();
-    cluster.checker.troublesOver(cluster.clock.now());
+    cluster.partitioned.clear();
+    cluster.checker.faultsEnded(cluster.clock.now());
     askAll(jobIds, 95_000);
     await cluster.advance(95_000);
     for (const jobId of jobIds) assert.equal(await phase(jobId), 'done');
@@ -298,7 +299,7 @@
               body: { error: 'trouble' },
             })
           : () => undefined;
-        cluster.remember();
+        cluster.rememberWorkers();
         // One of them is only out of reach: its tasks go on until its lease ends.
         for (const { options } of lost) cluster.cut.add(options.machineId);
         const old = cluster.leader()!;
@@ -310,12 +311,12 @@
         if ('zone' in fields || 'spreadAcrossZones' in fields)
           cluster.addWorker({ machineId: 'i-000020', zone, runMs: 9000 });
         await cluster.advance(3000);
-        cluster.checker.troublesOver(cluster.clock.now());
+        cluster.checker.faultsEnded(cluster.clock.now());
         askAll([job.id], 100_000);
         await cluster.advance(100_000);
         const state = body(await cluster.poll(job.id));
         if (job.id === 'j-svc-z') assert.equal(running(job.id), fields.taskCount);
-        else assert.equal(state.Phase, 'done', JSON.stringify(state));
+        else assert.equal(state.state, 'done', JSON.stringify(state));
       });
     }
   }
@@ -346,7 +347,7 @@
       });
       for (let n = 0; n < 6; n++) {
         for (let again = 0; again < 40; again++) {
-          after(n * 500 + again * 2000, () => cluster.cancel(jobIds[n]!, (n + again) % 3));
+          after(n * 500 + again * 2000, () => cluster.requestCancellation(jobIds[n]!, (n + again) % 3));
         }
       }
       await cluster.advance(2600);
@@ -355,7 +356,7 @@
       for (let n = 0; n < 20; n++) {
         after(4000 + n * 1500, async () => {
           const began = cluster.clock.now();
-          late.push(await cluster.ask(jobIds[6 + (n % 6)]!, n % 3));
+          late.push(await cluster.requestStatus(jobIds[6 + (n % 6)]!, n % 3));
           assert.ok(cluster.clock.now() - began < 50, 'told at once');
         });
       }
@@ -366,14 +367,17 @@
       cluster.store.refused.clear();
       cluster.store.endOutage();
       heal();
-      cluster.checker.troublesOver(cluster.clock.now());
+      cluster.checker.faultsEnded(cluster.clock.now());
       await cluster.advance(4000);
       for (const node of [0, 1, 2]) {
-        const known = await cluster.during(Promise.all(jobIds.map((jobId) => cluster.ask(jobId, node))), 1000);
+        const known = await cluster.during(
+          Promise.all(jobIds.map((jobId) => cluster.requestStatus(jobId, node))),
+          1000,
+        );
         for (const [n, answer] of known.entries()) assert.equal(answer.status, 200, `${jobIds[n]} at n${node}`);
       }
       await cluster.advance(90_000);
-      for (const [n, jobId] of jobIds.entries()) assert.equal(await phase(jobId), n < 6 ? 'withdrawn' : 'done', jobId);
+      for (const [n, jobId] of jobIds.entries()) assert.equal(await phase(jobId), n < 6 ? 'cancelled' : 'done', jobId);
       assert.ok([...answers.values()].every((list) => list.length > 0));
     });
   }
@@ -435,7 +439,7 @@
     });
     const [first, second] = [0, 1].map((taskIndex) => cluster.runs(`j-gang/${taskIndex}`)[0]!);
     const end = first!.from + 12_000;
-    cluster.remember();
+    cluster.rememberWorkers();
     await cluster.advance(end - 4000 - cluster.clock.now());
     cluster.cut.add(first!.machineId);
     await cluster.advance(3200);
--- a/test/scenarios/combined-faults-leaders.test.ts
+++ b/test/scenarios/combined-faults-leaders.test.ts
@@ -2,6 +2,7 @@
 import { afterEach, describe, it } from 'node:test';
 import { Cluster } from '../../testing/cluster.js';
 import { jobOf, type ClusterOptions } from '../../testing/fixtures.js';
+import { decodeJobStatus } from '../../testing/job-status-wire-codec.js';
 
 let cluster: Cluster;
 afterEach(() => cluster.stop());
@@ -24,8 +25,8 @@
 const roleOf = (machineId: string) => cluster.node(someNode()).workerManager.roleOf(machineId);
 /** The node that holds a role, as the others see it. */
 const holder = (role: string) => Number(cluster.node(someNode()).leadership.leaderOf(role)?.slice(1));
-const body = (answer: { body: unknown }) => answer.body as { Phase: string; done: number };
-const phase = async (jobId: string, node = 0) => body(await cluster.poll(jobId, node)).Phase;
+const body = (answer: { body: unknown }) => decodeJobStatus(answer.body);
+const phase = async (jobId: string, node = 0) => body(await cluster.poll(jobId, node)).state;
 const cloudDown = () =>
   cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
 
@@ -60,7 +61,7 @@
     // One after the other, on the only machine of its zone, which for a while takes no new work.
     for (const zone of ['a', 'b', 'c']) cluster.cloud.full.add(zone);
     await cluster.submit({ id: 'j-next', taskCount: 3, cpus: 8, zone: 'a' });
-    cluster.remember();
+    cluster.rememberWorkers();
     for (let round = 0; round < 9; round++) {
       const leader = holder('leader');
       const { spotNoticeS } = cluster.workers.get('i-000000')!;
@@ -95,7 +96,7 @@
     );
     await cluster.advance(kept!.from + 19_800 - cluster.clock.now());
     // Both end. One machine dies before it can say so; the other's owner gets no answers from the store for a while.
-    cluster.remember();
+    cluster.rememberWorkers();
     cluster.cut.add(lost!.machineId);
     const heal = cluster.network.fault({
       from: `n${owner}`,
@@ -107,7 +108,7 @@
     heal();
     await cluster.advance(5000);
     assert.ok(cluster.cloud.returned.includes(lost!.machineId));
-    cluster.checker.troublesOver(cluster.clock.now());
+    cluster.checker.faultsEnded(cluster.clock.now());
     assert.equal(await phase('j-gang'), 'done');
     assertKept();
   });
@@ -118,7 +119,7 @@
     for (const worker of cluster.workers.values()) worker.options.imageMs = 20_000;
     await cluster.submit(gang);
     const [lost] = [...cluster.workers].find(([, worker]) => worker.tasks.has('j-gang/1'))!;
-    cluster.remember();
+    cluster.rememberWorkers();
     cluster.cut.add(lost);
     await cluster.advance(45_000);
     const [again] = cluster.runs('j-gang/1');
@@ -188,7 +189,7 @@
   for (const awayMs of [200, 900, 4000, 14_000]) {
     it(`within moments, one of them ${awayMs} ms after all have ended, start nothing twice and forget nothing`, async () => {
       await ready(6);
-      cluster.remember();
+      cluster.rememberWorkers();
       await cluster.submit({ ...service, taskCount: 4 });
       await cluster.submit({ id: 'j-batch', taskCount: 12 });
       for (let round = 0; round < 6; round++) {
@@ -216,12 +217,12 @@
       cluster.start(0);
       cluster.start(2);
       await cluster.advance(40_000);
-      cluster.checker.troublesOver(cluster.clock.now());
+      cluster.checker.faultsEnded(cluster.clock.now());
       await cluster.advance(20_000);
       assert.equal(await phase('j-batch', 1), 'done');
-      assert.equal(body(await cluster.poll('j-svc', 2)).Phase, 'running');
-      for (const node of NODES) assert.equal(body(await cluster.poll('j-svc', node)).Phase, 'running');
-      await cluster.withdraw('j-svc', 2);
+      assert.equal(body(await cluster.poll('j-svc', 2)).state, 'running');
+      for (const node of NODES) assert.equal(body(await cluster.poll('j-svc', node)).state, 'running');
+      await cluster.cancelJob('j-svc', 2);
       await cluster.advance(5000);
       assertTeamFree();
       assertKept();
@@ -292,8 +293,8 @@
 
   it('nor do copies of any age, at any node, while leaders come and go', async () => {
     await ready(6);
-    cluster.remember();
-    cluster.lateReports = { share: 0.4, lateMs: [2000, 25_000] };
+    cluster.rememberWorkers();
+    cluster.lateHeartbeats = { share: 0.4, lateMs: [2000, 25_000] };
     await cluster.submit({ ...service, taskCount: 4 });
     await cluster.submit({ ...gang, cpus: 4, taskCount: 3 });
     await cluster.submit({ id: 'j-batch', taskCount: 20 });
@@ -304,12 +305,12 @@
       cluster.start(leader);
       await cluster.advance(5000);
     }
-    cluster.lateReports = undefined;
+    cluster.lateHeartbeats = undefined;
     await cluster.advance(30_000);
-    cluster.checker.troublesOver(cluster.clock.now());
+    cluster.checker.faultsEnded(cluster.clock.now());
     assert.equal(await phase('j-batch'), 'done');
     assert.equal(await phase('j-gang'), 'done');
-    await cluster.withdraw('j-svc', 1);
+    await cluster.cancelJob('j-svc', 1);
     await cluster.advance(5000);
     assertTeamFree();
     assertKept();
@@ -320,13 +321,13 @@
   for (const lostCommands of [false, true]) {
     it(`nothing starts twice, nothing is forgotten${lostCommands ? ', also where commands were held back meanwhile' : ''}`, async () => {
       await ready(8, {}, 25_000);
-      cluster.remember();
+      cluster.rememberWorkers();
       const release = lostCommands ? cluster.network.cut({ path: /^\/commands/ }) : () => undefined;
       await cluster.submit({ ...service, taskCount: 4, spreadAcrossZones: true });
       await cluster.submit({ ...gang, cpus: 4, taskCount: 3 });
       await cluster.submit({ id: 'j-batch', taskCount: 8 });
       await cluster.submit({ id: 'j-off', taskCount: 2 });
-      const confirmed = await cluster.withdraw('j-off', 1);
+      const confirmed = await cluster.cancelJob('j-off', 1);
       assert.equal(confirmed.status, 200);
       for (const node of NODES) cluster.crash(node);
       const [dead] = cluster.runs('j-svc/0');
@@ -344,12 +345,12 @@
         [...worker.tasks].filter(([name, task]) => name.startsWith('j-svc') && task.state === 'running'),
       );
       assert.equal(running.length, 4, 'within 20 s, not when the leases are proved over');
-      cluster.checker.troublesOver(cluster.clock.now());
+      cluster.checker.faultsEnded(cluster.clock.now());
       await cluster.advance(50_000);
       assert.equal(await phase('j-batch', 1), 'done');
       assert.equal(await phase('j-gang', 2), 'done');
-      assert.equal(await phase('j-off', 0), 'withdrawn');
-      await cluster.withdraw('j-svc', 1);
+      assert.equal(await phase('j-off', 0), 'cancelled');
+      await cluster.cancelJob('j-svc', 1);
       await cluster.advance(5000);
       assertTeamFree();
       assertKept();
@@ -361,7 +362,7 @@
   for (const outageMs of [0, 9000, 25_000]) {
     it(`${outageMs > 0 ? `also in an outage of ${outageMs / 1000} s, ` : ''}break no rule and leave nothing waiting`, async () => {
       await ready(8, {}, 20_000);
-      cluster.remember();
+      cluster.rememberWorkers();
       await cluster.submit({ ...service, taskCount: 4, spreadAcrossZones: true });
       await cluster.submit({ ...gang, cpus: 4, taskCount: 3 });
       await cluster.submit({ id: 'j-zone', taskCount: 3, singleZone: true, cpus: 4 });
@@ -382,15 +383,15 @@
           await cluster.advance(outageMs);
           cluster.store.endOutage();
         }
-        await cluster.withdraw(`j-more${round}`, leader);
+        await cluster.cancelJob(`j-more${round}`, leader);
       }
       heal();
       await cluster.advance(15_000);
-      cluster.checker.troublesOver(cluster.clock.now());
+      cluster.checker.faultsEnded(cluster.clock.now());
       await cluster.advance(60_000);
       for (const jobId of ['j-batch', 'j-gang', 'j-zone']) assert.equal(await phase(jobId, 1), 'done', jobId);
       assert.equal(await phase('j-svc', 2), 'running');
-      await cluster.withdraw('j-svc', 1);
+      await cluster.cancelJob('j-svc', 1);
       await cluster.advance(5000);
       assertTeamFree();
       assertKept();
@@ -406,7 +407,7 @@
   ] as const) {
     it(`${share * 100} of 100${options === red ? ', where teams have no limit' : ''}, break no rule and leave nothing behind`, async () => {
       await ready(8, options);
-      cluster.remember();
+      cluster.rememberWorkers();
       const heal = cluster.network.fault({ to: 'store:1', path: /^\/(txn|holds)/, kind: 'late', share });
       for (let round = 0; round < 8; round++) {
         for (let n = 0; n < 3; n++) {
@@ -417,8 +418,8 @@
         }
         void cluster.users.submit(jobOf({ ...gang, id: `j-g${round}`, cpus: 4 }));
         await cluster.advance(5000);
-        for (let n = 0; n < 3; n++) void cluster.users.withdraw(`j-svc${round}${n}`);
-        if (round % 2 === 1) void cluster.users.withdraw(`j-a${round}0`);
+        for (let n = 0; n < 3; n++) void cluster.users.cancelJob(`j-svc${round}${n}`);
+        if (round % 2 === 1) void cluster.users.cancelJob(`j-a${round}0`);
         const part = `part-${round % 3}`;
         const [owner, leader] = [holder(part), holder('leader')];
         if (round % 3 === 0 && cluster.has(owner)) void cluster.node(owner).leadership.release(part, 'scenario', 2000);
@@ -427,12 +428,12 @@
       }
       heal();
       await cluster.advance(15_000);
-      cluster.checker.troublesOver(cluster.clock.now());
+      cluster.checker.faultsEnded(cluster.clock.now());
       await cluster.advance(70_000);
       // Some were called off before they were accepted, and so never.
-      for (const [jobId, { phase }] of cluster.users.jobs) if (phase === 'running') void cluster.users.withdraw(jobId);
+      for (const [jobId, { state }] of cluster.users.jobs) if (state === 'running') void cluster.users.cancelJob(jobId);
       await cluster.advance(20_000);
-      for (const [jobId, job] of cluster.users.jobs) assert.ok(['done', 'withdrawn'].includes(job.phase), jobId);
+      for (const [jobId, job] of cluster.users.jobs) assert.ok(['done', 'cancelled'].includes(job.state), jobId);
       assertTeamFree();
       assertKept();
     });
--- a/test/scenarios/combined-faults-workers.test.ts
+++ b/test/scenarios/combined-faults-workers.test.ts
@@ -2,6 +2,7 @@
 import { afterEach, describe, it } from 'node:test';
 import { Cluster } from '../../testing/cluster.js';
 import { jobOf, type ClusterOptions } from '../../testing/fixtures.js';
+import { decodeJobState } from '../../testing/job-status-wire-codec.js';
 
 let cluster: Cluster;
 /** Every scenario ends with the verdict of the invariant checker. */
@@ -18,7 +19,7 @@
 
 const service = { id: 'j-svc', kind: 'service', priority: 'prod', estimatedRunS: 0, taskCount: 1 } as const;
 const where = (name: string) => cluster.runs(name).at(-1)!.machineId;
-const phase = (answer: { body: unknown }) => (answer.body as { Phase: string }).Phase;
+const phase = (answer: { body: unknown }) => decodeJobState(answer.body);
 const isOpen = (node: number, machineId: string) => {
   const machine = cluster.node(node).inventory.get(machineId);
   return machine !== undefined && cluster.node(node).inventory.isOpen(machine);
@@ -30,9 +31,9 @@
     await cluster.submit(service);
     const machineId = where('j-svc/0');
     const machine = cluster.workers.get(machineId)!;
-    cluster.remember();
+    cluster.rememberWorkers();
     const since = cluster.clock.now();
-    cluster.mute.add(machineId);
+    cluster.outboundLoss.add(machineId);
     for (let second = 0; second < 40; second++) {
       // Some job goes to every machine that counts as open, and each command's answer is one more report of it.
       void cluster.post(jobOf({ id: `j-${second}`, taskCount: 1, cpus: 1 }), second % 3);
@@ -57,10 +58,10 @@
     await ready(3);
     await cluster.submit(service);
     const machineId = where('j-svc/0');
-    cluster.mute.add(machineId);
+    cluster.outboundLoss.add(machineId);
     await cluster.advance(4500);
     const asked = cluster.clock.now();
-    assert.equal(phase(await cluster.withdraw('j-svc', 1)), 'withdrawn');
+    assert.equal(phase(await cluster.cancelJob('j-svc', 1)), 'cancelled');
     const [run] = cluster.runs('j-svc/0');
     assert.ok((run!.to ?? Infinity) - asked < 1000, `${run!.to} after ${asked}`);
     assert.ok(cluster.store.rows.has('ended/j-svc'), 'the answer of the command is a report: the place is free');
@@ -70,15 +71,15 @@
     await ready(3, { nodes: 3, teams: [{ name: 'red', cpus_max: 2 }] });
     await cluster.submit(service);
     const machineId = where('j-svc/0');
-    cluster.remember();
+    cluster.rememberWorkers();
     cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
     const since = cluster.clock.now();
-    cluster.mute.add(machineId);
+    cluster.outboundLoss.add(machineId);
     // The kill arrives, its answer does not: nobody knows that the task has gone.
     cluster.network.fault({ to: `${machineId}:9000`, kind: 'answerLost' });
     await cluster.advance(1000);
     await cluster.submit({ ...service, id: 'j-svc2' });
-    assert.equal(phase(await cluster.withdraw('j-svc', 1)), 'withdrawn');
+    assert.equal(phase(await cluster.cancelJob('j-svc', 1)), 'cancelled');
     const [run] = cluster.runs('j-svc/0');
     assert.notEqual(run!.to, undefined);
     await cluster.advance(2000);
@@ -98,7 +99,7 @@
     machine.suspend();
     void cluster.post(jobOf(service));
     await cluster.advance(600);
-    assert.equal(phase(await cluster.withdraw('j-svc', 1)), 'withdrawn');
+    assert.equal(phase(await cluster.cancelJob('j-svc', 1)), 'cancelled');
     machine.resume();
     await cluster.advance(10_000);
     const [run] = cluster.runs('j-svc/0');
@@ -113,13 +114,13 @@
     await ready(1);
     const host = 'i-000000';
     cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
-    cluster.mute.add(host);
+    cluster.outboundLoss.add(host);
     const deliver = cluster.network.cut({ to: `${host}:9000` });
     void cluster.post(jobOf(service));
     await cluster.advance(600);
-    assert.equal(phase(await cluster.withdraw('j-svc', 1)), 'withdrawn');
+    assert.equal(phase(await cluster.cancelJob('j-svc', 1)), 'cancelled');
     assert.equal(cluster.store.rows.has('ended/j-svc'), false, 'the launch may still arrive');
-    cluster.mute.delete(host);
+    cluster.outboundLoss.delete(host);
     await cluster.advance(4000);
     assert.ok(cluster.store.rows.has('ended/j-svc'));
     deliver();
@@ -134,7 +135,7 @@
     cluster.network.fault({ to: 'i-000000:9000', kind: 'hold' });
     void cluster.post(jobOf(service));
     await cluster.advance(200);
-    assert.equal(phase(await cluster.withdraw('j-svc', 1)), 'withdrawn');
+    assert.equal(phase(await cluster.cancelJob('j-svc', 1)), 'cancelled');
     await cluster.advance(30_000);
     assert.equal(cluster.runs('j-svc-old/0').length, 1);
     assert.equal(cluster.runs('j-svc-old/0')[0]!.to, undefined);
@@ -143,14 +144,14 @@
   it('does not come through an outage of the store either, which keeps the owner from a new token', async () => {
     await ready(1);
     const host = 'i-000000';
-    cluster.mute.add(host);
+    cluster.outboundLoss.add(host);
     const deliver = cluster.network.cut({ to: `${host}:9000` });
     void cluster.post(jobOf(service));
     await cluster.advance(600);
-    void cluster.cancel('j-svc', 1);
+    void cluster.requestCancellation('j-svc', 1);
     await cluster.advance(300);
     cluster.store.out = true;
-    cluster.mute.delete(host);
+    cluster.outboundLoss.delete(host);
     await cluster.advance(60_000);
     deliver();
     await cluster.advance(5000);
@@ -169,7 +170,7 @@
       const machineId = where(`${jobId}/0`);
       const machine = cluster.workers.get(machineId)!;
       machine.suspend();
-      void cluster.cancel(jobId, 1);
+      void cluster.requestCancellation(jobId, 1);
       // Launches are on their way there too.
       for (let n = 0; n < 4; n++) void cluster.post(jobOf({ id: `j-${hangMs}-${n}`, taskCount: 2 }), n % 3);
       await cluster.advance(hangMs);
@@ -202,13 +203,13 @@
     await cluster.advance(2000);
     await cluster.submit({ ...service, id: jobId, priority: 'high' });
     assert.equal(where(`${jobId}/0`), machineId);
-    cluster.mute.add(machineId);
+    cluster.outboundLoss.add(machineId);
     await cluster.advance(8500);
     const owner = partitionOf(machineId);
     // The proof is recorded, but the answer is lost: the owner tries again later.
     cluster.network.fault({ from: `n${owner}`, to: 'store:1', path: /^\/txn/, kind: 'answerLost', times: 1 });
     await until(() => !isPlaced(jobId).includes(machineId));
-    cluster.mute.delete(machineId);
+    cluster.outboundLoss.delete(machineId);
     // In the meantime the machine is back, in a new session.
     const machine = cluster.workers.get(machineId)!;
     for (let report = 0; report < 2; report++) {
@@ -256,9 +257,9 @@
     await until(() => cluster.node(leads).inventory.get(machineId)!.spotNoticeUntil !== null);
     // What happens from here on it learns from nobody: the task is stopped, forgotten, and starts on another machine.
     const heal = cluster.network.fault({ from: `n${home}`, to: 'store:1', path: /^\/watch/, kind: 'lose' });
-    for (const node of others) cluster.parted.add(`n${node}>n${home}`);
+    for (const node of others) cluster.partitioned.add(`n${node}>n${home}`);
     await until(() => cluster.runs('j-svc/0').length === 2 && !cluster.workers.get(machineId)!.tasks.has('j-svc/0'));
-    for (const node of others) cluster.parted.delete(`n${node}>n${home}`);
+    for (const node of others) cluster.partitioned.delete(`n${node}>n${home}`);
     void cluster.node(former).leadership.release(role, 'for the scenario', 15_000);
     await until(() => cluster.node(home).leadership.leadershipOf(role) !== undefined, 1000);
     assert.ok(cluster.node(home).leadership.isInTouchWithStore);
@@ -281,7 +282,7 @@
       const owner = partitionOf(machineId);
       const copy = copies.get(machineId)!;
       cluster.cut.add(machineId);
-      void cluster.cancel('j-svc', owner);
+      void cluster.requestCancellation('j-svc', owner);
       await cluster.advance(50);
       void cluster.post(jobOf({ ...service, id: 'j-svc2' }), owner);
       if (restarts) {
@@ -321,8 +322,8 @@
     // A new owner hears the copy before the machine itself, which no answer or command reaches for a while.
     cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
     const owner = partitionOf(machineId);
-    cluster.deaf.add(machineId);
-    cluster.mute.add(machineId);
+    cluster.inboundLoss.add(machineId);
+    cluster.outboundLoss.add(machineId);
     void cluster.restart(owner);
     await until(() => cluster.node(owner).leadership.leadershipOf(`part-${owner}`) !== undefined);
     await cluster.advance(500);
@@ -335,32 +336,32 @@
 describe('copies of all reports, up to a lease and a half late', () => {
   it('free nothing wrongly and keep nothing waiting, while nodes restart and jobs are cancelled', async () => {
     await ready(6, { nodes: 3, teams: [{ name: 'red', cpus_max: 10 }] });
-    cluster.lateReports = { share: 1, lateMs: [2000, 15_000] };
+    cluster.lateHeartbeats = { share: 1, lateMs: [2000, 15_000] };
     await cluster.submit({ ...service, id: 'j-svc', taskCount: 2, cpus: 1 });
     for (let round = 0; round < 8; round++) {
       void cluster.post(jobOf({ id: `j-a${round}`, taskCount: 6, cpus: 1 }), round % 3);
       void cluster.post(jobOf({ ...service, id: `j-svc${round}`, taskCount: 2 }), (round + 1) % 3);
       await cluster.advance(2500);
-      void cluster.cancel(`j-svc${round}`, (round + 1) % 3);
+      void cluster.requestCancellation(`j-svc${round}`, (round + 1) % 3);
       // Tasks are moved, and sessions end too: what their copies say is older than what the machines do now.
       for (const worker of cluster.workers.values()) worker.spotNoticeS = null;
       cluster.workers.get(where('j-svc/0'))!.spotNoticeS = 1000;
-      if (round % 3 === 1) cluster.mute.add([...cluster.workers.keys()][0]!);
+      if (round % 3 === 1) cluster.outboundLoss.add([...cluster.workers.keys()][0]!);
       await cluster.advance(500);
       void cluster.restart(round % 3, 0);
       await cluster.advance(1500);
-      if (round % 3 === 0) cluster.mute.clear();
+      if (round % 3 === 0) cluster.outboundLoss.clear();
     }
     for (const worker of cluster.workers.values()) worker.spotNoticeS = null;
-    cluster.mute.clear();
+    cluster.outboundLoss.clear();
     await cluster.advance(15_000);
-    cluster.checker.troublesOver(cluster.clock.now());
+    cluster.checker.faultsEnded(cluster.clock.now());
     await cluster.advance(30_000);
     for (let round = 0; round < 8; round++) {
       assert.equal(phase(await cluster.poll(`j-a${round}`)), 'done');
       for (const taskIndex of [0, 1]) assert.equal(cluster.overlaps(`j-svc${round}/${taskIndex}`), 0);
     }
-    assert.equal(phase(await cluster.withdraw('j-svc')), 'withdrawn');
+    assert.equal(phase(await cluster.cancelJob('j-svc')), 'cancelled');
     const use = cluster.store.rows.get('live/team/red')!.value as { cpus: number };
     assert.equal(use.cpus, 0);
     const left = [...cluster.store.rows.keys()].filter((key) => /^live\/(job|ledger)\//.test(key));
@@ -375,15 +376,15 @@
     await ready(6);
     for (const jobId of four) await cluster.submit({ ...service, id: jobId });
     const machineIds = [...new Set(four.map((jobId) => where(`${jobId}/0`)))];
-    cluster.remember();
+    cluster.rememberWorkers();
     cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
     const leader = Number(cluster.node(0).leadership.leaderOf('leader')!.slice(1));
     const owner = partitionOf(machineIds[0]!);
-    for (const machineId of machineIds) cluster.deaf.add(machineId);
+    for (const machineId of machineIds) cluster.inboundLoss.add(machineId);
     for (const node of new Set([leader, owner])) cluster.crash(node);
     await cluster.advance(4000);
     const other = [0, 1, 2].find((node) => node !== leader && node !== owner)!;
-    void cluster.cancel('j-svc0', other);
+    void cluster.requestCancellation('j-svc0', other);
     await cluster.advance(36_000);
     assert.notEqual(cluster.runs('j-svc0/0')[0]!.to, undefined);
     for (const jobId of four.slice(1)) {
@@ -395,7 +396,7 @@
       cluster.store.rows.has('ended/j-svc0'),
       'the place is free, though the machine never showed the new token',
     );
-    cluster.deaf.clear();
+    cluster.inboundLoss.clear();
     await cluster.advance(8000);
     for (const machineId of machineIds) assert.ok(isOpen(other, machineId), `${machineId} is open again`);
   });
@@ -415,7 +416,7 @@
     cluster.crash(leader);
     await cluster.advance(3000);
     const other = (leader + 1) % 3;
-    void cluster.cancel('j-svc0', other);
+    void cluster.requestCancellation('j-svc0', other);
     // Two machines are reached again within their lease, the others after it.
     await cluster.advance(3000);
     cluster.cut.delete(machineIds[1]!);
@@ -451,7 +452,7 @@
     const since = cluster.clock.now();
     const heal = cluster.network.split(['n1', ...inside.map((worker) => worker.options.machineId)]);
     await cluster.advance(300);
-    for (const jobId of jobIds.slice(0, 3)) void cluster.cancel(jobId, 0);
+    for (const jobId of jobIds.slice(0, 3)) void cluster.requestCancellation(jobId, 0);
     await cluster.advance(12_000);
     assert.ok(
       inside.some((worker) => [...worker.tasks.values()].some((task) => task.state === 'running')),
--- a/test/scenarios/disagreement.test.ts
+++ b/test/scenarios/disagreement.test.ts
@@ -8,13 +8,13 @@
   it('do not wait for each other for ever', async () => {
     const schedule = {
       seed: 11,
-      troubles: [
-        { kind: 'refused', atMs: 6436, node: 1, forMs: 6933 },
-        { kind: 'lateReports', atMs: 19996, share: 0.1678187363524589, forMs: 10905 },
+      faults: [
+        { kind: 'refusedByStore', atMs: 6436, node: 1, forMs: 6933 },
+        { kind: 'lateHeartbeats', atMs: 19996, share: 0.1678187363524589, forMs: 10905 },
       ],
       cancels: [
-        { trouble: 1, afterMs: -7 },
-        { trouble: 0, afterMs: 4736 },
+        { fault: 1, afterMs: -7 },
+        { fault: 0, afterMs: 4736 },
       ],
     } as Schedule;
     assert.deepEqual(await play(schedule), []);
--- a/test/scenarios/large-clusters.test.ts
+++ b/test/scenarios/large-clusters.test.ts
@@ -150,9 +150,9 @@
 
   it('goes on between controllers when one message was lost', async () => {
     await ready(2, 12);
-    cluster!.parted.add('n0>n1');
+    cluster!.partitioned.add('n0>n1');
     cluster!.node(0).composeGossip('n1');
-    cluster!.parted.delete('n0>n1');
+    cluster!.partitioned.delete('n0>n1');
     await cluster!.advance(3000);
     const all = [...cluster!.node(1).inventory.machines().values()];
     assert.equal(all.length, 12);
--- a/test/scenarios/limits.test.ts
+++ b/test/scenarios/limits.test.ts
@@ -49,7 +49,7 @@
     await ready(5, 60);
     const told = (from: number, to: number) => cluster!.node(from).composeGossip(`n${to}`).machines.length;
     for (const to of [1, 2, 3, 4]) assert.ok(told(0, to) < 30, `${told(0, to)} machines`);
-    cluster!.parted.add('n0>n1').add('n1>n0');
+    cluster!.partitioned.add('n0>n1').add('n1>n0');
     await cluster!.advance(4000);
     assert.ok(told(2, 1) > told(2, 3), 'node 2 passes on to node 1 what node 0 says');
   });
--- a/test/scenarios/randomized.test.ts
+++ b/test/scenarios/randomized.test.ts
@@ -15,11 +15,11 @@
   it('breaks no rule where cancellations meet a refusal, cuts and an outage (it does if the hold-over has no end)', async () => {
     const schedule: Schedule = {
       seed: 1,
-      troubles: [
-        { kind: 'refusedThenOut', atMs: 8000, node: 0, aloneMs: 2500, forMs: 45_000, withoutPeers: 'throughout' },
-        { kind: 'commandsHeld', atMs: 8000, forMs: 47_000 },
+      faults: [
+        { kind: 'refusedThenOutage', atMs: 8000, node: 0, refusedMs: 2500, forMs: 45_000, withoutPeers: 'throughout' },
+        { kind: 'delayedCommands', atMs: 8000, forMs: 47_000 },
       ],
-      cancels: [300, 600, 700, 900, 1200, 1500].map((afterMs) => ({ trouble: 0, afterMs })),
+      cancels: [300, 600, 700, 900, 1200, 1500].map((afterMs) => ({ fault: 0, afterMs })),
     };
     assert.deepEqual(await play(schedule), []);
   });
--- a/test/scenarios/single-execution.test.ts
+++ b/test/scenarios/single-execution.test.ts
@@ -69,7 +69,7 @@
     const commanded = machineIds.find((machineId) => !isBusy(machineId))!;
     const others = machineIds.filter(isBusy);
     // A start on one machine stays without an answer, and its job is cancelled: the token is raised to shut the start out.
-    cluster.mute.add(commanded);
+    cluster.outboundLoss.add(commanded);
     cluster.network.fault({ to: `${commanded}:9000`, kind: 'hold' });
     cluster.network.fault({
       from: `n${owner}`,
@@ -83,10 +83,10 @@
     await cluster.advance(600);
     // The other workers of the partition do not get through for less than a lease: they and their tasks live on.
     await closeToNewWork(others);
-    for (const machineId of others) cluster.mute.add(machineId);
-    for (let n = 0; n < 9; n++) void cluster.cancel(`j-once-${n}`, n % 3);
+    for (const machineId of others) cluster.outboundLoss.add(machineId);
+    for (let n = 0; n < 9; n++) void cluster.requestCancellation(`j-once-${n}`, n % 3);
     await cluster.advance(6000);
-    for (const machineId of others) cluster.mute.delete(machineId);
+    for (const machineId of others) cluster.outboundLoss.delete(machineId);
     await cluster.advance(15_000);
     assert.equal(ownerOf(role), owner, 'the partition has not changed hands');
   });
@@ -103,10 +103,10 @@
       status: 429,
     });
     void cluster.node(owner).leadership.release(role, 'for the scenario', 15_000);
-    for (const machineId of machineIds) cluster.mute.add(machineId);
+    for (const machineId of machineIds) cluster.outboundLoss.add(machineId);
     await cluster.advance(6000);
     heal();
-    for (const machineId of machineIds) cluster.mute.delete(machineId);
+    for (const machineId of machineIds) cluster.outboundLoss.delete(machineId);
     await cluster.advance(15_000);
   });
 });
@@ -139,7 +139,7 @@
     release();
     await cluster.advance(5);
     // Whatever it was told, nobody tells it otherwise for a while.
-    cluster.mute.add(second);
+    cluster.outboundLoss.add(second);
     blocked();
     await cluster.advance(6000);
     assert.equal(cluster.runs('j-svc-0/0').at(-1)!.machineId, first);
--- a/test/scenarios/store-outage.test.ts
+++ b/test/scenarios/store-outage.test.ts
@@ -3,6 +3,7 @@
 import type { HttpAnswer } from '../../src/net/http-answer.js';
 import { Cluster } from '../../testing/cluster.js';
 import { type ClusterOptions } from '../../testing/fixtures.js';
+import { encodeJobState } from '../../testing/job-status-wire-codec.js';
 
 let cluster: Cluster;
 afterEach(() => assert.deepEqual(cluster.verdict(), []));
@@ -45,9 +46,9 @@
   const pairs = NODES.map((each) => `n${each}`)
     .filter((each) => each !== node)
     .flatMap((each) => [`${node}>${each}`, `${each}>${node}`]);
-  for (const pair of pairs) cluster.parted.add(pair);
+  for (const pair of pairs) cluster.partitioned.add(pair);
   return () => {
-    for (const pair of pairs) cluster.parted.delete(pair);
+    for (const pair of pairs) cluster.partitioned.delete(pair);
   };
 }
 
@@ -62,10 +63,10 @@
 /** Calls a job off through a node that is not the refused one; returns the steady ms of the confirmation. */
 async function callOff(jobId: string, node: number): Promise<number> {
   let at = NaN;
-  const asked = cluster.cancel(jobId, node);
+  const asked = cluster.requestCancellation(jobId, node);
   void asked.then(() => (at = cluster.clock.now()));
   const answer: HttpAnswer = await cluster.during(asked, 300);
-  assert.deepEqual(answer.body, { Ref: jobId, Phase: 'withdrawn' });
+  assert.deepEqual(answer.body, encodeJobState(jobId, 'cancelled'));
   return at;
 }
 
--- a/test/testing/invariant-checker.test.ts
+++ b/test/testing/invariant-checker.test.ts
@@ -4,6 +4,7 @@
 import { encodeCommandBatch } from '../../testing/fake-worker-wire-codec.js';
 import { C8, DEFAULT_SUBMISSION, jobOf } from '../../testing/fixtures.js';
 import { InvariantChecker, type UserAnswer } from '../../testing/invariant-checker.js';
+import { encodeJobState, type JobState } from '../../testing/job-status-wire-codec.js';
 import { encodeSubmission, type Submission } from '../../testing/submission-wire-codec.js';
 
 let checker: InvariantChecker;
@@ -21,14 +22,14 @@
 });
 
 const jobId = 'j-000001';
-const answer = (kind: UserAnswer['kind'], status: number, phase?: string, askedAt = now - 1) =>
+const answer = (kind: UserAnswer['kind'], status: number, state?: JobState, askedAt = now - 1) =>
   checker.answered({
     kind,
     jobId,
     askedAt,
     at: now,
     status,
-    body: phase === undefined ? {} : { Ref: jobId, Phase: phase },
+    body: state === undefined ? {} : encodeJobState(jobId, state),
   });
 /** A user submits a job and is told that it is accepted. */
 const accept = (fields: Partial<Submission> = {}) => {
@@ -38,7 +39,7 @@
 };
 const cancel = () => {
   checker.cancelAsked(now - 1, jobId);
-  answer('withdraw', 200, 'withdrawn');
+  answer('cancel', 200, 'cancelled');
   now += 100;
 };
 const start = (machineId: string, taskIndex = 0, orderedAt = now, job = jobId) =>
@@ -47,11 +48,11 @@
   checker.taskEnded(now, machineId, `${jobId}/${taskIndex}`, cause);
 const rules = () => {
   checker.verdict(now);
-  return checker.broken.map((each) => each.rule);
+  return checker.violations.map((each) => each.rule);
 };
 /** Time passes, and the checker looks every second. */
 const pass = (s: number) => {
-  for (let n = 0; n < s; n++) checker.look((now += 1000));
+  for (let n = 0; n < s; n++) checker.checkNow((now += 1000));
 };
 
 describe('the checker finds nothing wrong', () => {
@@ -66,7 +67,7 @@
     now += 3000;
     answer('poll', 200, 'done');
     checker.cancelAsked(now, jobId);
-    answer('withdraw', 200, 'done');
+    answer('cancel', 200, 'done');
     assert.deepEqual(rules(), []);
   });
 
@@ -92,8 +93,8 @@
 describe('the checker of pipelines', () => {
   const AFTER = 'j-000002';
   const LAST = 'j-000003';
-  const tell = (job: string, phase: string, kind: UserAnswer['kind'] = 'poll') =>
-    checker.answered({ kind, jobId: job, askedAt: now - 1, at: now, status: 200, body: { Ref: job, Phase: phase } });
+  const tell = (job: string, state: JobState, kind: UserAnswer['kind'] = 'poll') =>
+    checker.answered({ kind, jobId: job, askedAt: now - 1, at: now, status: 200, body: encodeJobState(job, state) });
   /** A chain of three jobs, all accepted. */
   const acceptChain = () => {
     accept({ taskCount: 2 });
@@ -117,7 +118,7 @@
 
   it('finds nothing wrong with one that starts after, and counts no job that waits as left waiting', () => {
     acceptChain();
-    checker.troublesOver(now);
+    checker.faultsEnded(now);
     start('i-1');
     start('i-2', 1);
     pass(100);
@@ -140,11 +141,11 @@
 
   it('takes a job for cancelled with one before it, and only then', () => {
     acceptChain();
-    tell(LAST, 'withdrawn');
+    tell(LAST, 'cancelled');
     assert.deepEqual(rules(), ['went_back']);
-    checker.broken.length = 0;
+    checker.violations.length = 0;
     cancel();
-    tell(AFTER, 'withdrawn');
+    tell(AFTER, 'cancelled');
     assert.deepEqual(rules(), []);
     now += 100;
     tell(AFTER, 'queued');
@@ -264,7 +265,7 @@
     };
     ask(200);
     assert.deepEqual(rules(), []);
-    checker.troublesOver(now);
+    checker.faultsEnded(now);
     ask(70);
     answer('poll', 200, 'running');
     ask(70);
@@ -287,7 +288,14 @@
     answer('poll', 200, 'done');
     assert.deepEqual(rules(), ['not_done']);
     checker.submitted(jobOf({ id: 'j-svc', kind: 'service' }));
-    checker.answered({ kind: 'poll', jobId: 'j-svc', askedAt: now, at: now, status: 200, body: { Phase: 'done' } });
+    checker.answered({
+      kind: 'poll',
+      jobId: 'j-svc',
+      askedAt: now,
+      at: now,
+      status: 200,
+      body: encodeJobState('j-svc', 'done'),
+    });
     assert.deepEqual(rules(), ['not_done', 'not_done']);
   });
 
@@ -308,7 +316,7 @@
     checker.cancelAsked(now, jobId);
     const askedAt = now - 50;
     answer('poll', 200, 'done');
-    answer('withdraw', 200, 'withdrawn', askedAt);
+    answer('cancel', 200, 'cancelled', askedAt);
     assert.deepEqual(rules(), ['went_back']);
   });
 
@@ -321,7 +329,7 @@
 
   it('went_back: cancelled, though not by its user', () => {
     accept();
-    answer('poll', 200, 'withdrawn');
+    answer('poll', 200, 'cancelled');
     assert.deepEqual(rules(), ['went_back']);
   });
 
@@ -337,7 +345,7 @@
     never.forEach((fields, n) => {
       checker.submitted(jobOf({ id: `j-${n}`, ...fields }));
       const told = { kind: 'submit' as const, jobId: `j-${n}`, askedAt: now, at: now, status: 201 };
-      checker.answered({ ...told, body: { Phase: 'queued' } });
+      checker.answered({ ...told, body: encodeJobState(told.jobId, 'queued') });
       assert.equal(rules().length, n + 1, JSON.stringify(fields));
     });
     assert.ok(rules().every((rule) => rule === 'wrongly_accepted'));
@@ -351,7 +359,7 @@
       [undefined, null, {}].forEach((value, n) => {
         checker.submitted(encodeSubmission({ ...DEFAULT_SUBMISSION, id: `j-${name}-${n}`, [name]: value }));
         const told = { kind: 'submit' as const, jobId: `j-${name}-${n}`, askedAt: now, at: now, status: 201 };
-        checker.answered({ ...told, body: { Phase: 'queued' } });
+        checker.answered({ ...told, body: encodeJobState(told.jobId, 'queued') });
       });
     }
     assert.equal(rules().length, names.length * 3);
@@ -365,7 +373,7 @@
     accept();
     pass(200);
     assert.deepEqual(rules(), []);
-    checker.troublesOver(now);
+    checker.faultsEnded(now);
     pass(89);
     assert.deepEqual(rules(), []);
     pass(2);
@@ -374,7 +382,7 @@
 
   it('left_waiting only if there is room: free machines that fit and can be reached, under the limit', () => {
     accept({ cpus: 6 });
-    checker.troublesOver(now);
+    checker.faultsEnded(now);
     checker.submitted(jobOf({ id: 'j-000002', team: 'blue', cpus: 4 }));
     checker.submitted(jobOf({ id: 'j-000003', cpus: 4 }));
     start('i-1', 0, now, 'j-000002');
@@ -391,7 +399,7 @@
 
   it('left_waiting of a gang only if there is room for all of it, in its zones', () => {
     accept({ team: 'blue', kind: 'gang', taskCount: 8, cpus: 2, singleZone: true });
-    checker.troublesOver(now);
+    checker.faultsEnded(now);
     pass(100);
     assert.deepEqual(rules(), [], 'four fit in each zone');
     checker.machineUp('i-3', { machineType: 'c8', zone: 'b', isSpot: false });
@@ -420,13 +428,13 @@
       );
     await launch(9);
     assert.deepEqual(
-      cluster.checker.broken.map((each) => each.rule),
+      cluster.checker.violations.map((each) => each.rule),
       ['ran_twice'],
     );
-    await cluster.withdraw('j-svc');
+    await cluster.cancelJob('j-svc');
     await launch(10);
     assert.deepEqual(
-      cluster.checker.broken.map((each) => each.rule),
+      cluster.checker.violations.map((each) => each.rule),
       ['ran_twice', 'started_cancelled'],
     );
     assert.equal(cluster.verdict().length, 2);
--- a/test/testing/stand-ins.test.ts
+++ b/test/testing/stand-ins.test.ts
@@ -8,6 +8,7 @@
 import { FakeNetwork } from '../../testing/fake-network.js';
 import { encodeTransaction } from '../../testing/fake-store-wire-codec.js';
 import { FakeStore } from '../../testing/fake-store.js';
+import { decodeJobState } from '../../testing/job-status-wire-codec.js';
 import { encodeCommandBatch, type TaskCommand } from '../../testing/fake-worker-wire-codec.js';
 
 let cluster: Cluster;
@@ -48,8 +49,8 @@
   return task === undefined ? undefined : task.state === 'exited' ? task.exitReason : task.state;
 };
 
-describe('a machine that hangs', () => {
-  it('executes neither tasks nor commands, and goes on with both where it stopped', async () => {
+describe('a suspended machine', () => {
+  it('executes neither tasks nor commands, and resumes both where it stopped', async () => {
     alone(1, 5000, 60);
     void cluster.post(jobOf({ taskCount: 2 }));
     void launch(0, 'j-000001/0');
@@ -68,7 +69,7 @@
     assert.equal(phase(0, 'j-000001/0'), 'done');
   });
 
-  it('beyond its lease begins a new session at once when it goes on, and drops commands of the old one', async () => {
+  it('beyond its lease begins a new agent epoch at once when it resumes, and drops commands of the old one', async () => {
     alone();
     void cluster.post(jobOf({ taskCount: 2 }));
     void launch(0, 'j-000001/0');
@@ -87,11 +88,11 @@
   });
 });
 
-describe('a mute machine', () => {
+describe('a machine with outbound loss', () => {
   it('reaches no controller, while direct commands reach it and are answered', async () => {
     ready();
     await cluster.advance(3000);
-    cluster.mute.add('i-0');
+    cluster.outboundLoss.add('i-0');
     const { lastAnswered } = worker(0);
     void cluster.post(jobOf({}));
     const batch = encodeCommandBatch({
@@ -107,11 +108,11 @@
   });
 });
 
-describe('a deaf machine', () => {
+describe('a machine with inbound loss', () => {
   it('is heard, but hears neither answers nor commands, until its lease is over', async () => {
     ready();
     await cluster.advance(3000);
-    cluster.deaf.add('i-0');
+    cluster.inboundLoss.add('i-0');
     assert.equal(await cluster.during(launch(0, 'j-000001/0')), undefined);
     const agentEpochs = () =>
       cluster.network.log
@@ -124,11 +125,11 @@
   });
 });
 
-describe('copies of reports', () => {
-  it('come later than newer reports, also from a session that is over', async () => {
+describe('late copies of heartbeats', () => {
+  it('come later than newer heartbeats, also from an agent epoch that is over', async () => {
     ready();
     const heard: WorkerStatus[] = [];
-    cluster.lateReports = { share: 0.5, lateMs: [2000, 25_000] };
+    cluster.lateHeartbeats = { share: 0.5, lateMs: [2000, 25_000] };
     const controller = cluster.node(0);
     const hello = controller.answerHeartbeat.bind(controller);
     controller.answerHeartbeat = (body) => {
@@ -256,7 +257,7 @@
 });
 
 describe('a controller that restarts at once', () => {
-  it('finds requests of its former life still on their way', async () => {
+  it('finds requests of its former incarnation still on their way', async () => {
     ready();
     await cluster.advance(4000);
     void cluster.restart(0, 200, [3000, 3000]);
@@ -290,7 +291,7 @@
     assert.deepEqual([phase(0, first), phase(1, second)], ['done', 'done']);
   });
 
-  it('give up alone, and notice when another is gone, has failed or hangs', async () => {
+  it('give up alone, and notice when another is gone, has failed or is suspended', async () => {
     alone(3, 5000, 60);
     void cluster.post(jobOf(gang));
     void launch(0, first);
@@ -384,14 +385,14 @@
     assert.equal((await cluster.during(answer)).status, 201);
     void cluster.users.submit(jobOf({ id: 'j-svc', kind: 'service', estimatedRunS: 0 }));
     await cluster.advance(16_000);
-    assert.equal(cluster.users.jobs.get('j-000001')!.phase, 'done');
-    assert.equal(cluster.users.jobs.get('j-svc')!.phase, 'running');
-    const odd = await cluster.during(cluster.users.askOddThings());
+    assert.equal(cluster.users.jobs.get('j-000001')!.state, 'done');
+    assert.equal(cluster.users.jobs.get('j-svc')!.state, 'running');
+    const odd = await cluster.during(cluster.users.sendOddRequests());
     assert.deepEqual(
       odd.map((each) => each.status),
       [200, 200, 200, 422, 422, 400, 400, 400, 400, 404],
     );
-    assert.equal((odd[0]!.body as { Phase: string }).Phase, 'done');
+    assert.equal(decodeJobState(odd[0]!.body), 'done');
     assert.deepEqual(cluster.verdict(), []);
   });
 });
--- a/test/wire-format.test.ts
+++ b/test/wire-format.test.ts
@@ -64,7 +64,7 @@
   told(await cluster.during(cluster.post(JSON.parse(json), node)));
 const simple = (ref: string, node = 0): Promise<string> => submit(submission(ref, ARRAY) + END, node);
 const poll = async (ref: string, node = 0): Promise<string> => told(await cluster.poll(ref, node));
-const withdraw = async (ref: string): Promise<string> => told(await cluster.withdraw(ref));
+const withdraw = async (ref: string): Promise<string> => told(await cluster.cancelJob(ref));
 
 const spec = (ref: string, kind: string, tail = ',"SnapshotEveryS":0,"SnapshotS":0,"DueS":null}'): string =>
   `{"spec":{"Ref":"${ref}","Jobclass":"web","Owner":"red",${kind},"Cards":0,"MemGb":4,"Bundle":"img-1","SizeGb":1,` +
@@ -267,7 +267,7 @@
   it('for single records, and transactions that only compare', async () => {
     begin({ nodes: 2 });
     await cluster.advance(6000);
-    cluster.parted.add('n0>n1');
+    cluster.partitioned.add('n0>n1');
     cluster.network.fault({ from: 'n1', to: 'store:1', path: /^\/watch/, kind: 'lose' });
     assert.equal(await simple('j-a'), '201 {"Ref":"j-a","Phase":"queued"}');
     assert.equal(await poll('j-a', 1), '200 {"Ref":"j-a","Phase":"queued","done":0,"running":0}');
--- a/test/workers/heartbeats.test.ts
+++ b/test/workers/heartbeats.test.ts
@@ -31,9 +31,9 @@
     await ready(3, 4);
     await cluster.submit(service);
     const machineId = where('j-svc/0');
-    cluster.remember();
+    cluster.rememberWorkers();
     const since = cluster.clock.now();
-    cluster.deaf.add(machineId);
+    cluster.inboundLoss.add(machineId);
     await cluster.advance(12_000);
     for (const node of [0, 1, 2]) assert.equal(isOpen(node, machineId), false);
     await cluster.advance(8000);
@@ -46,9 +46,9 @@
 
   it('is open again as soon as it is reached', async () => {
     await ready(3, 2);
-    cluster.deaf.add('i-000000');
+    cluster.inboundLoss.add('i-000000');
     await cluster.advance(2000);
-    cluster.deaf.delete('i-000000');
+    cluster.inboundLoss.delete('i-000000');
     await cluster.advance(7000);
     assert.ok(isOpen(ownerOf('i-000000'), 'i-000000'));
     assert.deepEqual(cluster.cloud.returned, []);
@@ -97,7 +97,7 @@
     const machineId = where('j-svc/0');
     const copy = cluster.workers.get(machineId)!.composeHeartbeat();
     await cluster.advance(2000);
-    cluster.remember();
+    cluster.rememberWorkers();
     cluster.cut.add(machineId);
     for (let second = 0; second < 12; second++) {
       // Wherever it comes: at its owner, and at nodes that would take it for a worker cut off from its owner.
@@ -141,7 +141,7 @@
     await ready(3, 6);
     for (let n = 0; n < 6; n++) await cluster.submit({ ...service, id: `j-svc${n}` });
     cluster.network.fault({ from: 'n0', to: 'store:1', kind: 'lose' });
-    for (const pair of ['n0>n1', 'n0>n2', 'n1>n0', 'n2>n0']) cluster.parted.add(pair);
+    for (const pair of ['n0>n1', 'n0>n2', 'n1>n0', 'n2>n0']) cluster.partitioned.add(pair);
     await cluster.advance(25_000);
     assert.equal(cluster.node(0).up().status, 503);
     for (let n = 0; n < 6; n++) {
@@ -197,7 +197,7 @@
 describe('nodes that do not hear each other', () => {
   it('place work on the machines of all as long as their owners hold their claims', async () => {
     await ready(3, 6);
-    for (const from of [0, 1, 2]) for (const to of [0, 1, 2]) cluster.parted.add(`n${from}>n${to}`);
+    for (const from of [0, 1, 2]) for (const to of [0, 1, 2]) cluster.partitioned.add(`n${from}>n${to}`);
     await cluster.advance(20_000);
     for (const node of [0, 1, 2]) {
       for (const machineId of cluster.workers.keys()) assert.ok(isOpen(node, machineId), `${machineId} at n${node}`);
--- a/testing/cluster.ts
+++ b/testing/cluster.ts
@@ -17,7 +17,7 @@
 import { FakeClock } from './fake-clock.js';
 import { FakeCloud } from './fake-cloud.js';
 import { FakeGangs } from './fake-gangs.js';
-import { FakeNetwork, type Fault } from './fake-network.js';
+import { FakeNetwork, type NetworkFault } from './fake-network.js';
 import { FakeStore } from './fake-store.js';
 import { FakeUsers } from './fake-users.js';
 import { C8, jobOf, settingsFileOf, type ClusterOptions } from './fixtures.js';
@@ -55,16 +55,16 @@
   readonly workers = new Map<string, FakeWorker>();
   /** Workers that are dead or cut off from all nodes. */
   readonly cut = new Set<string>();
-  /** Workers whose reports arrive, but which neither answers nor commands reach. */
-  readonly deaf = new Set<string>();
+  /** Workers whose heartbeats arrive, but which neither answers nor commands reach. */
+  readonly inboundLoss = new Set<string>();
   /** Workers that reach no node, while direct commands reach them. */
-  readonly mute = new Set<string>();
+  readonly outboundLoss = new Set<string>();
   /** Pairs "i-000001>n1" of a worker and a node that it can't reach. */
   readonly unreachable = new Set<string>();
   /** Pairs "n0>n1" of nodes whose gossip does not arrive. */
-  readonly parted = new Set<string>();
-  /** Of that share of the workers' reports a copy arrives again later, at the same node. */
-  lateReports: { share: number; lateMs: [number, number] } | undefined;
+  readonly partitioned = new Set<string>();
+  /** Of that share of the workers' heartbeats a copy arrives again later, at the same node. */
+  lateHeartbeats: { share: number; lateMs: [number, number] } | undefined;
   /** Users who repeat what fails and go on asking; they act when a scenario tells them to. */
   readonly users: FakeUsers;
   /** Called when a task has ended, at that very moment. */
@@ -102,13 +102,13 @@
         nodes: options.nodes ?? 1,
         isHealthy: (index) => this.nodes.get(`n${index}`)?.controller.isHealthy() === true,
         post: (body, node) => this.post(body, node),
-        ask: (jobId, node) => this.ask(jobId, node),
-        cancel: (jobId, node) => this.cancel(jobId, node),
+        requestStatus: (jobId, node) => this.requestStatus(jobId, node),
+        requestCancellation: (jobId, node) => this.requestCancellation(jobId, node),
       },
       this.clock,
       this.random,
     );
-    this.network.weather = (from, to) => this.weather(from, to.split(':')[0]!);
+    this.network.lastingFault = (from, to) => this.lossBetween(from, to.split(':')[0]!);
     for (let index = 0; index < (options.nodes ?? 1); index++) {
       if (options.version !== undefined) this.versions.set(index, options.version);
       this.start(index);
@@ -117,14 +117,14 @@
   }
 
   /** What is lost between two hosts by the sets above. */
-  private weather(from: string, to: string): Fault['kind'] | undefined {
+  private lossBetween(from: string, to: string): NetworkFault['kind'] | undefined {
     const isLost =
       [from, to].some((machineId) => this.cut.has(machineId)) ||
-      this.deaf.has(to) ||
-      this.mute.has(from) ||
-      [this.unreachable, this.parted].some((pairs) => pairs.has(`${from}>${to}`));
+      this.inboundLoss.has(to) ||
+      this.outboundLoss.has(from) ||
+      [this.unreachable, this.partitioned].some((pairs) => pairs.has(`${from}>${to}`));
     if (isLost) return 'lose';
-    return this.deaf.has(from) ? 'answerLost' : undefined;
+    return this.inboundLoss.has(from) ? 'answerLost' : undefined;
   }
 
   start(index: number): void {
@@ -161,7 +161,7 @@
   }
 
   /** Tells a node to stop, as an operator's signal does; it ends when it has done so. */
-  async tellToStop(index: number): Promise<void> {
+  async terminate(index: number): Promise<void> {
     const node = this.nodes.get(`n${index}`);
     await node?.controller.handOver();
     if (this.nodes.get(`n${index}`) === node) this.crash(index);
@@ -273,13 +273,14 @@
       await this.clock.sleep(500, this.ticking.signal);
       for (const [machineId, worker] of this.workers) {
         const isReached =
-          ![this.cut, this.deaf, this.mute].some((machineIds) => machineIds.has(machineId)) && !worker.isSuspended;
+          ![this.cut, this.inboundLoss, this.outboundLoss].some((machineIds) => machineIds.has(machineId)) &&
+          !worker.isSuspended;
         this.checker.machineUsable(machineId, isReached && worker.spotNoticeS === null);
       }
-      this.checker.look(this.clock.now());
+      this.checker.checkNow(this.clock.now());
       const names = Array.from({ length: this.options.nodes ?? 1 }, (_, index) => `n${index}`);
       for (const [machineId, worker] of this.workers) {
-        void worker.sendHeartbeat(names, (node, report) => this.report(machineId, node, report));
+        void worker.sendHeartbeat(names, (node, heartbeat) => this.carryHeartbeat(machineId, node, heartbeat));
       }
       for (const [from, { controller, freezer }] of this.nodes) {
         if (freezer.isFrozen) continue;
@@ -288,18 +289,18 @@
     }
   }
 
-  private async report(machineId: string, node: string, report: unknown): Promise<Reply | undefined> {
-    const say = (from: string) =>
+  private async carryHeartbeat(machineId: string, node: string, heartbeat: object): Promise<Reply | undefined> {
+    const send = (from: string) =>
       this.network
         .client(from)
-        .call(`${node}:8080`, 'POST', '/hello', report, { timeoutMs: ANSWER_MS })
+        .call(`${node}:8080`, 'POST', '/hello', heartbeat, { timeoutMs: ANSWER_MS })
         .catch(() => undefined);
-    if (this.lateReports !== undefined && this.random.float() < this.lateReports.share) {
-      const [least, most] = this.lateReports.lateMs;
+    if (this.lateHeartbeats !== undefined && this.random.float() < this.lateHeartbeats.share) {
+      const [least, most] = this.lateHeartbeats.lateMs;
       // It is on its way already, whatever becomes of its worker.
-      void this.clock.sleep(least + this.random.float() * (most - least)).then(() => say('late-copies'));
+      void this.clock.sleep(least + this.random.float() * (most - least)).then(() => send('late-copies'));
     }
-    return say(machineId);
+    return send(machineId);
   }
 
   private carry(from: string, to: string, message: OpaqueMessage): boolean {
@@ -333,13 +334,13 @@
     return this.asUser('submit', jobId, node, (controller) => controller.submit(body));
   }
 
-  ask(jobId: string, node = 0): Promise<HttpAnswer> {
+  requestStatus(jobId: string, node = 0): Promise<HttpAnswer> {
     return this.asUser('poll', jobId, node, (controller) => controller.poll(jobId));
   }
 
-  cancel(jobId: string, node = 0): Promise<HttpAnswer> {
+  requestCancellation(jobId: string, node = 0): Promise<HttpAnswer> {
     this.checker.cancelAsked(this.clock.now(), jobId);
-    return this.asUser('withdraw', jobId, node, (controller) => controller.cancel(jobId));
+    return this.asUser('cancel', jobId, node, (controller) => controller.cancel(jobId));
   }
 
   private async asUser(
@@ -352,7 +353,7 @@
     const node = this.nodes.get(`n${index}`);
     const patienceMs = kind === 'poll' ? POLL_PATIENCE_MS : REQUEST_PATIENCE_MS;
     const { freezer, stop, controller } = node ?? {};
-    const told = await new Promise<HttpAnswer>((resolve) => {
+    const answer = await new Promise<HttpAnswer>((resolve) => {
       const none: HttpAnswer = { status: 0, body: undefined };
       // A node that ends in the meantime has told nobody anything.
       if (controller === undefined) return resolve(none);
@@ -360,8 +361,8 @@
       this.clock.after(patienceMs, () => resolve(none));
       void freezer!.serve(kind, () => call(controller)).then(resolve);
     });
-    this.checker.answered({ kind, jobId, askedAt, at: this.clock.now(), status: told.status, body: told.body });
-    return told;
+    this.checker.answered({ kind, jobId, askedAt, at: this.clock.now(), status: answer.status, body: answer.body });
+    return answer;
   }
 
   submit(fields: Partial<Submission>, node = 0): Promise<HttpAnswer> {
@@ -369,11 +370,11 @@
   }
 
   poll(jobId: string, node = 0): Promise<HttpAnswer> {
-    return this.during(this.ask(jobId, node));
+    return this.during(this.requestStatus(jobId, node));
   }
 
-  withdraw(jobId: string, node = 0): Promise<HttpAnswer> {
-    return this.during(this.cancel(jobId, node));
+  cancelJob(jobId: string, node = 0): Promise<HttpAnswer> {
+    return this.during(this.requestCancellation(jobId, node));
   }
 
   /** Every start of a task, on whatever machine, from first to last. */
@@ -402,7 +403,7 @@
   }
 
   /** Remembers machines that are about to go, for `runs`. */
-  remember(): void {
+  rememberWorkers(): void {
     void this.everyWorker;
   }
 
--- a/testing/fake-network.ts
+++ b/testing/fake-network.ts
@@ -13,7 +13,7 @@
 export type Handler = (method: string, path: string, body: unknown, sender: Sender) => Promise<Reply> | Reply;
 
 /** What happens to messages from one host to an address; the first fault that matches counts. */
-export interface Fault {
+export interface NetworkFault {
   from?: string;
   to?: string;
   path?: RegExp;
@@ -38,17 +38,17 @@
 /** A host's name without the port. */
 const nameOf = (address: string) => address.split(':')[0]!;
 
-/** A network in memory: routes calls by address, and delays, loses, holds and repeats them as told. */
+/** A network in memory: routes calls by address, and delays, loses, holds and repeats them. */
 export class FakeNetwork {
   private readonly handlers = new Map<string, Handler>();
-  private faults: Fault[] = [];
-  private held: { fault: Fault; go: () => void }[] = [];
-  private readonly splits = new Map<Fault, Set<string>>();
+  private faults: NetworkFault[] = [];
+  private held: { fault: NetworkFault; go: () => void }[] = [];
+  private readonly splits = new Map<NetworkFault, Set<string>>();
   private readonly random: Random;
   /** All that was sent, whether it arrived or not. */
   readonly log: { from: string; to: string; method: string; path: string; body: unknown }[] = [];
   /** Further faults, for whoever knows the hosts. */
-  weather: (from: string, to: string) => Fault['kind'] | undefined = () => undefined;
+  lastingFault: (from: string, to: string) => NetworkFault['kind'] | undefined = () => undefined;
 
   constructor(
     private readonly clock: FakeClock,
@@ -66,7 +66,7 @@
   }
 
   /** Returns what ends it; what it holds stays held until `release`. */
-  fault(fault: Fault): () => void {
+  fault(fault: NetworkFault): () => void {
     this.faults.push(fault);
     return () => (this.faults = this.faults.filter((each) => each !== fault));
   }
@@ -78,7 +78,7 @@
 
   /** A cut that holds messages. Returns what ends it and delivers them. */
   cut(where: { from?: string; to?: string; path?: RegExp }): () => void {
-    const fault: Fault = { ...where, kind: 'hold' };
+    const fault: NetworkFault = { ...where, kind: 'hold' };
     const heal = this.fault(fault);
     return () => {
       heal();
@@ -88,7 +88,7 @@
 
   /** Cuts these hosts off from all others; inside all goes on. Returns what ends it and delivers what was held. */
   split(inside: Iterable<string>): () => void {
-    const fault: Fault = { kind: 'hold' };
+    const fault: NetworkFault = { kind: 'hold' };
     this.splits.set(fault, new Set(inside));
     return () => {
       this.splits.delete(fault);
@@ -97,7 +97,7 @@
   }
 
   /** Delivers what was held, late and in order. */
-  release(by?: Fault): void {
+  release(by?: NetworkFault): void {
     const freed = this.held.filter(({ fault }) => by === undefined || fault === by);
     this.held = this.held.filter((each) => !freed.includes(each));
     for (const { go } of freed) go();
@@ -117,11 +117,11 @@
     else if (fault.kind === 'late') void this.clock.sleep(this.lateness(fault)).then(deliver);
   }
 
-  private lateness({ lateMs: [least, most] = [2000, 12_000] }: Fault): number {
+  private lateness({ lateMs: [least, most] = [2000, 12_000] }: NetworkFault): number {
     return least + this.random.float() * (most - least);
   }
 
-  private match(from: string, to: string, path: string, body: unknown): Fault | undefined {
+  private match(from: string, to: string, path: string, body: unknown): NetworkFault | undefined {
     const found = this.faults.find(
       (fault) =>
         (fault.from === undefined || fault.from === from) &&
@@ -134,14 +134,14 @@
     return found ?? this.lasting(from, to);
   }
 
-  private lasting(from: string, to: string): Fault | undefined {
+  private lasting(from: string, to: string): NetworkFault | undefined {
     for (const [fault, inside] of this.splits) if (inside.has(nameOf(from)) !== inside.has(nameOf(to))) return fault;
-    const kind = this.weather(from, to);
+    const kind = this.lastingFault(from, to);
     return kind === undefined ? undefined : { kind };
   }
 
   /** Is there a cut that takes or holds an answer, one that began after the request? */
-  private onAnswer(from: string, to: string, path: string): Fault | undefined {
+  private onAnswer(from: string, to: string, path: string): NetworkFault | undefined {
     const cut = this.faults.find(
       (fault) =>
         (fault.kind === 'lose' || fault.kind === 'hold') &&
@@ -154,7 +154,7 @@
     return cut ?? this.lasting(from, to);
   }
 
-  private untilReleased(fault: Fault): Promise<void> {
+  private untilReleased(fault: NetworkFault): Promise<void> {
     return new Promise((resolve) => this.held.push({ fault, go: resolve }));
   }
 
--- a/testing/fake-users.ts
+++ b/testing/fake-users.ts
@@ -1,6 +1,7 @@
 import type { HttpAnswer } from '../src/net/http-answer.js';
 import type { Random } from '../src/net/random.js';
 import type { FakeClock } from './fake-clock.js';
+import { decodeJobState, type JobState } from './job-status-wire-codec.js';
 import { decodeSubmission, encodeSubmission, type AnySubmissionFields } from './submission-wire-codec.js';
 
 /** ms for which a user repeats a request, and between two questions about a job. */
@@ -23,14 +24,14 @@
   nodes: number;
   isHealthy(node: number): boolean;
   post(body: unknown, node: number): Promise<HttpAnswer>;
-  ask(jobId: string, node: number): Promise<HttpAnswer>;
-  cancel(jobId: string, node: number): Promise<HttpAnswer>;
+  requestStatus(jobId: string, node: number): Promise<HttpAnswer>;
+  requestCancellation(jobId: string, node: number): Promise<HttpAnswer>;
 }
 
 /** Users as the protocol describes them: they repeat what fails, go on asking, and some ask for odd things. */
 export class FakeUsers {
   /** Jobs that were accepted, with what was submitted and what was last heard. */
-  readonly jobs = new Map<string, { body: object; phase: string }>();
+  readonly jobs = new Map<string, { body: object; state: JobState }>();
 
   constructor(
     private readonly service: Service,
@@ -60,28 +61,28 @@
     const answer = await this.repeat((node) => this.service.post(body, node));
     const { id } = decodeSubmission(body);
     if (answer.status > 201 || answer.status === 0 || this.jobs.has(id)) return answer;
-    this.jobs.set(id, { body, phase: 'queued' });
+    this.jobs.set(id, { body, state: 'queued' });
     void this.follow(id);
     return answer;
   }
 
-  async withdraw(jobId: string): Promise<HttpAnswer> {
-    const answer = await this.repeat((node) => this.service.cancel(jobId, node));
-    this.note(jobId, answer);
+  async cancelJob(jobId: string): Promise<HttpAnswer> {
+    const answer = await this.repeat((node) => this.service.requestCancellation(jobId, node));
+    this.noteState(jobId, answer);
     return answer;
   }
 
-  private note(jobId: string, answer: HttpAnswer): void {
+  private noteState(jobId: string, answer: HttpAnswer): void {
     const job = this.jobs.get(jobId);
-    if (job !== undefined && answer.status === 200) job.phase = (answer.body as { Phase: string }).Phase;
+    if (job !== undefined && answer.status === 200) job.state = decodeJobState(answer.body)!;
   }
 
   private async follow(jobId: string): Promise<void> {
     const job = this.jobs.get(jobId)!;
     for (;;) {
-      const isOver = job.phase === 'done' || job.phase === 'withdrawn';
+      const isOver = job.state === 'done' || job.state === 'cancelled';
       await this.clock.sleep(this.random.jitter(isOver ? LATER_MS : POLL_MS));
-      this.note(jobId, await this.service.ask(jobId, this.anyNode()));
+      this.noteState(jobId, await this.service.requestStatus(jobId, this.anyNode()));
     }
   }
 
@@ -89,12 +90,12 @@
    * Odd requests, one after the other: submissions of unfinished jobs are repeated, also malformed; jobs that are done are
    * cancelled; jobs come that fit no machine or lack a field; and somebody asks about a job that nobody knows.
    */
-  async askOddThings(): Promise<HttpAnswer[]> {
+  async sendOddRequests(): Promise<HttpAnswer[]> {
     const answers: HttpAnswer[] = [];
     const one = async (request: (node: number) => Promise<HttpAnswer>) => answers.push(await request(this.anyNode()));
-    for (const [jobId, { body, phase }] of this.jobs) {
-      if (phase === 'done') await one((node) => this.service.cancel(jobId, node));
-      if (phase === 'done' || phase === 'withdrawn') continue;
+    for (const [jobId, { body, state }] of this.jobs) {
+      if (state === 'done') await one((node) => this.service.requestCancellation(jobId, node));
+      if (state === 'done' || state === 'cancelled') continue;
       await one((node) => this.service.post(body, node));
       await one((node) => this.service.post({ ...body, ...encodeSubmission({ cpus: 1e9, memoryGb: null }) }, node));
     }
@@ -106,7 +107,7 @@
     });
     for (const [n, fields] of ODD_FIELDS.entries()) await one((node) => this.service.post(odd(n, fields), node));
     await one((node) => this.service.post([], node));
-    await one((node) => this.service.ask(`j-nobody-${this.clock.now()}`, node));
+    await one((node) => this.service.requestStatus(`j-nobody-${this.clock.now()}`, node));
     return answers;
   }
 }
--- a/testing/freezer.ts
+++ b/testing/freezer.ts
@@ -5,7 +5,7 @@
 
 /** When and for how long a node stands still. */
 export interface Trap {
-  /** Of a request that it sends or answers; for users: submit, poll or withdraw. */
+  /** Of a request that it sends or answers; for users: submit, poll or cancel. */
   path: RegExp;
   /** Before it sends a request, before it takes in the answer, or before its own answer goes out. */
   when: 'sending' | 'answered' | 'answering';
--- a/testing/invariant-checker.ts
+++ b/testing/invariant-checker.ts
@@ -6,6 +6,7 @@
 import { resourcesOf } from '../src/domain/resources.js';
 import { PipelineChecker } from './pipeline-checker.js';
 import { PlacementHistory } from './placement-history.js';
+import { decodeJobState, type JobState } from './job-status-wire-codec.js';
 import { decodeSubmission, decodeSubmittedId, type Submission } from './submission-wire-codec.js';
 import { invalidField } from './submission-wire-schema.js';
 import { jobIdOf, taskIndexOf } from './task-id.js';
@@ -27,9 +28,9 @@
   | 'placed_twice'
   | 'older_token';
 
-/** ms without an answer to any question about a job after which it counts as forgotten, once all troubles are over. */
+/** ms without an answer to any question about a job after which it counts as forgotten, once all faults are over. */
 const FORGOTTEN_MS = 75_000;
-/** ms for which a job may wait while there is room for it, once all troubles are over. */
+/** ms for which a job may wait while there is room for it, once all faults are over. */
 const WAITING_MS = 90_000;
 /** Amounts are decimal numbers, so sums may be off by their last digits. */
 const EPS = 1e-6;
@@ -71,7 +72,7 @@
 }
 
 export interface UserAnswer {
-  kind: 'submit' | 'poll' | 'withdraw';
+  kind: 'submit' | 'poll' | 'cancel';
   jobId: string;
   askedAt: number;
   at: number;
@@ -82,21 +83,21 @@
 
 export class InvariantChecker {
   /** Every rule that was broken, in the order of finding. */
-  readonly broken: { rule: Rule; at: number; what: string }[] = [];
+  readonly violations: { rule: Rule; at: number; what: string }[] = [];
   /**
    * Starts after a confirmed cancellation whose command was on its way by then: allowed, as long as they end in time.
    */
   readonly lateStarts: string[] = [];
-  private readonly told = new Set<string>();
+  private readonly seen = new Set<string>();
   private readonly machines = new Map<string, Machine>();
   private readonly jobs = new Map<string, Job>();
   private readonly runs = new Set<Run>();
-  private calmSince = Infinity;
+  private faultsEndedAt = Infinity;
   private readonly pipelines: PipelineChecker;
   /** Which launches workers carried out, over takeovers. */
   readonly placements = new PlacementHistory(
     (taskId) => this.jobs.get(jobIdOf(taskId))?.spec?.kind === 'gang',
-    (rule, at, what) => this.breaks(rule, at, what),
+    (rule, at, what) => this.addViolation(rule, at, what),
   );
 
   constructor(private readonly options: InvariantCheckerOptions) {
@@ -105,15 +106,15 @@
 
   /** What was broken, in words; empty if all is well. */
   verdict(at: number): string[] {
-    this.look(at);
-    return this.broken.map((each) => `${each.rule} at ${each.at}: ${each.what}`);
+    this.checkNow(at);
+    return this.violations.map((each) => `${each.rule} at ${each.at}: ${each.what}`);
   }
 
-  private breaks(rule: Rule, at: number, what: string): void {
+  private addViolation(rule: Rule, at: number, what: string): void {
     const key = `${rule} ${what}`;
-    if (this.told.has(key)) return;
-    this.told.add(key);
-    this.broken.push({ rule, at, what });
+    if (this.seen.has(key)) return;
+    this.seen.add(key);
+    this.violations.push({ rule, at, what });
   }
 
   private job(jobId: string): Job {
@@ -154,25 +155,25 @@
     const { spec, cancelledAt } = job;
     for (const other of this.runs) {
       if (other.taskId === taskId)
-        this.breaks('ran_twice', at, `${taskId} starts on ${machineId} while on ${other.machineId}`);
+        this.addViolation('ran_twice', at, `${taskId} starts on ${machineId} while on ${other.machineId}`);
     }
     if (cancelledAt !== undefined && at > cancelledAt) {
       const what = `${taskId} on ${machineId}, ${at - cancelledAt} ms after its cancellation`;
-      if (orderedAt > cancelledAt) this.breaks('started_cancelled', at, what);
+      if (orderedAt > cancelledAt) this.addViolation('started_cancelled', at, what);
       else this.lateStarts.push(what);
     }
     const open = this.pipelines.openPredecessor(job);
-    if (open !== undefined) this.breaks('too_early', at, `${taskId} on ${machineId}, before ${open} is done`);
+    if (open !== undefined) this.addViolation('too_early', at, `${taskId} on ${machineId}, before ${open} is done`);
     const machine = this.machines.get(machineId);
     if (spec !== undefined && machine !== undefined) {
       const why = this.whyWrongPlace(spec, machine);
-      if (why !== undefined) this.breaks('wrong_place', at, `${taskId} on ${machineId}: ${why}`);
+      if (why !== undefined) this.addViolation('wrong_place', at, `${taskId} on ${machineId}: ${why}`);
     }
     this.runs.add({ machineId, taskId, jobId });
     job.waitingSince = undefined;
     if (spec === undefined) return;
     const why = this.whyOverLimit(spec, 0);
-    if (why !== undefined) this.breaks('quota', at, `${taskId}: ${why}`);
+    if (why !== undefined) this.addViolation('quota', at, `${taskId}: ${why}`);
   }
 
   taskEnded(at: number, machineId: string, taskId: string, cause: string): void {
@@ -194,7 +195,7 @@
   private checkGone(at: number, run: Run): void {
     const { cancelledAt } = this.job(run.jobId);
     if (cancelledAt === undefined || at - cancelledAt <= this.options.cancelS * 1000) return;
-    this.breaks('ran_cancelled', at, `${run.taskId} on ${run.machineId}, cancelled at ${cancelledAt}`);
+    this.addViolation('ran_cancelled', at, `${run.taskId} on ${run.machineId}, cancelled at ${cancelledAt}`);
   }
 
   private tasksOf(jobId: string): Run[] {
@@ -251,52 +252,52 @@
   answered(answer: UserAnswer): void {
     const { kind, jobId, askedAt, at, status } = answer;
     const job = this.jobs.get(jobId);
-    const phase = (answer.body as { Phase?: string } | undefined)?.Phase;
+    const state = decodeJobState(answer.body);
     const accepted = job?.acceptedAt !== undefined && job.acceptedAt < askedAt;
-    if (status === 404 && accepted) this.breaks('forgotten', at, `${kind} of ${jobId}: 404`);
+    if (status === 404 && accepted) this.addViolation('forgotten', at, `${kind} of ${jobId}: 404`);
     if (kind === 'submit' && (status === 400 || status === 422) && accepted) {
-      this.breaks('forgotten', at, `${jobId} submitted again: ${status}`);
+      this.addViolation('forgotten', at, `${jobId} submitted again: ${status}`);
     }
     if (kind === 'poll' && job?.acceptedAt !== undefined) this.noteSilence(job, answer);
     if (status !== 200 && status !== 201) return;
-    if (job === undefined) return this.breaks('invented', at, `${kind} of ${jobId}: ${phase}`);
+    if (job === undefined) return this.addViolation('invented', at, `${kind} of ${jobId}: ${state}`);
     if (job.acceptedAt === undefined) {
       const why = this.whyNever(job.spec) ?? this.whyNeverReleased(job);
-      if (why !== undefined) this.breaks('wrongly_accepted', at, `${jobId}: ${why}`);
+      if (why !== undefined) this.addViolation('wrongly_accepted', at, `${jobId}: ${why}`);
     }
     job.acceptedAt ??= at;
-    this.takePhase(job, answer, phase);
+    this.takeState(job, answer, state);
   }
 
-  private takePhase(job: Job, { kind, jobId, askedAt, at }: UserAnswer, phase: string | undefined): void {
-    const final = job.cancelledAt !== undefined ? 'withdrawn' : job.doneAt !== undefined ? 'done' : undefined;
-    if (phase === 'done' || phase === 'withdrawn') {
+  private takeState(job: Job, { kind, jobId, askedAt, at }: UserAnswer, state: JobState | undefined): void {
+    const final = job.cancelledAt !== undefined ? 'cancelled' : job.doneAt !== undefined ? 'done' : undefined;
+    if (state === 'done' || state === 'cancelled') {
       // Only one of the two is ever true, so it doesn't matter here who asked first.
-      if (final !== undefined && final !== phase)
-        this.breaks('went_back', at, `${kind} of ${jobId}: ${phase}, was ${final}`);
+      if (final !== undefined && final !== state)
+        this.addViolation('went_back', at, `${kind} of ${jobId}: ${state}, was ${final}`);
     } else {
       const toldAt = job.cancelledAt ?? job.doneAt;
       if (toldAt !== undefined && toldAt < askedAt) {
-        this.breaks('went_back', at, `${kind} of ${jobId}: ${phase}, was ${final}`);
+        this.addViolation('went_back', at, `${kind} of ${jobId}: ${state}, was ${final}`);
       }
       const orphanedForMs = this.pipelines.orphanedForMs(job, at);
       if (orphanedForMs !== undefined) {
-        this.breaks(
+        this.addViolation(
           'orphaned',
           at,
-          `${kind} of ${jobId}: ${phase}, a job before it is cancelled for ${orphanedForMs} ms`,
+          `${kind} of ${jobId}: ${state}, a job before it is cancelled for ${orphanedForMs} ms`,
         );
       }
     }
-    if (phase === 'withdrawn') {
+    if (state === 'cancelled') {
       if (job.cancelAskedAt === undefined && !this.pipelines.mayBeCancelled(job))
-        this.breaks('went_back', at, `${jobId} withdrawn, though not by its user`);
+        this.addViolation('went_back', at, `${jobId} cancelled, though not by its user`);
       job.cancelledAt ??= at;
     }
-    if (phase === 'done') {
+    if (state === 'done') {
       const { spec } = job;
       const isDone = spec !== undefined && spec.kind !== 'service' && job.done.size === spec.taskCount;
-      if (!isDone) this.breaks('not_done', at, `${jobId}: ${job.done.size} of ${spec?.taskCount} tasks are done`);
+      if (!isDone) this.addViolation('not_done', at, `${jobId}: ${job.done.size} of ${spec?.taskCount} tasks are done`);
       job.doneAt ??= at;
     }
   }
@@ -307,8 +308,8 @@
       return;
     }
     job.unansweredSince ??= askedAt;
-    if (at - Math.max(job.unansweredSince, this.calmSince) < FORGOTTEN_MS) return;
-    this.breaks('forgotten', at, `no question about ${jobId} was answered`);
+    if (at - Math.max(job.unansweredSince, this.faultsEndedAt) < FORGOTTEN_MS) return;
+    this.addViolation('forgotten', at, `no question about ${jobId} was answered`);
   }
 
   private whyNeverReleased(job: Job): string | undefined {
@@ -340,23 +341,23 @@
 
   // What is broken by nothing happening.
 
-  /** From now on no trouble excuses silence or waiting. */
-  troublesOver(at: number): void {
-    this.calmSince = at;
+  /** From now on no fault excuses silence or waiting. */
+  faultsEnded(at: number): void {
+    this.faultsEndedAt = at;
   }
 
   /** To be called every second or so, and at the end. */
-  look(at: number): void {
+  checkNow(at: number): void {
     for (const run of this.runs) this.checkGone(at, run);
-    if (at < this.calmSince) return;
+    if (at < this.faultsEndedAt) return;
     for (const [jobId, job] of this.jobs) {
       if (!this.hasRoom(job)) {
         job.waitingSince = undefined;
         continue;
       }
       job.waitingSince ??= at;
-      if (at - Math.max(job.waitingSince, this.calmSince) < WAITING_MS) continue;
-      this.breaks('left_waiting', at, `${jobId}, though there is room`);
+      if (at - Math.max(job.waitingSince, this.faultsEndedAt) < WAITING_MS) continue;
+      this.addViolation('left_waiting', at, `${jobId}, though there is room`);
     }
   }
 
--- a/testing/loopback-cluster.ts
+++ b/testing/loopback-cluster.ts
@@ -79,7 +79,7 @@
     const names = this.controllers.map((_, index) => `n${index}`);
     this.timers.push(
       setInterval(() => this.store.expire(), EXPIRE_MS),
-      setInterval(() => this.report(names), TICK_MS * 5),
+      setInterval(() => this.sendHeartbeats(names), TICK_MS * 5),
     );
   }
 
@@ -98,7 +98,7 @@
   }
 
   private async startWorkers(): Promise<void> {
-    const around = {
+    const environment = {
       leaseS: 10,
       describe: (jobId: string) => this.jobs.get(jobId),
       gangs: new FakeGangs(idleClock, 30_000, 4000),
@@ -108,7 +108,7 @@
       const machineId = `i-${String(n).padStart(6, '0')}`;
       const zone = ['a', 'b', 'c'][n % 3]!;
       const { runMs } = this.options;
-      const worker = new FakeWorker(idleClock, { machineId, zone, runMs }, C8, around);
+      const worker = new FakeWorker(idleClock, { machineId, zone, runMs }, C8, environment);
       worker.endpoint = await this.serve((_method, path, body) => worker.handle(path, body));
       this.watchWorker(worker, machineId, zone);
       this.workers.push(worker);
@@ -155,11 +155,11 @@
     this.controllers[index]?.process?.kill(signal);
   }
 
-  private report(names: readonly string[]): void {
+  private sendHeartbeats(names: readonly string[]): void {
     for (const worker of this.workers) {
-      void worker.sendHeartbeat([...names], (node, report) =>
+      void worker.sendHeartbeat([...names], (node, heartbeat) =>
         this.http
-          .call(this.controllers[Number(node.slice(1))]!.address, 'POST', '/hello', report, { timeoutMs: ANSWER_MS })
+          .call(this.controllers[Number(node.slice(1))]!.address, 'POST', '/hello', heartbeat, { timeoutMs: ANSWER_MS })
           .catch(() => undefined),
       );
     }
@@ -207,6 +207,6 @@
     for (const server of this.servers) server.close();
     this.http.close();
     rmSync(this.folder, { recursive: true, force: true });
-    return this.checker.broken.map(({ rule, what }) => `${rule}: ${what}`);
+    return this.checker.violations.map(({ rule, what }) => `${rule}: ${what}`);
   }
 }
--- a/testing/play-takeovers.ts
+++ b/testing/play-takeovers.ts
@@ -6,7 +6,7 @@
 
 const HEARTBEAT_SPAN_MS = 800;
 const STEPS = ['detected', 'claimed', 'copied', 'answered', 'decided'] as const;
-const LOSSES: Loss[] = ['kill', 'freeze', 'cut from the store', 'told to stop'];
+const LOSSES: Loss[] = ['kill', 'freeze', 'store partition', 'terminate'];
 const ROLES: MeasuredRole[] = ['leader', 'partition'];
 
 const trials = Number(process.argv[2] ?? '5');
--- a/testing/randomized-scenario.ts
+++ b/testing/randomized-scenario.ts
@@ -3,13 +3,13 @@
 import { Cluster } from './cluster.js';
 import { FaultInjector, lastsMs } from './fault-injector.js';
 import { jobOf } from './fixtures.js';
-import { MACHINES, NODES, ZONES, SPELL_MS, type Schedule } from './random-schedule.js';
+import { MACHINES, NODES, ZONES, FAULT_WINDOW_MS, type Schedule } from './random-schedule.js';
 import type { Submission } from './submission-wire-codec.js';
 
-/** ms until the cluster is up, and for which the invariant checker watches after the troubles. */
+/** ms until the cluster is up, and for which the invariant checker watches after the faults. */
 const READY_MS = 6000;
 const CALM_MS = 100_000;
-/** How long tasks run on a machine: they end while the troubles last, or only when a cancellation must have stopped them. */
+/** How long tasks run on a machine: they end while the faults last, or only when a cancellation must have stopped them. */
 const RUNS_MS = [4000, 12_000, 60_000];
 
 class RandomizedScenario {
@@ -42,18 +42,18 @@
     }
     await cluster.advance(settleMs);
     this.submitSome();
-    for (let ms = 4000; ms <= SPELL_MS; ms += 8000) clock.after(ms, () => this.submitSome());
-    for (const { trouble, afterMs } of schedule.cancels) {
-      const { atMs } = schedule.troubles[trouble % schedule.troubles.length]!;
+    for (let ms = 4000; ms <= FAULT_WINDOW_MS; ms += 8000) clock.after(ms, () => this.submitSome());
+    for (const { fault, afterMs } of schedule.cancels) {
+      const { atMs } = schedule.faults[fault % schedule.faults.length]!;
       clock.after(atMs + afterMs, () => this.cancelSome(1));
     }
-    let lastMs = SPELL_MS;
-    for (const trouble of schedule.troubles) {
-      lastMs = Math.max(lastMs, trouble.atMs + lastsMs(trouble));
-      clock.after(trouble.atMs, () => void this.faults.inject(trouble));
+    let lastMs = FAULT_WINDOW_MS;
+    for (const fault of schedule.faults) {
+      lastMs = Math.max(lastMs, fault.atMs + lastsMs(fault));
+      clock.after(fault.atMs, () => void this.faults.inject(fault));
     }
     await cluster.advance(lastMs + 1);
-    cluster.checker.troublesOver(clock.now());
+    cluster.checker.faultsEnded(clock.now());
     await cluster.advance(CALM_MS);
     const broken = cluster.verdict();
     return cluster.users.jobs.size > 0 ? broken : [...broken, 'no job was accepted'];
@@ -76,8 +76,8 @@
 
   /** Users cancel jobs that are not over, as far as they know. */
   private cancelSome(count: number): void {
-    const open = [...this.cluster.users.jobs].filter(([, { phase }]) => phase === 'queued' || phase === 'running');
-    for (const [jobId] of this.random.sample(open, count)) void this.cluster.users.withdraw(jobId);
+    const open = [...this.cluster.users.jobs].filter(([, { state }]) => state === 'queued' || state === 'running');
+    for (const [jobId] of this.random.sample(open, count)) void this.cluster.users.cancelJob(jobId);
   }
 }
 
--- a/testing/takeover-measurement.ts
+++ b/testing/takeover-measurement.ts
@@ -7,7 +7,7 @@
 import type { ClusterOptions } from './fixtures.js';
 import { encodeSubmission, type Submission } from './submission-wire-codec.js';
 
-export type Loss = 'kill' | 'freeze' | 'cut from the store' | 'told to stop';
+export type Loss = 'kill' | 'freeze' | 'store partition' | 'terminate';
 export type MeasuredRole = 'leader' | 'partition';
 
 export interface Trial {
@@ -120,11 +120,11 @@
       return cluster.crash(node);
     case 'freeze':
       return cluster.freeze(node, LIMIT_MS / 2);
-    case 'cut from the store':
+    case 'store partition':
       cluster.network.fault({ from: `n${node}`, to: 'store:1', kind: 'lose' });
       return;
-    case 'told to stop':
-      void cluster.tellToStop(node);
+    case 'terminate':
+      void cluster.terminate(node);
   }
 }
 
--- a/testing/upgrade-scenario.ts
+++ b/testing/upgrade-scenario.ts
@@ -1,6 +1,6 @@
 /**
  * Scenarios of an upgrade and of what it brings: processes change over to the present version in random order, while users
- * submit and cancel and troubles come; then pipelines are submitted, the store's limits shrink, and more troubles come.
+ * submit and cancel and faults come; then pipelines are submitted, the store's limits shrink, and more faults come.
  */
 import fc from 'fast-check';
 import { Random } from '../src/net/random.js';
@@ -8,7 +8,7 @@
 import type { ProgramVersion } from './program-version.js';
 import { FaultInjector, lastsMs } from './fault-injector.js';
 import { jobOf } from './fixtures.js';
-import { anyTrouble, MACHINES, NODES, ZONES, SPELL_MS, type Trouble } from './random-schedule.js';
+import { anyFault, MACHINES, NODES, ZONES, FAULT_WINDOW_MS, type ScheduledFault } from './random-schedule.js';
 import type { Submission } from './submission-wire-codec.js';
 
 export interface UpgradeSchedule {
@@ -16,9 +16,9 @@
   /** The nodes in the order in which they change over, and ms before each does. */
   order: number[];
   gapsMs: number[];
-  /** Troubles during the upgrade, and after it. */
-  during: Trouble[];
-  after: Trouble[];
+  /** Faults during the upgrade, and after it. */
+  during: ScheduledFault[];
+  after: ScheduledFault[];
   /** ms after the upgrade at which the store's limits shrink. */
   shrinkMs: number;
   /** ms after the upgrade at which users cancel a job each. */
@@ -31,10 +31,10 @@
   seed: fc.integer({ min: 1, max: 1_000_000 }),
   order: fc.shuffledSubarray([0, 1, 2], { minLength: NODES, maxLength: NODES }),
   gapsMs: fc.array(gapMs, { minLength: NODES, maxLength: NODES }),
-  during: fc.array(anyTrouble, { minLength: 0, maxLength: 2 }),
-  after: fc.array(anyTrouble, { minLength: 1, maxLength: 3 }),
-  shrinkMs: fc.integer({ min: 0, max: SPELL_MS }),
-  cancelsMs: fc.array(fc.integer({ min: 0, max: SPELL_MS }), { minLength: 1, maxLength: 5 }),
+  during: fc.array(anyFault, { minLength: 0, maxLength: 2 }),
+  after: fc.array(anyFault, { minLength: 1, maxLength: 3 }),
+  shrinkMs: fc.integer({ min: 0, max: FAULT_WINDOW_MS }),
+  cancelsMs: fc.array(fc.integer({ min: 0, max: FAULT_WINDOW_MS }), { minLength: 1, maxLength: 5 }),
 });
 
 /** The schedule that belongs to a seed. */
@@ -89,8 +89,8 @@
       cluster.store.limits = limitsOf(NEXT);
     });
     for (const ms of schedule.cancelsMs) cluster.clock.after(ms, () => this.cancelSome(1));
-    await this.bring(schedule.after);
-    cluster.checker.troublesOver(cluster.clock.now());
+    await this.injectFaults(schedule.after);
+    cluster.checker.faultsEnded(cluster.clock.now());
     await cluster.advance(CALM_MS);
     return this.verdict();
   }
@@ -109,7 +109,7 @@
   private async upgrade(): Promise<void> {
     this.submitInRounds(() => this.submitJobs());
     const isChanged = this.changeOver();
-    await this.bring(this.schedule.during);
+    await this.injectFaults(this.schedule.during);
     // Time passes only while somebody lets it pass.
     await this.cluster.during(isChanged, 0);
   }
@@ -125,19 +125,19 @@
     }
   }
 
-  /** Brings troubles about, and waits until they are over. */
-  private async bring(troubles: readonly Trouble[]): Promise<void> {
+  /** Brings faults about, and waits until they are over. */
+  private async injectFaults(faults: readonly ScheduledFault[]): Promise<void> {
     const { cluster } = this;
-    let lastMs = SPELL_MS;
-    for (const trouble of troubles) {
-      lastMs = Math.max(lastMs, trouble.atMs + lastsMs(trouble));
-      cluster.clock.after(trouble.atMs, () => void this.faults.inject(trouble));
+    let lastMs = FAULT_WINDOW_MS;
+    for (const fault of faults) {
+      lastMs = Math.max(lastMs, fault.atMs + lastsMs(fault));
+      cluster.clock.after(fault.atMs, () => void this.faults.inject(fault));
     }
     await cluster.advance(lastMs + 1);
   }
 
   private submitInRounds(submit: () => void): void {
-    for (let ms = 1; ms <= SPELL_MS; ms += ROUND_MS) this.cluster.clock.after(ms, submit);
+    for (let ms = 1; ms <= FAULT_WINDOW_MS; ms += ROUND_MS) this.cluster.clock.after(ms, submit);
   }
 
   /** Submits a job, and returns its name once that is decided. */
@@ -181,8 +181,8 @@
 
   /** Users cancel jobs that are not over, as far as they know. */
   private cancelSome(count: number): void {
-    const open = [...this.cluster.users.jobs].filter(([, { phase }]) => phase === 'queued' || phase === 'running');
-    for (const [jobId] of this.random.sample(open, count)) void this.cluster.users.withdraw(jobId);
+    const open = [...this.cluster.users.jobs].filter(([, { state }]) => state === 'queued' || state === 'running');
+    for (const [jobId] of this.random.sample(open, count)) void this.cluster.users.cancelJob(jobId);
   }
 }
 
