--- a/testing/cluster.ts
+++ b/testing/cluster.ts
@@ -25,7 +25,8 @@
 import { Freezer, type Trap } from './freezer.js';
 import { FakeWorker } from './fake-worker.js';
 import type { JobDescription, WorkerOptions } from './worker-environment.js';
-import { InvariantChecker, type UserAnswer } from './invariant-checker.js';
+import type { UserAnswer } from './answer-checker.js';
+import { InvariantChecker } from './invariant-checker.js';
 import { decodeSubmission, decodeSubmittedId, type Submission } from './submission-wire-codec.js';
 
 /** ms that users wait for an answer. */
