--- /dev/null
+++ b/testing/cluster-nodes.ts
@@ -0,0 +1,146 @@
+/** The controllers of a cluster: their starts, ends and pauses, and the gossip between them. */
+import { setMaxListeners } from 'node:events';
+import { DEFAULT_STANDBY_SETTINGS } from '@dewlatch/standby';
+import { DEFAULT_TUNING } from '../src/constants/scheduling.js';
+import { NoResponseError } from '../src/net/http-client.js';
+import type { FakeClock } from './fake-clock.js';
+import type { FakeNetwork } from './fake-network.js';
+import { settingsFileOf, type ClusterOptions } from './fixtures.js';
+import { Freezer, type Trap } from './freezer.js';
+import { PRESENT_VERSION, type OpaqueMessage, type ProgramVersion, type TestedController } from './program-version.js';
+
+/** A controller that is up. */
+export interface ClusterNode {
+  version: ProgramVersion;
+  controller: TestedController;
+  /** Aborted when the node ends. */
+  stop: AbortController;
+  freezer: Freezer;
+}
+
+/** The seed of the first node; that of each further one is larger by one. */
+const FIRST_SEED = 7;
+
+/** Starts and ends controllers by their index, and carries their messages. */
+export class ClusterNodes {
+  private readonly nodes = new Map<string, ClusterNode>();
+  /** The version that each node runs from its next start on, where it is not the present one. */
+  private readonly versions = new Map<number, ProgramVersion>();
+  /** How many nodes the cluster has, whether they are up or not. */
+  readonly count: number;
+
+  constructor(
+    private readonly clock: FakeClock,
+    private readonly network: FakeNetwork,
+    private readonly options: ClusterOptions,
+  ) {
+    this.count = options.nodes ?? 1;
+  }
+
+  /** The names of all nodes. */
+  get names(): string[] {
+    return Array.from({ length: this.count }, (_, index) => `n${index}`);
+  }
+
+  /** Starts all nodes, in the version that the options ask for. */
+  startAll(): void {
+    for (let index = 0; index < this.count; index++) {
+      if (this.options.version !== undefined) this.versions.set(index, this.options.version);
+      this.start(index);
+    }
+  }
+
+  start(index: number): void {
+    const stop = new AbortController();
+    setMaxListeners(0, stop.signal);
+    const settings = settingsFileOf(index, this.count, this.options);
+    const standby = { ...DEFAULT_STANDBY_SETTINGS, ...this.options.standby, ...this.options.standbyOf?.(index) };
+    const tuning = { ...DEFAULT_TUNING, ...this.options.tuning, standby };
+    const freezer = new Freezer(this.clock);
+    const client = freezer.client(this.network.client(settings.node), stop.signal);
+    const version = this.versions.get(index) ?? PRESENT_VERSION;
+    const controller = version.createController(settings, tuning, client, freezer.thawed, FIRST_SEED + index);
+    const node = { version, controller, stop, freezer };
+    this.nodes.set(settings.node, node);
+    this.network.serve(`${settings.node}:8080`, async (_method, path, body) => {
+      const answer = await freezer.serve(path, () => controller.answerHeartbeat(body));
+      if (stop.signal.aborted) throw new NoResponseError('reset', true);
+      return answer;
+    });
+    controller.connect((to, message) => !stop.signal.aborted && this.carry(settings.node, to, message));
+    void controller.runDuties(stop.signal);
+  }
+
+  /** From its next start on, the node runs the present version. */
+  upgrade(index: number): void {
+    this.versions.delete(index);
+  }
+
+  crash(index: number): void {
+    this.nodes.get(`n${index}`)?.stop.abort();
+    this.nodes.delete(`n${index}`);
+    this.network.unserve(`n${index}:8080`);
+  }
+
+  async terminate(index: number): Promise<void> {
+    const node = this.nodes.get(`n${index}`);
+    await node?.controller.handOver();
+    if (this.nodes.get(`n${index}`) === node) this.crash(index);
+  }
+
+  async restart(index: number, sendingMs: number, lateMs: [number, number]): Promise<void> {
+    const heal = this.network.fault({ from: `n${index}`, path: /^\/(txn|commands)/, kind: 'late', lateMs });
+    await this.clock.sleep(sendingMs);
+    heal();
+    this.crash(index);
+    this.start(index);
+  }
+
+  freeze(index: number, forMs: number): void {
+    this.nodes.get(`n${index}`)?.freezer.freeze(forMs);
+  }
+
+  freezeAt(index: number, trap: Trap): () => void {
+    const traps = this.nodes.get(`n${index}`)?.freezer.traps;
+    traps?.add(trap);
+    return () => traps?.delete(trap);
+  }
+
+  leader(): number | undefined {
+    for (const [name, { controller }] of this.nodes) {
+      if (controller.isLeader()) return Number(name.slice(1));
+    }
+    return undefined;
+  }
+
+  /** The node, if it is up. */
+  get(index: number): ClusterNode | undefined {
+    return this.nodes.get(`n${index}`);
+  }
+
+  /** Some node that is up. */
+  any(): ClusterNode {
+    return [...this.nodes.values()][0]!;
+  }
+
+  /** Each node that is not paused sends its gossip to all others that are up. */
+  exchangeGossip(): void {
+    for (const [from, { controller, freezer }] of this.nodes) {
+      if (freezer.isFrozen) continue;
+      for (const to of this.nodes.keys()) if (from !== to) this.carry(from, to, controller.composeGossip(to));
+    }
+  }
+
+  private carry(from: string, to: string, message: OpaqueMessage): boolean {
+    const bytes = (this.nodes.get(from)?.version ?? PRESENT_VERSION).encodeMessage(message);
+    this.network.post(from, to, () => {
+      const node = this.nodes.get(to);
+      void node?.freezer.pass().then(() => node.controller.receive(node.version.decodeMessage(bytes)));
+    });
+    return true;
+  }
+
+  stop(): void {
+    for (const { stop } of this.nodes.values()) stop.abort();
+  }
+}
