--- a/testing/fake-clock.ts
+++ b/testing/fake-clock.ts
@@ -1,3 +1,4 @@
+/** A stand-in of the clock. */
 import type { Clock } from '../src/net/clock.js';
 
 interface Timer {
--- a/testing/fake-network.ts
+++ b/testing/fake-network.ts
@@ -1,7 +1,9 @@
+/** A stand-in of the network between all hosts of a cluster. */
 import { NoResponseError, type CallOptions, type HttpClient, type Reply } from '../src/net/http-client.js';
 import { Random } from '../src/net/random.js';
 import type { FakeClock } from './fake-clock.js';
 
+/** Who sent a request, and when. */
 export interface Sender {
   from: string;
   /** When it sent the request, which may be long ago. */
@@ -10,6 +12,7 @@
   late?: boolean;
 }
 
+/** Answers the requests to an address. */
 export type Handler = (method: string, path: string, body: unknown, sender: Sender) => Promise<Reply> | Reply;
 
 /** What happens to messages from one host to an address; the first fault that matches counts. */
@@ -158,6 +161,14 @@
     return new Promise((resolve) => this.held.push({ fault, go: resolve }));
   }
 
+  /** Whether nobody gets the answer; the message itself arrives at once, late or never. */
+  private carriesNoAnswer(fault: NetworkFault, deliver: (late?: boolean) => Promise<Reply>): boolean {
+    const ignore = (arrived: Promise<Reply>) => void arrived.catch(() => undefined);
+    if (fault.kind === 'answerLost') ignore(deliver());
+    if (fault.kind === 'late') ignore(this.clock.sleep(this.lateness(fault)).then(() => deliver(true)));
+    return fault.kind === 'answerLost' || fault.kind === 'late' || fault.kind === 'lose';
+  }
+
   private async call(
     from: string,
     to: string,
@@ -178,21 +189,11 @@
       if (handler === undefined) throw new NoResponseError(`${what}: refused`, false);
       return handler(method, path, copy, late ? { ...sender, late } : sender);
     };
-    const ignored = (arrived: Promise<Reply>) => void arrived.catch(() => undefined);
-    let cancel = () => {};
+    let cancel: () => void = () => undefined;
     const timedOut = new Promise<Reply>((_, reject) => {
       cancel = this.clock.after(options.timeoutMs, () => reject(new NoResponseError(`${what}: timeout`, true)));
     });
-    switch (fault?.kind) {
-      case 'answerLost':
-        ignored(deliver());
-        return timedOut;
-      case 'late':
-        ignored(this.clock.sleep(this.lateness(fault)).then(() => deliver(true)));
-        return timedOut;
-      case 'lose':
-        return timedOut;
-    }
+    if (fault !== undefined && this.carriesNoAnswer(fault, deliver)) return timedOut;
     const answer = async (): Promise<Reply> => {
       if (fault === undefined) await this.clock.sleep(1);
       else await this.untilReleased(fault);
--- a/testing/fake-users.ts
+++ b/testing/fake-users.ts
@@ -1,3 +1,4 @@
+/** A stand-in of the users of a cluster. */
 import type { HttpAnswer } from '../src/net/http-answer.js';
 import type { Random } from '../src/net/random.js';
 import type { FakeClock } from './fake-clock.js';
--- a/testing/fault-injector.ts
+++ b/testing/fault-injector.ts
@@ -27,6 +27,7 @@
 const nameOf = (index: number): string => `n${index}`;
 const ALL_NODES = Array.from({ length: NODES }, (_, index) => index);
 
+/** Injects each fault for its time into a cluster. */
 export class FaultInjector {
   private readonly injections: Record<FaultKind, Injection> = {
     storeOutage: ({ forMs }) => this.storeOutage(forMs),
--- a/testing/fixtures.ts
+++ b/testing/fixtures.ts
@@ -11,6 +11,7 @@
 import type { ProgramVersion } from './program-version.js';
 import { encodeSubmission, type Submission } from './submission-wire-codec.js';
 
+/** A log that keeps nothing. */
 export const noLog: Log = {
   error: () => undefined,
   warn: () => undefined,
--- a/testing/invariant-checker.ts
+++ b/testing/invariant-checker.ts
@@ -28,6 +28,7 @@
 /** ms for which a job may wait while there is room for it, once all faults are over. */
 const WAITING_MS = 90_000;
 
+/** What the rules depend on. */
 export interface InvariantCheckerOptions {
   teams: readonly TeamLimits[];
   machineTypes: readonly MachineType[];
--- a/testing/loopback-cluster.ts
+++ b/testing/loopback-cluster.ts
@@ -22,6 +22,7 @@
 import { freeAddress, LoopbackServer } from './loopback-server.js';
 import { decodeSubmission, type Submission } from './submission-wire-codec.js';
 
+/** What a cluster of processes is made of. */
 export interface LoopbackOptions {
   nodes: number;
   machines: number;
@@ -52,6 +53,7 @@
 const EXPIRE_MS = 20;
 const HTTP_SOCKETS = 256;
 
+/** Starts and ends the processes, serves the stand-ins, and checks the rules. */
 export class LoopbackCluster {
   readonly store = new FakeStore(idleClock);
   readonly cloud = new FakeCloud([C8]);
--- a/testing/loopback-takeover.ts
+++ b/testing/loopback-takeover.ts
@@ -2,8 +2,10 @@
 import { systemClock } from '../src/net/clock.js';
 import type { LoopbackCluster } from './loopback-cluster.js';
 
+/** How a process loses its leadership. */
 export type LoopbackLoss = 'kill' | 'freeze' | 'terminate';
 
+/** How long a takeover took. */
 export interface LoopbackTimes {
   /** ms from the loss until another process holds the claim. */
   claimedMs: number;
--- a/testing/pipeline-checker.ts
+++ b/testing/pipeline-checker.ts
@@ -10,6 +10,7 @@
   cancelAskedAt?: number;
 }
 
+/** Looks at a job together with all that it depends on. */
 export class PipelineChecker {
   constructor(
     private readonly jobOf: (jobId: string) => CheckedJob | undefined,
--- a/testing/placement-history.ts
+++ b/testing/placement-history.ts
@@ -2,6 +2,7 @@
  * One placement a slot and token, over all takeovers: judged by the launches that workers carried out, without any records.
  */
 
+/** A launch that a worker has executed. */
 export interface CarriedOutLaunch {
   machineId: string;
   taskId: string;
@@ -10,6 +11,7 @@
   fencingToken: number;
 }
 
+/** Collects the launches of each task, and checks each against those before. */
 export class PlacementHistory {
   private readonly bySlot = new Map<string, CarriedOutLaunch[]>();
 
--- a/testing/program-version.ts
+++ b/testing/program-version.ts
@@ -26,6 +26,7 @@
   receive(message: OpaqueMessage): void;
 }
 
+/** Creates controllers of a version, and encodes the messages between them. */
 export interface ProgramVersion {
   createController(
     settings: SettingsFile,
@@ -93,6 +94,7 @@
   return tested.controller;
 }
 
+/** The version that this repository holds. */
 export const PRESENT_VERSION: ProgramVersion = {
   createController: (settings, tuning, http, clock, seed) =>
     new PresentController(new Controller(decodeSettings(settings), decodeTuning(tuning), http, clock, noLog, seed)),
--- a/testing/random-schedule.ts
+++ b/testing/random-schedule.ts
@@ -1,6 +1,7 @@
 /** Random schedules of faults, generated from a seed. */
 import fc from 'fast-check';
 
+/** How many controllers there are. */
 export const NODES = 3;
 /** A controller each, and the machines in turn. */
 export const ZONES = ['a', 'b', 'c'];
@@ -19,6 +20,7 @@
 const SETTLED_MS = { min: 40_000, max: 60_000 };
 const MACHINES_OF_LARGE = { min: 12, max: 40 };
 
+/** What can go wrong in a randomized scenario. */
 export type FaultKind =
   | 'storeOutage'
   | 'slowStore'
@@ -66,6 +68,7 @@
   when?: 'sending' | 'answered' | 'answering';
 }
 
+/** The faults of a scenario and the moments of its cancellations. */
 export interface Schedule {
   seed: number;
   /** How many machines there are at first. */
--- a/testing/takeover-measurement.ts
+++ b/testing/takeover-measurement.ts
@@ -7,9 +7,12 @@
 import type { ClusterOptions } from './fixtures.js';
 import { encodeSubmission, type Submission } from './submission-wire-codec.js';
 
+/** How a controller loses a role. */
 export type Loss = 'kill' | 'freeze' | 'store partition' | 'terminate';
+/** The role that is lost: that of the cluster, or of a partition. */
 export type MeasuredRole = 'leader' | 'partition';
 
+/** One loss to be measured. */
 export interface Trial {
   role: MeasuredRole;
   loss: Loss;
--- a/testing/upgrade-scenario.ts
+++ b/testing/upgrade-scenario.ts
@@ -11,6 +11,7 @@
 import { anyFault, MACHINES, NODES, ZONES, FAULT_WINDOW_MS, type ScheduledFault } from './random-schedule.js';
 import type { Submission } from './submission-wire-codec.js';
 
+/** How an upgrade goes, and what goes wrong with it. */
 export interface UpgradeSchedule {
   seed: number;
   /** The nodes in the order in which they change over, and ms before each does. */
--- a/testing/worker-environment.ts
+++ b/testing/worker-environment.ts
@@ -19,6 +19,7 @@
   results: Set<string>;
 }
 
+/** A machine, and how its tasks go. */
 export interface WorkerOptions {
   machineId: string;
   machineType?: string;
