--- a/test/leadership/standby-stream.test.ts
+++ b/test/leadership/standby-stream.test.ts
@@ -64,7 +64,7 @@
     const leader = cluster.leader()!;
     cluster.node(leader).leader.memory.restoreStopping('j-y/0#3', cluster.clock.now());
     await cluster.advance(600);
-    void cluster.tellToStop(leader);
+    void cluster.terminate(leader);
     const { memory } = cluster.node(await leaderAfter(leader)).leader;
     assert.ok([...memory.stopping()].some(({ attempt }) => attempt === 'j-y/0#3'));
   });
@@ -72,7 +72,8 @@
   it('does not delay a takeover when the stream is cut and the store answers', async () => {
     await ready();
     const leader = cluster.leader()!;
-    for (const node of NODES) for (const other of NODES) if (node !== other) cluster.parted.add(`n${node}>n${other}`);
+    for (const node of NODES)
+      for (const other of NODES) if (node !== other) cluster.partitioned.add(`n${node}>n${other}`);
     await cluster.advance(4000);
     const lostAt = cluster.clock.now();
     cluster.crash(leader);
@@ -85,7 +86,7 @@
     await ready();
     const leader = cluster.leader()!;
     for (let round = 0; round < 20; round++) {
-      for (const node of NODES) cluster.parted[round % 2 === 0 ? 'add' : 'delete'](`n${leader}>n${node}`);
+      for (const node of NODES) cluster.partitioned[round % 2 === 0 ? 'add' : 'delete'](`n${leader}>n${node}`);
       await cluster.advance(1000);
     }
     await cluster.advance(4000);
@@ -101,7 +102,7 @@
 describe('checks of unhealthy tasks', () => {
   it('are known to the successor of their partition', async () => {
     await ready();
-    await cluster.submit({ Ref: 'j-svc', Shape: 'service', Rank: 'prod', GuessS: 0, Shards: 3 });
+    await cluster.submit({ id: 'j-svc', kind: 'service', priority: 'prod', estimatedRunS: 0, taskCount: 3 });
     const place = cluster.runs('j-svc/0')[0]!.machineId;
     const role = cluster.anyNode().workerManager.roleOf(place);
     const owner = Number(cluster.anyNode().leadership.leaderOf(role)!.slice(1));
--- a/test/leadership/standby.test.ts
+++ b/test/leadership/standby.test.ts
@@ -9,7 +9,7 @@
 
 const NODES = [0, 1, 2];
 const ON = { enabled: true, follow: true };
-const SERVICE_JOB = { Ref: 'j-svc', Shape: 'service', Rank: 'prod', GuessS: 0, Shards: 3 };
+const SERVICE_JOB = { id: 'j-svc', kind: 'service', priority: 'prod', estimatedRunS: 0, taskCount: 3 } as const;
 
 async function ready(options: ClusterOptions = {}, machines = 6): Promise<void> {
   cluster = new Cluster({ nodes: 3, teams: [{ name: 'red' }], standby: ON, ...options });
@@ -29,19 +29,19 @@
 function submitFor(ms: number): void {
   for (let at = 0; at < ms; at += 900) {
     cluster.clock.after(at, () => {
-      const gang = at % 2700 === 0 ? { Shape: 'ensemble', Rank: 'high', Shards: 2 } : { Shards: 2 };
-      const Ref = `j-${String(cluster.clock.now()).padStart(7, '0')}`;
-      void cluster.users.submit(jobOf({ Ref, ...gang }));
+      const gang = at % 2700 === 0 ? ({ kind: 'gang', priority: 'high', taskCount: 2 } as const) : { taskCount: 2 };
+      const jobId = `j-${String(cluster.clock.now()).padStart(7, '0')}`;
+      void cluster.users.submit(jobOf({ id: jobId, ...gang }));
     });
   }
 }
 
 /** Jobs still run after all that happened, and no invariant was violated. */
 async function assertServes(): Promise<void> {
-  cluster.checker.troublesOver(cluster.clock.now());
+  cluster.checker.faultsEnded(cluster.clock.now());
   await cluster.advance(20_000);
   const node = NODES.find((each) => cluster.has(each))!;
-  await cluster.submit({ Ref: 'j-last', Shards: 2 }, node);
+  await cluster.submit({ id: 'j-last', taskCount: 2 }, node);
   await cluster.advance(8000);
   const answer = await cluster.poll('j-last', node);
   assert.equal((answer.body as { Phase: string }).Phase, 'done');
@@ -147,7 +147,7 @@
     // Only records of scale-out requests are written by transactions that name one.
     const isRental = (body: unknown) => JSON.stringify(body).includes('live/hire/');
     cluster.freezeAt(leader, { path: /^\/txn/, when: 'answered', where: isRental, forMs: 6000 });
-    await cluster.submit({ Ref: 'j-big', Shards: 12, Cpus: 8 }, others(leader)[0]);
+    await cluster.submit({ id: 'j-big', taskCount: 12, cpus: 8 }, others(leader)[0]);
     const recorded = () => [...cluster.store.rows.keys()].some((key) => key.startsWith('live/hire/'));
     await cluster.until(recorded, 10_000);
     await cluster.until(() => leadershipRecordOf('leader') !== undefined && leaderOf('leader') !== leader, 8000);
@@ -174,7 +174,7 @@
     const worker = [...cluster.workers.values()].find(
       ({ options }) => cluster.node(node).workerManager.roleOf(options.machineId) === `part-${node}`,
     )!;
-    const answer = await cluster.node(node).answerHeartbeat(worker.report());
+    const answer = await cluster.node(node).answerHeartbeat(worker.composeHeartbeat());
     assert.equal(answer.status, 503);
     assert.deepEqual(cluster.node(node).leadership.ledPartitions(), []);
   });
@@ -244,7 +244,7 @@
     const leader = cluster.leader()!;
     const running = NODES.map((n) => cluster.runs(`j-svc/${n}`).length);
     const toldAt = cluster.clock.now();
-    const stopped = cluster.tellToStop(leader);
+    const stopped = cluster.terminate(leader);
     await cluster.advance(5);
     // Also of roles that it does not lead: it is no node's successor any more.
     const other = others(leader).at(0)!;
@@ -271,7 +271,7 @@
     const leader = cluster.leader()!;
     cluster.network.fault({ from: `n${leader}`, to: 'store:1', kind: 'lose' });
     const toldAt = cluster.clock.now();
-    void cluster.tellToStop(leader);
+    void cluster.terminate(leader);
     await cluster.until(() => !cluster.has(leader), 4000);
     assert.ok(since(toldAt) <= 3100, `${since(toldAt)} ms`);
     await assertServes();
--- a/test/scenarios/combined-faults-jobs.test.ts
+++ b/test/scenarios/combined-faults-jobs.test.ts
@@ -2,7 +2,10 @@
 import { afterEach, describe, it } from 'node:test';
 import type { HttpAnswer } from '../../src/net/http-answer.js';
 import { Cluster } from '../../testing/cluster.js';
+import { encodeTransaction, type StoreOperation } from '../../testing/fake-store-wire-codec.js';
 import { jobOf, type ClusterOptions } from '../../testing/fixtures.js';
+import { decodeJobStatus } from '../../testing/job-status-wire-codec.js';
+import type { Submission } from '../../testing/submission-wire-codec.js';
 
 /** Two faults combined on the way of users' jobs; each scenario ends with the verdict of the invariant checker. */
 let cluster: Cluster;
@@ -22,12 +25,12 @@
   return cluster;
 }
 
-const body = (answer: HttpAnswer) => answer.body as { Phase: string; done: number; running: number };
-const phase = async (jobId: string, node = 0) => body(await cluster.poll(jobId, node)).Phase;
-const service = { Shape: 'service', Rank: 'prod', GuessS: 0 };
+const body = (answer: HttpAnswer) => decodeJobStatus(answer.body);
+const phase = async (jobId: string, node = 0) => body(await cluster.poll(jobId, node)).state;
+const service = { kind: 'service', priority: 'prod', estimatedRunS: 0 } as const;
 const running = (jobId: string) =>
   [...cluster.workers.values()].flatMap((worker) =>
-    [...worker.tasks].filter(([name, task]) => name.startsWith(`${jobId}/`) && task.Phase === 'running'),
+    [...worker.tasks].filter(([name, task]) => name.startsWith(`${jobId}/`) && task.state === 'running'),
   ).length;
 
 /** What users do at some time from now. */
@@ -59,7 +62,7 @@
   for (const [at, jobId] of jobIds.entries()) {
     for (let turn = 0; turn * 5000 < forMs; turn++) {
       after(turn * 5000 + ((at * 370) % 5000), async () =>
-        answers.get(jobId)!.push(await cluster.ask(jobId, (at + turn) % 3)),
+        answers.get(jobId)!.push(await cluster.requestStatus(jobId, (at + turn) % 3)),
       );
     }
   }
@@ -105,23 +108,23 @@
       const jobIds = Array.from({ length: 40 }, (_, n) => `j-end${n}`);
       for (const [n, jobId] of jobIds.entries()) {
         const job = jobOf({
-          Ref: jobId,
-          Cpus: 0.1,
-          MemGb: 0.1,
-          Shards: 1 + (n % 2),
+          id: jobId,
+          cpus: 0.1,
+          memoryGb: 0.1,
+          taskCount: 1 + (n % 2),
         });
         void cluster.post(job, n % 3);
         const at = 4600 + n * 60;
-        after(at, () => cluster.cancel(jobId, n % 3));
+        after(at, () => cluster.requestCancellation(jobId, n % 3));
         for (const late of [0, 150, 400, 1200]) {
-          after(at + late, () => cluster.ask(jobId, (n + 1) % 3));
+          after(at + late, () => cluster.requestStatus(jobId, (n + 1) % 3));
           after(at + late, () => cluster.post(job, (n + 2) % 3));
-          after(at + late + 50, () => cluster.cancel(jobId, (n + 1) % 3));
+          after(at + late + 50, () => cluster.requestCancellation(jobId, (n + 1) % 3));
         }
       }
       await cluster.advance(30_000);
       heal();
-      cluster.checker.troublesOver(cluster.clock.now());
+      cluster.checker.faultsEnded(cluster.clock.now());
       await cluster.advance(10_000);
       const ends = new Set<string>();
       for (const jobId of jobIds) {
@@ -133,7 +136,7 @@
           [`ended/${jobId}`],
         );
       }
-      assert.deepEqual([...ends].sort(), ['done', 'withdrawn'], 'the moments lie on both sides');
+      assert.deepEqual([...ends].sort(), ['cancelled', 'done'], 'the moments lie on both sides');
     });
   }
 });
@@ -143,8 +146,8 @@
   for (const cancelAt of [0, 700, 2500, 6000]) {
     it(`whose leader ends, with machines out of reach and a cancellation ${cancelAt} ms later, neither leaks nor exceeds`, async () => {
       await ready({ teams }, 6);
-      for (let n = 0; n < 3; n++) await cluster.submit({ ...service, Ref: `j-svc${n}` }, n);
-      for (let n = 0; n < 4; n++) await cluster.submit({ Ref: `j-more${n}`, Shards: 2 }, n % 3);
+      for (let n = 0; n < 3; n++) await cluster.submit({ ...service, id: `j-svc${n}` }, n);
+      for (let n = 0; n < 4; n++) await cluster.submit({ id: `j-more${n}`, taskCount: 2 }, n % 3);
       const lost = [0, 1].map((n) => cluster.runs(`j-svc${n}/0`)[0]!.machineId);
       const cloudBack = cluster.network.fault({
         to: 'cloud:1',
@@ -152,7 +155,7 @@
         status: 503,
         body: { error: 'trouble' },
       });
-      cluster.remember();
+      cluster.rememberWorkers();
       for (const machineId of lost) cluster.cut.add(machineId);
       for (let turn = 0; turn < 3; turn++) {
         const old = cluster.leader()!;
@@ -167,8 +170,8 @@
             });
         }
         cluster.crash(old);
-        after(cancelAt, () => cluster.cancel(`j-svc${turn}`, (old + 1) % 3));
-        after(cancelAt + 2500, () => cluster.cancel(`j-svc${turn}`, (old + 2) % 3));
+        after(cancelAt, () => cluster.requestCancellation(`j-svc${turn}`, (old + 1) % 3));
+        after(cancelAt + 2500, () => cluster.requestCancellation(`j-svc${turn}`, (old + 2) % 3));
         await cluster.advance(4000);
         cluster.network.release();
         cluster.start(old);
@@ -178,8 +181,8 @@
       cloudBack();
       for (const machineId of lost) cluster.cut.delete(machineId);
       await cluster.advance(5000);
-      for (let n = 0; n < 3; n++) await cluster.withdraw(`j-svc${n}`, n);
-      cluster.checker.troublesOver(cluster.clock.now());
+      for (let n = 0; n < 3; n++) await cluster.cancelJob(`j-svc${n}`, n);
+      cluster.checker.faultsEnded(cluster.clock.now());
       const jobIds = [0, 1, 2, 3].map((n) => `j-more${n}`);
       askAll(jobIds, 100_000);
       await cluster.advance(100_000);
@@ -195,14 +198,15 @@
 describe('a team whose jobs come to nodes that do not hear each other', () => {
   it('never exceeds its limit, though no copy is up to date', async () => {
     await ready({ teams: [{ name: 'red', cpus: 4, cpus_max: 6 }] }, 6);
-    for (const from of [0, 1, 2]) for (const to of [0, 1, 2]) cluster.parted.add(`n${from}>n${to}`);
+    for (const from of [0, 1, 2]) for (const to of [0, 1, 2]) cluster.partitioned.add(`n${from}>n${to}`);
     slowStore(300, 900);
     const jobIds = Array.from({ length: 9 }, (_, n) => `j-same${n}`);
-    for (const [n, jobId] of jobIds.entries()) void cluster.post(jobOf({ Ref: jobId, Shards: 2, Rank: 'prod' }), n % 3);
+    for (const [n, jobId] of jobIds.entries())
+      void cluster.post(jobOf({ id: jobId, taskCount: 2, priority: 'prod' }), n % 3);
     await cluster.advance(60_000);
     heal();
-    cluster.parted.clear();
-    cluster.checker.troublesOver(cluster.clock.now());
+    cluster.partitioned.clear();
+    cluster.checker.faultsEnded(cluster.clock.now());
     askAll(jobIds, 95_000);
     await cluster.advance(95_000);
     for (const jobId of jobIds) assert.equal(await phase(jobId), 'done');
@@ -229,13 +233,13 @@
       for (let n = 0; n < 24; n++) {
         const jobId = `j-mix${n}`;
         jobIds.push(jobId);
-        const kinds = [
-          { Rank: 'low', Shards: 6 },
-          { Rank: 'normal', Shards: 4, Owner: 'blue' },
-          { Rank: 'high', Shape: 'ensemble', Shards: 5 },
-          { Rank: 'prod', Shards: 2 },
+        const kinds: Partial<Submission>[] = [
+          { priority: 'low', taskCount: 6 },
+          { priority: 'normal', taskCount: 4, team: 'blue' },
+          { priority: 'high', kind: 'gang', taskCount: 5 },
+          { priority: 'prod', taskCount: 2 },
         ];
-        after(n * 300, () => cluster.post(jobOf({ Ref: jobId, ...kinds[n % 4] }), n % 3));
+        after(n * 300, () => cluster.post(jobOf({ id: jobId, ...kinds[n % 4] }), n % 3));
       }
       await cluster.advance(12_000);
       let up = 0;
@@ -257,20 +261,20 @@
 });
 
 describe('jobs bound to one zone', () => {
-  const shapes: Record<string, object> = {
-    'an array in one zone': { OneZone: true, Shards: 6 },
-    'an array of one site': { Site: 'a', Shards: 6 },
-    'a spread array': { Spread: true, Shards: 6 },
-    'a gang in one zone': { OneZone: true, Shape: 'ensemble', Shards: 4 },
+  const kinds: Record<string, Partial<Submission>> = {
+    'an array in one zone': { singleZone: true, taskCount: 6 },
+    'an array of one site': { zone: 'a', taskCount: 6 },
+    'a spread array': { spreadAcrossZones: true, taskCount: 6 },
+    'a gang in one zone': { singleZone: true, kind: 'gang', taskCount: 4 },
     'a service in one zone': {
       ...service,
-      Ref: 'j-svc-z',
-      OneZone: true,
-      Shards: 3,
+      id: 'j-svc-z',
+      singleZone: true,
+      taskCount: 3,
     },
-    'a spread service': { ...service, Ref: 'j-svc-z', Spread: true, Shards: 4 },
+    'a spread service': { ...service, id: 'j-svc-z', spreadAcrossZones: true, taskCount: 4 },
   };
-  for (const [name, fields] of Object.entries(shapes)) {
+  for (const [name, fields] of Object.entries(kinds)) {
     for (const cloudDown of [true, false]) {
       it(`like ${name} lose all machines of a zone, the cloud ${cloudDown ? 'silent' : 'well'}`, async () => {
         await ready({ teams: [{ name: 'red' }] }, 0);
@@ -281,10 +285,10 @@
             runMs: 9000,
           });
         await cluster.advance(3000);
-        const job = { Ref: 'j-zone', GuessS: 9, ...fields };
+        const job = { id: 'j-zone', estimatedRunS: 9, ...fields };
         await cluster.submit(job, 1);
         await cluster.advance(1000);
-        const [first] = cluster.runs(`${job.Ref}/0`);
+        const [first] = cluster.runs(`${job.id}/0`);
         const zone = cluster.workers.get(first!.machineId)!.options.zone!;
         const lost = [...cluster.workers.values()].filter((worker) => worker.options.zone === zone);
         const cloudBack = cloudDown
@@ -295,7 +299,7 @@
               body: { error: 'trouble' },
             })
           : () => undefined;
-        cluster.remember();
+        cluster.rememberWorkers();
         // One of them is only out of reach: its tasks go on until its lease ends.
         for (const { options } of lost) cluster.cut.add(options.machineId);
         const old = cluster.leader()!;
@@ -304,14 +308,15 @@
         cluster.start(old);
         await cluster.advance(31_000);
         cloudBack();
-        if ('Site' in fields || 'Spread' in fields) cluster.addWorker({ machineId: 'i-000020', zone, runMs: 9000 });
+        if ('zone' in fields || 'spreadAcrossZones' in fields)
+          cluster.addWorker({ machineId: 'i-000020', zone, runMs: 9000 });
         await cluster.advance(3000);
-        cluster.checker.troublesOver(cluster.clock.now());
-        askAll([job.Ref], 100_000);
+        cluster.checker.faultsEnded(cluster.clock.now());
+        askAll([job.id], 100_000);
         await cluster.advance(100_000);
-        const state = body(await cluster.poll(job.Ref));
-        if (job.Ref === 'j-svc-z') assert.equal(running(job.Ref), (fields as { Shards: number }).Shards);
-        else assert.equal(state.Phase, 'done', JSON.stringify(state));
+        const state = body(await cluster.poll(job.id));
+        if (job.id === 'j-svc-z') assert.equal(running(job.id), fields.taskCount);
+        else assert.equal(state.state, 'done', JSON.stringify(state));
       });
     }
   }
@@ -326,7 +331,7 @@
       await ready({ teams: [{ name: 'red' }] }, 6, 90_000);
       const jobIds = Array.from({ length: 12 }, (_, n) => `j-ask${n}`);
       for (const [n, jobId] of jobIds.entries()) {
-        await cluster.submit({ Ref: jobId, Cpus: 1, MemGb: 1, Shards: 2 }, n % 3);
+        await cluster.submit({ id: jobId, cpus: 1, memoryGb: 1, taskCount: 2 }, n % 3);
       }
       const answers = askAll(jobIds, 150_000);
       slowStore(...slow);
@@ -342,7 +347,7 @@
       });
       for (let n = 0; n < 6; n++) {
         for (let again = 0; again < 40; again++) {
-          after(n * 500 + again * 2000, () => cluster.cancel(jobIds[n]!, (n + again) % 3));
+          after(n * 500 + again * 2000, () => cluster.requestCancellation(jobIds[n]!, (n + again) % 3));
         }
       }
       await cluster.advance(2600);
@@ -351,7 +356,7 @@
       for (let n = 0; n < 20; n++) {
         after(4000 + n * 1500, async () => {
           const began = cluster.clock.now();
-          late.push(await cluster.ask(jobIds[6 + (n % 6)]!, n % 3));
+          late.push(await cluster.requestStatus(jobIds[6 + (n % 6)]!, n % 3));
           assert.ok(cluster.clock.now() - began < 50, 'told at once');
         });
       }
@@ -362,14 +367,17 @@
       cluster.store.refused.clear();
       cluster.store.endOutage();
       heal();
-      cluster.checker.troublesOver(cluster.clock.now());
+      cluster.checker.faultsEnded(cluster.clock.now());
       await cluster.advance(4000);
       for (const node of [0, 1, 2]) {
-        const known = await cluster.during(Promise.all(jobIds.map((jobId) => cluster.ask(jobId, node))), 1000);
+        const known = await cluster.during(
+          Promise.all(jobIds.map((jobId) => cluster.requestStatus(jobId, node))),
+          1000,
+        );
         for (const [n, answer] of known.entries()) assert.equal(answer.status, 200, `${jobIds[n]} at n${node}`);
       }
       await cluster.advance(90_000);
-      for (const [n, jobId] of jobIds.entries()) assert.equal(await phase(jobId), n < 6 ? 'withdrawn' : 'done', jobId);
+      for (const [n, jobId] of jobIds.entries()) assert.equal(await phase(jobId), n < 6 ? 'cancelled' : 'done', jobId);
       assert.ok([...answers.values()].every((list) => list.length > 0));
     });
   }
@@ -378,16 +386,16 @@
 describe('once troubles are over', () => {
   it('a job whose tasks failed on every machine goes on, and no machine stays closed to it', async () => {
     await ready({ teams: [{ name: 'red' }] });
-    for (const worker of cluster.workers.values()) worker.options.sick = true;
+    for (const worker of cluster.workers.values()) worker.options.failsAllTasks = true;
     for (const zone of ['a', 'b', 'c']) cluster.cloud.full.add(zone);
     await cluster.submit({
       ...service,
-      Ref: 'j-svc-f',
-      Shards: 3,
-      Rank: 'normal',
+      id: 'j-svc-f',
+      taskCount: 3,
+      priority: 'normal',
     });
     await cluster.advance(20_000);
-    for (const worker of cluster.workers.values()) worker.options.sick = false;
+    for (const worker of cluster.workers.values()) worker.options.failsAllTasks = false;
     await cluster.advance(90_000);
     assert.equal(running('j-svc-f'), 3);
   });
@@ -396,9 +404,9 @@
     await ready({ teams: [{ name: 'red' }] }, 0);
     for (const zone of ['a', 'b', 'c']) cluster.cloud.full.add(zone);
     for (let n = 0; n < 4; n++) {
-      cluster.addWorker({ machineId: `i-00001${n}`, runMs: 5000, sick: true });
+      cluster.addWorker({ machineId: `i-00001${n}`, runMs: 5000, failsAllTasks: true });
       await cluster.advance(4000);
-      if (n === 0) await cluster.submit({ ...service, Ref: 'j-svc-r', Rank: 'normal' });
+      if (n === 0) await cluster.submit({ ...service, id: 'j-svc-r', priority: 'normal' });
       await cluster.advance(12_000);
     }
     assert.ok(cluster.runs('j-svc-r/0').length > 2, 'it has failed more than twice');
@@ -411,10 +419,10 @@
   it('jobs with a mistake do not close the machines to those without', async () => {
     await ready({ teams: [{ name: 'red' }] });
     for (const zone of ['a', 'b', 'c']) cluster.cloud.full.add(zone);
-    for (const worker of cluster.workers.values()) worker.options.fails = (taskId) => taskId.startsWith('j-bad');
-    for (let n = 0; n < 3; n++) await cluster.submit({ Ref: `j-bad${n}`, Shards: 6 }, n);
+    for (const worker of cluster.workers.values()) worker.options.failsTask = (taskId) => taskId.startsWith('j-bad');
+    for (let n = 0; n < 3; n++) await cluster.submit({ id: `j-bad${n}`, taskCount: 6 }, n);
     await cluster.advance(10_000);
-    for (let n = 0; n < 6; n++) await cluster.submit({ Ref: `j-good${n}`, Shards: 4, Rank: 'low' }, n % 3);
+    for (let n = 0; n < 6; n++) await cluster.submit({ id: `j-good${n}`, taskCount: 4, priority: 'low' }, n % 3);
     await cluster.advance(60_000);
     for (let n = 0; n < 6; n++) assert.equal(await phase(`j-good${n}`), 'done');
     assert.deepEqual(cluster.cloud.returned, []);
@@ -423,15 +431,15 @@
   it('a gang is done though one machine was given up before another told of the end', async () => {
     await ready({ teams: [{ name: 'red' }] }, 2, 12_000);
     await cluster.submit({
-      Ref: 'j-gang',
-      Shape: 'ensemble',
-      Shards: 2,
-      Cpus: 8,
-      Rank: 'high',
+      id: 'j-gang',
+      kind: 'gang',
+      taskCount: 2,
+      cpus: 8,
+      priority: 'high',
     });
     const [first, second] = [0, 1].map((taskIndex) => cluster.runs(`j-gang/${taskIndex}`)[0]!);
     const end = first!.from + 12_000;
-    cluster.remember();
+    cluster.rememberWorkers();
     await cluster.advance(end - 4000 - cluster.clock.now());
     cluster.cut.add(first!.machineId);
     await cluster.advance(3200);
@@ -449,13 +457,13 @@
     await ready({ teams: [{ name: 'red' }] }, 0);
     for (const zone of ['a', 'b', 'c']) cluster.cloud.full.add(zone);
     await cluster.submit({
-      Ref: 'j-gang',
-      Shape: 'ensemble',
-      Shards: 4,
-      Rank: 'high',
+      id: 'j-gang',
+      kind: 'gang',
+      taskCount: 4,
+      priority: 'high',
     });
     // As after an attempt that one member's error ended, not its first.
-    const V = {
+    const value = {
       s: [
         [1, 0],
         [1, 0],
@@ -463,9 +471,8 @@
         [1, 0],
       ],
     };
-    await cluster.store.handle('POST', '/txn', {
-      Apply: [{ Set: 'live/ledger/j-gang/0000', V }],
-    });
+    const operations: StoreOperation[] = [{ kind: 'put', key: 'live/ledger/j-gang/0000', value }];
+    await cluster.store.handle('POST', '/txn', encodeTransaction({ operations }));
     for (const machineId of ['i-000011', 'i-000012']) cluster.addWorker({ machineId, runMs: 30_000 });
     await cluster.advance(25_000);
     const from = [0, 1, 2, 3].map((taskIndex) => cluster.runs(`j-gang/${taskIndex}`)[0]!.from);
--- a/test/scenarios/combined-faults-workers.test.ts
+++ b/test/scenarios/combined-faults-workers.test.ts
@@ -2,6 +2,7 @@
 import { afterEach, describe, it } from 'node:test';
 import { Cluster } from '../../testing/cluster.js';
 import { jobOf, type ClusterOptions } from '../../testing/fixtures.js';
+import { decodeJobState } from '../../testing/job-status-wire-codec.js';
 
 let cluster: Cluster;
 /** Every scenario ends with the verdict of the invariant checker. */
@@ -16,9 +17,9 @@
   return cluster;
 }
 
-const service = { Ref: 'j-svc', Shape: 'service', Rank: 'prod', GuessS: 0, Shards: 1 };
+const service = { id: 'j-svc', kind: 'service', priority: 'prod', estimatedRunS: 0, taskCount: 1 } as const;
 const where = (name: string) => cluster.runs(name).at(-1)!.machineId;
-const phase = (answer: { body: unknown }) => (answer.body as { Phase: string }).Phase;
+const phase = (answer: { body: unknown }) => decodeJobState(answer.body);
 const isOpen = (node: number, machineId: string) => {
   const machine = cluster.node(node).inventory.get(machineId);
   return machine !== undefined && cluster.node(node).inventory.isOpen(machine);
@@ -30,12 +31,12 @@
     await cluster.submit(service);
     const machineId = where('j-svc/0');
     const machine = cluster.workers.get(machineId)!;
-    cluster.remember();
+    cluster.rememberWorkers();
     const since = cluster.clock.now();
-    cluster.mute.add(machineId);
+    cluster.outboundLoss.add(machineId);
     for (let second = 0; second < 40; second++) {
       // Some job goes to every machine that counts as open, and each command's answer is one more report of it.
-      void cluster.post(jobOf({ Ref: `j-${second}`, Shards: 1, Cpus: 1 }), second % 3);
+      void cluster.post(jobOf({ id: `j-${second}`, taskCount: 1, cpus: 1 }), second % 3);
       await cluster.advance(1000);
     }
     assert.deepEqual(
@@ -57,10 +58,10 @@
     await ready(3);
     await cluster.submit(service);
     const machineId = where('j-svc/0');
-    cluster.mute.add(machineId);
+    cluster.outboundLoss.add(machineId);
     await cluster.advance(4500);
     const asked = cluster.clock.now();
-    assert.equal(phase(await cluster.withdraw('j-svc', 1)), 'withdrawn');
+    assert.equal(phase(await cluster.cancelJob('j-svc', 1)), 'cancelled');
     const [run] = cluster.runs('j-svc/0');
     assert.ok((run!.to ?? Infinity) - asked < 1000, `${run!.to} after ${asked}`);
     assert.ok(cluster.store.rows.has('ended/j-svc'), 'the answer of the command is a report: the place is free');
@@ -70,15 +71,15 @@
     await ready(3, { nodes: 3, teams: [{ name: 'red', cpus_max: 2 }] });
     await cluster.submit(service);
     const machineId = where('j-svc/0');
-    cluster.remember();
+    cluster.rememberWorkers();
     cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
     const since = cluster.clock.now();
-    cluster.mute.add(machineId);
+    cluster.outboundLoss.add(machineId);
     // The kill arrives, its answer does not: nobody knows that the task has gone.
     cluster.network.fault({ to: `${machineId}:9000`, kind: 'answerLost' });
     await cluster.advance(1000);
-    await cluster.submit({ ...service, Ref: 'j-svc2' });
-    assert.equal(phase(await cluster.withdraw('j-svc', 1)), 'withdrawn');
+    await cluster.submit({ ...service, id: 'j-svc2' });
+    assert.equal(phase(await cluster.cancelJob('j-svc', 1)), 'cancelled');
     const [run] = cluster.runs('j-svc/0');
     assert.notEqual(run!.to, undefined);
     await cluster.advance(2000);
@@ -95,11 +96,11 @@
   it('starts nothing for long, when its job is cancelled before the machine goes on', async () => {
     await ready(1);
     const machine = cluster.workers.get('i-000000')!;
-    machine.hang();
+    machine.suspend();
     void cluster.post(jobOf(service));
     await cluster.advance(600);
-    assert.equal(phase(await cluster.withdraw('j-svc', 1)), 'withdrawn');
-    machine.goOn();
+    assert.equal(phase(await cluster.cancelJob('j-svc', 1)), 'cancelled');
+    machine.resume();
     await cluster.advance(10_000);
     const [run] = cluster.runs('j-svc/0');
     // A worker waits 5 s for an answer that does not come before it reports again.
@@ -113,13 +114,13 @@
     await ready(1);
     const host = 'i-000000';
     cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
-    cluster.mute.add(host);
+    cluster.outboundLoss.add(host);
     const deliver = cluster.network.cut({ to: `${host}:9000` });
     void cluster.post(jobOf(service));
     await cluster.advance(600);
-    assert.equal(phase(await cluster.withdraw('j-svc', 1)), 'withdrawn');
+    assert.equal(phase(await cluster.cancelJob('j-svc', 1)), 'cancelled');
     assert.equal(cluster.store.rows.has('ended/j-svc'), false, 'the launch may still arrive');
-    cluster.mute.delete(host);
+    cluster.outboundLoss.delete(host);
     await cluster.advance(4000);
     assert.ok(cluster.store.rows.has('ended/j-svc'));
     deliver();
@@ -130,11 +131,11 @@
   it('costs no other task of its machine while the store gives new tokens, however short a cancellation may take', async () => {
     const workers = { report_s: 1, lease_s: 10, gang_wait_s: 30, gang_peer_s: 4, cancel_s: 16 };
     await ready(1, { nodes: 3, cluster: { workers } });
-    await cluster.submit({ ...service, Ref: 'j-svc-old' });
+    await cluster.submit({ ...service, id: 'j-svc-old' });
     cluster.network.fault({ to: 'i-000000:9000', kind: 'hold' });
     void cluster.post(jobOf(service));
     await cluster.advance(200);
-    assert.equal(phase(await cluster.withdraw('j-svc', 1)), 'withdrawn');
+    assert.equal(phase(await cluster.cancelJob('j-svc', 1)), 'cancelled');
     await cluster.advance(30_000);
     assert.equal(cluster.runs('j-svc-old/0').length, 1);
     assert.equal(cluster.runs('j-svc-old/0')[0]!.to, undefined);
@@ -143,14 +144,14 @@
   it('does not come through an outage of the store either, which keeps the owner from a new token', async () => {
     await ready(1);
     const host = 'i-000000';
-    cluster.mute.add(host);
+    cluster.outboundLoss.add(host);
     const deliver = cluster.network.cut({ to: `${host}:9000` });
     void cluster.post(jobOf(service));
     await cluster.advance(600);
-    void cluster.cancel('j-svc', 1);
+    void cluster.requestCancellation('j-svc', 1);
     await cluster.advance(300);
     cluster.store.out = true;
-    cluster.mute.delete(host);
+    cluster.outboundLoss.delete(host);
     await cluster.advance(60_000);
     deliver();
     await cluster.advance(5000);
@@ -165,15 +166,15 @@
     cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
     for (const hangMs of [8000, 14_000]) {
       const jobId = `j-svc-${hangMs}`;
-      await cluster.submit({ ...service, Ref: jobId });
+      await cluster.submit({ ...service, id: jobId });
       const machineId = where(`${jobId}/0`);
       const machine = cluster.workers.get(machineId)!;
-      machine.hang();
-      void cluster.cancel(jobId, 1);
+      machine.suspend();
+      void cluster.requestCancellation(jobId, 1);
       // Launches are on their way there too.
-      for (let n = 0; n < 4; n++) void cluster.post(jobOf({ Ref: `j-${hangMs}-${n}`, Shards: 2 }), n % 3);
+      for (let n = 0; n < 4; n++) void cluster.post(jobOf({ id: `j-${hangMs}-${n}`, taskCount: 2 }), n % 3);
       await cluster.advance(hangMs);
-      machine.goOn();
+      machine.resume();
       await cluster.advance(2000);
       assert.notEqual(cluster.runs(`${jobId}/0`)[0]!.to, undefined);
       await cluster.advance(30_000);
@@ -198,28 +199,28 @@
     const jobId = ['j-svc1', 'j-svc2', 'j-svc3', 'j-svc4'].find(
       (each) => partitionOf(each) !== partitionOf(machineId),
     )!;
-    for (const other of others) cluster.workers.get(other)!.warningS = 1000;
+    for (const other of others) cluster.workers.get(other)!.spotNoticeS = 1000;
     await cluster.advance(2000);
-    await cluster.submit({ ...service, Ref: jobId, Rank: 'high' });
+    await cluster.submit({ ...service, id: jobId, priority: 'high' });
     assert.equal(where(`${jobId}/0`), machineId);
-    cluster.mute.add(machineId);
+    cluster.outboundLoss.add(machineId);
     await cluster.advance(8500);
     const owner = partitionOf(machineId);
     // The proof is recorded, but the answer is lost: the owner tries again later.
     cluster.network.fault({ from: `n${owner}`, to: 'store:1', path: /^\/txn/, kind: 'answerLost', times: 1 });
     await until(() => !isPlaced(jobId).includes(machineId));
-    cluster.mute.delete(machineId);
+    cluster.outboundLoss.delete(machineId);
     // In the meantime the machine is back, in a new session.
     const machine = cluster.workers.get(machineId)!;
     for (let report = 0; report < 2; report++) {
-      void cluster.node(owner).answerHeartbeat(machine.report());
+      void cluster.node(owner).answerHeartbeat(machine.composeHeartbeat());
       await cluster.advance(report === 0 ? 490 : 0);
     }
     // It is slow to read again what has become of it.
     const heal = cluster.network.fault({ from: `n${owner}`, to: 'store:1', path: /^\/watch/, kind: 'lose' });
     await until(() => cluster.runs(`${jobId}/0`).length === 2, 1500);
     heal();
-    for (const other of others) cluster.workers.get(other)!.warningS = null;
+    for (const other of others) cluster.workers.get(other)!.spotNoticeS = null;
     await cluster.advance(12_000);
     const runs = cluster.runs(`${jobId}/0`);
     assert.equal(runs.length, 2);
@@ -242,23 +243,23 @@
     await cluster.advance(8000);
     const former = Number(cluster.node(others[0]!).leadership.leaderOf(role)!.slice(1));
     assert.notEqual(former, home);
-    for (const other of cluster.workers.keys()) if (other !== machineId) cluster.workers.get(other)!.warningS = 1000;
+    for (const other of cluster.workers.keys()) if (other !== machineId) cluster.workers.get(other)!.spotNoticeS = 1000;
     await cluster.advance(2000);
-    await cluster.submit({ ...service, Rank: 'high' }, former);
+    await cluster.submit({ ...service, priority: 'high' }, former);
     assert.equal(where('j-svc/0'), machineId);
-    for (const other of cluster.workers.keys()) if (other !== machineId) cluster.workers.get(other)!.warningS = null;
+    for (const other of cluster.workers.keys()) if (other !== machineId) cluster.workers.get(other)!.spotNoticeS = null;
     // Its heartbeats come every 0.8 s from its start on: the last before its watch is lost must keep it in touch for long enough.
     await cluster.advance(2600);
     cluster.start(home);
     await cluster.advance(700);
-    cluster.workers.get(machineId)!.warningS = 1000;
+    cluster.workers.get(machineId)!.spotNoticeS = 1000;
     const leads = Number(cluster.node(former).leadership.leaderOf('leader')!.slice(1));
     await until(() => cluster.node(leads).inventory.get(machineId)!.spotNoticeUntil !== null);
     // What happens from here on it learns from nobody: the task is stopped, forgotten, and starts on another machine.
     const heal = cluster.network.fault({ from: `n${home}`, to: 'store:1', path: /^\/watch/, kind: 'lose' });
-    for (const node of others) cluster.parted.add(`n${node}>n${home}`);
+    for (const node of others) cluster.partitioned.add(`n${node}>n${home}`);
     await until(() => cluster.runs('j-svc/0').length === 2 && !cluster.workers.get(machineId)!.tasks.has('j-svc/0'));
-    for (const node of others) cluster.parted.delete(`n${node}>n${home}`);
+    for (const node of others) cluster.partitioned.delete(`n${node}>n${home}`);
     void cluster.node(former).leadership.release(role, 'for the scenario', 15_000);
     await until(() => cluster.node(home).leadership.leadershipOf(role) !== undefined, 1000);
     assert.ok(cluster.node(home).leadership.isInTouchWithStore);
@@ -275,15 +276,15 @@
     it(`from before a launch proves nothing, ${restarts ? 'at its owner that is just back' : 'wherever it comes'}`, async () => {
       await ready(2, { nodes: 3, teams: [{ name: 'red', cpus_max: 2 }] });
       cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
-      const copies = [...cluster.workers.values()].map((worker) => worker.report());
+      const copies = new Map([...cluster.workers].map(([id, worker]) => [id, worker.composeHeartbeat()]));
       await cluster.submit(service);
       const machineId = where('j-svc/0');
       const owner = partitionOf(machineId);
-      const copy = copies.find(({ Host }) => Host === machineId)!;
+      const copy = copies.get(machineId)!;
       cluster.cut.add(machineId);
-      void cluster.cancel('j-svc', owner);
+      void cluster.requestCancellation('j-svc', owner);
       await cluster.advance(50);
-      void cluster.post(jobOf({ ...service, Ref: 'j-svc2' }), owner);
+      void cluster.post(jobOf({ ...service, id: 'j-svc2' }), owner);
       if (restarts) {
         void cluster.restart(owner);
         await cluster.advance(300);
@@ -306,14 +307,14 @@
     // The gang waits for the image of its last task.
     cluster.addWorker({ machineId: 'i-000004', imageMs: 60_000 });
     await cluster.advance(3000);
-    const gang = { Ref: 'j-svc-g', Shape: 'ensemble', Rank: 'high', Shards: 5, Cpus: 8, GuessS: 30 };
+    const gang = { id: 'j-svc-g', kind: 'gang', priority: 'high', taskCount: 5, cpus: 8, estimatedRunS: 30 } as const;
     await cluster.submit(gang);
     const first = [0, 1, 2, 3, 4].find((taskIndex) => cluster.runs(`j-svc-g/${taskIndex}`).length > 0)!;
     const name = `j-svc-g/${first}`;
     const machineId = where(name);
     const machine = cluster.workers.get(machineId)!;
-    machine.end(name, 'no_room');
-    const copy = JSON.parse(JSON.stringify(machine.report())) as unknown;
+    machine.end(name, 'insufficient_resources');
+    const copy = JSON.parse(JSON.stringify(machine.composeHeartbeat())) as unknown;
     await until(() => cluster.runs(name).length === 2, 20_000);
     assert.deepEqual([where(name), cluster.runs(name)[1]!.attempt], [machineId, 1]);
     cluster.addWorker({ machineId: 'i-000009' });
@@ -321,8 +322,8 @@
     // A new owner hears the copy before the machine itself, which no answer or command reaches for a while.
     cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
     const owner = partitionOf(machineId);
-    cluster.deaf.add(machineId);
-    cluster.mute.add(machineId);
+    cluster.inboundLoss.add(machineId);
+    cluster.outboundLoss.add(machineId);
     void cluster.restart(owner);
     await until(() => cluster.node(owner).leadership.leadershipOf(`part-${owner}`) !== undefined);
     await cluster.advance(500);
@@ -335,32 +336,32 @@
 describe('copies of all reports, up to a lease and a half late', () => {
   it('free nothing wrongly and keep nothing waiting, while nodes restart and jobs are cancelled', async () => {
     await ready(6, { nodes: 3, teams: [{ name: 'red', cpus_max: 10 }] });
-    cluster.lateReports = { share: 1, lateMs: [2000, 15_000] };
-    await cluster.submit({ ...service, Ref: 'j-svc', Shards: 2, Cpus: 1 });
+    cluster.lateHeartbeats = { share: 1, lateMs: [2000, 15_000] };
+    await cluster.submit({ ...service, id: 'j-svc', taskCount: 2, cpus: 1 });
     for (let round = 0; round < 8; round++) {
-      void cluster.post(jobOf({ Ref: `j-a${round}`, Shards: 6, Cpus: 1 }), round % 3);
-      void cluster.post(jobOf({ ...service, Ref: `j-svc${round}`, Shards: 2 }), (round + 1) % 3);
+      void cluster.post(jobOf({ id: `j-a${round}`, taskCount: 6, cpus: 1 }), round % 3);
+      void cluster.post(jobOf({ ...service, id: `j-svc${round}`, taskCount: 2 }), (round + 1) % 3);
       await cluster.advance(2500);
-      void cluster.cancel(`j-svc${round}`, (round + 1) % 3);
+      void cluster.requestCancellation(`j-svc${round}`, (round + 1) % 3);
       // Tasks are moved, and sessions end too: what their copies say is older than what the machines do now.
-      for (const worker of cluster.workers.values()) worker.warningS = null;
-      cluster.workers.get(where('j-svc/0'))!.warningS = 1000;
-      if (round % 3 === 1) cluster.mute.add([...cluster.workers.keys()][0]!);
+      for (const worker of cluster.workers.values()) worker.spotNoticeS = null;
+      cluster.workers.get(where('j-svc/0'))!.spotNoticeS = 1000;
+      if (round % 3 === 1) cluster.outboundLoss.add([...cluster.workers.keys()][0]!);
       await cluster.advance(500);
       void cluster.restart(round % 3, 0);
       await cluster.advance(1500);
-      if (round % 3 === 0) cluster.mute.clear();
+      if (round % 3 === 0) cluster.outboundLoss.clear();
     }
-    for (const worker of cluster.workers.values()) worker.warningS = null;
-    cluster.mute.clear();
+    for (const worker of cluster.workers.values()) worker.spotNoticeS = null;
+    cluster.outboundLoss.clear();
     await cluster.advance(15_000);
-    cluster.checker.troublesOver(cluster.clock.now());
+    cluster.checker.faultsEnded(cluster.clock.now());
     await cluster.advance(30_000);
     for (let round = 0; round < 8; round++) {
       assert.equal(phase(await cluster.poll(`j-a${round}`)), 'done');
       for (const taskIndex of [0, 1]) assert.equal(cluster.overlaps(`j-svc${round}/${taskIndex}`), 0);
     }
-    assert.equal(phase(await cluster.withdraw('j-svc')), 'withdrawn');
+    assert.equal(phase(await cluster.cancelJob('j-svc')), 'cancelled');
     const use = cluster.store.rows.get('live/team/red')!.value as { cpus: number };
     assert.equal(use.cpus, 0);
     const left = [...cluster.store.rows.keys()].filter((key) => /^live\/(job|ledger)\//.test(key));
@@ -373,17 +374,17 @@
 
   it('while machines hear no answer: what they run ends in time, and comes up elsewhere only then', async () => {
     await ready(6);
-    for (const Ref of four) await cluster.submit({ ...service, Ref });
+    for (const jobId of four) await cluster.submit({ ...service, id: jobId });
     const machineIds = [...new Set(four.map((jobId) => where(`${jobId}/0`)))];
-    cluster.remember();
+    cluster.rememberWorkers();
     cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
     const leader = Number(cluster.node(0).leadership.leaderOf('leader')!.slice(1));
     const owner = partitionOf(machineIds[0]!);
-    for (const machineId of machineIds) cluster.deaf.add(machineId);
+    for (const machineId of machineIds) cluster.inboundLoss.add(machineId);
     for (const node of new Set([leader, owner])) cluster.crash(node);
     await cluster.advance(4000);
     const other = [0, 1, 2].find((node) => node !== leader && node !== owner)!;
-    void cluster.cancel('j-svc0', other);
+    void cluster.requestCancellation('j-svc0', other);
     await cluster.advance(36_000);
     assert.notEqual(cluster.runs('j-svc0/0')[0]!.to, undefined);
     for (const jobId of four.slice(1)) {
@@ -395,14 +396,14 @@
       cluster.store.rows.has('ended/j-svc0'),
       'the place is free, though the machine never showed the new token',
     );
-    cluster.deaf.clear();
+    cluster.inboundLoss.clear();
     await cluster.advance(8000);
     for (const machineId of machineIds) assert.ok(isOpen(other, machineId), `${machineId} is open again`);
   });
 
   it('while machines can not be reached: their tasks start elsewhere once the leases are proved over', async () => {
     await ready(6);
-    for (const Ref of four) await cluster.submit({ ...service, Ref });
+    for (const jobId of four) await cluster.submit({ ...service, id: jobId });
     const machineIds = [...new Set(four.map((jobId) => where(`${jobId}/0`)))];
     cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
     const leader = Number(cluster.node(0).leadership.leaderOf('leader')!.slice(1));
@@ -415,7 +416,7 @@
     cluster.crash(leader);
     await cluster.advance(3000);
     const other = (leader + 1) % 3;
-    void cluster.cancel('j-svc0', other);
+    void cluster.requestCancellation('j-svc0', other);
     // Two machines are reached again within their lease, the others after it.
     await cluster.advance(3000);
     cluster.cut.delete(machineIds[1]!);
@@ -440,21 +441,21 @@
     }
     await cluster.advance(6000);
     const jobIds = [0, 1, 2, 3, 4, 5].map((n) => `j-svc${n}`);
-    for (const [n, Ref] of jobIds.entries()) {
-      const more = n % 2 === 0 ? { Site: 'b' } : { Spread: true };
-      await cluster.submit({ ...service, ...more, Ref, Shards: 2, Cpus: 1 });
+    for (const [n, jobId] of jobIds.entries()) {
+      const more = n % 2 === 0 ? { zone: 'b' } : { spreadAcrossZones: true };
+      await cluster.submit({ ...service, ...more, id: jobId, taskCount: 2, cpus: 1 });
     }
-    for (let n = 0; n < 3; n++) void cluster.post(jobOf({ Ref: `j-a${n}`, Shards: 4, Cpus: 1 }), n);
+    for (let n = 0; n < 3; n++) void cluster.post(jobOf({ id: `j-a${n}`, taskCount: 4, cpus: 1 }), n);
     await cluster.advance(1000);
     const inside = [...cluster.workers.values()].filter((worker) => worker.options.zone === 'b');
     assert.ok(inside.length >= 4);
     const since = cluster.clock.now();
     const heal = cluster.network.split(['n1', ...inside.map((worker) => worker.options.machineId)]);
     await cluster.advance(300);
-    for (const jobId of jobIds.slice(0, 3)) void cluster.cancel(jobId, 0);
+    for (const jobId of jobIds.slice(0, 3)) void cluster.requestCancellation(jobId, 0);
     await cluster.advance(12_000);
     assert.ok(
-      inside.some((worker) => [...worker.tasks.values()].some((task) => task.Phase === 'running')),
+      inside.some((worker) => [...worker.tasks.values()].some((task) => task.state === 'running')),
       'the node inside keeps its workers alive beyond a lease',
     );
     await cluster.advance(40_000);
--- a/test/scenarios/single-execution.test.ts
+++ b/test/scenarios/single-execution.test.ts
@@ -5,6 +5,7 @@
 import assert from 'node:assert/strict';
 import { afterEach, describe, it } from 'node:test';
 import { Cluster } from '../../testing/cluster.js';
+import { decodeTransaction, type StoreOperation } from '../../testing/fake-store-wire-codec.js';
 import { jobOf, type ClusterOptions } from '../../testing/fixtures.js';
 
 let cluster: Cluster;
@@ -20,7 +21,7 @@
  * The stand-in runs jobs of such names until they are killed; without checkpoints they are not stopped on a notice of the
  * cloud. The leader places what must be in one zone, so it is not the owner of the machine that finds it a new place.
  */
-const longJob = (n: number) => ({ Ref: `j-svc-${n}`, Shards: 1, Cpus: 3, OneZone: true });
+const longJob = (n: number) => ({ id: `j-svc-${n}`, taskCount: 1, cpus: 3, singleZone: true });
 
 const partitionOf = (machineId: string) => cluster.node(0).leadership.partitionOf(machineId);
 const ownerOf = (role: string) => Number(cluster.node(0).leadership.leaderOf(role)!.slice(1));
@@ -43,12 +44,12 @@
 
 /** The cloud says that it will take these machines, so that nothing more is placed there. */
 async function closeToNewWork(machineIds: readonly string[]): Promise<void> {
-  for (const machineId of machineIds) cluster.workers.get(machineId)!.warningS = 1000;
+  for (const machineId of machineIds) cluster.workers.get(machineId)!.spotNoticeS = 1000;
   await cluster.advance(1000);
 }
 
-const writesClaim = (body: unknown, verb: 'Set' | 'Drop', role: string) =>
-  ((body as { Apply?: Record<string, unknown>[] }).Apply ?? []).some((write) => write[verb] === `live/claim/${role}`);
+const writesClaim = (body: unknown, kind: StoreOperation['kind'], role: string) =>
+  decodeTransaction(body).operations.some((each) => each.kind === kind && each.key === `live/claim/${role}`);
 
 /** Long tasks run on all machines, those of one partition are closed to new work. Returns the latter and their owner. */
 async function tasksOnOnePartition(): Promise<{ role: string; machineIds: string[]; owner: number }> {
@@ -68,24 +69,24 @@
     const commanded = machineIds.find((machineId) => !isBusy(machineId))!;
     const others = machineIds.filter(isBusy);
     // A start on one machine stays without an answer, and its job is cancelled: the token is raised to shut the start out.
-    cluster.mute.add(commanded);
+    cluster.outboundLoss.add(commanded);
     cluster.network.fault({ to: `${commanded}:9000`, kind: 'hold' });
     cluster.network.fault({
       from: `n${owner}`,
       to: 'store:1',
       path: /^\/txn/,
-      where: (body) => writesClaim(body, 'Set', role),
+      where: (body) => writesClaim(body, 'put', role),
       kind: 'answerLost',
       times: 1,
     });
-    for (let n = 0; n < 9; n++) void cluster.post(jobOf({ Ref: `j-once-${n}`, Cpus: 3 }), n % 3);
+    for (let n = 0; n < 9; n++) void cluster.post(jobOf({ id: `j-once-${n}`, cpus: 3 }), n % 3);
     await cluster.advance(600);
     // The other workers of the partition do not get through for less than a lease: they and their tasks live on.
     await closeToNewWork(others);
-    for (const machineId of others) cluster.mute.add(machineId);
-    for (let n = 0; n < 9; n++) void cluster.cancel(`j-once-${n}`, n % 3);
+    for (const machineId of others) cluster.outboundLoss.add(machineId);
+    for (let n = 0; n < 9; n++) void cluster.requestCancellation(`j-once-${n}`, n % 3);
     await cluster.advance(6000);
-    for (const machineId of others) cluster.mute.delete(machineId);
+    for (const machineId of others) cluster.outboundLoss.delete(machineId);
     await cluster.advance(15_000);
     assert.equal(ownerOf(role), owner, 'the partition has not changed hands');
   });
@@ -97,15 +98,15 @@
       from: `n${owner}`,
       to: 'store:1',
       path: /^\/txn/,
-      where: (body) => writesClaim(body, 'Drop', role),
+      where: (body) => writesClaim(body, 'delete', role),
       kind: 'status',
       status: 429,
     });
     void cluster.node(owner).leadership.release(role, 'for the scenario', 15_000);
-    for (const machineId of machineIds) cluster.mute.add(machineId);
+    for (const machineId of machineIds) cluster.outboundLoss.add(machineId);
     await cluster.advance(6000);
     heal();
-    for (const machineId of machineIds) cluster.mute.delete(machineId);
+    for (const machineId of machineIds) cluster.outboundLoss.delete(machineId);
     await cluster.advance(15_000);
   });
 });
@@ -127,7 +128,7 @@
     }
     await closeToNewWork([second]);
     const release = cluster.network.cut({ from: 'n1', to: 'n0' });
-    void cluster.post(jobOf({ Ref: 'j-svc-0' }), 0);
+    void cluster.post(jobOf({ id: 'j-svc-0' }), 0);
     await cluster.advance(1500);
     const blocked = cluster.network.fault({ from: first, to: 'n1:8080', kind: 'refuse' });
     cluster.crash(1);
@@ -138,7 +139,7 @@
     release();
     await cluster.advance(5);
     // Whatever it was told, nobody tells it otherwise for a while.
-    cluster.mute.add(second);
+    cluster.outboundLoss.add(second);
     blocked();
     await cluster.advance(6000);
     assert.equal(cluster.runs('j-svc-0/0').at(-1)!.machineId, first);
--- a/test/scenarios/store-outage.test.ts
+++ b/test/scenarios/store-outage.test.ts
@@ -3,13 +3,20 @@
 import type { HttpAnswer } from '../../src/net/http-answer.js';
 import { Cluster } from '../../testing/cluster.js';
 import { type ClusterOptions } from '../../testing/fixtures.js';
+import { encodeJobState } from '../../testing/job-status-wire-codec.js';
 
 let cluster: Cluster;
 afterEach(() => assert.deepEqual(cluster.verdict(), []));
 
 const CANCEL_MS = 36_000;
 const NODES = [0, 1, 2];
-const service = { Shape: 'service', Rank: 'prod', GuessS: 0, Spread: false, Shards: 1 };
+const service = {
+  kind: 'service',
+  priority: 'prod',
+  estimatedRunS: 0,
+  spreadAcrossZones: false,
+  taskCount: 1,
+} as const;
 
 async function ready(options: ClusterOptions = {}): Promise<void> {
   cluster = new Cluster({ nodes: 3, ...options });
@@ -23,7 +30,7 @@
 async function runOnNode0(): Promise<string> {
   for (let n = 0; n < 8; n++) {
     const jobId = `j-svc${n}`;
-    await cluster.submit({ ...service, Ref: jobId });
+    await cluster.submit({ ...service, id: jobId });
     const machineId = cluster.runs(`${jobId}/0`)[0]?.machineId;
     if (
       machineId !== undefined &&
@@ -39,9 +46,9 @@
   const pairs = NODES.map((each) => `n${each}`)
     .filter((each) => each !== node)
     .flatMap((each) => [`${node}>${each}`, `${each}>${node}`]);
-  for (const pair of pairs) cluster.parted.add(pair);
+  for (const pair of pairs) cluster.partitioned.add(pair);
   return () => {
-    for (const pair of pairs) cluster.parted.delete(pair);
+    for (const pair of pairs) cluster.partitioned.delete(pair);
   };
 }
 
@@ -56,10 +63,10 @@
 /** Calls a job off through a node that is not the refused one; returns the steady ms of the confirmation. */
 async function callOff(jobId: string, node: number): Promise<number> {
   let at = NaN;
-  const asked = cluster.cancel(jobId, node);
+  const asked = cluster.requestCancellation(jobId, node);
   void asked.then(() => (at = cluster.clock.now()));
   const answer: HttpAnswer = await cluster.during(asked, 300);
-  assert.deepEqual(answer.body, { Ref: jobId, Phase: 'withdrawn' });
+  assert.deepEqual(answer.body, encodeJobState(jobId, 'cancelled'));
   return at;
 }
 
--- a/test/wire-format.test.ts
+++ b/test/wire-format.test.ts
@@ -64,7 +64,7 @@
   told(await cluster.during(cluster.post(JSON.parse(json), node)));
 const simple = (ref: string, node = 0): Promise<string> => submit(submission(ref, ARRAY) + END, node);
 const poll = async (ref: string, node = 0): Promise<string> => told(await cluster.poll(ref, node));
-const withdraw = async (ref: string): Promise<string> => told(await cluster.withdraw(ref));
+const withdraw = async (ref: string): Promise<string> => told(await cluster.cancelJob(ref));
 
 const spec = (ref: string, kind: string, tail = ',"SnapshotEveryS":0,"SnapshotS":0,"DueS":null}'): string =>
   `{"spec":{"Ref":"${ref}","Jobclass":"web","Owner":"red",${kind},"Cards":0,"MemGb":4,"Bundle":"img-1","SizeGb":1,` +
@@ -128,14 +128,14 @@
 
   it('of places: queued, placed, to be stopped, failed, stopped, done', async () => {
     begin();
-    const machine = cluster.addWorker({ machineId: 'i-000001', fails: (shard) => shard.startsWith('j-bad') });
+    const machine = cluster.addWorker({ machineId: 'i-000001', failsTask: (shard) => shard.startsWith('j-bad') });
     cluster.addWorker({ machineId: 'i-000002', zone: 'b', runMs: 20_000 });
     await cluster.advance(5000);
     const two = '"Shape":"array","Rank":"normal","Shards":2,"Cpus":2';
     await submit(submission('j-sn', two) + ',"SnapshotEveryS":5,"SnapshotS":2}');
     await submit(submission('j-bad', ARRAY) + ',"SnapshotEveryS":0,"SnapshotS":0,"Site":"a"}');
     await cluster.advance(1000);
-    machine.warningS = 30;
+    machine.spotNoticeS = 30;
     await cluster.advance(15_000);
     assert.deepEqual(changes('live/ledger/j-sn/'), [
       '{"Set":"live/ledger/j-sn/0000","V":{"s":[[1,0,"i-000001",1,-1,"a"],[1,0,"i-000001",1,-1,"a"]]}}',
@@ -164,7 +164,7 @@
 
   it('of a chunk that is too large for the store: its compact form', async () => {
     const zone = 'z'.repeat(190);
-    const machineTypes = [{ Sku: 'c8/x', Cpus: 8, MemGb: 64, Sites: [] }];
+    const machineTypes = [{ name: 'c8/x', cpus: 8, memoryGb: 64, zones: [] }];
     const state = { rps: 500, write_rps: 200, value_kb: 1, txn_ops: 12 };
     begin({ cluster: { zones: [zone], state }, locations: [zone], machineTypes });
     const old = '"Shape":"array","Rank":"normal","Shards":6,"Cpus":1';
@@ -267,7 +267,7 @@
   it('for single records, and transactions that only compare', async () => {
     begin({ nodes: 2 });
     await cluster.advance(6000);
-    cluster.parted.add('n0>n1');
+    cluster.partitioned.add('n0>n1');
     cluster.network.fault({ from: 'n1', to: 'store:1', path: /^\/watch/, kind: 'lose' });
     assert.equal(await simple('j-a'), '201 {"Ref":"j-a","Phase":"queued"}');
     assert.equal(await poll('j-a', 1), '200 {"Ref":"j-a","Phase":"queued","done":0,"running":0}');
--- a/test/workers/heartbeats.test.ts
+++ b/test/workers/heartbeats.test.ts
@@ -17,7 +17,7 @@
   return cluster;
 }
 
-const service = { Ref: 'j-svc', Shape: 'service', Rank: 'prod', GuessS: 0, Shards: 1 };
+const service = { id: 'j-svc', kind: 'service', priority: 'prod', estimatedRunS: 0, taskCount: 1 } as const;
 const machineOf = (name: string) => cluster.runs(name).at(-1)!.machineId;
 const leaderOf = (machineId: string) =>
   Number(cluster.node(0).leadership.leaderOf(cluster.node(0).workerManager.roleOf(machineId))!.slice(1));
@@ -31,9 +31,9 @@
     await ready(3, 4);
     await cluster.submit(service);
     const machineId = machineOf('j-svc/0');
-    cluster.remember();
+    cluster.rememberWorkers();
     const since = cluster.clock.now();
-    cluster.deaf.add(machineId);
+    cluster.inboundLoss.add(machineId);
     await cluster.advance(12_000);
     for (const node of [0, 1, 2]) assert.equal(isOpen(node, machineId), false);
     await cluster.advance(8000);
@@ -46,9 +46,9 @@
 
   it('is open again as soon as it is reached', async () => {
     await ready(3, 2);
-    cluster.deaf.add('i-000000');
+    cluster.inboundLoss.add('i-000000');
     await cluster.advance(2000);
-    cluster.deaf.delete('i-000000');
+    cluster.inboundLoss.delete('i-000000');
     await cluster.advance(7000);
     assert.ok(isOpen(leaderOf('i-000000'), 'i-000000'));
     assert.deepEqual(cluster.cloud.returned, []);
@@ -59,7 +59,7 @@
   it('is no late copy, and its worker counts as reached', async () => {
     await ready(1, 1);
     const worker = new Worker('i-000000');
-    const workerStatus = decodeWorkerStatus(cluster.workers.get('i-000000')!.report())!;
+    const workerStatus = decodeWorkerStatus(cluster.workers.get('i-000000')!.composeHeartbeat())!;
     worker.applyStatus({ ...workerStatus, sequence: workerStatus.sequence + 5 }, 100, false);
     assert.equal(worker.isLate(workerStatus), false);
     worker.recordAnswer({ status: workerStatus, fencingToken: 1, forwardedBy: undefined, lateMs: 2250, now: 100 });
@@ -79,7 +79,7 @@
   it('measures no run that it has not seen start: the rest of it would make all later ones seem long', async () => {
     await ready(1, 1);
     const worker = new Worker('i-000000');
-    const workerStatus = decodeWorkerStatus(cluster.workers.get('i-000000')!.report())!;
+    const workerStatus = decodeWorkerStatus(cluster.workers.get('i-000000')!.composeHeartbeat())!;
     const running = (...names: string[]) =>
       new Map(
         names.map((name) => [name, { attempt: 1, state: 'running' as const, exitReason: null, isCheckpointed: false }]),
@@ -95,9 +95,9 @@
     await ready(3, 4);
     await cluster.submit(service);
     const machineId = machineOf('j-svc/0');
-    const copy = cluster.workers.get(machineId)!.report();
+    const copy = cluster.workers.get(machineId)!.composeHeartbeat();
     await cluster.advance(2000);
-    cluster.remember();
+    cluster.rememberWorkers();
     cluster.cut.add(machineId);
     for (let second = 0; second < 12; second++) {
       // Wherever it comes: at its leader, and at nodes that would take it for a worker cut off from its leader.
@@ -111,7 +111,7 @@
 
   it('does not bring a terminated machine back', async () => {
     await ready(3, 3);
-    const copy = cluster.workers.get('i-000001')!.report();
+    const copy = cluster.workers.get('i-000001')!.composeHeartbeat();
     cluster.cut.add('i-000001');
     await cluster.advance(12_000);
     assert.ok(cluster.cloud.returned.includes('i-000001'));
@@ -124,7 +124,7 @@
 
   it('received first by a node that has just started opens no machine to new work', async () => {
     await ready(1, 2);
-    const copy = cluster.workers.get('i-000000')!.report();
+    const copy = cluster.workers.get('i-000000')!.composeHeartbeat();
     cluster.cut.add('i-000000');
     cluster.crash(0);
     cluster.start(0);
@@ -139,9 +139,9 @@
 describe('a node cut off from store and peers, but not from its workers', () => {
   it('redirects them to the new leader as soon as they show its token, and no task dies', async () => {
     await ready(3, 6);
-    for (let n = 0; n < 6; n++) await cluster.submit({ ...service, Ref: `j-svc${n}` });
+    for (let n = 0; n < 6; n++) await cluster.submit({ ...service, id: `j-svc${n}` });
     cluster.network.fault({ from: 'n0', to: 'store:1', kind: 'lose' });
-    for (const pair of ['n0>n1', 'n0>n2', 'n1>n0', 'n2>n0']) cluster.parted.add(pair);
+    for (const pair of ['n0>n1', 'n0>n2', 'n1>n0', 'n2>n0']) cluster.partitioned.add(pair);
     await cluster.advance(25_000);
     assert.equal(cluster.node(0).up().status, 503);
     for (let n = 0; n < 6; n++) {
@@ -158,7 +158,7 @@
     await cluster.submit(service);
     cluster.store.out = true;
     const jobs = cluster.node(0).jobs;
-    const spec = { ...jobOf(service), Ref: 'j-later' };
+    const spec = jobOf({ ...service, id: 'j-later' });
     // In the first moments the store's own refusal is passed on, later it is known on arrival.
     for (const sinceMs of [0, 5000]) {
       await cluster.advance(sinceMs);
@@ -180,7 +180,7 @@
   it('keeps its machines, its tasks start elsewhere when the leases expire, and its machines are used again', async () => {
     await ready(3, 9);
     const inZone = [...cluster.workers.values()].filter((worker) => worker.options.zone === 'b');
-    await cluster.submit({ ...service, Shards: 4, Spread: true });
+    await cluster.submit({ ...service, taskCount: 4, spreadAcrossZones: true });
     for (const { options } of inZone) cluster.cut.add(options.machineId);
     await cluster.advance(14_000);
     const cutOff = [0, 1, 2, 3].filter((n) => cluster.runs(`j-svc/${n}`).length > 1);
@@ -197,12 +197,12 @@
 describe('nodes that do not hear each other', () => {
   it('place work on the machines of all as long as their leaders keep their leadership', async () => {
     await ready(3, 6);
-    for (const from of [0, 1, 2]) for (const to of [0, 1, 2]) cluster.parted.add(`n${from}>n${to}`);
+    for (const from of [0, 1, 2]) for (const to of [0, 1, 2]) cluster.partitioned.add(`n${from}>n${to}`);
     await cluster.advance(20_000);
     for (const node of [0, 1, 2]) {
       for (const machineId of cluster.workers.keys()) assert.ok(isOpen(node, machineId), `${machineId} at n${node}`);
     }
-    await cluster.submit({ ...service, Shards: 6, Spread: true });
+    await cluster.submit({ ...service, taskCount: 6, spreadAcrossZones: true });
     const machineIds = new Set([0, 1, 2, 3, 4, 5].map((n) => machineOf(`j-svc/${n}`)));
     assert.equal(machineIds.size, 6);
   });
--- a/testing/invariant-checker.ts
+++ b/testing/invariant-checker.ts
@@ -2,421 +2,215 @@
  * Checks a scenario by the protocol's rules alone: by what ran on the machines and by what users were told. It knows nothing
  * of the product's records.
  */
+import type { MachineType } from '../src/domain/machine-type.js';
+import { AnswerChecker, type AnswerRule, type UserAnswer } from './answer-checker.js';
+import { ObservedCluster, type ObservedJob, type ObservedRun } from './observed-cluster.js';
 import { PipelineChecker } from './pipeline-checker.js';
 import { PlacementHistory } from './placement-history.js';
-import { badField } from './submission-fields.js';
+import { PlacementRules, type TeamLimits } from './placement-rules.js';
+import { decodeSubmission, decodeSubmittedId } from './submission-wire-codec.js';
+import { invalidField } from './submission-wire-schema.js';
+import { jobIdOf, taskIndexOf } from './task-id.js';
 
+/** The rules that a scenario can break. */
 export type Rule =
+  | AnswerRule
   | 'ran_twice'
   | 'quota'
   | 'wrong_place'
   | 'ran_cancelled'
   | 'started_cancelled'
-  | 'forgotten'
-  | 'invented'
-  | 'not_done'
-  | 'went_back'
-  | 'wrongly_accepted'
   | 'left_waiting'
   | 'too_early'
-  | 'orphaned'
   | 'placed_twice'
   | 'older_token';
 
-/** ms without an answer to any question about a job after which it counts as forgotten, once all troubles are over. */
-const FORGOTTEN_MS = 75_000;
-/** ms for which a job may wait while there is room for it, once all troubles are over. */
+/** ms for which a job may wait while there is room for it, once all faults are over. */
 const WAITING_MS = 90_000;
-/** Amounts are decimal numbers, so sums may be off by their last digits. */
-const EPS = 1e-6;
-
-export interface JobFields {
-  Ref: string;
-  Owner: string;
-  Shape: 'array' | 'ensemble' | 'service';
-  Shards: number;
-  Cpus: number;
-  Cards: number;
-  MemGb: number;
-  Flavors?: string[] | null;
-  Site?: string | null;
-  OneZone: boolean;
-  Spread: boolean;
-  Reclaimable: boolean;
-  Awaits?: string[] | null;
-}
 
+/** What the rules depend on. */
 export interface InvariantCheckerOptions {
-  teams: readonly { name: string; cpus_max?: number; gpus_max?: number }[];
-  machineTypes: readonly Record<string, unknown>[];
+  teams: readonly TeamLimits[];
+  machineTypes: readonly MachineType[];
+  /** s within which a cancelled job must have left all machines. */
   cancelS: number;
 }
 
-interface MachineType {
-  Sku: string;
-  Cpus: number;
-  Cards: number;
-  MemGb: number;
-  Sites: string[];
-}
-
-interface Machine {
-  machineType: string;
-  zone: string;
-  isSpot: boolean;
-  /** Can be reached and does not hang. */
-  usable: boolean;
-  /** A task failed there. */
-  faulty: boolean;
-}
-
-interface Job {
-  /** Undefined as long as every submission of it was malformed. */
-  spec?: JobFields;
-  /** Times of the first such answer that its user got. */
-  acceptedAt?: number;
-  doneAt?: number;
-  cancelledAt?: number;
-  /** When its user first asked to cancel it. */
-  cancelAskedAt?: number;
-  done: Set<number>;
-  unansweredSince?: number;
-  waitingSince?: number;
-}
-
-interface Run {
-  machineId: string;
-  taskId: string;
-  jobId: string;
-}
-
-export interface UserAnswer {
-  kind: 'submit' | 'poll' | 'withdraw';
-  jobId: string;
-  askedAt: number;
-  at: number;
-  /** 0: none in time, or no connection. */
-  status: number;
-  body: unknown;
-}
-
-const refOf = (taskId: string) => taskId.slice(0, taskId.lastIndexOf('/'));
-const indexOf = (taskId: string) => Number(taskId.slice(taskId.lastIndexOf('/') + 1));
-
+/** Is told all that happens in a scenario, and collects the violations. */
 export class InvariantChecker {
   /** Every rule that was broken, in the order of finding. */
-  readonly broken: { rule: Rule; at: number; what: string }[] = [];
+  readonly violations: { rule: Rule; at: number; what: string }[] = [];
   /**
    * Starts after a confirmed cancellation whose command was on its way by then: allowed, as long as they end in time.
    */
   readonly lateStarts: string[] = [];
-  private readonly told = new Set<string>();
-  private readonly machines = new Map<string, Machine>();
-  private readonly jobs = new Map<string, Job>();
-  private readonly runs = new Set<Run>();
-  private calmSince = Infinity;
+  private readonly seen = new Set<string>();
+  private readonly observed = new ObservedCluster();
+  private faultsEndedAt = Infinity;
+  private readonly rules: PlacementRules;
   private readonly pipelines: PipelineChecker;
-  /** Which launches workers carried out, over takeovers. */
+  private readonly answers: AnswerChecker;
+  /** Which launches workers executed, over takeovers. */
   readonly placements = new PlacementHistory(
-    (taskId) => this.jobs.get(refOf(taskId))?.spec?.Shape === 'ensemble',
-    (rule, at, what) => this.breaks(rule, at, what),
+    (taskId) => this.observed.jobs.get(jobIdOf(taskId))?.spec?.kind === 'gang',
+    (rule, at, what) => this.addViolation(rule, at, what),
   );
 
   constructor(private readonly options: InvariantCheckerOptions) {
-    this.pipelines = new PipelineChecker((jobId) => this.jobs.get(jobId), options.cancelS * 1000);
+    const { observed } = this;
+    this.rules = new PlacementRules(observed, options.teams, options.machineTypes);
+    this.pipelines = new PipelineChecker((jobId) => observed.jobs.get(jobId), options.cancelS * 1000);
+    this.answers = new AnswerChecker({
+      observed,
+      rules: this.rules,
+      pipelines: this.pipelines,
+      faultsEndedAt: () => this.faultsEndedAt,
+      addViolation: (rule, at, what) => this.addViolation(rule, at, what),
+    });
   }
 
   /** What was broken, in words; empty if all is well. */
   verdict(at: number): string[] {
-    this.look(at);
-    return this.broken.map((each) => `${each.rule} at ${each.at}: ${each.what}`);
+    this.checkNow(at);
+    return this.violations.map((each) => `${each.rule} at ${each.at}: ${each.what}`);
   }
 
-  private breaks(rule: Rule, at: number, what: string): void {
+  private addViolation(rule: Rule, at: number, what: string): void {
     const key = `${rule} ${what}`;
-    if (this.told.has(key)) return;
-    this.told.add(key);
-    this.broken.push({ rule, at, what });
-  }
-
-  private job(jobId: string): Job {
-    const known = this.jobs.get(jobId);
-    if (known !== undefined) return known;
-    const job: Job = { done: new Set() };
-    this.jobs.set(jobId, job);
-    return job;
-  }
-
-  private machineType(name: string): MachineType | undefined {
-    return this.options.machineTypes.find((each) => each.Sku === name) as MachineType | undefined;
+    if (this.seen.has(key)) return;
+    this.seen.add(key);
+    this.violations.push({ rule, at, what });
   }
 
   // What happens on machines.
 
   machineUp(machineId: string, machine: { machineType: string; zone: string; isSpot: boolean }): void {
-    this.machines.set(machineId, { ...machine, usable: true, faulty: false });
+    this.observed.machines.set(machineId, { ...machine, isUsable: true, isFaulty: false });
   }
 
   /** Whether commands and answers reach it now. */
-  machineUsable(machineId: string, usable: boolean): void {
-    const machine = this.machines.get(machineId);
-    if (machine !== undefined) machine.usable = usable;
+  machineUsable(machineId: string, isUsable: boolean): void {
+    const machine = this.observed.machines.get(machineId);
+    if (machine !== undefined) machine.isUsable = isUsable;
   }
 
   /** The machine is gone, with all that was on it. */
   machineGone(at: number, machineId: string): void {
-    for (const run of [...this.runs])
+    for (const run of [...this.observed.runs])
       if (run.machineId === machineId) this.taskEnded(at, machineId, run.taskId, 'gone');
-    this.machines.delete(machineId);
+    this.observed.machines.delete(machineId);
   }
 
-  /** A task is on a machine: it has its image. `orderedAt`: when the command that led to it was sent. */
-  taskStarted(at: number, machineId: string, taskId: string, orderedAt = at): void {
-    const jobId = refOf(taskId);
-    const job = this.job(jobId);
-    const { spec, cancelledAt } = job;
-    for (const other of this.runs) {
-      if (other.taskId === taskId)
-        this.breaks('ran_twice', at, `${taskId} starts on ${machineId} while on ${other.machineId}`);
-    }
-    if (cancelledAt !== undefined && at > cancelledAt) {
-      const what = `${taskId} on ${machineId}, ${at - cancelledAt} ms after its cancellation`;
-      if (orderedAt > cancelledAt) this.breaks('started_cancelled', at, what);
-      else this.lateStarts.push(what);
-    }
+  /** A task is on a machine: it has its image. `commandedAt`: when the command that led to it was sent. */
+  taskStarted(at: number, machineId: string, taskId: string, commandedAt = at): void {
+    const jobId = jobIdOf(taskId);
+    const run: ObservedRun = { machineId, taskId, jobId };
+    const job = this.observed.job(jobId);
+    this.checkSingleRun(at, run);
+    this.checkNotCancelled(at, run, job, commandedAt);
     const open = this.pipelines.openPredecessor(job);
-    if (open !== undefined) this.breaks('too_early', at, `${taskId} on ${machineId}, before ${open} is done`);
-    const machine = this.machines.get(machineId);
-    if (spec !== undefined && machine !== undefined) {
-      const why = this.whyWrongPlace(spec, machine);
-      if (why !== undefined) this.breaks('wrong_place', at, `${taskId} on ${machineId}: ${why}`);
-    }
-    this.runs.add({ machineId, taskId, jobId });
+    if (open !== undefined) this.addViolation('too_early', at, `${taskId} on ${machineId}, before ${open} is done`);
+    this.checkPlace(at, run, job);
+    this.observed.runs.add(run);
     job.waitingSince = undefined;
-    if (spec === undefined) return;
-    const why = this.whyOverLimit(spec, 0);
-    if (why !== undefined) this.breaks('quota', at, `${taskId}: ${why}`);
+    if (job.spec === undefined) return;
+    const why = this.rules.whyOverLimit(job.spec, 0);
+    if (why !== undefined) this.addViolation('quota', at, `${taskId}: ${why}`);
   }
 
-  taskEnded(at: number, machineId: string, taskId: string, cause: string): void {
-    const job = this.job(refOf(taskId));
-    for (const run of this.runs) {
-      if (run.machineId !== machineId || run.taskId !== taskId) continue;
-      this.checkGone(at, run);
-      this.runs.delete(run);
+  private checkSingleRun(at: number, { machineId, taskId }: ObservedRun): void {
+    for (const other of this.observed.runs) {
+      if (other.taskId === taskId)
+        this.addViolation('ran_twice', at, `${taskId} starts on ${machineId} while on ${other.machineId}`);
     }
-    const machine = this.machines.get(machineId);
-    if (machine !== undefined && cause === 'error') machine.faulty = true;
-    if (cause !== 'done') return;
-    job.done.add(indexOf(taskId));
-    // A gang completes together.
-    if (job.spec?.Shape === 'ensemble') for (let index = 0; index < job.spec.Shards; index++) job.done.add(index);
   }
 
-  /** Is a task of a cancelled job still on its machine when it should be gone? */
-  private checkGone(at: number, run: Run): void {
-    const { cancelledAt } = this.job(run.jobId);
-    if (cancelledAt === undefined || at - cancelledAt <= this.options.cancelS * 1000) return;
-    this.breaks('ran_cancelled', at, `${run.taskId} on ${run.machineId}, cancelled at ${cancelledAt}`);
+  private checkNotCancelled(at: number, run: ObservedRun, { cancelledAt }: ObservedJob, commandedAt: number): void {
+    if (cancelledAt === undefined || at <= cancelledAt) return;
+    const what = `${run.taskId} on ${run.machineId}, ${at - cancelledAt} ms after its cancellation`;
+    if (commandedAt > cancelledAt) this.addViolation('started_cancelled', at, what);
+    else this.lateStarts.push(what);
   }
 
-  private tasksOf(jobId: string): Run[] {
-    return [...this.runs].filter((run) => run.jobId === jobId);
+  private checkPlace(at: number, { machineId, taskId }: ObservedRun, { spec }: ObservedJob): void {
+    const machine = this.observed.machines.get(machineId);
+    if (spec === undefined || machine === undefined) return;
+    const why = this.rules.whyWrongPlace(spec, machine);
+    if (why !== undefined) this.addViolation('wrong_place', at, `${taskId} on ${machineId}: ${why}`);
   }
 
-  private whyWrongPlace(spec: JobFields, machine: Machine): string | undefined {
-    if (spec.Flavors?.includes(machine.machineType) === false) return `type ${machine.machineType}`;
-    if ((spec.Site ?? machine.zone) !== machine.zone) return `zone ${machine.zone}`;
-    if (machine.isSpot && !spec.Reclaimable) return 'a spot machine';
-    const zones = this.tasksOf(spec.Ref).map((run) => this.machines.get(run.machineId)?.zone);
-    const other = zones.find((zone) => zone !== machine.zone);
-    if (spec.OneZone && other !== undefined) return `zone ${machine.zone} beside tasks in ${other}`;
-    const here = zones.filter((zone) => zone === machine.zone).length;
-    if (spec.Spread && here + 1 > Math.ceil(spec.Shards / 2)) return `${here + 1} tasks in zone ${machine.zone}`;
-    return undefined;
+  taskEnded(at: number, machineId: string, taskId: string, exitReason: string): void {
+    const job = this.observed.job(jobIdOf(taskId));
+    for (const run of this.observed.runs) {
+      if (run.machineId !== machineId || run.taskId !== taskId) continue;
+      this.checkGone(at, run);
+      this.observed.runs.delete(run);
+    }
+    const machine = this.observed.machines.get(machineId);
+    if (machine !== undefined && exitReason === 'error') machine.isFaulty = true;
+    if (exitReason !== 'done') return;
+    job.done.add(taskIndexOf(taskId));
+    // A gang completes together.
+    if (job.spec?.kind === 'gang') for (let index = 0; index < job.spec.taskCount; index++) job.done.add(index);
   }
 
-  /** Would the job's team be over its limit with `more` of its tasks? */
-  private whyOverLimit(spec: JobFields, more: number): string | undefined {
-    const team = this.options.teams.find((each) => each.name === spec.Owner);
-    let cpus = more * spec.Cpus;
-    let gpus = more * spec.Cards;
-    for (const run of this.runs) {
-      const other = this.jobs.get(run.jobId)?.spec;
-      if (other?.Owner !== spec.Owner) continue;
-      cpus += other.Cpus;
-      gpus += other.Cards;
-    }
-    // 0 means no limit.
-    const { cpus_max = 0, gpus_max = 0 } = team ?? {};
-    if (cpus_max > 0 && spec.Cpus > 0 && cpus > cpus_max + EPS) return `${spec.Owner} uses ${cpus} CPUs`;
-    if (gpus_max > 0 && spec.Cards > 0 && gpus > gpus_max + EPS) return `${spec.Owner} uses ${gpus} cards`;
-    return undefined;
+  /** Is a task of a cancelled job still on its machine when it should be gone? */
+  private checkGone(at: number, run: ObservedRun): void {
+    const { cancelledAt } = this.observed.job(run.jobId);
+    if (cancelledAt === undefined || at - cancelledAt <= this.options.cancelS * 1000) return;
+    this.addViolation('ran_cancelled', at, `${run.taskId} on ${run.machineId}, cancelled at ${cancelledAt}`);
   }
 
   // What users ask and are told.
 
   /** A user sends a job, for the first time or again. */
   submitted(body: unknown): void {
-    const jobId = (body as { Ref?: unknown } | null)?.Ref;
-    if (typeof jobId !== 'string') return;
-    const job = this.job(jobId);
-    if (badField(body) === undefined) job.spec ??= body as JobFields;
+    const jobId = decodeSubmittedId(body);
+    if (jobId === undefined) return;
+    const job = this.observed.job(jobId);
+    if (invalidField(body) === undefined) job.spec ??= decodeSubmission(body);
   }
 
   cancelAsked(at: number, jobId: string): void {
     // A job that nobody has submitted stays unknown.
-    const job = this.jobs.get(jobId);
+    const job = this.observed.jobs.get(jobId);
     if (job !== undefined) job.cancelAskedAt ??= at;
   }
 
+  /** A user has got an answer, or has waited for it in vain. */
   answered(answer: UserAnswer): void {
-    const { kind, jobId, askedAt, at, status } = answer;
-    const job = this.jobs.get(jobId);
-    const phase = (answer.body as { Phase?: string } | undefined)?.Phase;
-    const accepted = job?.acceptedAt !== undefined && job.acceptedAt < askedAt;
-    if (status === 404 && accepted) this.breaks('forgotten', at, `${kind} of ${jobId}: 404`);
-    if (kind === 'submit' && (status === 400 || status === 422) && accepted) {
-      this.breaks('forgotten', at, `${jobId} submitted again: ${status}`);
-    }
-    if (kind === 'poll' && job?.acceptedAt !== undefined) this.noteSilence(job, answer);
-    if (status !== 200 && status !== 201) return;
-    if (job === undefined) return this.breaks('invented', at, `${kind} of ${jobId}: ${phase}`);
-    if (job.acceptedAt === undefined) {
-      const why = this.whyNever(job.spec) ?? this.whyNeverReleased(job);
-      if (why !== undefined) this.breaks('wrongly_accepted', at, `${jobId}: ${why}`);
-    }
-    job.acceptedAt ??= at;
-    this.takePhase(job, answer, phase);
-  }
-
-  private takePhase(job: Job, { kind, jobId, askedAt, at }: UserAnswer, phase: string | undefined): void {
-    const final = job.cancelledAt !== undefined ? 'withdrawn' : job.doneAt !== undefined ? 'done' : undefined;
-    if (phase === 'done' || phase === 'withdrawn') {
-      // Only one of the two is ever true, so it doesn't matter here who asked first.
-      if (final !== undefined && final !== phase)
-        this.breaks('went_back', at, `${kind} of ${jobId}: ${phase}, was ${final}`);
-    } else {
-      const toldAt = job.cancelledAt ?? job.doneAt;
-      if (toldAt !== undefined && toldAt < askedAt) {
-        this.breaks('went_back', at, `${kind} of ${jobId}: ${phase}, was ${final}`);
-      }
-      const orphanedForMs = this.pipelines.orphanedForMs(job, at);
-      if (orphanedForMs !== undefined) {
-        this.breaks(
-          'orphaned',
-          at,
-          `${kind} of ${jobId}: ${phase}, a job before it is cancelled for ${orphanedForMs} ms`,
-        );
-      }
-    }
-    if (phase === 'withdrawn') {
-      if (job.cancelAskedAt === undefined && !this.pipelines.mayBeCancelled(job))
-        this.breaks('went_back', at, `${jobId} withdrawn, though not by its user`);
-      job.cancelledAt ??= at;
-    }
-    if (phase === 'done') {
-      const { spec } = job;
-      const isDone = spec !== undefined && spec.Shape !== 'service' && job.done.size === spec.Shards;
-      if (!isDone) this.breaks('not_done', at, `${jobId}: ${job.done.size} of ${spec?.Shards} tasks are done`);
-      job.doneAt ??= at;
-    }
-  }
-
-  private noteSilence(job: Job, { jobId, askedAt, at, status }: UserAnswer): void {
-    if (status === 200 || status === 404) {
-      job.unansweredSince = undefined;
-      return;
-    }
-    job.unansweredSince ??= askedAt;
-    if (at - Math.max(job.unansweredSince, this.calmSince) < FORGOTTEN_MS) return;
-    this.breaks('forgotten', at, `no question about ${jobId} was answered`);
-  }
-
-  private whyNeverReleased(job: Job): string | undefined {
-    const unknown = this.pipelines.unknownPredecessor(job);
-    return unknown === undefined ? undefined : `needs ${unknown}, which nobody has submitted`;
-  }
-
-  /** Why a job can never run, or is malformed. */
-  private whyNever(spec: JobFields | undefined): string | undefined {
-    if (spec === undefined) return 'a field is missing or invalid';
-    const { Owner, Shape, Shards, Cpus, Cards, MemGb, Site } = spec;
-    const team = this.options.teams.find((each) => each.name === Owner);
-    if (team === undefined) return 'unknown team';
-    const fits = (this.options.machineTypes as unknown as MachineType[]).some(
-      (each) =>
-        spec.Flavors?.includes(each.Sku) !== false &&
-        each.Sites.includes(Site ?? each.Sites[0]!) &&
-        Cpus <= each.Cpus &&
-        Cards <= each.Cards &&
-        MemGb <= each.MemGb,
-    );
-    if (!fits) return 'fits no allowed machine type';
-    const tasks = Shape === 'array' ? 1 : Shards;
-    const { cpus_max = 0, gpus_max = 0 } = team;
-    if (cpus_max > 0 && Cpus * tasks > cpus_max + EPS) return "more CPUs than its team's limit";
-    if (gpus_max > 0 && Cards * tasks > gpus_max + EPS) return "more cards than its team's limit";
-    return undefined;
+    this.answers.answered(answer);
   }
 
   // What is broken by nothing happening.
 
-  /** From now on no trouble excuses silence or waiting. */
-  troublesOver(at: number): void {
-    this.calmSince = at;
+  /** From now on no fault excuses silence or waiting. */
+  faultsEnded(at: number): void {
+    this.faultsEndedAt = at;
   }
 
   /** To be called every second or so, and at the end. */
-  look(at: number): void {
-    for (const run of this.runs) this.checkGone(at, run);
-    if (at < this.calmSince) return;
-    for (const [jobId, job] of this.jobs) {
-      if (!this.hasRoom(job)) {
+  checkNow(at: number): void {
+    for (const run of this.observed.runs) this.checkGone(at, run);
+    if (at < this.faultsEndedAt) return;
+    for (const [jobId, job] of this.observed.jobs) {
+      if (!this.couldStart(job)) {
         job.waitingSince = undefined;
         continue;
       }
       job.waitingSince ??= at;
-      if (at - Math.max(job.waitingSince, this.calmSince) < WAITING_MS) continue;
-      this.breaks('left_waiting', at, `${jobId}, though there is room`);
+      if (at - Math.max(job.waitingSince, this.faultsEndedAt) < WAITING_MS) continue;
+      this.addViolation('left_waiting', at, `${jobId}, though there is room`);
     }
   }
 
   /** Does a task of the job (of a gang: all that are missing) wait that could start at once? */
-  private hasRoom(job: Job): boolean {
+  private couldStart(job: ObservedJob): boolean {
     const { spec, acceptedAt, cancelAskedAt, done } = job;
     if (spec === undefined || acceptedAt === undefined || cancelAskedAt !== undefined) return false;
     if (this.pipelines.openPredecessor(job) !== undefined || this.pipelines.isCancelled(job)) return false;
-    const on = this.tasksOf(spec.Ref);
-    const missing = spec.Shards - done.size - new Set(on.map((run) => run.taskId)).size;
-    if (missing <= 0) return false;
-    const needed = spec.Shape === 'ensemble' ? missing : 1;
-    if (this.whyOverLimit(spec, needed) !== undefined) return false;
-    const slots = new Map<string, number>();
-    for (const [machineId, machine] of this.machines) {
-      if (!machine.usable || machine.faulty || this.whyWrongPlace(spec, machine) !== undefined) continue;
-      slots.set(machine.zone, (slots.get(machine.zone) ?? 0) + this.slotsOn(machineId, machine, spec));
-    }
-    const half = Math.ceil(spec.Shards / 2);
-    const counts = [...slots].map(([zone, count]) => {
-      const here = on.filter((run) => this.machines.get(run.machineId)?.zone === zone).length;
-      return spec.Spread ? Math.min(count, half - here) : count;
-    });
-    const room = spec.OneZone ? Math.max(0, ...counts) : counts.reduce((a, b) => a + b, 0);
-    return room >= needed;
-  }
-
-  /** How many more tasks of that size the machine holds. */
-  private slotsOn(machineId: string, machine: Machine, spec: JobFields): number {
-    const machineType = this.machineType(machine.machineType);
-    if (machineType === undefined) return 0;
-    const free = { Cpus: machineType.Cpus, Cards: machineType.Cards, MemGb: machineType.MemGb };
-    const amounts = ['Cpus', 'Cards', 'MemGb'] as const;
-    for (const run of this.runs) {
-      const other = run.machineId === machineId ? this.jobs.get(run.jobId)?.spec : undefined;
-      if (other !== undefined) for (const amount of amounts) free[amount] -= other[amount];
-    }
-    const counts = amounts.filter((amount) => spec[amount] > 0).map((amount) => (free[amount] + EPS) / spec[amount]);
-    return Math.max(0, Math.floor(Math.min(...counts)));
+    const started = new Set(this.observed.runsOf(spec.id).map((run) => run.taskId)).size;
+    const missing = spec.taskCount - done.size - started;
+    return missing > 0 && this.rules.hasRoom(spec, spec.kind === 'gang' ? missing : 1);
   }
 }
--- a/testing/loopback-cluster.ts
+++ b/testing/loopback-cluster.ts
@@ -12,12 +12,17 @@
 import { systemClock, type Clock } from '../src/net/clock.js';
 import { FakeCloud } from './fake-cloud.js';
 import { FakeGangs } from './fake-gangs.js';
+import { decodeTransaction, type StoreTransaction } from './fake-store-wire-codec.js';
 import { FakeStore } from './fake-store.js';
-import { ANSWER_MS, FakeWorker, type Description } from './fake-worker.js';
+import { FakeWorker } from './fake-worker.js';
+import type { JobDescription } from './worker-environment.js';
 import { C8, jobOf, settingsFileOf } from './fixtures.js';
+import { ANSWER_MS } from './heartbeat-sender.js';
 import { InvariantChecker } from './invariant-checker.js';
 import { freeAddress, LoopbackServer } from './loopback-server.js';
+import { decodeSubmission, type Submission } from './submission-wire-codec.js';
 
+/** What a cluster of processes is made of. */
 export interface LoopbackOptions {
   nodes: number;
   machines: number;
@@ -27,11 +32,6 @@
   runMs: number;
 }
 
-interface Txn {
-  If?: { K: string; Stamp: number }[];
-  Apply?: unknown[];
-}
-
 interface ControllerProcess {
   address: string;
   settingsFile: string;
@@ -53,6 +53,7 @@
 const EXPIRE_MS = 20;
 const HTTP_SOCKETS = 256;
 
+/** Starts and ends the processes, serves the stand-ins, and checks the rules. */
 export class LoopbackCluster {
   readonly store = new FakeStore(idleClock);
   readonly cloud = new FakeCloud([C8]);
@@ -60,14 +61,14 @@
   /** What the controllers write to standard error. */
   readonly logLines: string[] = [];
   /** Called with each transaction that the store has made. */
-  onTxn: (transact: { conditions: ReadonlyMap<string, number>; writes: number }) => void = () => undefined;
+  onTransaction: (transaction: StoreTransaction) => void = () => undefined;
   private readonly folder = mkdtempSync(join(tmpdir(), 'dewlatch-loopback-'));
   private readonly controllers: ControllerProcess[] = [];
   private readonly workers: FakeWorker[] = [];
   private readonly servers: LoopbackServer[] = [];
   private readonly timers: NodeJS.Timeout[] = [];
   private readonly http = new NodeHttpClient(HTTP_SOCKETS);
-  private readonly jobs = new Map<string, Description>();
+  private readonly jobs = new Map<string, JobDescription>();
   private submitted = 0;
 
   constructor(private readonly options: LoopbackOptions) {}
@@ -80,7 +81,7 @@
     const names = this.controllers.map((_, index) => `n${index}`);
     this.timers.push(
       setInterval(() => this.store.expire(), EXPIRE_MS),
-      setInterval(() => this.report(names), TICK_MS * 5),
+      setInterval(() => this.sendHeartbeats(names), TICK_MS * 5),
     );
   }
 
@@ -93,14 +94,13 @@
   private async handleStore(method: string, path: string, body: unknown): Promise<Reply> {
     const reply = await this.store.handle(method, path, body);
     if (path === '/txn' && reply.status === 200) {
-      const { If = [], Apply = [] } = body as Txn;
-      this.onTxn({ conditions: new Map(If.map(({ K, Stamp }) => [K, Stamp])), writes: Apply.length });
+      this.onTransaction(decodeTransaction(body));
     }
     return reply;
   }
 
   private async startWorkers(): Promise<void> {
-    const around = {
+    const environment = {
       leaseS: 10,
       describe: (jobId: string) => this.jobs.get(jobId),
       gangs: new FakeGangs(idleClock, 30_000, 4000),
@@ -110,8 +110,8 @@
       const machineId = `i-${String(n).padStart(6, '0')}`;
       const zone = ['a', 'b', 'c'][n % 3]!;
       const { runMs } = this.options;
-      const worker = new FakeWorker(idleClock, { machineId, zone, runMs }, C8, around);
-      worker.endpoint = await this.serve((method, path, body) => worker.handle(method, path, body));
+      const worker = new FakeWorker(idleClock, { machineId, zone, runMs }, C8, environment);
+      worker.endpoint = await this.serve((_method, path, body) => worker.handle(path, body));
       this.watchWorker(worker, machineId, zone);
       this.workers.push(worker);
     }
@@ -120,7 +120,7 @@
   private watchWorker(worker: FakeWorker, machineId: string, zone: string): void {
     const now = () => systemClock.now();
     this.checker.machineUp(machineId, { machineType: 'c8', zone, isSpot: false });
-    this.cloud.machines.set(machineId, { Flavor: 'c8', Site: zone, Reclaimable: false, Phase: 'running', HeldS: 100 });
+    this.cloud.machines.set(machineId, { machineType: 'c8', zone, isSpot: false, state: 'running', ageS: 100 });
     worker.onStart = (taskId, orderedAt) => this.checker.taskStarted(now(), machineId, taskId, orderedAt);
     worker.onEnd = (taskId, cause) => this.checker.taskEnded(now(), machineId, taskId, cause);
     worker.onLaunch = (taskId, attempt, fencingToken) =>
@@ -157,21 +157,21 @@
     this.controllers[index]?.process?.kill(signal);
   }
 
-  private report(names: readonly string[]): void {
+  private sendHeartbeats(names: readonly string[]): void {
     for (const worker of this.workers) {
-      void worker.tell([...names], (node, report) =>
+      void worker.sendHeartbeat([...names], (node, heartbeat) =>
         this.http
-          .call(this.controllers[Number(node.slice(1))]!.address, 'POST', '/hello', report, { timeoutMs: ANSWER_MS })
+          .call(this.controllers[Number(node.slice(1))]!.address, 'POST', '/hello', heartbeat, { timeoutMs: ANSWER_MS })
           .catch(() => undefined),
       );
     }
   }
 
   /** A user submits a job to one of the nodes, trying one after the other. */
-  async submit(fields: object): Promise<boolean> {
+  async submit(fields: Partial<Submission>): Promise<boolean> {
     const jobId = `j-${String(this.submitted++).padStart(6, '0')}`;
-    const body = jobOf({ Ref: jobId, ...fields });
-    this.jobs.set(jobId, body as Description);
+    const body = jobOf({ id: jobId, ...fields });
+    this.jobs.set(jobId, decodeSubmission(body));
     this.checker.submitted(body);
     for (let turn = 0; turn < this.controllers.length * 2; turn++) {
       const { address } = this.controllers[(this.submitted + turn) % this.controllers.length]!;
@@ -209,6 +209,6 @@
     for (const server of this.servers) server.close();
     this.http.close();
     rmSync(this.folder, { recursive: true, force: true });
-    return this.checker.broken.map(({ rule, what }) => `${rule}: ${what}`);
+    return this.checker.violations.map(({ rule, what }) => `${rule}: ${what}`);
   }
 }
--- a/testing/loopback-takeover.ts
+++ b/testing/loopback-takeover.ts
@@ -2,8 +2,10 @@
 import { systemClock } from '../src/net/clock.js';
 import type { LoopbackCluster } from './loopback-cluster.js';
 
+/** How a process loses its leadership. */
 export type LoopbackLoss = 'kill' | 'freeze' | 'terminate';
 
+/** How long a takeover took. */
 export interface LoopbackTimes {
   /** ms from the loss until another process holds the claim. */
   claimedMs: number;
@@ -21,11 +23,11 @@
   await cluster.until(() => cluster.claimOf('leader') !== undefined, 'a leader');
   const before = cluster.claimOf('leader')!;
   let decidedAt: number | undefined;
-  cluster.onTxn = ({ conditions, writes }) => {
+  cluster.onTransaction = ({ conditions, operations }) => {
     const claim = cluster.claimOf('leader');
-    const isNew =
-      claim !== undefined && claim.node !== before.node && conditions.get(LEADER_KEY) === claim.fencingToken;
-    if (isNew && writes > 0) decidedAt ??= systemClock.now();
+    if (claim === undefined || claim.node === before.node) return;
+    const isNew = conditions.some(({ key, modRevision }) => key === LEADER_KEY && modRevision === claim.fencingToken);
+    if (isNew && operations.length > 0) decidedAt ??= systemClock.now();
   };
   const lostAt = systemClock.now();
   cluster.signal(before.node, SIGNALS[loss]);
@@ -48,7 +50,9 @@
 /** Submits gangs and arrays until the signal fires: the leader always has something to decide. */
 export async function submitUntil(cluster: LoopbackCluster, everyMs: number, signal: AbortSignal): Promise<void> {
   for (let n = 0; !signal.aborted; n++) {
-    void cluster.submit(n % 2 === 0 ? { Shape: 'ensemble', Rank: 'high', Shards: 2, Cpus: 1 } : { Shards: 2, Cpus: 1 });
+    void cluster.submit(
+      n % 2 === 0 ? { kind: 'gang', priority: 'high', taskCount: 2, cpus: 1 } : { taskCount: 2, cpus: 1 },
+    );
     await systemClock.sleep(everyMs, signal);
   }
 }
--- a/testing/takeover-measurement.ts
+++ b/testing/takeover-measurement.ts
@@ -3,11 +3,16 @@
  * stand-in cluster show, so that any version of the program can be measured.
  */
 import { Cluster } from './cluster.js';
+import { decodeTransaction } from './fake-store-wire-codec.js';
 import type { ClusterOptions } from './fixtures.js';
+import { encodeSubmission, type Submission } from './submission-wire-codec.js';
 
-export type Loss = 'kill' | 'freeze' | 'cut from the store' | 'told to stop';
+/** How a controller loses a role. */
+export type Loss = 'kill' | 'freeze' | 'store partition' | 'terminate';
+/** The role that is lost: that of the cluster, or of a partition. */
 export type MeasuredRole = 'leader' | 'partition';
 
+/** One loss to be measured. */
 export interface Trial {
   role: MeasuredRole;
   loss: Loss;
@@ -37,11 +42,6 @@
 const WARM_UP_MS = 12_000;
 const JOB_EVERY_MS = 400;
 
-interface Txn {
-  If?: { K: string; Stamp: number }[];
-  Apply?: { Set?: string; Drop?: string }[];
-}
-
 /** Plays one loss of a role and tells how soon it was taken over, and which rules were broken. */
 export async function measureTakeover(trial: Trial, options: ClusterOptions = {}) {
   const cluster = new Cluster({ nodes: 3, teams: [{ name: 'red' }], ...options });
@@ -51,8 +51,9 @@
   await cluster.advance(WARM_UP_MS);
   let submitted = 0;
   const submitSome = (): void => {
-    const shape = !trial.load || submitted % 4 === 0 ? { Shape: 'ensemble', Shards: 2 } : { Shards: 2 };
-    void cluster.users.submit({ ...jobOf(submitted++), ...shape });
+    const isGang = !trial.load || submitted % 4 === 0;
+    const submission = submissionOf(submitted++);
+    void cluster.users.submit(encodeSubmission(isGang ? { ...submission, kind: 'gang' } : submission));
   };
   const load = new AbortController();
   const submitting = (async () => {
@@ -93,10 +94,27 @@
   return { times, broken: cluster.verdict() };
 }
 
-const jobOf = (n: number) => ({
-  ...{ Ref: `j-${String(n).padStart(6, '0')}`, Jobclass: 'train', Owner: 'red', Rank: 'normal', Shape: 'array' },
-  ...{ Cpus: 1, Cards: 0, MemGb: 1, Bundle: 'img', SizeGb: 1, Flavors: null, Site: null, OneZone: false },
-  ...{ Spread: false, Reclaimable: true, GuessS: 3, SnapshotEveryS: 0, SnapshotS: 0, DueS: null },
+const submissionOf = (n: number): Submission => ({
+  id: `j-${String(n).padStart(6, '0')}`,
+  jobClass: 'train',
+  team: 'red',
+  priority: 'normal',
+  kind: 'array',
+  cpus: 1,
+  gpus: 0,
+  memoryGb: 1,
+  image: 'img',
+  imageGb: 1,
+  machineTypes: null,
+  zone: null,
+  singleZone: false,
+  spreadAcrossZones: false,
+  allowsSpot: true,
+  estimatedRunS: 3,
+  checkpointIntervalS: 0,
+  checkpointS: 0,
+  deadlineS: null,
+  taskCount: 2,
 });
 
 function lose(cluster: Cluster, node: number, loss: Loss): void {
@@ -105,11 +123,11 @@
       return cluster.crash(node);
     case 'freeze':
       return cluster.freeze(node, LIMIT_MS / 2);
-    case 'cut from the store':
+    case 'store partition':
       cluster.network.fault({ from: `n${node}`, to: 'store:1', kind: 'lose' });
       return;
-    case 'told to stop':
-      void cluster.tellToStop(node);
+    case 'terminate':
+      void cluster.terminate(node);
   }
 }
 
@@ -124,7 +142,7 @@
 function hasDecided(cluster: Cluster, key: string, modRevision: number, logFrom: number): boolean {
   return cluster.network.log.slice(logFrom).some(({ path, body }) => {
     if (path !== '/txn') return false;
-    const { If = [], Apply = [] } = body as Txn;
-    return If.some(({ K, Stamp }) => K === key && Stamp === modRevision) && Apply.length > 0;
+    const { conditions, operations } = decodeTransaction(body);
+    return operations.length > 0 && conditions.some((each) => each.key === key && each.modRevision === modRevision);
   });
 }
