--- a/src/api/job-lookup.ts
+++ b/src/api/job-lookup.ts
@@ -174,7 +174,7 @@
     const { client, transactions, replica } = this.dependencies;
     try {
       const row = await client.get(key, Priority.record);
-      if (key.startsWith(FINAL_JOB_PREFIX)) transactions.remember(key, row);
+      if (key.startsWith(FINAL_JOB_PREFIX)) transactions.cacheFinalRecord(key, row);
       else if (row.value !== undefined) replica.apply({ key, ...row });
       else if (row.revision !== undefined) replica.apply({ key, value: undefined, modRevision: row.revision });
     } catch {
--- a/src/api/record-size-check.ts
+++ b/src/api/record-size-check.ts
@@ -33,6 +33,6 @@
   const chunks = Math.ceil(spec.taskCount / tasksPerChunkFor(maxRecordBytes));
   const isZoneBound = spec.spreadAcrossZones || spec.singleZone;
   if (isZoneBound && chunks > transaction.conditions - OTHER_CONDITIONS) return 'more tasks than can be compared';
-  if (spec.kind === 'gang' && chunks > transaction.ops - OTHER_OPERATIONS) return 'a gang too large to start whole';
+  if (spec.kind === 'gang' && chunks > transaction.writes - OTHER_OPERATIONS) return 'a gang too large to start whole';
   return undefined;
 }
--- a/src/autoscaling/autoscaler.ts
+++ b/src/autoscaling/autoscaler.ts
@@ -143,7 +143,7 @@
 
   private openMachines() {
     const { inventory, planner } = this.dependencies;
-    const open = inventory.openMachines();
+    const open = inventory.schedulableMachines();
     const freeResources = planner.freeResources(open);
     return open.map(({ machineId, machineType, zone }) => ({
       machineType: inventory.catalog.get(machineType)!,
--- a/src/autoscaling/capacity-needs.ts
+++ b/src/autoscaling/capacity-needs.ts
@@ -19,7 +19,7 @@
 export function findCapacityNeeds({ clusterState, inventory, planner }: CapacityNeedsDependencies): CapacityNeed[] {
   const zones = [...new Set([...inventory.catalog.values()].flatMap((machineType) => machineType.zones))];
   const needs: CapacityNeed[] = [];
-  for (const [jobId, pendingTasks] of groupByJob(planner.unplacedTasks)) {
+  for (const [jobId, pendingTasks] of groupByJob(planner.unplaceableTasks)) {
     const view = clusterState.jobs.get(jobId);
     if (view === undefined) continue;
     const { spec } = view.record;
@@ -49,9 +49,9 @@
 function tasksToScaleOutFor(
   spec: JobSpec,
   pendingTasks: readonly PendingTask[],
-  inventory: Pick<MachineInventory, 'openMachines'>,
+  inventory: Pick<MachineInventory, 'schedulableMachines'>,
 ): number {
   const isFailing = pendingTasks.some((each) => each.placement.failures > FAILURES_WORTH_SCALING_OUT);
   if (!isFailing || spec.kind === 'gang') return pendingTasks.length;
-  return inventory.openMachines().some((machine) => isAllowedOn(spec, machine)) ? 0 : 1;
+  return inventory.schedulableMachines().some((machine) => isAllowedOn(spec, machine)) ? 0 : 1;
 }
--- a/src/autoscaling/cluster-leader.ts
+++ b/src/autoscaling/cluster-leader.ts
@@ -53,10 +53,10 @@
   /** What the leader remembers beside the records: for whichever node becomes the next leader. */
   get memory(): LeaderMemory {
     return {
-      stopping: () => this.evictionMarker.recentEvictions(),
-      refused: () => this.autoscaler.recentlyRefusedOffers(),
-      idle: () => this.idleMachines.recentlyIdle(),
-      restoreStopping: (attempt, at) => this.evictionMarker.restoreEviction(attempt, at),
+      recentEvictions: () => this.evictionMarker.recentEvictions(),
+      refusedOffers: () => this.autoscaler.recentlyRefusedOffers(),
+      idleMachines: () => this.idleMachines.recentlyIdle(),
+      restoreEviction: (attempt, at) => this.evictionMarker.restoreEviction(attempt, at),
       restoreRefusal: (offer, at) => this.autoscaler.restoreRefusal(offer, at),
       restoreIdle: (machineId, at) => this.idleMachines.restore(machineId, at),
     };
@@ -65,7 +65,7 @@
   /** Where a machine listens that has not reported to this node; undefined: neither a peer nor the cloud tells. */
   endpointOf(machineId: string): string | undefined {
     const { inventory } = this.dependencies;
-    return inventory.peerReportOf(machineId)?.endpoint ?? this.machineList.machines.get(machineId)?.endpoint;
+    return inventory.peerStateOf(machineId)?.endpoint ?? this.machineList.machines.get(machineId)?.endpoint;
   }
 
   /** Runs the duties until the signal fires. */
--- a/src/autoscaling/cluster-status.ts
+++ b/src/autoscaling/cluster-status.ts
@@ -26,7 +26,7 @@
 /** Sums up the inventory and the tasks without a placement. */
 export function clusterStatus({ inventory, planner }: ClusterStatusDependencies): ClusterStatus {
   const machines = [...inventory.machines().values()];
-  const open = inventory.openMachines();
+  const open = inventory.schedulableMachines();
   let totalCpus = 0;
   let freeCpus = 0;
   for (const [machineId, free] of planner.freeResources(open)) {
@@ -36,10 +36,10 @@
   return {
     machineCount: machines.length,
     openMachineCount: open.length,
-    closedMachineCounts: countBy(machines.map((machine) => inventory.whyClosed(machine))),
+    closedMachineCounts: countBy(machines.map((machine) => inventory.unavailableReasonOf(machine))),
     totalCpus,
     freeCpus: Math.round(freeCpus),
-    pendingTaskCounts: countBy(planner.unplacedTasks.map(({ view }) => view.record.spec.priority)),
+    pendingTaskCounts: countBy(planner.unplaceableTasks.map(({ view }) => view.record.spec.priority)),
   };
 }
 
--- a/src/autoscaling/idle-machine-detector.ts
+++ b/src/autoscaling/idle-machine-detector.ts
@@ -42,7 +42,7 @@
 
   private check(nowMs: number): string[] {
     const { clusterState, inventory } = this.dependencies;
-    const open = inventory.openMachines();
+    const open = inventory.schedulableMachines();
     let { freeCpus, totalCpus } = this.cpusOf(open);
     const found: string[] = [];
     for (const { machineId, machineType } of open) {
--- a/src/autoscaling/spot-notice-evictor.ts
+++ b/src/autoscaling/spot-notice-evictor.ts
@@ -19,8 +19,8 @@
   /** Marks each task for eviction that gains by it; the grace period is the time of its checkpoint, if that is left. */
   evict(machines: ReadonlyMap<string, MachineInfo>): void {
     const nowMs = this.dependencies.clock.now();
-    for (const { machineId, spotNoticeUntil } of machines.values()) {
-      if (spotNoticeUntil !== null) this.evictFrom(machineId, (spotNoticeUntil - nowMs) / 1000);
+    for (const { machineId, spotTerminationAt } of machines.values()) {
+      if (spotTerminationAt !== null) this.evictFrom(machineId, (spotTerminationAt - nowMs) / 1000);
     }
   }
 
@@ -28,7 +28,7 @@
     const { clusterState, evictionMarker } = this.dependencies;
     for (const placedTask of [...clusterState.tasksOn(machineId)]) {
       const spec = clusterState.jobs.get(placedTask.jobId)?.record.spec;
-      if (spec === undefined || evictionMarker.isStopping(placedTask) || !gainsByEviction(spec)) continue;
+      if (spec === undefined || evictionMarker.isBeingEvicted(placedTask) || !gainsByEviction(spec)) continue;
       const gracePeriodS = remainingS > spec.checkpointS ? spec.checkpointS : 0;
       evictionMarker.evict(placedTask, spec, gracePeriodS, 'notice');
     }
--- a/src/autoscaling/unresponsive-machine-detector.ts
+++ b/src/autoscaling/unresponsive-machine-detector.ts
@@ -1,9 +1,9 @@
 /** Finds machines that have stopped responding, from what the partition leaders report of their heartbeats. */
-import { UNHEARD_SILENCE_LIMITS, ZONE_HEAL_MS } from '../constants/autoscaling.js';
+import { UNSEEN_SILENCE_LIMITS, ZONE_HEAL_MS } from '../constants/autoscaling.js';
 import type { MachineInfo } from '../domain/machine-state.js';
 import { partitionRole } from '../domain/role.js';
 import type { Settings } from '../domain/settings.js';
-import { heartbeatLateMs, silenceLimitMs } from '../domain/worker-deadlines.js';
+import { heartbeatLateMs, unresponsiveAfterMs } from '../domain/worker-deadlines.js';
 import type { PeerDirectory } from '../gossip/peer-directory.js';
 import type { MachineInventory } from '../inventory/machine-inventory.js';
 import type { RoleLeadership } from '../leadership/role-leadership.js';
@@ -56,12 +56,13 @@
 
   private watch(machine: MachineInfo, nowMs: number): WatchedMachine {
     const { settings, leadership, peerDirectory } = this.dependencies;
-    const { machineId, zone, heardAt } = machine;
+    const { machineId, zone, lastHeartbeatAt } = machine;
     const { workers } = settings.cluster;
-    const ageMs = nowMs - heardAt;
+    const ageMs = nowMs - lastHeartbeatAt;
     // The lease of a mute machine has expired, so nothing runs there any more; only its termination proves that at once.
     const isUnresponsive =
-      machine.isMute || (ageMs > silenceLimitMs(workers) && !peerDirectory.hasReportedElsewhere(machineId, heardAt));
+      machine.isMute ||
+      (ageMs > unresponsiveAfterMs(workers) && !peerDirectory.hasMisroutedHeartbeatSince(machineId, lastHeartbeatAt));
     return {
       machineId,
       partition: leadership.partitionOf(machineId),
@@ -105,8 +106,8 @@
     if (!this.isReachable(leadership.leaderOf(role)) || placedTask === undefined) return undefined;
     const ageMs = nowMs - this.leaderSince.get(role)!.atMs;
     const isUnresponsive =
-      ageMs > UNHEARD_SILENCE_LIMITS * silenceLimitMs(workers) &&
-      !peerDirectory.hasReportedElsewhere(machineId, -Infinity);
+      ageMs > UNSEEN_SILENCE_LIMITS * unresponsiveAfterMs(workers) &&
+      !peerDirectory.hasMisroutedHeartbeatSince(machineId, -Infinity);
     return {
       machineId,
       partition,
--- a/src/constants/autoscaling.ts
+++ b/src/constants/autoscaling.ts
@@ -16,7 +16,7 @@
 export const ZONE_CUT_SHARE = 0.5;
 
 /** Times the silence limit after which a machine that no leader has heard of since a failover is scaled in. */
-export const UNHEARD_SILENCE_LIMITS = 2;
+export const UNSEEN_SILENCE_LIMITS = 2;
 
 /** ms for which a zone's machines are kept after most have come back: the last ones try other nodes first. */
 export const ZONE_HEAL_MS = 30_000;
--- a/src/constants/scheduling.ts
+++ b/src/constants/scheduling.ts
@@ -13,7 +13,7 @@
 export const MAX_PLAN_TASKS = 400;
 
 /** Queued tasks listed in one planner run; beyond, each job is represented by `SAMPLE_TASKS_OF_JOB` tasks only. */
-export const MAX_UNPLACED = 1500;
+export const MAX_UNPLACED_TASKS = 1500;
 
 /** ms after which a job should have started, whatever is queued before it: users expect the largest within four minutes. */
 export const OVERDUE_START_MS = 120_000;
@@ -31,7 +31,7 @@
 export const CACHED_IMAGE_WAIT_MS = 700;
 
 /** ms for which a task that is marked for stopping counts as stopping before its placement shows it. */
-export const STOPPING_MS = 2000;
+export const EVICTION_PENDING_MS = 2000;
 
 /** Cost of a machine without the image in choosing what to preempt, in units of one preempted low-priority task with checkpoints. */
 export const IMAGE_FETCH_COST = 4;
--- a/src/constants/standby.ts
+++ b/src/constants/standby.ts
@@ -8,4 +8,4 @@
 export const FOLLOWER_TIMEOUT_MS = 5000;
 
 /** ms between two collections of the advice on checks and idle machines for followers: no more often than workers send heartbeats. */
-export const ADVICE_PERIOD_MS = 1000;
+export const ADVISORY_COLLECTION_PERIOD_MS = 1000;
--- a/src/constants/store.ts
+++ b/src/constants/store.ts
@@ -17,7 +17,7 @@
  * to the watch is the expiry of store leases, which comes after seconds anyway. Below half a lease renewal period, so that
  * the renewal needs no read of its own.
  */
-export const WATCH_HEARD_PAUSE_MS = 350;
+export const GOSSIP_WATCH_PAUSE_MS = 350;
 
 /** ms before a replica that could not be loaded is loaded again, and before a watch that has failed is opened again. */
 export const LOAD_RETRY_MS = 300;
--- a/src/constants/workers.ts
+++ b/src/constants/workers.ts
@@ -1,7 +1,7 @@
 /** Heartbeats, commands, and the health of machines. */
 
 /** ms that placement changes of one machine are collected before commands are sent to its worker. */
-export const PUSH_GATHER_MS = 5;
+export const COMMAND_BATCHING_MS = 5;
 
 /**
  * Share of the heartbeat interval for which launches of batch tasks wait for others on the same machine, or for its next
@@ -10,7 +10,7 @@
 export const BATCH_PUSH_GATHER_SHARE = 0.1;
 
 /** Leases for which a worker without tasks is remembered after its last heartbeat: its agent epoch is over long before. */
-export const FORGET_WORKER_LEASES = 10;
+export const WORKER_RETENTION_LEASES = 10;
 
 /** ms between two sweeps for worker leases that are proved to have expired. */
 export const SWEEP_MS = 500;
@@ -72,7 +72,7 @@
 export const SLOW_MACHINE_MS = 60_000;
 
 /** Finished tasks of a job from which their mean run time is trusted. */
-export const SIBLINGS_KNOWN = 3;
+export const MIN_FINISHED_SIBLINGS = 3;
 
 /**
  * Times the mean of the job's finished tasks from which a running task shows that its machine is slow. The tasks that have
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -108,7 +108,7 @@
     const listener = {
       jobChanged: (jobId: string, taskIndexes?: readonly number[]) =>
         this.jobDuties.reactions.jobChanged(jobId, taskIndexes),
-      urgencyChanged: (jobId: string) => this.planner.urgencyChanged(jobId),
+      urgencyChanged: (jobId: string) => this.planner.priorityChanged(jobId),
       leadershipChanged: () => this.leadershipChanged(),
       recordUnreadable: (key: string, error: unknown) => log.error({ key, error: String(error) }, 'record unreadable'),
     };
@@ -124,7 +124,7 @@
       workerManager: this.workerManager,
       planner: this.planner,
       inventory: this.inventory,
-      maxTransactionWrites: limits.ops,
+      maxTransactionWrites: limits.writes,
       reportPeriodMs: this.environment.settings.cluster.workers.heartbeatIntervalMs,
     });
   }
--- a/src/controller/duties.ts
+++ b/src/controller/duties.ts
@@ -51,7 +51,7 @@
 
 /** Ends jobs that are over, and forgets what no longer matters. */
 function cleanUp({ leadership, completion, happiness, inventory, clock }: DutiesDependencies): void {
-  if (!leadership.isInTouchWithStore) return;
+  if (!leadership.hasRecentStoreContact) return;
   completion.completeAll();
   happiness.prune(clock.now());
   inventory.prune();
--- a/src/controller/node-health.ts
+++ b/src/controller/node-health.ts
@@ -15,11 +15,11 @@
   /** Requests are really served here, or nobody could serve them better. */
   get isServing(): boolean {
     if (!this.replica.isLoaded) return false;
-    return this.leadership.isInTouchWithStore || (this.isWithoutStore && this.peerDirectory.isAnyWithoutStore());
+    return this.leadership.hasRecentStoreContact || (this.isWithoutStore && this.peerDirectory.isAnyWithoutStore());
   }
 
   /** The store refuses, or doesn't answer, this node. */
   get isWithoutStore(): boolean {
-    return !this.leadership.isInTouchWithStore && this.client.lastRefusedAt > this.client.lastAnsweredAt;
+    return !this.leadership.hasRecentStoreContact && this.client.lastRefusedAt > this.client.lastAnsweredAt;
   }
 }
--- a/src/controller/peer-message-router.ts
+++ b/src/controller/peer-message-router.ts
@@ -29,7 +29,7 @@
       case 'forwarded_heartbeat':
         return this.answerForwarded(message.payload);
       case 'forwarded_heartbeat_answer':
-        return heartbeatForwarder.settle(message.payload);
+        return heartbeatForwarder.completeRequest(message.payload);
       case 'record_delta':
         return broadcast.receive(message.payload);
       case 'delta_request':
@@ -43,7 +43,7 @@
 
   private answerForwarded(heartbeat: ForwardedHeartbeat): void {
     const { heartbeats, send } = this.dependencies;
-    const answer = heartbeats.answerRelayed(heartbeat);
+    const answer = heartbeats.answerForwarded(heartbeat);
     if (answer !== undefined) send(heartbeat.node, { kind: 'forwarded_heartbeat_answer', payload: answer });
   }
 }
--- a/src/controller/record-parts.ts
+++ b/src/controller/record-parts.ts
@@ -5,7 +5,7 @@
 import { ReplicaFreshness } from '../gossip/replica-freshness.js';
 import { watchPauseMs } from '../gossip/watch-pause.js';
 import { ClusterState, type ClusterStateListener } from '../records/cluster-state.js';
-import { LIVE } from '../records/record-keys.js';
+import { LIVE_PREFIX } from '../records/record-keys.js';
 import { recordSizer } from '../records/record-sizer.js';
 import { TeamAccounting } from '../records/team-accounting.js';
 import { Replica } from '../store/replica.js';
@@ -43,11 +43,11 @@
     ...{ http, clock, random },
   });
   const peerDirectory: PeerDirectory = new PeerDirectory(peers, clock, () => replica.freshAt);
-  const replica: Replica = new Replica(client, LIVE, clock, () => watchPauseMs(peerDirectory));
+  const replica: Replica = new Replica(client, LIVE_PREFIX, clock, () => watchPauseMs(peerDirectory));
   const clusterState = new ClusterState(replica, listener);
   const transactions = new TransactionBatcher({
     ...{ client, replica, limits, clock, random },
-    prefix: LIVE,
+    prefix: LIVE_PREFIX,
     gatherMs: cluster.workers.heartbeatIntervalMs * BATCH_GATHER_SHARE,
     onCommitted: (changes) => broadcast.announce(changes),
     onRejected: (mutation, reason) => log.error({ mutation, reason }, 'transaction rejected'),
--- a/src/controller/worker-manager-events.ts
+++ b/src/controller/worker-manager-events.ts
@@ -25,14 +25,14 @@
   return {
     isTerminated: (machineId) => inventory().terminated.has(machineId),
     isLate: (workerStatus) => inventory().isLate(workerStatus),
-    knownImages: (machineId) => inventory().peerReportOf(machineId)?.images ?? [],
+    knownImages: (machineId) => inventory().peerStateOf(machineId)?.images ?? [],
     cacheGb: (machineType) => inventory().catalog.get(machineType)?.imageCacheGb ?? Infinity,
     workerAnswered,
     heartbeatReceived: (workerStatus) => healthChecks.heartbeatReceived(workerStatus),
-    completed: (placedTask, ranS) => {
+    taskCompleted: (placedTask, ranS) => {
       const spec = clusterState.jobs.get(placedTask.jobId)?.record.spec;
-      if (spec !== undefined) planner().learnRunTime(spec, ranS);
+      if (spec !== undefined) planner().recordRunTime(spec, ranS);
     },
-    died: (placedTask) => healthChecks.taskDied(placedTask),
+    taskDied: (placedTask) => healthChecks.taskDied(placedTask),
   };
 }
--- a/src/domain/machine-state.ts
+++ b/src/domain/machine-state.ts
@@ -38,9 +38,9 @@
 /** A machine as each node may know it: from its own workers' heartbeats or from the leader's gossip. */
 export interface MachineInfo extends MachineState {
   /** When its last heartbeat arrived, monotonic ms of this node's clock. */
-  heardAt: number;
+  lastHeartbeatAt: number;
   /** When the cloud takes the spot machine away, monotonic ms of this node's clock; null: no notice was given. */
-  spotNoticeUntil: number | null;
+  spotTerminationAt: number | null;
 }
 
 /** A machine of which its leader has stated no more than the last heartbeat. */
@@ -48,6 +48,6 @@
   machineId: string;
   partitionLeader: string;
   /** Monotonic ms of this node's clock. */
-  heardAt: number;
+  lastHeartbeatAt: number;
   sequence: number;
 }
--- a/src/gossip/gossip-exchange.ts
+++ b/src/gossip/gossip-exchange.ts
@@ -37,14 +37,12 @@
   /** Those of the partitions led here. */
   ownMachines(): MachineInfo[];
   /** What peers have lately stated of machines whose leader the predicate accepts. */
-  recentPeerReports(
-    isWanted: (partitionLeader: string) => boolean,
-  ): Iterable<{ machine: MachineInfo; knownAt: number }>;
+  recentPeerStates(isWanted: (partitionLeader: string) => boolean): Iterable<{ machine: MachineInfo; knownAt: number }>;
   recentlyTerminated(): string[];
   markTerminated(machineId: string): void;
-  applyPeerReport(machine: MachineInfo, knownAt: number): void;
+  applyPeerState(machine: MachineInfo, knownAt: number): void;
   /** False: what the leader stated of the machine before is not known here. */
-  refreshPeerReport(refresh: MachineRefresh, now: number): boolean;
+  refreshPeerState(refresh: MachineRefresh, now: number): boolean;
 }
 
 /** What GossipExchange works with. */
@@ -135,7 +133,7 @@
   private relayedMachines(now: number, to: string): MachineUpdate[] {
     const unreachable = this.unreachableFrom(to);
     if (unreachable.size === 0) return [];
-    const reports = this.dependencies.inventory.recentPeerReports((leader) => unreachable.has(leader));
+    const reports = this.dependencies.inventory.recentPeerStates((leader) => unreachable.has(leader));
     return [...reports].map(({ machine, knownAt }) => toMachineUpdate(machine, now, knownAt));
   }
 
@@ -155,14 +153,14 @@
     if (hasGap) this.requestSnapshot(gossip.node);
     if (gossip.isSnapshot) this.peersWithGap.delete(gossip.node);
     for (const machine of machines) {
-      inventory.applyPeerReport(fromMachineUpdate(machine, now), now - machine.stateAgeMs);
+      inventory.applyPeerState(fromMachineUpdate(machine, now), now - machine.stateAgeMs);
     }
     for (const { machine, heartbeatAgeMs, sequence } of unchanged) {
       const { machineId } = machine;
-      const refresh = { machineId, partitionLeader: gossip.node, heardAt: now - heartbeatAgeMs, sequence };
-      if (inventory.refreshPeerReport(refresh, now)) continue;
+      const refresh = { machineId, partitionLeader: gossip.node, lastHeartbeatAt: now - heartbeatAgeMs, sequence };
+      if (inventory.refreshPeerState(refresh, now)) continue;
       const current = { ...machine, heartbeatAgeMs, sequence, spotNoticeMs: null };
-      inventory.applyPeerReport(fromMachineUpdate(current, now), now);
+      inventory.applyPeerState(fromMachineUpdate(current, now), now);
     }
   }
 
--- a/src/gossip/heartbeat-forwarder.ts
+++ b/src/gossip/heartbeat-forwarder.ts
@@ -50,7 +50,7 @@
   }
 
   /** Completes the request that the answer belongs to; an answer that came too late is ignored. */
-  settle(answer: ForwardedHeartbeatAnswer): void {
+  completeRequest(answer: ForwardedHeartbeatAnswer): void {
     this.pendingRequests.get(answer.id)?.(answer);
   }
 }
--- a/src/gossip/machine-update-conversion.ts
+++ b/src/gossip/machine-update-conversion.ts
@@ -7,15 +7,15 @@
 
 /** `now`, and `knownAt` as of when the partition's leader stated this, in monotonic ms of this node. */
 export const toMachineUpdate = (
-  { heardAt, spotNoticeUntil, ...state }: MachineInfo,
+  { lastHeartbeatAt, spotTerminationAt, ...state }: MachineInfo,
   now: number,
   knownAt: number,
 ): MachineUpdate => ({
   ...state,
   number: UNNUMBERED,
-  heartbeatAgeMs: now - heardAt,
+  heartbeatAgeMs: now - lastHeartbeatAt,
   stateAgeMs: now - knownAt,
-  spotNoticeMs: spotNoticeUntil === null ? null : spotNoticeUntil - now,
+  spotNoticeMs: spotTerminationAt === null ? null : spotTerminationAt - now,
 });
 
 /** `now` in monotonic ms of this node. */
@@ -24,6 +24,6 @@
   now: number,
 ): MachineInfo => ({
   ...state,
-  heardAt: now - heartbeatAgeMs,
-  spotNoticeUntil: spotNoticeMs === null ? null : now + spotNoticeMs,
+  lastHeartbeatAt: now - heartbeatAgeMs,
+  spotTerminationAt: spotNoticeMs === null ? null : now + spotNoticeMs,
 });
--- a/src/gossip/peer-directory.ts
+++ b/src/gossip/peer-directory.ts
@@ -64,7 +64,7 @@
   }
 
   /** When the peer's last gossip arrived; -Infinity: never. */
-  lastHeardAt(node: string): number {
+  lastGossipAt(node: string): number {
     return this.states.get(node)?.receivedAt ?? -Infinity;
   }
 
@@ -74,13 +74,13 @@
   }
 
   /**
-   * Whether the worker lately sent a heartbeat to a node that does not lead its partition, after its leader last got one at `heardAt`:
+   * Whether the worker lately sent a heartbeat to a node that does not lead its partition, after its leader last got one at `leaderHeardAt`:
    * then it is alive. A misrouted heartbeat that was forwarded is no evidence beyond the heartbeat that the leader got by it, hence the
    * margin.
    */
-  hasReportedElsewhere(machineId: string, heardAt: number): boolean {
+  hasMisroutedHeartbeatSince(machineId: string, leaderHeardAt: number): boolean {
     const sentAt = this.misroutedHeartbeats.lastSentAtOf(machineId);
-    return this.clock.now() - sentAt < MISROUTED_HEARTBEAT_VALID_MS && sentAt > heardAt + GOSSIP_SOON_MS;
+    return this.clock.now() - sentAt < MISROUTED_HEARTBEAT_VALID_MS && sentAt > leaderHeardAt + GOSSIP_SOON_MS;
   }
 
   /** The misrouted heartbeats that peers have stated, to be relayed. */
@@ -92,7 +92,7 @@
    * Whether a peer reads the store while this node does not. In an outage of the store all nodes lose it within a heartbeat of each
    * other, so a smaller lead proves nothing.
    */
-  isAnyWithStore(): boolean {
+  isAnyPeerWithStore(): boolean {
     const ownFreshAt = this.ownFreshAt();
     return this.nodes.some(
       (node) => this.reachesStore(node) && this.validStateOf(node)!.replicaFreshAt > ownFreshAt + PEER_LAG_MS,
--- a/src/gossip/record-broadcast.ts
+++ b/src/gossip/record-broadcast.ts
@@ -1,7 +1,7 @@
 /** Sends the peers the records that this node's transactions have changed, and applies those of the peers' transactions. */
 import { DELTA_GATHER_MS } from '../constants/gossip.js';
 import { isStoredCancellation } from '../records/record-codecs.js';
-import { LIVE } from '../records/record-keys.js';
+import { LIVE_PREFIX } from '../records/record-keys.js';
 import type { Change } from '../store/store-wire-codec.js';
 import type { TransactionBatcher } from '../store/transaction-batcher.js';
 import { deserializeChanges, type Replica, serializeChange, type SerializedChange } from '../store/replica.js';
@@ -57,8 +57,8 @@
       return;
     }
     for (const change of changes) {
-      if (change.key.startsWith(LIVE)) replica.applyFromPeer(change);
-      else transactions.remember(change.key, change);
+      if (change.key.startsWith(LIVE_PREFIX)) replica.applyFromPeer(change);
+      else transactions.cacheFinalRecord(change.key, change);
     }
   }
 
--- a/src/inventory/catalog-follower.ts
+++ b/src/inventory/catalog-follower.ts
@@ -10,7 +10,7 @@
   replica.onChange((key, { value }) => {
     if (!key.startsWith(MACHINE_TYPE_PREFIX) || value === undefined) return;
     const machineType = decodeMachineType(value);
-    if (machineType === undefined) log.error({ key }, 'record can not be read');
+    if (machineType === undefined) log.error({ key }, 'record unreadable');
     else catalog().set(machineType.name, machineType);
   });
 }
--- a/src/inventory/machine-availability.ts
+++ b/src/inventory/machine-availability.ts
@@ -39,22 +39,22 @@
   }
 
   /** Whether heartbeats are missing that should have been known here by now. */
-  isSilent({ machineId, heardAt, partitionLeader }: MachineInfo): boolean {
+  isSilent({ machineId, lastHeartbeatAt, partitionLeader }: MachineInfo): boolean {
     const { settings, leadership, peerReports, clock } = this.dependencies;
     const allowedMs = SILENT_HEARTBEATS * settings.cluster.workers.heartbeatIntervalMs;
     const now = clock.now();
-    if (ownLeadershipOver(leadership, machineId) !== undefined) return now - heardAt > allowedMs;
+    if (ownLeadershipOver(leadership, machineId) !== undefined) return now - lastHeartbeatAt > allowedMs;
     const statedAt = peerReports.statedAtOf(machineId);
     // No gossip of a leader that is still the leader: the nodes are cut off from each other, which says nothing of its machines.
     if (now - statedAt > GOSSIP_STALE_MS && leaderOfMachine(leadership, machineId) === partitionLeader)
-      return statedAt - heardAt > allowedMs;
-    return now - heardAt > allowedMs + GOSSIP_STALE_MS / 2;
+      return statedAt - lastHeartbeatAt > allowedMs;
+    return now - lastHeartbeatAt > allowedMs + GOSSIP_STALE_MS / 2;
   }
 }
 
 /** What the leader of the machine's partition has stated against it. */
 function statedReasonOf(machine: MachineInfo): UnavailableReason | undefined {
-  if (machine.spotNoticeUntil !== null) return 'spot_notice';
+  if (machine.spotTerminationAt !== null) return 'spot_notice';
   if (machine.isQuarantined) return 'quarantined';
   if (machine.isSlow) return 'slow';
   if (machine.isUnreached) return 'unreached';
--- a/src/inventory/machine-inventory.ts
+++ b/src/inventory/machine-inventory.ts
@@ -59,17 +59,17 @@
   }
 
   /** Stores what a peer states of a machine, as its partition's leader or relayed, as of `knownAt`. */
-  applyPeerReport(machine: MachineInfo, knownAt: number): void {
+  applyPeerState(machine: MachineInfo, knownAt: number): void {
     if (!this.terminated.has(machine.machineId)) this.peerReports.apply(machine, knownAt);
   }
 
   /** Stores a newer heartbeat of an otherwise unchanged machine. False: what its leader stated before is not known here. */
-  refreshPeerReport(refresh: MachineRefresh, now: number): boolean {
+  refreshPeerState(refresh: MachineRefresh, now: number): boolean {
     return this.terminated.has(refresh.machineId) || this.peerReports.refresh(refresh, now);
   }
 
   /** What peers have lately stated, to be relayed: the third node is the way round a network partition between two. */
-  *recentPeerReports(
+  *recentPeerStates(
     isWanted: (partitionLeader: string) => boolean,
   ): Iterable<{ machine: MachineInfo; knownAt: number }> {
     for (const report of this.peerReports.recent(this.clock.now())) {
@@ -79,7 +79,7 @@
   }
 
   /** What peers have stated of the machine. */
-  peerReportOf(machineId: string): MachineInfo | undefined {
+  peerStateOf(machineId: string): MachineInfo | undefined {
     return this.peerReports.machines.get(machineId);
   }
 
@@ -89,12 +89,12 @@
   }
 
   agentEpochOf(machineId: string): number | undefined {
-    return (this.workerManager.workers.get(machineId) ?? this.peerReportOf(machineId))?.agentEpoch;
+    return (this.workerManager.workers.get(machineId) ?? this.peerStateOf(machineId))?.agentEpoch;
   }
 
   /** One machine, as of this instant. */
   get(machineId: string): MachineInfo | undefined {
-    return this.own.get(machineId) ?? this.peerReportOf(machineId);
+    return this.own.get(machineId) ?? this.peerStateOf(machineId);
   }
 
   /** Every machine, this node's own view first; the same for all callers within INVENTORY_VIEW_MS. */
@@ -103,7 +103,7 @@
   }
 
   /** The machines that new tasks may be placed on. */
-  openMachines(): MachineInfo[] {
+  schedulableMachines(): MachineInfo[] {
     const { open } = this.view();
     return this.scalingIn.size === 0 ? [...open] : open.filter(({ machineId }) => !this.scalingIn.has(machineId));
   }
@@ -119,18 +119,18 @@
     const all = new Map(this.peerReports.machines);
     for (const machine of this.ownMachines()) all.set(machine.machineId, machine);
     clearQuarantineOfFaultyJobs(all);
-    const open = [...all.values()].filter((machine) => this.isOpen(machine));
+    const open = [...all.values()].filter((machine) => this.isSchedulable(machine));
     this.cachedView = { at: now, workerCount, reportCount, all, open };
     return this.cachedView;
   }
 
   /** Whether new tasks may be placed on the machine. */
-  isOpen(machine: MachineInfo): boolean {
-    return this.whyClosed(machine) === undefined;
+  isSchedulable(machine: MachineInfo): boolean {
+    return this.unavailableReasonOf(machine) === undefined;
   }
 
   /** Why no new tasks may be placed on the machine; undefined: they may. */
-  whyClosed(machine: MachineInfo): UnavailableReason | undefined {
+  unavailableReasonOf(machine: MachineInfo): UnavailableReason | undefined {
     return this.availability.unavailableReasonOf(machine);
   }
 
@@ -141,7 +141,7 @@
 
   /** Whether a heartbeat that came to this node, although another one leads the partition, is a late copy. */
   isLate(workerStatus: WorkerStatus): boolean {
-    return this.lateHeartbeats.isLate(workerStatus, this.peerReportOf(workerStatus.machineId));
+    return this.lateHeartbeats.isLate(workerStatus, this.peerStateOf(workerStatus.machineId));
   }
 
   /** Forgets machines that no peer has stated anything of for long. */
--- a/src/inventory/own-machines.ts
+++ b/src/inventory/own-machines.ts
@@ -34,8 +34,8 @@
     for (const machine of peerReports.machines.values()) {
       const ownLeadership = ownLeadershipOver(leadership, machine.machineId);
       if (ownLeadership === undefined || workers.has(machine.machineId)) continue;
-      const heardAt = Math.max(machine.heardAt, ownLeadership.term.at);
-      machines.push({ ...machine, heardAt, partitionLeader: settings.node });
+      const lastHeartbeatAt = Math.max(machine.lastHeartbeatAt, ownLeadership.term.at);
+      machines.push({ ...machine, lastHeartbeatAt, partitionLeader: settings.node });
     }
     return machines;
   }
@@ -51,8 +51,8 @@
       isSpot: worker.isSpot,
       agentEpoch: worker.agentEpoch,
       sequence: worker.sequence,
-      heardAt: worker.lastHeartbeatAt,
-      spotNoticeUntil: worker.spotNoticeUntil,
+      lastHeartbeatAt: worker.lastHeartbeatAt,
+      spotTerminationAt: worker.spotNoticeUntil,
       isQuarantined: worker.isQuarantined(now),
       isBackingOff: now < worker.backoffUntil,
       isUnreached: !worker.isReached,
--- a/src/inventory/peer-machine-reports.ts
+++ b/src/inventory/peer-machine-reports.ts
@@ -28,10 +28,10 @@
   }
 
   /** Updates the last heartbeat alone. False: what the leader stated of the machine before is not known here. */
-  refresh({ machineId, partitionLeader, heardAt, sequence }: MachineRefresh, now: number): boolean {
+  refresh({ machineId, partitionLeader, lastHeartbeatAt, sequence }: MachineRefresh, now: number): boolean {
     const machine = this.byMachine.get(machineId);
-    if (machine?.partitionLeader !== partitionLeader || machine.spotNoticeUntil !== null) return false;
-    machine.heardAt = heardAt;
+    if (machine?.partitionLeader !== partitionLeader || machine.spotTerminationAt !== null) return false;
+    machine.lastHeartbeatAt = lastHeartbeatAt;
     machine.sequence = sequence;
     this.statedAt.set(machineId, now);
     return true;
--- a/src/jobs/dependency-progress.ts
+++ b/src/jobs/dependency-progress.ts
@@ -62,7 +62,7 @@
   /** Is the next step of a waiting job to be taken by this node, and not being taken yet? */
   private mayAdvance(jobId: string): boolean {
     const { leadership } = this.dependencies;
-    return !this.inFlight.has(jobId) && leadership.isInTouchWithStore && isResponsibleFor(leadership, jobId);
+    return !this.inFlight.has(jobId) && leadership.hasRecentStoreContact && isResponsibleFor(leadership, jobId);
   }
 
   /**
--- a/src/jobs/dependency-states.ts
+++ b/src/jobs/dependency-states.ts
@@ -80,7 +80,7 @@
     const { client, transactions } = this.dependencies;
     const reading = client
       .get(finalJobKey(jobId), Priority.start)
-      .then((row) => transactions.remember(finalJobKey(jobId), row))
+      .then((row) => transactions.cacheFinalRecord(finalJobKey(jobId), row))
       .catch(() => undefined)
       .finally(() => this.readsInFlight.delete(jobId));
     this.readsInFlight.set(jobId, reading);
--- a/src/leadership/advisory-collector.ts
+++ b/src/leadership/advisory-collector.ts
@@ -21,9 +21,9 @@
     const { leadership, happiness, leader } = this.dependencies;
     const { memory } = leader;
     const isLeader = leadership.isLeader;
-    const moved = [...happiness.movedLately()].map(({ task, at }) => ({ name: task, at }));
-    const stopping = isLeader ? [...memory.stopping()].map(({ attempt, at }) => ({ name: attempt, at })) : [];
-    const refused = isLeader ? [...memory.refused()].map(({ offer, at }) => ({ name: offer, at })) : [];
+    const moved = [...happiness.recentMoves()].map(({ task, at }) => ({ name: task, at }));
+    const stopping = isLeader ? [...memory.recentEvictions()].map(({ attempt, at }) => ({ name: attempt, at })) : [];
+    const refused = isLeader ? [...memory.refusedOffers()].map(({ offer, at }) => ({ name: offer, at })) : [];
     this.replaceMoments('moved', moved);
     this.replaceMoments('stopping', stopping);
     this.replaceMoments('no_capacity', refused);
@@ -32,12 +32,12 @@
   /** Collects what is counted over a while; to be called more rarely. */
   collectCounts(): void {
     const { advisoryLog, leadership, happiness, leader, clock } = this.dependencies;
-    const idle = leadership.isLeader ? [...leader.memory.idle()] : [];
+    const idle = leadership.isLeader ? [...leader.memory.idleMachines()] : [];
     this.replaceMoments(
       'idle',
       idle.map(({ machineId, at }) => ({ name: machineId, at })),
     );
-    const troubled = [...happiness.troubled(clock.now())];
+    const troubled = [...happiness.tasksWithUnhealthyChecks(clock.now())];
     const health = troubled.map(({ task, healthy, unhealthy, lastAt }) => {
       return { kind: 'health' as const, name: task, at: lastAt, healthy, unhealthy };
     });
--- a/src/leadership/advisory-restorer.ts
+++ b/src/leadership/advisory-restorer.ts
@@ -44,7 +44,7 @@
     const stopping = follower.entries('stopping');
     const refused = follower.entries('no_capacity');
     const idle = follower.entries('idle').filter(({ name }) => clusterState.taskCountOn(name) === 0);
-    for (const { name, at } of stopping) memory.restoreStopping(name, at);
+    for (const { name, at } of stopping) memory.restoreEviction(name, at);
     for (const { name, at } of refused) memory.restoreRefusal(name, at);
     for (const { name, at } of idle) memory.restoreIdle(name, at);
     return stopping.length + refused.length + idle.length;
@@ -55,7 +55,7 @@
     const health = follower.entries('health').filter(({ name }) => this.isPlacedIn(role, name));
     const moved = follower.entries('moved').filter(({ name }) => this.isPlacedIn(role, name));
     for (const { name, healthy, unhealthy, at } of health) happiness.restore(name, healthy, unhealthy, at);
-    for (const { name, at } of moved) happiness.noteMove(name, at);
+    for (const { name, at } of moved) happiness.recordMove(name, at);
     return health.length + moved.length;
   }
 
--- a/src/leadership/leadership-history.ts
+++ b/src/leadership/leadership-history.ts
@@ -8,7 +8,7 @@
   node: string;
   partitionCount: number;
   clusterState: ClusterState;
-  peerDirectory: { lastHeardAt(node: string): number };
+  peerDirectory: { lastGossipAt(node: string): number };
   timeline: TakeoverTimeline;
   guard: PauseGuard;
   tracer: TakeoverTracer;
@@ -71,7 +71,7 @@
     timeline.startTakeover(role, {
       formerLeader: former.node,
       formerFencingToken: former.fencingToken,
-      lastSeenAt: peerDirectory.lastHeardAt(former.node),
+      lastSeenAt: peerDirectory.lastGossipAt(former.node),
     });
   }
 
--- a/src/leadership/role-barriers.ts
+++ b/src/leadership/role-barriers.ts
@@ -31,7 +31,7 @@
       term: held.term,
       // Whoever has found the role led by this process has checked for a pause at this very moment.
       isLeaseConfirmed: guard.wasConfirmed,
-      isReplicaFresh: leadership.isInTouchWithStore,
+      isReplicaFresh: leadership.hasRecentStoreContact,
       replicaRevision: replica.revision,
     });
     this.logChange(role, outcome);
--- a/src/leadership/role-leadership.ts
+++ b/src/leadership/role-leadership.ts
@@ -34,7 +34,7 @@
   /** The peer is up and reaches the store, as of just now. */
   reachesStore(node: string): boolean;
   /** A peer reaches the store, this node does not. */
-  isAnyWithStore(): boolean;
+  isAnyPeerWithStore(): boolean;
 }
 
 export interface RoleLeadershipDependencies {
@@ -127,7 +127,7 @@
   }
 
   /** In touch with the store: decisions and new starts are allowed. */
-  get isInTouchWithStore(): boolean {
+  get hasRecentStoreContact(): boolean {
     return this.dependencies.clock.now() - this.dependencies.replica.freshAt < REPLICA_FRESH_MS;
   }
 
@@ -136,9 +136,9 @@
     const { peerDirectory, clock, replicaFreshness } = this.dependencies;
     const held = this.confirmedLeadershipOf(role);
     if (held === undefined) return undefined;
-    if (this.isInTouchWithStore) return held;
+    if (this.hasRecentStoreContact) return held;
     // A node that reaches the store will take over: workers that are turned away are with it the sooner.
-    if (peerDirectory.isAnyWithStore()) return undefined;
+    if (peerDirectory.isAnyPeerWithStore()) return undefined;
     // A cancellation that this replica does not have was confirmed later than that: see "Time" in docs/design.md.
     return clock.now() < replicaFreshness.completeAsOf() + this.degradedServingMs ? held : undefined;
   }
@@ -150,7 +150,7 @@
   /** This node leads the cluster and may decide now. */
   get isLeader(): boolean {
     const held = this.confirmedLeadershipOf(CLUSTER_LEADER_ROLE);
-    return held !== undefined && this.isInTouchWithStore && this.succession.isReady(CLUSTER_LEADER_ROLE, held);
+    return held !== undefined && this.hasRecentStoreContact && this.succession.isReady(CLUSTER_LEADER_ROLE, held);
   }
 
   /** Makes the fencing token a condition of a transaction; false: this process must not decide in the role. */
@@ -200,7 +200,7 @@
 
   private canAcquire(): boolean {
     if (this.storeLeaseId === undefined || !this.dependencies.replica.isLoaded) return false;
-    return this.isInTouchWithStore && this.succession.isConfirmed && !this.selector.isStopped;
+    return this.hasRecentStoreContact && this.succession.isConfirmed && !this.selector.isStopped;
   }
 
   /** Renews the store lease and acquires vacant roles until the signal is aborted. */
--- a/src/leadership/role-rebalancer.ts
+++ b/src/leadership/role-rebalancer.ts
@@ -7,7 +7,7 @@
   SELF_SUSPECT_SHARE,
 } from '../constants/leadership.js';
 import type { Settings } from '../domain/settings.js';
-import { silenceLimitMs } from '../domain/worker-deadlines.js';
+import { unresponsiveAfterMs } from '../domain/worker-deadlines.js';
 import { partitionRole } from '../domain/role.js';
 import type { RoleLeadership } from './role-leadership.js';
 import type { PeerDirectory } from '../gossip/peer-directory.js';
@@ -33,7 +33,7 @@
   /** Checks each partition that this node leads, once. */
   rebalance(): void {
     const { leadership } = this.dependencies;
-    if (!leadership.isInTouchWithStore) return;
+    if (!leadership.hasRecentStoreContact) return;
     for (const partition of leadership.ledPartitions()) {
       const role = partitionRole(partition);
       if (this.isPreferredNodeReady(partition))
@@ -58,12 +58,12 @@
   private isUnreachableHere(partition: number): boolean {
     const { settings, workers, peerDirectory, clock } = this.dependencies;
     const now = clock.now();
-    const limitMs = silenceLimitMs(settings.cluster.workers);
+    const limitMs = unresponsiveAfterMs(settings.cluster.workers);
     const known = [...workers.ofPartition(partition)];
     const silent = known.filter((worker) => now - worker.lastHeartbeatAt > limitMs);
     if (silent.length < LEAST_SILENT_WORKERS || silent.length <= known.length * SELF_SUSPECT_SHARE) return false;
     const seenElsewhere = silent.filter((worker) =>
-      peerDirectory.hasReportedElsewhere(worker.machineId, worker.lastHeartbeatAt),
+      peerDirectory.hasMisroutedHeartbeatSince(worker.machineId, worker.lastHeartbeatAt),
     );
     return seenElsewhere.length * 2 > silent.length;
   }
--- a/src/leadership/standby-announcer.ts
+++ b/src/leadership/standby-announcer.ts
@@ -22,7 +22,7 @@
   /** Writes the record if the present store lease has none yet. */
   async announce(): Promise<void> {
     const { node, incarnation, leadership, transactions } = this.dependencies;
-    if (leadership.storeLeaseId === undefined || !leadership.isInTouchWithStore || this.isAnnounced()) return;
+    if (leadership.storeLeaseId === undefined || !leadership.hasRecentStoreContact || this.isAnnounced()) return;
     await transactions.commit('announce standby', Priority.lease, (draft) => {
       const leaseId = leadership.storeLeaseId;
       if (leaseId === undefined || this.isAnnounced()) return false;
--- a/src/leadership/standby.ts
+++ b/src/leadership/standby.ts
@@ -15,7 +15,7 @@
 } from '@dewlatch/standby';
 import { STATUS_PERIOD_MS } from '../constants/autoscaling.js';
 import { STORE_LEASE_TTL_MS } from '../constants/leadership.js';
-import { ADVICE_PERIOD_MS, FOLLOW_PERIOD_MS, STANDBY_PERIOD_MS } from '../constants/standby.js';
+import { ADVISORY_COLLECTION_PERIOD_MS, FOLLOW_PERIOD_MS, STANDBY_PERIOD_MS } from '../constants/standby.js';
 import type { Settings } from '../domain/settings.js';
 import type { PeerDirectory } from '../gossip/peer-directory.js';
 import type { Log } from '../logging/log.js';
@@ -56,7 +56,7 @@
 /** Ticks of the standby between two runs of its rarer duties. */
 const TICKS_PER_REQUEST = Math.round(FOLLOW_PERIOD_MS / STANDBY_PERIOD_MS);
 const TICKS_PER_STATUS = Math.round(STATUS_PERIOD_MS / STANDBY_PERIOD_MS);
-const TICKS_PER_COLLECTION = Math.round(ADVICE_PERIOD_MS / STANDBY_PERIOD_MS);
+const TICKS_PER_COLLECTION = Math.round(ADVISORY_COLLECTION_PERIOD_MS / STANDBY_PERIOD_MS);
 
 /** The one object of the warm standby that the controller knows. */
 export class Standby implements SuccessionPolicy {
--- a/src/leadership/successor-designation.ts
+++ b/src/leadership/successor-designation.ts
@@ -53,7 +53,7 @@
     const own: Candidate = {
       node: settings.node,
       zone: settings.zone,
-      isServing: leadership.isInTouchWithStore && guard.isConfirmed,
+      isServing: leadership.hasRecentStoreContact && guard.isConfirmed,
       avoidsRole: leadership.avoidedRoles().includes(role),
       ledRoleCount: ledRoleCountOf(settings.node),
     };
--- a/src/records/format-upgrade.ts
+++ b/src/records/format-upgrade.ts
@@ -20,7 +20,7 @@
   /** How many controllers there should be. */
   clusterSize: number;
   /** The store lease that this process's records are attached to, and whether it may act on its replica. */
-  leadership: { readonly storeLeaseId: number | undefined; readonly isInTouchWithStore: boolean };
+  leadership: { readonly storeLeaseId: number | undefined; readonly hasRecentStoreContact: boolean };
   replica: Replica;
   transactions: TransactionBatcher;
   log: Log;
@@ -37,7 +37,7 @@
   /** Announces this process, and notes when all controllers are announced. Called periodically, one call after the other. */
   async check(): Promise<void> {
     const { leadership, transactions, log } = this.dependencies;
-    if (this.isComplete || leadership.storeLeaseId === undefined || !leadership.isInTouchWithStore) return;
+    if (this.isComplete || leadership.storeLeaseId === undefined || !leadership.hasRecentStoreContact) return;
     if (!this.isAnnounced) await transactions.commit('format', Priority.lease, (draft) => this.announce(draft));
     else if (this.areAllAnnounced) {
       const outcome = await transactions.commit('format complete', Priority.lease, (draft) => this.complete(draft));
--- a/src/records/placement-codec.ts
+++ b/src/records/placement-codec.ts
@@ -4,7 +4,7 @@
  * `[attempt, failures, machine, agent epoch, grace period in s or -1, zone]`.
  */
 import { jsonLength, noteLength } from '../store/json-size.js';
-import { CorruptRecord, isCount } from './records.js';
+import { CorruptRecordError, isNonNegativeInteger } from './records.js';
 import type { ActivePlacement, TaskPlacement } from '../domain/task.js';
 
 const NEVER_PLACED: TaskPlacement = { kind: 'queued', attempt: 0, failures: 0 };
@@ -50,11 +50,12 @@
   if (raw === RAW_NEVER_PLACED) return NEVER_PLACED;
   if (raw === RAW_DONE) return DONE;
   const placement = isRawAttempt(raw) ? decodeAttempt(raw, zones, before) : undefined;
-  if (placement === undefined) throw new CorruptRecord(`task placement ${JSON.stringify(raw)}`);
+  if (placement === undefined) throw new CorruptRecordError(`task placement ${JSON.stringify(raw)}`);
   return placement;
 }
 
-const isRawAttempt = (raw: unknown): raw is RawActive => Array.isArray(raw) && isCount(raw[0]) && isCount(raw[1]);
+const isRawAttempt = (raw: unknown): raw is RawActive =>
+  Array.isArray(raw) && isNonNegativeInteger(raw[0]) && isNonNegativeInteger(raw[1]);
 
 /** A task that has been placed once at least; undefined: it can't be decoded. */
 function decodeAttempt(raw: RawActive, zones: readonly string[], before?: TaskPlacement): TaskPlacement | undefined {
@@ -62,7 +63,7 @@
   const zone = typeof rawZone === 'number' ? zones[rawZone] : rawZone;
   if (isSame(before, raw, zone)) return before;
   if ((raw as unknown[]).length === RAW_QUEUED_LENGTH) return { kind: 'queued', attempt, failures };
-  if (typeof machineId !== 'string' || !isCount(agentEpoch)) return undefined;
+  if (typeof machineId !== 'string' || !isNonNegativeInteger(agentEpoch)) return undefined;
   if (typeof grace !== 'number' || typeof zone !== 'string') return undefined;
   return { kind: 'placed', attempt, failures, machineId, agentEpoch, gracePeriodS: grace < 0 ? null : grace, zone };
 }
@@ -99,7 +100,7 @@
   if (value === undefined) return Array.from({ length: size }, () => NEVER_PLACED);
   const { s: raw, z: zones = [] } = (value ?? {}) as Partial<RawChunk>;
   if (!Array.isArray(raw) || raw.length !== size || !Array.isArray(zones))
-    throw new CorruptRecord('chunk of task placements');
+    throw new CorruptRecordError('chunk of task placements');
   const known = decodedChunks.get(value as object);
   if (known !== undefined) return known;
   const placements = raw.map((each, at) => decodePlacement(each, zones, before?.[at]));
--- a/src/records/placement-mutations.ts
+++ b/src/records/placement-mutations.ts
@@ -5,7 +5,7 @@
 import type { Team } from '../domain/team.js';
 import type { TransactionDraft } from '../store/transaction-draft.js';
 import { decodeChunk, withPlacement } from './placement-codec.js';
-import { findStartRefusal, type Proof, provesFree, type StartRefusal } from './placement-rules.js';
+import { findStartRefusal, type ReleaseProof, provesFree, type StartRefusal } from './placement-rules.js';
 import { decodeJobRecord, encodeFinalJobRecord } from './record-codecs.js';
 import { finalJobKey, jobKey, placementChunkKey } from './record-keys.js';
 import { chunkCount, chunkSize, type JobRecord } from './records.js';
@@ -97,7 +97,7 @@
   jobId: string;
   taskIndex: number;
   machineId: string;
-  proof: Proof;
+  proof: ReleaseProof;
   ending: TaskEnding;
 }
 
--- a/src/records/placement-rules.ts
+++ b/src/records/placement-rules.ts
@@ -99,7 +99,7 @@
 }
 
 /** Why a task has left its machine. Nothing else proves it. */
-export type Proof =
+export type ReleaseProof =
   /** The agent has reported the end of this attempt. */
   | { kind: 'exited'; attempt: number; agentEpoch: number }
   /** The agent has begun another epoch, and with it ended what ran before. */
@@ -110,7 +110,7 @@
   | { kind: 'lease_expired'; agentEpoch: number };
 
 /** Does the proof release exactly this placement? */
-export function provesFree(proof: Proof, placement: ActivePlacement): boolean {
+export function provesFree(proof: ReleaseProof, placement: ActivePlacement): boolean {
   switch (proof.kind) {
     case 'exited':
       return proof.attempt === placement.attempt && proof.agentEpoch === placement.agentEpoch;
--- a/src/records/record-codecs.ts
+++ b/src/records/record-codecs.ts
@@ -2,10 +2,10 @@
 import { decodeJobSpec, encodeJobSpec, type WireJobSpec } from './job-spec-codec.js';
 import { JOB_PREFIX } from './record-keys.js';
 import {
-  CorruptRecord,
+  CorruptRecordError,
   type FinalJobRecord,
   type FormatRecord,
-  isCount,
+  isNonNegativeInteger,
   type JobRecord,
   type LeadershipRecord,
   type RentalRecord,
@@ -43,12 +43,12 @@
 function isStoredJob(value: unknown): value is StoredJob {
   const job = value as StoredJob | null | undefined;
   if (job?.spec === undefined || !isStoredSpec(job.spec)) return false;
-  const hasChunkSize = isCount(job.chunk) && job.chunk >= 1;
+  const hasChunkSize = isNonNegativeInteger(job.chunk) && job.chunk >= 1;
   return hasChunkSize && Object.hasOwn(STATE_OF_PHASE, job.phase) && hasStoredDependencies(job);
 }
 
 const isStoredSpec = (spec: WireJobSpec): boolean =>
-  typeof spec.Ref === 'string' && isCount(spec.Shards) && JOB_PRIORITIES.includes(spec.Rank);
+  typeof spec.Ref === 'string' && isNonNegativeInteger(spec.Shards) && JOB_PRIORITIES.includes(spec.Rank);
 
 /** A job that waits must say for which; the time of its release stands in the records of those that have waited. */
 const hasStoredDependencies = ({ phase, awaits, releasedAt }: StoredJob): boolean =>
@@ -63,7 +63,7 @@
 export function decodeJobRecord(value: unknown): JobRecord {
   const known = typeof value === 'object' && value !== null ? decodedJobs.get(value) : undefined;
   if (known !== undefined) return known;
-  if (!isStoredJob(value)) throw new CorruptRecord('job record');
+  if (!isStoredJob(value)) throw new CorruptRecordError('job record');
   const { spec, phase, at, chunk, awaits, releasedAt } = value;
   const record: JobRecord = {
     spec: decodeJobSpec(spec),
@@ -113,7 +113,7 @@
 /** Throws `CorruptRecord` for what is no final record. */
 export function decodeFinalJobRecord(value: unknown): FinalJobRecord {
   const stored = value as StoredFinalJob | null;
-  if (stored?.phase !== 'done' && stored?.phase !== 'withdrawn') throw new CorruptRecord('final job record');
+  if (stored?.phase !== 'done' && stored?.phase !== 'withdrawn') throw new CorruptRecordError('final job record');
   return { state: stored.phase === 'done' ? 'done' : 'cancelled', taskCount: stored.shards };
 }
 
@@ -149,8 +149,9 @@
 export function decodeRentalRecord(value: unknown): RentalRecord {
   const stored = value as StoredRental | null;
   const texts = [stored?.name, stored?.flavor, stored?.site].every((each) => typeof each === 'string');
-  if (!texts || !isCount(stored!.count) || typeof stored!.at !== 'number') throw new CorruptRecord('rental record');
-  if (stored!.hosts !== null && !Array.isArray(stored!.hosts)) throw new CorruptRecord('rental record');
+  if (!texts || !isNonNegativeInteger(stored!.count) || typeof stored!.at !== 'number')
+    throw new CorruptRecordError('rental record');
+  if (stored!.hosts !== null && !Array.isArray(stored!.hosts)) throw new CorruptRecordError('rental record');
   const { name, flavor, site, reclaimable, count, at, hosts } = stored!;
   return {
     rentalId: name,
@@ -184,7 +185,7 @@
   if (value === undefined) return { cpus: 0, gpus: 0 };
   const stored = value as StoredTeamUsage | null;
   if (typeof stored?.cpus !== 'number' || typeof stored.cards !== 'number')
-    throw new CorruptRecord('team usage record');
+    throw new CorruptRecordError('team usage record');
   return { cpus: stored.cpus, gpus: stored.cards };
 }
 
--- a/src/records/records.ts
+++ b/src/records/records.ts
@@ -63,7 +63,7 @@
 }
 
 /** A stored record that can't be decoded; nothing is decided on it. `what` names the kind of record. */
-export class CorruptRecord extends Error {
+export class CorruptRecordError extends Error {
   readonly code = 'record_corrupt';
 
   constructor(what: string) {
@@ -72,7 +72,8 @@
 }
 
 /** Is the value a whole number, 0 or more? */
-export const isCount = (value: unknown): value is number => Number.isSafeInteger(value) && (value as number) >= 0;
+export const isNonNegativeInteger = (value: unknown): value is number =>
+  Number.isSafeInteger(value) && (value as number) >= 0;
 
 /** Chunks that hold the placements of all tasks of a job. */
 export const chunkCount = (job: JobRecord): number => Math.ceil(job.spec.taskCount / job.tasksPerChunk);
--- a/src/scheduling/decisions/happiness.ts
+++ b/src/scheduling/decisions/happiness.ts
@@ -28,7 +28,7 @@
   constructor(private readonly windowMs: number) {}
 
   /** Takes in a check of the task. */
-  note(task: string, isHealthy: boolean, at: number): void {
+  recordCheck(task: string, isHealthy: boolean, at: number): void {
     const checks = this.checks.get(task);
     if (checks === undefined) {
       this.checks.set(task, [{ at, isHealthy }]);
@@ -46,7 +46,7 @@
   }
 
   /** Tasks with unhealthy checks in the window: what a successor could not learn from the next heartbeats. */
-  *troubled(now: number): Iterable<TroubledTask> {
+  *tasksWithUnhealthyChecks(now: number): Iterable<TroubledTask> {
     for (const [task, checks] of this.checks) {
       const recent = this.recentChecks(checks, now);
       const healthy = recent.filter((check) => check.isHealthy).length;
@@ -64,12 +64,12 @@
   }
 
   /** Tasks that were moved within the window, with the time. */
-  *movedLately(): Iterable<{ task: string; at: number }> {
+  *recentMoves(): Iterable<{ task: string; at: number }> {
     for (const [task, at] of this.movedAt) yield { task, at };
   }
 
   /** The task is moved now. */
-  noteMove(task: string, now: number): void {
+  recordMove(task: string, now: number): void {
     this.movedAt.set(task, now);
   }
 
--- a/src/scheduling/eviction-marker.ts
+++ b/src/scheduling/eviction-marker.ts
@@ -1,5 +1,5 @@
 /** Marks tasks for eviction on the cluster leader's behalf, and remembers which until their records show it. */
-import { STOPPING_MS } from '../constants/scheduling.js';
+import { EVICTION_PENDING_MS } from '../constants/scheduling.js';
 import type { JobSpec } from '../domain/job.js';
 import { CLUSTER_LEADER_ROLE } from '../domain/role.js';
 import type { RoleLeadership } from '../leadership/role-leadership.js';
@@ -39,7 +39,7 @@
   }
 
   /** Is the task about to exit, because its record says so or because its eviction is under way? */
-  isStopping(placedTask: PlacedTask): boolean {
+  isBeingEvicted(placedTask: PlacedTask): boolean {
     if (placedTask.placement.gracePeriodS !== null) return true;
     // Most of the time nothing is evicted: no key is made then.
     if (this.evictedAtMs.size === 0) return false;
@@ -74,7 +74,7 @@
   private remember(placedTasks: readonly PlacedTask[]): void {
     const nowMs = this.dependencies.clock.now();
     for (const [attempt, atMs] of this.evictedAtMs) {
-      if (nowMs - atMs > STOPPING_MS) this.evictedAtMs.delete(attempt);
+      if (nowMs - atMs > EVICTION_PENDING_MS) this.evictedAtMs.delete(attempt);
     }
     for (const placedTask of placedTasks) this.evictedAtMs.set(attemptKeyOf(placedTask), nowMs);
   }
@@ -88,6 +88,6 @@
   }
 
   private isRecent(atMs: number): boolean {
-    return this.dependencies.clock.now() - atMs < STOPPING_MS;
+    return this.dependencies.clock.now() - atMs < EVICTION_PENDING_MS;
   }
 }
--- a/src/scheduling/gang-attempts.ts
+++ b/src/scheduling/gang-attempts.ts
@@ -22,7 +22,7 @@
   /** The attempt under which the missing members are to start; undefined: not now. */
   attemptFor(view: JobView): number | undefined {
     const { inventory } = this.dependencies;
-    const heardAtMsOf = (machineId: string) => inventory.get(machineId)?.heardAt ?? -Infinity;
+    const heardAtMsOf = (machineId: string) => inventory.get(machineId)?.lastHeartbeatAt ?? -Infinity;
     const state = gangStateOf(view.knownPlacements(), heardAtMsOf);
     switch (state.kind) {
       case 'unsettled':
--- a/src/scheduling/health-checks.ts
+++ b/src/scheduling/health-checks.ts
@@ -32,6 +32,6 @@
   private note(jobId: string, taskIndex: number, isHealthy: boolean): void {
     const { clusterState, happiness, clock } = this.dependencies;
     if (clusterState.jobs.get(jobId)?.record.spec.kind !== 'service') return;
-    happiness.note(taskIdOf(jobId, taskIndex), isHealthy, clock.now());
+    happiness.recordCheck(taskIdOf(jobId, taskIndex), isHealthy, clock.now());
   }
 }
--- a/src/scheduling/placement-planner.ts
+++ b/src/scheduling/placement-planner.ts
@@ -95,7 +95,7 @@
   }
 
   /** What could not be placed in the last round as cluster leader: scale-out and preemption work for it. */
-  get unplacedTasks(): readonly PendingTask[] {
+  get unplaceableTasks(): readonly PendingTask[] {
     return this.unplaced;
   }
 
@@ -110,17 +110,17 @@
   }
 
   /** The task is being moved: when it is pending, it goes to that machine if it fits. */
-  prefer(taskId: string, machineId: string): void {
+  preferMachine(taskId: string, machineId: string): void {
     this.roundDependencies.taskPlacer.prefer(taskId, machineId);
   }
 
   /** A task has run to its end in `ranS` seconds; later estimates of its job class are corrected by it. */
-  learnRunTime(spec: JobSpec, ranS: number): void {
+  recordRunTime(spec: JobSpec, ranS: number): void {
     this.runTimeRatios.record(spec, ranS);
   }
 
   /** The effective priority of a job has changed: its starts that are queued for the store follow. */
-  urgencyChanged(jobId: string): void {
+  priorityChanged(jobId: string): void {
     const { clusterState, transactions } = this.dependencies;
     const spec = clusterState.jobs.get(jobId)?.record.spec;
     if (spec === undefined || startPriority(spec) !== Priority.start) return;
@@ -144,7 +144,7 @@
     this.roundDependencies.gangs.prune((jobId) => clusterState.jobs.has(jobId));
     const ledRoles = this.ledRoles();
     const hasWork = ledRoles.isClusterLeader || ledRoles.partitions.size > 0;
-    if (!hasWork || !leadership.isInTouchWithStore || inventory.catalog.size === 0) return;
+    if (!hasWork || !leadership.hasRecentStoreContact || inventory.catalog.size === 0) return;
     this.placeQueuedJobs(ledRoles);
   }
 
--- a/src/scheduling/placement-round.ts
+++ b/src/scheduling/placement-round.ts
@@ -1,5 +1,5 @@
 /** One pass over the queue: filters the machines of each job, matches its tasks, reserves resources and commits the starts. */
-import { MAX_PLAN_TASKS, MAX_UNPLACED, SAMPLE_TASKS_OF_JOB } from '../constants/scheduling.js';
+import { MAX_PLAN_TASKS, MAX_UNPLACED_TASKS, SAMPLE_TASKS_OF_JOB } from '../constants/scheduling.js';
 import { isPlacedByLeader, type JobSpec } from '../domain/job.js';
 import type { MachineInfo } from '../domain/machine-state.js';
 import { type Resources, subtractResources } from '../domain/resources.js';
@@ -57,7 +57,7 @@
     private readonly ledRoles: LedRoles,
   ) {
     const { leadership, inventory, usage, taskPlacer } = dependencies;
-    const machines = inventory.openMachines();
+    const machines = inventory.schedulableMachines();
     this.freeByMachine = usage.freeResources(machines);
     this.usages = usage.teamUsages();
     this.candidateIndex = new CandidateMachineIndex(machines, (machineId) => leadership.partitionOf(machineId));
@@ -85,7 +85,7 @@
     const { local, remote } = this.candidateIndex.split(spec, partition);
     if (!this.ledRoles.isClusterLeader && local.isFull(spec) && remote.isFull(spec)) return;
     // Behind so many that wait already, a look at a few tells whether the job's tasks still fit somewhere.
-    const isSample = isOverdue || this.unplacedTasks.length >= MAX_UNPLACED;
+    const isSample = isOverdue || this.unplacedTasks.length >= MAX_UNPLACED_TASKS;
     const pendingTasks = this.pendingTasksOf(spec, isSample);
     if (pendingTasks.length === 0) return;
     const unplacedLocally: PendingTask[] = [];
--- a/src/scheduling/preemptor.ts
+++ b/src/scheduling/preemptor.ts
@@ -21,7 +21,7 @@
   settings: Settings;
   clusterState: ClusterState;
   inventory: MachineInventory;
-  planner: Pick<PlacementPlanner, 'unplacedTasks' | 'teamUsages' | 'freeResources'>;
+  planner: Pick<PlacementPlanner, 'unplaceableTasks' | 'teamUsages' | 'freeResources'>;
   evictionMarker: EvictionMarker;
   clock: Clock;
 }
@@ -40,7 +40,7 @@
   round(): void {
     const { clock, planner } = this.dependencies;
     const startedAtMs = clock.now();
-    if (startedAtMs < this.pausedUntilMs || planner.unplacedTasks.length === 0) return;
+    if (startedAtMs < this.pausedUntilMs || planner.unplaceableTasks.length === 0) return;
     const hasEvicted = this.evictForUnplacedTasks();
     const nowMs = clock.now();
     // The exits of the last round must have been seen; and a full cluster must not take the processor for looking alone.
@@ -66,7 +66,7 @@
   private preemptingTasks(claims: GuaranteeClaims): Map<string, PendingTask[]> {
     const pendingByJob = new Map<string, PendingTask[]>();
     const lowestPriorityIndex = this.lowestPriorityIndex();
-    for (const pendingTask of this.dependencies.planner.unplacedTasks) {
+    for (const pendingTask of this.dependencies.planner.unplaceableTasks) {
       const { spec } = pendingTask.view.record;
       if (pendingTask.placement.failures > MAX_FAILURES) continue;
       const isByPriority = spec.priority !== 'low' && priorityIndexOf(spec) < lowestPriorityIndex;
@@ -81,7 +81,7 @@
   /** Every open machine; what evicted tasks will leave counts as free, since they are about to exit. */
   private machineLoads(): LoadedMachine[] {
     const { inventory, planner, clusterState, evictionMarker } = this.dependencies;
-    const machines = inventory.openMachines();
+    const machines = inventory.schedulableMachines();
     const freeByMachine = planner.freeResources(machines);
     return machines.map((machine) => {
       const free = freeByMachine.get(machine.machineId)!;
@@ -89,7 +89,7 @@
       for (const placedTask of clusterState.tasksOn(machine.machineId)) {
         const spec = clusterState.jobs.get(placedTask.jobId)?.record.spec;
         if (spec === undefined) continue;
-        if (evictionMarker.isStopping(placedTask)) subtractResources(free, spec, -1);
+        if (evictionMarker.isBeingEvicted(placedTask)) subtractResources(free, spec, -1);
         else tasks.push({ placedTask, spec });
       }
       return { machine, free, tasks: tasks.sort(compareEvictionCost) };
--- a/src/scheduling/rescheduler.ts
+++ b/src/scheduling/rescheduler.ts
@@ -23,7 +23,7 @@
   leadership: RoleLeadership;
   clusterState: ClusterState;
   inventory: MachineInventory;
-  planner: Pick<PlacementPlanner, 'prefer' | 'freeResources'>;
+  planner: Pick<PlacementPlanner, 'preferMachine' | 'freeResources'>;
   transactions: TransactionBatcher;
   happiness: Happiness;
   clock: Clock;
@@ -40,7 +40,7 @@
     const { tuning, leadership, clock, random } = this.dependencies;
     while (!signal.aborted) {
       await clock.sleep(random.jitter(tuning.checkIntervalMs), signal);
-      if (signal.aborted || !leadership.isInTouchWithStore || this.hasUnplacedBacklog()) continue;
+      if (signal.aborted || !leadership.hasRecentStoreContact || this.hasUnplacedBacklog()) continue;
       for (const partition of leadership.ledPartitions()) this.reschedulePartition(partition);
     }
   }
@@ -62,7 +62,7 @@
     const { leadership, inventory, clock, tuning } = this.dependencies;
     const nowMs = clock.now();
     const machines = [...inventory.machines().values()].filter(
-      (machine) => leadership.partitionOf(machine.machineId) === partition && inventory.isOpen(machine),
+      (machine) => leadership.partitionOf(machine.machineId) === partition && inventory.isSchedulable(machine),
     );
     const runningTasks = this.runningServiceTasks(machines);
     const unhappyTasks = runningTasks.filter(({ taskId }) => this.isUnhappy(taskId, nowMs));
@@ -76,7 +76,7 @@
       if (target === undefined || target.id === task.machineId) continue;
       if (movingJobs.has(task.jobId) || !this.canMove(task, nowMs)) continue;
       movingJobs.add(task.jobId);
-      this.dependencies.happiness.noteMove(task.taskId, nowMs);
+      this.dependencies.happiness.recordMove(task.taskId, nowMs);
       this.move(task, target.id, partitionRole(partition));
     }
   }
@@ -130,7 +130,7 @@
 
   private move({ taskId, jobId, taskIndex, machineId, attempt }: RunningTask, toMachineId: string, role: string): void {
     const { planner, transactions, leadership, log } = this.dependencies;
-    planner.prefer(taskId, toMachineId);
+    planner.preferMachine(taskId, toMachineId);
     log.info({ taskId, fromMachineId: machineId, toMachineId }, 'unhappy task moved');
     void transactions.commit('move', Priority.start, (draft) => {
       if (!leadership.requireLeadership(draft, role)) return false;
--- a/src/store/batch-packer.ts
+++ b/src/store/batch-packer.ts
@@ -104,7 +104,7 @@
 
   private fits(trial: TransactionDraft): boolean {
     const { limits } = this.context;
-    return trial.fits(limits, this.mutations.length === 0 ? limits.ops : limits.batchOps);
+    return trial.fits(limits, this.mutations.length === 0 ? limits.writes : limits.batchWrites);
   }
 
   private accept(mutation: PendingMutation, trial: TransactionDraft): void {
--- a/src/store/replica.ts
+++ b/src/store/replica.ts
@@ -42,7 +42,7 @@
   }));
 
 /** Told of each change that the replica takes in; `before`: undefined where the key was not known. */
-export type Listener = (key: string, now: StoredValue, before: StoredValue | undefined) => void;
+export type ReplicaListener = (key: string, now: StoredValue, before: StoredValue | undefined) => void;
 
 /** Bytes of a serialized change beside its key and value, a safe upper bound. */
 const CHANGE_ENVELOPE_BYTES = 16;
@@ -62,7 +62,7 @@
  */
 export class Replica {
   private readonly rows = new Map<string, StoredValue>();
-  private readonly listeners: Listener[] = [];
+  private readonly listeners: ReplicaListener[] = [];
   /** Deleted keys, oldest first: what peers' replicas may not know yet. */
   private readonly tombstones: { key: string; modRevision: number }[] = [];
   /** Deletions up to this revision are no longer known here. */
@@ -85,7 +85,7 @@
   ) {}
 
   /** Listeners are called in the order in which they were added. */
-  onChange(listener: Listener): void {
+  onChange(listener: ReplicaListener): void {
     this.listeners.push(listener);
   }
 
--- a/src/store/transaction-batcher.ts
+++ b/src/store/transaction-batcher.ts
@@ -96,7 +96,7 @@
   }
 
   /** Keeps a record outside the replica, which never changes once it exists (a final state). */
-  remember(key: string, row: StoredValue): void {
+  cacheFinalRecord(key: string, row: StoredValue): void {
     this.finalRecords.set(key, row);
   }
 
@@ -272,7 +272,7 @@
   private applyCommitted(changes: Change[]): void {
     for (const change of changes) {
       if (this.isInReplica(change.key)) this.options.replica.apply(change);
-      else this.remember(change.key, change);
+      else this.cacheFinalRecord(change.key, change);
     }
     this.options.onCommitted?.(changes);
   }
@@ -285,7 +285,7 @@
 
   private async readFinalRecord(key: string): Promise<void> {
     try {
-      this.remember(key, await this.options.client.get(key, Priority.lease));
+      this.cacheFinalRecord(key, await this.options.client.get(key, Priority.lease));
     } catch {
       // The next attempt fails the same way and reads again.
     }
--- a/src/store/transaction-draft.ts
+++ b/src/store/transaction-draft.ts
@@ -12,9 +12,9 @@
 /** The most that one transaction may hold. */
 export interface TransactionLimits {
   /** Writes. */
-  ops: number;
+  writes: number;
   /** Writes beyond which no other mutation is added to a transaction. */
-  batchOps: number;
+  batchWrites: number;
   conditions: number;
   bytes: number;
   /** Bytes of one value at present. */
@@ -31,8 +31,8 @@
   const { transactionWrites, writesPerSecond } = lasting;
   const batchOps = Math.max(LEAST_BATCH_TRANSACTION_WRITES, Math.floor(writesPerSecond * BATCH_TRANSACTION_SHARE));
   return {
-    ops: transactionWrites,
-    batchOps: Math.min(transactionWrites, batchOps),
+    writes: transactionWrites,
+    batchWrites: Math.min(transactionWrites, batchOps),
     conditions: transactionWrites * CONDITIONS_PER_WRITE,
     bytes: MAX_TRANSACTION_BYTES,
     valueBytes: present.valueBytes,
@@ -125,7 +125,7 @@
   }
 
   /** Would this draft, merged into its base, still be one transaction? `ops`: the most writes. */
-  fits(limits: TransactionLimits, ops = limits.ops): boolean {
+  fits(limits: TransactionLimits, ops = limits.writes): boolean {
     if (this.hasValueAbove(limits.valueBytes)) return false;
     const size = this.measureMerged();
     this.bytes = size.bytes;
--- a/src/workers/cancellation-enforcer.ts
+++ b/src/workers/cancellation-enforcer.ts
@@ -86,7 +86,7 @@
     const leader = clusterState.leadershipRecords.get(role);
     if (leader === undefined || leadership.leadershipOf(role) !== undefined) return undefined;
     // A leader that is only busy, or whose partition others will take over, needs no help.
-    if (leadership.isInTouchWithStore && !peerDirectory.isWithoutStore(leader.record.node)) return undefined;
+    if (leadership.hasRecentStoreContact && !peerDirectory.isWithoutStore(leader.record.node)) return undefined;
     return leader.modRevision;
   }
 }
--- a/src/workers/cancelled-launch-guard.ts
+++ b/src/workers/cancelled-launch-guard.ts
@@ -1,6 +1,6 @@
 import { REPLICA_FRESH_MS } from '../constants/leadership.js';
 import type { WorkerTimings } from '../domain/settings.js';
-import { leaseOverAt } from '../domain/worker-deadlines.js';
+import { leaseExpiresAt } from '../domain/worker-deadlines.js';
 import { degradedServingMs, type HeldLeadership, type RoleLeadership } from '../leadership/role-leadership.js';
 import type { Clock } from '../net/clock.js';
 import { attemptKeyOf } from './attempt-key.js';
@@ -43,8 +43,8 @@
     const now = clock.now();
     launches.cancelledSince ??= now;
     // With the store a new token is a moment away, and goes out with the next answer.
-    if (leadership.isInTouchWithStore) return false;
-    const allowedMs = degradedServingMs(timings) - leaseOverAt(0, timings.workerLeaseMs) - 2 * REPLICA_FRESH_MS;
+    if (leadership.hasRecentStoreContact) return false;
+    const allowedMs = degradedServingMs(timings) - leaseExpiresAt(0, timings.workerLeaseMs) - 2 * REPLICA_FRESH_MS;
     return now - launches.cancelledSince >= allowedMs;
   }
 }
--- a/src/workers/command-sender.ts
+++ b/src/workers/command-sender.ts
@@ -1,5 +1,5 @@
 import { DRAIN_CHECK_PERIOD_MS } from '../constants/leadership.js';
-import { PUSH_GATHER_MS, SILENT_HEARTBEATS } from '../constants/workers.js';
+import { COMMAND_BATCHING_MS, SILENT_HEARTBEATS } from '../constants/workers.js';
 import type { WorkerTimings } from '../domain/settings.js';
 import type { HeldLeadership, RoleLeadership } from '../leadership/role-leadership.js';
 import type { Log } from '../logging/log.js';
@@ -52,7 +52,7 @@
   constructor(private readonly dependencies: CommandSenderDependencies) {}
 
   /** Placements on a machine have changed: sends their commands after `gatherMs`, without waiting for a heartbeat. */
-  schedule(machineId: string, gatherMs = PUSH_GATHER_MS): void {
+  schedule(machineId: string, gatherMs = COMMAND_BATCHING_MS): void {
     const { clock } = this.dependencies;
     const dueAt = clock.now() + gatherMs;
     if ((this.sendsDueAt.get(machineId) ?? Infinity) <= dueAt) return;
@@ -129,7 +129,7 @@
    */
   private isReachInDoubt(worker: Worker): boolean {
     const { timings, leadership, clock } = this.dependencies;
-    if (!leadership.isInTouchWithStore || worker.reachability.forwardedBy !== undefined) return true;
+    if (!leadership.hasRecentStoreContact || worker.reachability.forwardedBy !== undefined) return true;
     return clock.now() - worker.lastHeartbeatAt > SILENT_HEARTBEATS * timings.heartbeatIntervalMs;
   }
 
--- a/src/workers/exit-recorder.ts
+++ b/src/workers/exit-recorder.ts
@@ -1,7 +1,7 @@
 import type { Settings } from '../domain/settings.js';
 import type { ClusterState, PlacedTask } from '../records/cluster-state.js';
 import { releasePlacement } from '../records/placement-mutations.js';
-import type { Proof } from '../records/placement-rules.js';
+import type { ReleaseProof } from '../records/placement-rules.js';
 import type { TeamAccounting } from '../records/team-accounting.js';
 import { exitPriority } from '../records/transaction-priority.js';
 import type { Clock } from '../net/clock.js';
@@ -17,9 +17,9 @@
 /** Whom an exit is told to. */
 export interface ExitListener {
   /** A task has run to its end, in `ranS` seconds. */
-  completed(placedTask: PlacedTask, ranS: number): void;
+  taskCompleted(placedTask: PlacedTask, ranS: number): void;
   /** A task died unfinished: an unhealthy check. */
-  died(placedTask: PlacedTask): void;
+  taskDied(placedTask: PlacedTask): void;
 }
 
 /** Where exits are recorded, and who learns of them. */
@@ -47,7 +47,12 @@
    * Releases a placement, once at a time for each attempt. `currentProof` is asked again whenever the transaction is tried, and
    * gives the proof that it is made on; undefined: nothing proves it any more, and nothing is recorded.
    */
-  record(machineId: string, role: string, release: PlacementRelease, currentProof: () => Proof | undefined): void {
+  record(
+    machineId: string,
+    role: string,
+    release: PlacementRelease,
+    currentProof: () => ReleaseProof | undefined,
+  ): void {
     const attemptKey = attemptKeyOf(release.placedTask);
     if (this.recording.has(attemptKey)) return;
     this.recording.add(attemptKey);
@@ -62,7 +67,7 @@
     machineId: string,
     role: string,
     { placedTask, ending }: PlacementRelease,
-    currentProof: () => Proof | undefined,
+    currentProof: () => ReleaseProof | undefined,
   ): Promise<CommitOutcome> {
     const { leadership, clusterState, transactions, accounting } = this.dependencies;
     const { jobId, taskIndex } = placedTask;
@@ -92,7 +97,7 @@
       worker.health.backoffUntil = now + settings.cluster.workers.heartbeatIntervalMs;
     }
     if (ending !== 'done' || startedAt === undefined) return;
-    events.completed(placedTask, (now - startedAt) / 1000);
+    events.taskCompleted(placedTask, (now - startedAt) / 1000);
     stragglers.compareWithSiblings(worker, placedTask, now - startedAt);
   }
 
@@ -100,7 +105,7 @@
     const { clusterState, events } = this.dependencies;
     const isActive = clusterState.jobs.get(placedTask.jobId)?.record.state === 'active';
     const wasToBeStopped = placedTask.placement.gracePeriodS !== null || !isActive;
-    if (ending !== 'done' && !wasToBeStopped) events.died(placedTask);
+    if (ending !== 'done' && !wasToBeStopped) events.taskDied(placedTask);
   }
 
   private logExit(machineId: string, worker: Worker | undefined, { placedTask, proof, task }: PlacementRelease): void {
--- a/src/workers/fencing-token-advancer.ts
+++ b/src/workers/fencing-token-advancer.ts
@@ -17,7 +17,7 @@
     const { leadership, clock } = this.dependencies;
     const now = clock.now();
     const sinceMs = now - (this.advancedAt.get(role) ?? -Infinity);
-    if (sinceMs < TOKEN_ADVANCE_PAUSE_MS || !leadership.isInTouchWithStore) return;
+    if (sinceMs < TOKEN_ADVANCE_PAUSE_MS || !leadership.hasRecentStoreContact) return;
     this.advancedAt.set(role, now);
     void leadership.advanceFencingToken(role);
   }
--- a/src/workers/heartbeat-service.ts
+++ b/src/workers/heartbeat-service.ts
@@ -46,7 +46,7 @@
   }
 
   /** Answers a heartbeat that another node has forwarded; undefined: it can't be read. */
-  answerRelayed({ node: sender, id, status: text }: ForwardedHeartbeat): ForwardedHeartbeatAnswer | undefined {
+  answerForwarded({ node: sender, id, status: text }: ForwardedHeartbeat): ForwardedHeartbeatAnswer | undefined {
     const { node, workerManager, log } = this.dependencies;
     const workerStatus = decodeWorkerStatus(parseJson(text));
     if (workerStatus === undefined) {
--- a/src/workers/placement-releaser.ts
+++ b/src/workers/placement-releaser.ts
@@ -1,7 +1,7 @@
 import type { HeldLeadership, RoleLeadership } from '../leadership/role-leadership.js';
 import type { Clock } from '../net/clock.js';
 import type { ClusterState, PlacedTask } from '../records/cluster-state.js';
-import type { Proof } from '../records/placement-rules.js';
+import type { ReleaseProof } from '../records/placement-rules.js';
 import { machineRole } from './machine-role.js';
 import { desiredTaskOf } from './desired-tasks.js';
 import type { ExitRecorder } from './exit-recorder.js';
@@ -46,14 +46,14 @@
 
   private isLeaseExpired(machineId: string, held: HeldLeadership): boolean {
     const { leadership, workers, clock } = this.dependencies;
-    return leadership.isInTouchWithStore && clock.now() > workers.leaseOverAt(machineId, held);
+    return leadership.hasRecentStoreContact && clock.now() > workers.leaseExpiresAt(machineId, held);
   }
 
   /**
    * The proof that a placement can be released, by what is known at this very moment. A decision waits for its turn at the
    * store, and what proved it may not hold any more by then.
    */
-  private currentProof(machineId: string, role: string, placedTask: PlacedTask): Proof | undefined {
+  private currentProof(machineId: string, role: string, placedTask: PlacedTask): ReleaseProof | undefined {
     const { leadership, clusterState, workers } = this.dependencies;
     const held = leadership.leadershipOf(role);
     if (held === undefined) return undefined;
@@ -66,4 +66,7 @@
 }
 
 /** The lease of the placement's agent epoch has expired, as this node knows by itself. */
-const expiryProof = ({ placement }: PlacedTask): Proof => ({ kind: 'lease_expired', agentEpoch: placement.agentEpoch });
+const expiryProof = ({ placement }: PlacedTask): ReleaseProof => ({
+  kind: 'lease_expired',
+  agentEpoch: placement.agentEpoch,
+});
--- a/src/workers/reconciliation.ts
+++ b/src/workers/reconciliation.ts
@@ -4,7 +4,7 @@
  */
 import type { PlacedTask } from '../records/cluster-state.js';
 import type { TaskEnding } from '../records/placement-mutations.js';
-import type { Proof } from '../records/placement-rules.js';
+import type { ReleaseProof } from '../records/placement-rules.js';
 import { attemptKeyFrom, attemptKeyOf, taskIdOfPlaced } from './attempt-key.js';
 import type { ReportedTask, WorkerCommand } from './worker-wire-codec.js';
 
@@ -46,7 +46,7 @@
 /** A placement that can be released, the proof, and how its task ended. */
 export interface PlacementRelease {
   placedTask: PlacedTask;
-  proof: Proof;
+  proof: ReleaseProof;
   ending: TaskEnding;
   /** The exited task; undefined: the proof is not its exit. */
   task: ReportedTask | undefined;
@@ -110,7 +110,7 @@
       task: undefined,
     };
   }
-  const proof: Proof = { kind: 'exited', attempt, agentEpoch };
+  const proof: ReleaseProof = { kind: 'exited', attempt, agentEpoch };
   const task = worker.tasks.get(taskIdOfPlaced(placedTask));
   if (task?.attempt === attempt) {
     // A status from before the takeover may tell of a member's first end, when it has been placed here once more since.
--- a/src/workers/straggler-detector.ts
+++ b/src/workers/straggler-detector.ts
@@ -1,4 +1,4 @@
-import { EVICT_STRAGGLER_FACTOR, SIBLINGS_KNOWN, STRAGGLER_FACTOR } from '../constants/workers.js';
+import { EVICT_STRAGGLER_FACTOR, MIN_FINISHED_SIBLINGS, STRAGGLER_FACTOR } from '../constants/workers.js';
 import type { JobSpec } from '../domain/job.js';
 import type { ClusterState, PlacedTask } from '../records/cluster-state.js';
 import { markForStop } from '../records/placement-mutations.js';
@@ -66,7 +66,7 @@
     for (const jobId of this.finishedRunTimes.keys()) {
       if (!clusterState.jobs.has(jobId)) this.finishedRunTimes.delete(jobId);
     }
-    if (!leadership.isInTouchWithStore) return;
+    if (!leadership.hasRecentStoreContact) return;
     const now = clock.now();
     for (const worker of workers) {
       if (worker.isSlow(now)) this.evictSlowTasks(worker, roleOf(worker.machineId), now);
@@ -75,7 +75,7 @@
 
   /** The first to finish are the short ones: compared with them alone, the other half would all seem slow. */
   private isComparable(jobId: string, { count }: FinishedRunTimes): boolean {
-    if (count < SIBLINGS_KNOWN) return false;
+    if (count < MIN_FINISHED_SIBLINGS) return false;
     const view = this.dependencies.clusterState.jobs.get(jobId);
     return view !== undefined && view.done * 2 >= view.record.spec.taskCount;
   }
--- a/src/workers/token-announcer.ts
+++ b/src/workers/token-announcer.ts
@@ -29,7 +29,7 @@
   /** Looks through all machines in use; how many are told at once is limited by the sender. */
   announce(): void {
     const { leadership, clusterState, workerManager, endpoints } = this.dependencies;
-    if (!leadership.isInTouchWithStore) return;
+    if (!leadership.hasRecentStoreContact) return;
     for (const machineId of clusterState.usedMachines()) {
       if (!this.isToBeTold(machineId)) continue;
       const endpoint = endpoints.endpointOf(machineId);
--- a/src/workers/worker-manager.ts
+++ b/src/workers/worker-manager.ts
@@ -1,4 +1,4 @@
-import { FORGET_WORKER_LEASES, SWEEP_MS } from '../constants/workers.js';
+import { WORKER_RETENTION_LEASES, SWEEP_MS } from '../constants/workers.js';
 import { machineRole } from './machine-role.js';
 import { CancelledLaunchGuard } from './cancelled-launch-guard.js';
 import { CommandSender } from './command-sender.js';
@@ -100,7 +100,7 @@
 
   private forgetSilent(now: number): void {
     const { settings, clusterState } = this.dependencies;
-    const silentMs = FORGET_WORKER_LEASES * settings.cluster.workers.workerLeaseMs;
+    const silentMs = WORKER_RETENTION_LEASES * settings.cluster.workers.workerLeaseMs;
     for (const { machineId, lastContactAt } of [...this.workers.values()]) {
       if (now - lastContactAt > silentMs && clusterState.taskCountOn(machineId) === 0) this.workers.forget(machineId);
     }
--- a/src/workers/worker-reachability.ts
+++ b/src/workers/worker-reachability.ts
@@ -1,4 +1,4 @@
-import { leaseOverAt } from '../domain/worker-deadlines.js';
+import { leaseExpiresAt } from '../domain/worker-deadlines.js';
 import { isNewerThan, type StatusVersion } from './worker-wire-codec.js';
 
 /** A heartbeat that is about to be answered with 200. */
@@ -79,6 +79,6 @@
 
   /** It sends heartbeats, but by all it shows no answer has reached it for so long that its lease has expired. */
   hasExpiredDespiteHeartbeats(now: number, leaseMs: number): boolean {
-    return this.hasMissedAnswer && now > leaseOverAt(this.confirmedAt, leaseMs);
+    return this.hasMissedAnswer && now > leaseExpiresAt(this.confirmedAt, leaseMs);
   }
 }
--- a/src/workers/worker-reconciler.ts
+++ b/src/workers/worker-reconciler.ts
@@ -61,7 +61,7 @@
     const knowsAllPlacements = replica.revision >= held.term.startRevision;
     return {
       fencingToken: held.fencingToken,
-      canLaunch: knowsAllPlacements && leadership.isInTouchWithStore,
+      canLaunch: knowsAllPlacements && leadership.hasRecentStoreContact,
       knowsAllPlacements,
       isHeartbeatAnswer,
     };
--- a/src/workers/worker-registry.ts
+++ b/src/workers/worker-registry.ts
@@ -1,6 +1,6 @@
 import { REPLICA_FRESH_MS } from '../constants/leadership.js';
 import type { WorkerTimings } from '../domain/settings.js';
-import { leaseOverAt } from '../domain/worker-deadlines.js';
+import { leaseExpiresAt } from '../domain/worker-deadlines.js';
 import { Worker } from './worker.js';
 import {
   degradedServingMs,
@@ -80,14 +80,14 @@
   }
 
   /** Steady ms after which the lease of a machine's agent epoch has certainly expired, if nobody answers it again. */
-  leaseOverAt(machineId: string, held: HeldLeadership): number {
+  leaseExpiresAt(machineId: string, held: HeldLeadership): number {
     const partition = this.partitionInTerm(held.term);
     const worker = partition?.workers.get(machineId);
     const known = worker === undefined ? (partition?.forgottenContactAt ?? -Infinity) : lastAnswerableAt(worker);
     // A worker that has shown this token drops what former leaders answer.
     const hasSeenToken = worker !== undefined && worker.fencingToken >= held.fencingToken;
     const last = hasSeenToken ? known : Math.max(known, this.formerLeadersAnsweredUntil(held.term));
-    return leaseOverAt(last, this.timings.workerLeaseMs);
+    return leaseExpiresAt(last, this.timings.workerLeaseMs);
   }
 
   /** Steady ms from which on nobody else can have answered a worker that has not shown this node's token yet. */
--- a/test/api/submissions.test.ts
+++ b/test/api/submissions.test.ts
@@ -231,8 +231,9 @@
     await cluster.advance(5000);
     for (const { inventory } of [cluster.node(0), cluster.node(1)]) {
       const machines = [...inventory.machines().values()];
-      assert.equal(machines.filter((machine) => inventory.isOpen(machine)).length, 4);
-      for (const { heardAt } of machines) assert.ok(cluster.clock.now() - heardAt < 3000, 'and heard of just now');
+      assert.equal(machines.filter((machine) => inventory.isSchedulable(machine)).length, 4);
+      for (const { lastHeartbeatAt } of machines)
+        assert.ok(cluster.clock.now() - lastHeartbeatAt < 3000, 'and heard of just now');
     }
   });
 });
--- a/test/leadership/standby-stream.test.ts
+++ b/test/leadership/standby-stream.test.ts
@@ -49,12 +49,12 @@
     await cluster.advance(12_000);
     memory.restoreRefusal(OFFER, cluster.clock.now());
     await cluster.advance(2000);
-    const idle = new Map([...memory.idle()].map(({ machineId, at }) => [machineId, at]));
+    const idle = new Map([...memory.idleMachines()].map(({ machineId, at }) => [machineId, at]));
     assert.equal(idle.size, 6);
     cluster.crash(leader);
     const successor = cluster.node(await leaderAfter(leader)).leader.memory;
-    assert.ok([...successor.refused()].some(({ offer }) => offer === OFFER));
-    const taken = [...successor.idle()];
+    assert.ok([...successor.refusedOffers()].some(({ offer }) => offer === OFFER));
+    const taken = [...successor.idleMachines()];
     assert.equal(taken.length, 6);
     for (const { machineId, at } of taken) assert.ok(Math.abs(at - idle.get(machineId)!) <= MAX_LAG_MS, machineId);
   });
@@ -62,11 +62,11 @@
   it('tells the successor of a planned handover which attempts were just asked to stop', async () => {
     await ready();
     const leader = cluster.leader()!;
-    cluster.node(leader).leader.memory.restoreStopping('j-y/0#3', cluster.clock.now());
+    cluster.node(leader).leader.memory.restoreEviction('j-y/0#3', cluster.clock.now());
     await cluster.advance(600);
     void cluster.terminate(leader);
     const { memory } = cluster.node(await leaderAfter(leader)).leader;
-    assert.ok([...memory.stopping()].some(({ attempt }) => attempt === 'j-y/0#3'));
+    assert.ok([...memory.recentEvictions()].some(({ attempt }) => attempt === 'j-y/0#3'));
   });
 
   it('does not delay a takeover when the stream is cut and the store answers', async () => {
@@ -94,7 +94,7 @@
     await cluster.advance(2000);
     cluster.crash(leader);
     const { memory } = cluster.node(await leaderAfter(leader)).leader;
-    assert.ok([...memory.refused()].some(({ offer }) => offer === OFFER));
+    assert.ok([...memory.refusedOffers()].some(({ offer }) => offer === OFFER));
     assert.deepEqual(cluster.verdict(), []);
   });
 });
@@ -107,7 +107,7 @@
     const role = cluster.anyNode().workerManager.roleOf(place);
     const owner = Number(cluster.anyNode().leadership.leaderOf(role)!.slice(1));
     const { happiness } = cluster.node(owner);
-    for (let n = 0; n < 6; n++) happiness.note('j-svc/0', false, cluster.clock.now());
+    for (let n = 0; n < 6; n++) happiness.recordCheck('j-svc/0', false, cluster.clock.now());
     const before = happiness.happinessOf('j-svc/0', cluster.clock.now())!;
     assert.ok(before < 0.9);
     await cluster.advance(2500);
--- a/test/records/job-dependencies.test.ts
+++ b/test/records/job-dependencies.test.ts
@@ -72,7 +72,7 @@
     let looks = 0;
     const steps: string[] = [];
     const progress = new DependencyProgress({
-      leadership: { isInTouchWithStore: true, partitionOf: () => 0, leadershipOf: () => ({}) },
+      leadership: { hasRecentStoreContact: true, partitionOf: () => 0, leadershipOf: () => ({}) },
       clusterState: { dependencies: index, jobs: new Map() },
       transactions: {
         commit: (name: string) => {
--- a/test/records/record-formats.test.ts
+++ b/test/records/record-formats.test.ts
@@ -13,7 +13,7 @@
   placementChunkKey,
 } from '../../src/records/record-keys.js';
 import { compactChunk, decodeChunk, withPlacement } from '../../src/records/placement-codec.js';
-import { CorruptRecord, type JobRecord } from '../../src/records/records.js';
+import { CorruptRecordError, type JobRecord } from '../../src/records/records.js';
 import type { TaskPlacement } from '../../src/domain/task.js';
 import {
   decodeFinalJobRecord,
@@ -97,8 +97,8 @@
   });
 
   it('is corrupt if a placement refers to a zone that the chunk does not name', () => {
-    assert.throws(() => decodeChunk({ z: ['a'], s: [[1, 0, 'i-1', 1, -1, 3]] }, 1), CorruptRecord);
-    assert.throws(() => decodeChunk({ z: 'a', s: [0] }, 1), CorruptRecord);
+    assert.throws(() => decodeChunk({ z: ['a'], s: [[1, 0, 'i-1', 1, -1, 3]] }, 1), CorruptRecordError);
+    assert.throws(() => decodeChunk({ z: 'a', s: [0] }, 1), CorruptRecordError);
   });
 
   it('is written in its compact form if it is too large, once all controllers read that form', () => {
--- a/test/scenarios/cluster.test.ts
+++ b/test/scenarios/cluster.test.ts
@@ -358,7 +358,7 @@
     await cluster.advance(20_000);
     for (const node of [0, 1]) {
       const known = [...cluster.node(node).inventory.machines().values()];
-      assert.equal(known.filter((machine) => cluster.node(node).inventory.isOpen(machine)).length, 6);
+      assert.equal(known.filter((machine) => cluster.node(node).inventory.isSchedulable(machine)).length, 6);
     }
   });
 
--- a/test/scenarios/combined-faults-workers.test.ts
+++ b/test/scenarios/combined-faults-workers.test.ts
@@ -22,7 +22,7 @@
 const phase = (answer: { body: unknown }) => decodeJobState(answer.body);
 const isOpen = (node: number, machineId: string) => {
   const machine = cluster.node(node).inventory.get(machineId);
-  return machine !== undefined && cluster.node(node).inventory.isOpen(machine);
+  return machine !== undefined && cluster.node(node).inventory.isSchedulable(machine);
 };
 
 describe('a machine that can open no connection, though commands reach it', () => {
@@ -254,7 +254,7 @@
     await cluster.advance(700);
     cluster.workers.get(machineId)!.spotNoticeS = 1000;
     const leads = Number(cluster.node(former).leadership.leaderOf('leader')!.slice(1));
-    await until(() => cluster.node(leads).inventory.get(machineId)!.spotNoticeUntil !== null);
+    await until(() => cluster.node(leads).inventory.get(machineId)!.spotTerminationAt !== null);
     // What happens from here on it learns from nobody: the task is stopped, forgotten, and starts on another machine.
     const heal = cluster.network.fault({ from: `n${home}`, to: 'store:1', path: /^\/watch/, kind: 'lose' });
     for (const node of others) cluster.partitioned.add(`n${node}>n${home}`);
@@ -262,7 +262,7 @@
     for (const node of others) cluster.partitioned.delete(`n${node}>n${home}`);
     void cluster.node(former).leadership.release(role, 'for the scenario', 15_000);
     await until(() => cluster.node(home).leadership.leadershipOf(role) !== undefined, 1000);
-    assert.ok(cluster.node(home).leadership.isInTouchWithStore);
+    assert.ok(cluster.node(home).leadership.hasRecentStoreContact);
     await cluster.advance(1000);
     heal();
     await cluster.advance(5000);
--- a/test/scenarios/large-clusters.test.ts
+++ b/test/scenarios/large-clusters.test.ts
@@ -158,7 +158,7 @@
     await cluster!.advance(3000);
     const all = [...cluster!.node(1).inventory.machines().values()];
     assert.equal(all.length, 12);
-    assert.ok(all.every((each) => cluster!.node(1).inventory.isOpen(each)));
+    assert.ok(all.every((each) => cluster!.node(1).inventory.isSchedulable(each)));
   });
 });
 
--- a/test/scenarios/limits.test.ts
+++ b/test/scenarios/limits.test.ts
@@ -232,7 +232,7 @@
     };
     const client = { transact } as unknown as StoreClient;
     const replica = new Replica(client, 'live/', clock);
-    const limits = anyTransactionLimits({ batchOps: 4 });
+    const limits = anyTransactionLimits({ batchWrites: 4 });
     const transactions = new TransactionBatcher({
       client,
       replica,
--- a/test/scheduling/rescheduler.test.ts
+++ b/test/scheduling/rescheduler.test.ts
@@ -26,11 +26,11 @@
       lookCount++;
       return new Map();
     };
-    const inventory = { machines: all, isOpen: () => true };
+    const inventory = { machines: all, isSchedulable: () => true };
     const rescheduler = new Rescheduler({
       tuning: decodeTuning({ ...DEFAULT_TUNING, standby: DEFAULT_STANDBY_SETTINGS }),
       leadership: {
-        isInTouchWithStore: true,
+        hasRecentStoreContact: true,
         ledPartitions: () => [0],
         partitionOf: () => 0,
       } as unknown as RoleLeadership,
--- a/test/store/transaction-batcher.test.ts
+++ b/test/store/transaction-batcher.test.ts
@@ -97,7 +97,7 @@
       return { kind: 'done', revision: 1 };
     };
     const client = { transact } as unknown as StoreClient;
-    const limits = anyTransactionLimits({ ops: 1, batchOps: 1, valueBytes: 4096, lastingValueBytes: 4096 });
+    const limits = anyTransactionLimits({ writes: 1, batchWrites: 1, valueBytes: 4096, lastingValueBytes: 4096 });
     const transactions = new TransactionBatcher({
       client,
       replica: new Replica(client, 'live/', clock),
--- a/test/workers/heartbeats.test.ts
+++ b/test/workers/heartbeats.test.ts
@@ -23,7 +23,7 @@
   Number(cluster.node(0).leadership.leaderOf(cluster.node(0).workerManager.roleOf(machineId))!.slice(1));
 const isOpen = (node: number, machineId: string) => {
   const machine = cluster.node(node).inventory.get(machineId);
-  return machine !== undefined && cluster.node(node).inventory.isOpen(machine);
+  return machine !== undefined && cluster.node(node).inventory.isSchedulable(machine);
 };
 
 describe('a machine that no answer reaches', () => {
--- a/test/workers/worker-registry.test.ts
+++ b/test/workers/worker-registry.test.ts
@@ -4,7 +4,7 @@
 import type { LeadershipTerm, RoleLeadership } from '../../src/leadership/role-leadership.js';
 import { WorkerRegistry } from '../../src/workers/worker-registry.js';
 import { Worker } from '../../src/workers/worker.js';
-import { leaseOverAt } from '../../src/domain/worker-deadlines.js';
+import { leaseExpiresAt } from '../../src/domain/worker-deadlines.js';
 
 const LEASE_MS = 10_000;
 const TIMINGS: WorkerTimings = {
@@ -36,7 +36,7 @@
     led.term = { startRevision: 9, at: 600_000 };
     assert.equal(registry.has(MACHINE_ID), false);
     assert.equal(registry.size, 0);
-    assert.ok(registry.leaseOverAt(MACHINE_ID, { fencingToken: 9, term: led.term }) > 600_000 + LEASE_MS);
+    assert.ok(registry.leaseExpiresAt(MACHINE_ID, { fencingToken: 9, term: led.term }) > 600_000 + LEASE_MS);
   });
 
   it('outlives an advanced token, which begins no new term', () => {
@@ -44,7 +44,7 @@
     const { registry } = registryOver(term);
     registry.add(workerWithContactAt(500_000));
     const advanced = { fencingToken: 12, term };
-    assert.equal(registry.leaseOverAt(MACHINE_ID, advanced), leaseOverAt(500_000, LEASE_MS));
+    assert.equal(registry.leaseExpiresAt(MACHINE_ID, advanced), leaseExpiresAt(500_000, LEASE_MS));
   });
 
   it('proves no lease over by having been forgotten', () => {
@@ -53,7 +53,7 @@
     registry.add(workerWithContactAt(500_000));
     registry.forget(MACHINE_ID);
     assert.equal(registry.has(MACHINE_ID), false);
-    assert.equal(registry.leaseOverAt(MACHINE_ID, { fencingToken: 5, term }), leaseOverAt(500_000, LEASE_MS));
+    assert.equal(registry.leaseExpiresAt(MACHINE_ID, { fencingToken: 5, term }), leaseExpiresAt(500_000, LEASE_MS));
   });
 
   it('keeps no worker of a partition that is not led', () => {
--- a/testing/fixtures.ts
+++ b/testing/fixtures.ts
@@ -118,8 +118,8 @@
 
 /** Room in a transaction, where a test does not care for it. */
 export const anyTransactionLimits = (fields: Partial<TransactionLimits> = {}): TransactionLimits => ({
-  ops: 12,
-  batchOps: 12,
+  writes: 12,
+  batchWrites: 12,
   conditions: 48,
   bytes: 60_000,
   valueBytes: 65_536,
--- a/testing/play-large.ts
+++ b/testing/play-large.ts
@@ -19,7 +19,7 @@
 function show(moment: string): void {
   const words = NODES.filter((node) => cluster.has(node)).map((node) => {
     const { inventory, workerManager } = cluster.node(node);
-    return `n${node} knows ${inventory.machines().size}, owns ${workerManager.workers.size}, may use ${inventory.openMachines().length}`;
+    return `n${node} knows ${inventory.machines().size}, owns ${workerManager.workers.size}, may use ${inventory.schedulableMachines().length}`;
   });
   console.log(`${moment}: ${words.join('; ')}`);
 }
