--- a/test/scenarios/cluster.test.ts
+++ b/test/scenarios/cluster.test.ts
@@ -37,7 +37,7 @@
     for (const taskIndex of [0, 1, 2]) assert.equal(cluster.runs(`j-000001/${taskIndex}`).length, 1);
   });
 
-  it('of many tasks leave no ledger behind', async () => {
+  it('of many tasks leave no placement records behind', async () => {
     await ready({ teams: [{ name: 'red' }], machineTypes: [{ ...C8, cpus: 1000, memoryGb: 10_000 }] }, 1);
     await cluster.submit({ id: 'j-big', taskCount: 1000, cpus: 1, memoryGb: 1 });
     await cluster.advance(40_000);
@@ -324,7 +324,7 @@
     for (const taskIndex of [0, 1, 2]) assert.equal(cluster.runs(`j-svc/${taskIndex}`).length, 1);
   });
 
-  it('that restarts within a moment takes its own claims over at once, with a higher fence', async () => {
+  it('that restarts within a moment acquires its own roles at once, with a higher fencing token', async () => {
     await ready({ nodes: 3 });
     const fencingToken = cluster.node(0).leadership.leadershipOf('part-0')!.fencingToken;
     cluster.crash(0);
--- a/test/scenarios/combined-faults-workers.test.ts
+++ b/test/scenarios/combined-faults-workers.test.ts
@@ -21,7 +21,7 @@
 const service = { id: 'j-svc', kind: 'service', priority: 'prod', estimatedRunS: 0, taskCount: 1 } as const;
 const where = (name: string) => cluster.runs(name).at(-1)!.machineId;
 const phase = (answer: { body: unknown }) => decodeJobState(answer.body);
-const isOpen = (node: number, machineId: string) => {
+const isSchedulable = (node: number, machineId: string) => {
   const machine = cluster.node(node).inventory.get(machineId);
   return machine !== undefined && cluster.node(node).inventory.isSchedulable(machine);
 };
@@ -44,7 +44,7 @@
       machine.history.filter((run) => run.from > since + 5000),
       [],
     );
-    assert.equal(isOpen(0, machineId), false);
+    assert.equal(isSchedulable(0, machineId), false);
     assert.ok(cluster.cloud.returned.includes(machineId), 'given back');
     const runs = cluster.runs('j-svc/0');
     assert.equal(runs.length, 2);
@@ -399,7 +399,7 @@
     );
     cluster.inboundLoss.clear();
     await cluster.advance(8000);
-    for (const machineId of machineIds) assert.ok(isOpen(other, machineId), `${machineId} is open again`);
+    for (const machineId of machineIds) assert.ok(isSchedulable(other, machineId), `${machineId} is schedulable again`);
   });
 
   it('while machines can not be reached: their tasks start elsewhere once the leases are proved over', async () => {
@@ -470,7 +470,8 @@
         assert.equal(cluster.runs(`${jobId}/${taskIndex}`).at(-1)!.to, undefined, `${jobId}/${taskIndex}`);
     }
     for (let n = 0; n < 3; n++) assert.equal(phase(await cluster.poll(`j-a${n}`)), 'done');
-    for (const { options } of inside) assert.ok(isOpen(0, options.machineId), `${options.machineId} is open again`);
+    for (const { options } of inside)
+      assert.ok(isSchedulable(0, options.machineId), `${options.machineId} is schedulable again`);
     for (const { options } of inside)
       for (const run of cluster.workers.get(options.machineId)!.history.filter(({ from }) => from < since))
         assert.ok((run.to ?? 0) - since < 36_000);
--- a/test/workers/heartbeats.test.ts
+++ b/test/workers/heartbeats.test.ts
@@ -22,7 +22,7 @@
 const machineOf = (name: string) => cluster.runs(name).at(-1)!.machineId;
 const leaderOf = (machineId: string) =>
   Number(cluster.node(0).leadership.leaderOf(cluster.node(0).workerManager.roleOf(machineId))!.slice(1));
-const isOpen = (node: number, machineId: string) => {
+const isSchedulable = (node: number, machineId: string) => {
   const machine = cluster.node(node).inventory.get(machineId);
   return machine !== undefined && cluster.node(node).inventory.isSchedulable(machine);
 };
@@ -36,7 +36,7 @@
     const since = cluster.clock.now();
     cluster.inboundLoss.add(machineId);
     await cluster.advance(12_000);
-    for (const node of [0, 1, 2]) assert.equal(isOpen(node, machineId), false);
+    for (const node of [0, 1, 2]) assert.equal(isSchedulable(node, machineId), false);
     await cluster.advance(8000);
     assert.ok(cluster.cloud.returned.includes(machineId));
     const runs = cluster.runs('j-svc/0');
@@ -51,7 +51,7 @@
     await cluster.advance(2000);
     cluster.inboundLoss.delete('i-000000');
     await cluster.advance(7000);
-    assert.ok(isOpen(leaderOf('i-000000'), 'i-000000'));
+    assert.ok(isSchedulable(leaderOf('i-000000'), 'i-000000'));
     assert.deepEqual(cluster.cloud.returned, []);
   });
 });
@@ -118,7 +118,7 @@
     assert.ok(cluster.cloud.returned.includes('i-000001'));
     for (const node of [0, 1, 2]) {
       void cluster.node(node).answerHeartbeat(JSON.parse(JSON.stringify(copy)));
-      assert.equal(isOpen(node, 'i-000001'), false);
+      assert.equal(isSchedulable(node, 'i-000001'), false);
       assert.equal(cluster.node(node).workerManager.workers.has('i-000001'), false);
     }
   });
@@ -131,9 +131,9 @@
     cluster.start(0);
     await cluster.advance(1500);
     assert.equal((await cluster.node(0).answerHeartbeat(JSON.parse(JSON.stringify(copy)))).status, 200);
-    assert.equal(isOpen(0, 'i-000000'), false);
+    assert.equal(isSchedulable(0, 'i-000000'), false);
     await cluster.advance(1000);
-    assert.ok(isOpen(0, 'i-000001'), 'a machine that has shown the new token is open');
+    assert.ok(isSchedulable(0, 'i-000001'), 'a machine that has shown the new token is open');
   });
 });
 
@@ -191,7 +191,7 @@
     assert.deepEqual(cluster.cloud.returned, []);
     for (const { options } of inZone) cluster.cut.delete(options.machineId);
     await cluster.advance(5000);
-    for (const { options } of inZone) assert.ok(isOpen(leaderOf(options.machineId), options.machineId));
+    for (const { options } of inZone) assert.ok(isSchedulable(leaderOf(options.machineId), options.machineId));
   });
 });
 
@@ -201,7 +201,8 @@
     for (const from of [0, 1, 2]) for (const to of [0, 1, 2]) cluster.partitioned.add(`n${from}>n${to}`);
     await cluster.advance(20_000);
     for (const node of [0, 1, 2]) {
-      for (const machineId of cluster.workers.keys()) assert.ok(isOpen(node, machineId), `${machineId} at n${node}`);
+      for (const machineId of cluster.workers.keys())
+        assert.ok(isSchedulable(node, machineId), `${machineId} at n${node}`);
     }
     await cluster.submit({ ...service, taskCount: 6, spreadAcrossZones: true });
     const machineIds = new Set([0, 1, 2, 3, 4, 5].map((n) => machineOf(`j-svc/${n}`)));
