--- a/src/scheduling/cached-image-wait.ts
+++ b/src/scheduling/cached-image-wait.ts
@@ -1,4 +1,4 @@
-/** A moment's wait of services for machines that have their image cached. */
+/** A short wait of prod services for machines that have their image cached. */
 import { CACHED_IMAGE_WAIT_MS } from '../constants/scheduling.js';
 import { JOB_PRIORITIES, type JobSpec } from '../domain/job.js';
 import type { MachineInfo } from '../domain/machine-state.js';
@@ -6,67 +6,67 @@
 import type { Clock } from '../net/clock.js';
 import type { ClusterState, JobView } from '../records/cluster-state.js';
 
-/** The state of the cluster, and the time. */
+/** What the wait is decided by. */
 export interface CachedImageWaitDependencies {
   clusterState: ClusterState;
   clock: Clock;
 }
 
 /**
- * For a service, a machine with its image cached is worth evicting tasks of lower priority for: the fetch takes longer. So for
- * a moment only such machines count, if there are any that could be made free.
+ * For a prod service, evicting tasks of lower priority from a machine with its image cached takes less time than fetching the
+ * image elsewhere. For a short time only such machines are used, if evictions can make any of them fit.
  */
 export class CachedImageWait {
-  /** Steady ms since when each service waits, by job id. */
-  private readonly waitingSince = new Map<string, number>();
+  /** Monotonic ms since when each service has been waiting, by job id. */
+  private readonly waitingSinceMs = new Map<string, number>();
 
   constructor(private readonly dependencies: CachedImageWaitDependencies) {}
 
-  /** Forgets the services that are gone or whole: the next wait begins anew. */
+  /** Removes the services that have ended or are fully placed: their next wait starts anew. */
   prune(): void {
-    for (const jobId of this.waitingSince.keys()) {
+    for (const jobId of this.waitingSinceMs.keys()) {
       const view = this.dependencies.clusterState.jobs.get(jobId);
-      if (view === undefined || view.placed === view.record.spec.taskCount) this.waitingSince.delete(jobId);
+      if (view === undefined || view.placed === view.record.spec.taskCount) this.waitingSinceMs.delete(jobId);
     }
   }
 
-  /** The machines that count for the job now; the same array where all do. */
+  /** The machines that may be used for the job now; returns the same array if all may. */
   filter(
     view: JobView,
     machines: readonly MachineInfo[],
     freeByMachine: ReadonlyMap<string, Resources>,
   ): readonly MachineInfo[] {
     const { spec } = view.record;
-    if (spec.kind !== 'service' || spec.priority !== 'prod' || this.hasWaitedEnough(view.jobId)) return machines;
+    if (spec.kind !== 'service' || spec.priority !== 'prod' || this.isWaitOver(view.jobId)) return machines;
     const cachedMachines = machines.filter(
       (machine) =>
         machine.images.includes(spec.image) &&
-        this.canBeMadeFree(spec, machine.machineId, freeByMachine.get(machine.machineId)!),
+        this.canFitAfterEvictions(spec, machine.machineId, freeByMachine.get(machine.machineId)!),
     );
     if (cachedMachines.length === 0) return machines;
     const zones = new Set(cachedMachines.map((machine) => machine.zone));
-    // Zones without such a machine are open to those without the image: the spread may need them.
+    // In zones without such a machine all machines may be used: spreading across zones may need them.
     return machines.filter((machine) => cachedMachines.includes(machine) || !zones.has(machine.zone));
   }
 
-  private hasWaitedEnough(jobId: string): boolean {
+  private isWaitOver(jobId: string): boolean {
     const nowMs = this.dependencies.clock.now();
-    const sinceMs = this.waitingSince.get(jobId) ?? nowMs;
-    this.waitingSince.set(jobId, sinceMs);
+    const sinceMs = this.waitingSinceMs.get(jobId) ?? nowMs;
+    this.waitingSinceMs.set(jobId, sinceMs);
     return nowMs - sinceMs > CACHED_IMAGE_WAIT_MS;
   }
 
-  /** Would a task fit if all tasks of lower priority were evicted? */
-  private canBeMadeFree(spec: JobSpec, machineId: string, free: Resources): boolean {
+  /** Whether a task of the job would fit if all tasks of lower priority were evicted. */
+  private canFitAfterEvictions(spec: JobSpec, machineId: string, free: Resources): boolean {
     const { clusterState } = this.dependencies;
     const priorityIndex = JOB_PRIORITIES.indexOf(spec.priority);
-    const freeable = { ...free };
+    const freeAfterEvictions = { ...free };
     for (const placedTask of clusterState.tasksOn(machineId)) {
       const other = clusterState.jobs.get(placedTask.jobId)?.record.spec;
       if (other !== undefined && JOB_PRIORITIES.indexOf(other.priority) > priorityIndex) {
-        subtractResources(freeable, other, -1);
+        subtractResources(freeAfterEvictions, other, -1);
       }
     }
-    return fits(spec, freeable);
+    return fits(spec, freeAfterEvictions);
   }
 }
--- a/src/scheduling/candidate-machines.ts
+++ b/src/scheduling/candidate-machines.ts
@@ -1,44 +1,44 @@
-/** The filter step of a plan: the machines that a job may ever run on, found once for all jobs with the same requirements. */
+/** The filter step of a plan: the machines that a job may run on, determined once for all jobs with the same requirements. */
 import type { JobSpec } from '../domain/job.js';
 import type { MachineInfo } from '../domain/machine-state.js';
 import { type Resources, resourcesOf } from '../domain/resources.js';
 import { isAllowedOn } from '../records/placement-rules.js';
 
-/** Machines that some jobs may use, and what is known to fit on none of them. */
+/** Machines that some jobs may use, and the requests that are known to fit on none of them. */
 export class CandidateMachines {
-  /** Requests that fitted on no machine. */
-  private readonly unplaceable: Resources[] = [];
+  /** Resources of one task each that fitted on no machine. */
+  private readonly unplaceableRequests: Resources[] = [];
 
   constructor(readonly machines: readonly MachineInfo[]) {}
 
-  /** Free resources only shrink during a plan: where a request did not fit, one as large or larger does not fit either. */
+  /** Whether no task of the job can fit: free resources only shrink in a plan, so equal or larger requests don't fit either. */
   isFull(spec: JobSpec): boolean {
-    return this.unplaceable.some(
+    return this.unplaceableRequests.some(
       ({ cpus, gpus, memoryGb }) => spec.cpus >= cpus && spec.gpus >= gpus && spec.memoryGb >= memoryGb,
     );
   }
 
-  /** A task of the job fits on none of the machines. */
+  /** Records that a task of the job fits on none of the machines. */
   recordFull(spec: JobSpec): void {
-    this.unplaceable.push(resourcesOf(spec));
+    this.unplaceableRequests.push(resourcesOf(spec));
   }
 }
 
-/** The machines of one partition, and all others. */
+/** The candidate machines of one partition, and those of all other partitions. */
 export interface PartitionSplit {
   local: CandidateMachines;
   remote: CandidateMachines;
 }
 
-/** The candidates of all jobs with the same requirements of a machine. */
-interface MachineKind {
+/** The candidates of all jobs that require the same machine types, zone and spot setting. */
+interface RequirementGroup {
   allowed: CandidateMachines;
   splits: Map<number, PartitionSplit>;
 }
 
-/** The open machines of one plan, sorted once for all jobs that ask for the same kind of machine. */
+/** The schedulable machines of one plan, filtered once for all jobs with the same requirements. */
 export class CandidateMachineIndex {
-  private readonly kinds = new Map<string, MachineKind>();
+  private readonly groups = new Map<string, RequirementGroup>();
   private readonly partitionByMachine: Map<string, number>;
 
   constructor(
@@ -48,16 +48,16 @@
     this.partitionByMachine = new Map(machines.map(({ machineId }) => [machineId, partitionOf(machineId)]));
   }
 
-  /** The machines that a task of the job may ever run on. */
+  /** The machines that tasks of the job may run on, whatever their free resources. */
   allowed(spec: JobSpec): CandidateMachines {
-    return this.kindOf(spec).allowed;
+    return this.groupOf(spec).allowed;
   }
 
-  /** The same, those of a partition apart from the others. */
+  /** The allowed machines, split into those of the partition and all others. */
   split(spec: JobSpec, partition: number): PartitionSplit {
-    const { allowed, splits } = this.kindOf(spec);
-    const known = splits.get(partition);
-    if (known !== undefined) return known;
+    const { allowed, splits } = this.groupOf(spec);
+    const existing = splits.get(partition);
+    if (existing !== undefined) return existing;
     const isLocal = ({ machineId }: MachineInfo) => this.partitionByMachine.get(machineId) === partition;
     const split = {
       local: new CandidateMachines(allowed.machines.filter(isLocal)),
@@ -67,13 +67,13 @@
     return split;
   }
 
-  private kindOf(spec: JobSpec): MachineKind {
+  private groupOf(spec: JobSpec): RequirementGroup {
     const key = `${spec.machineTypes?.join(',') ?? '*'} ${spec.zone ?? '*'} ${spec.allowsSpot}`;
-    const known = this.kinds.get(key);
-    if (known !== undefined) return known;
+    const existing = this.groups.get(key);
+    if (existing !== undefined) return existing;
     const allowed = new CandidateMachines(this.machines.filter((machine) => isAllowedOn(spec, machine)));
-    const kind = { allowed, splits: new Map<number, PartitionSplit>() };
-    this.kinds.set(key, kind);
-    return kind;
+    const group = { allowed, splits: new Map<number, PartitionSplit>() };
+    this.groups.set(key, group);
+    return group;
   }
 }
--- a/src/scheduling/decisions/eviction-options.ts
+++ b/src/scheduling/decisions/eviction-options.ts
@@ -1,4 +1,4 @@
-/** What could be evicted from a machine for a pending task, and at what cost. */
+/** Finds the tasks that could be evicted from a machine for a pending task, and the cost of doing so. */
 import { JOB_PRIORITIES, type JobSpec } from '../../domain/job.js';
 import type { Machine } from '../../domain/machine.js';
 import { fits, type Resources, subtractResources } from '../../domain/resources.js';
@@ -11,28 +11,28 @@
   spec: JobSpec;
 }
 
-/** A machine with its free resources and the tasks on it that could be evicted, the cheapest to evict first. */
+/** A machine with its free resources and the tasks on it that could be evicted, those that cost least first. */
 export interface MachineLoad<M extends Machine & { images: readonly string[] }> {
   machine: M;
   free: Resources;
   tasks: EvictionCandidate[];
 }
 
-/** The evictions that make one more task fit on a machine. The cost has no unit: one low-priority task that can save costs 1. */
+/** Evictions that make one more task fit on a machine. The cost has no unit; a low-priority task with checkpoints costs 1. */
 export interface EvictionOption<L> {
   load: L;
   evicted: EvictionCandidate[];
   cost: number;
 }
 
-/** Position of the job's priority, 0 is the highest. */
+/** Index of the job's priority; 0 is the highest. */
 export const priorityIndexOf = (spec: JobSpec): number => JOB_PRIORITIES.indexOf(spec.priority);
 
-/** Lowest priority first, then the shortest by its estimated run time. */
+/** Orders tasks by eviction cost: the lowest priority first, then the shortest estimated run time. */
 export const compareEvictionCost = (a: EvictionCandidate, b: EvictionCandidate): number =>
   priorityIndexOf(b.spec) - priorityIndexOf(a.spec) || a.spec.estimatedRunS - b.spec.estimatedRunS;
 
-/** The tasks to evict so that one task fits on the machine, with the cost; undefined where that is impossible. */
+/** The tasks to evict so that one task of the job fits on the machine, with their cost; undefined if evictions can't do so. */
 export function findEvictionOption<L extends MachineLoad<Machine & { images: readonly string[] }>>(
   spec: JobSpec,
   load: L,
@@ -54,7 +54,7 @@
   return fits(spec, free) ? { load, evicted, cost } : undefined;
 }
 
-/** Jobs with the same key have the same requirements of a machine, cached images apart. */
+/** Key of a job's priority and machine requirements. Cached images are not part of it. */
 export const requirementKeyOf = (spec: JobSpec): string =>
   [
     spec.priority,
--- a/src/scheduling/decisions/gang-state.ts
+++ b/src/scheduling/decisions/gang-state.ts
@@ -1,23 +1,23 @@
-/** What the placements of a gang's members say about starting those that are missing. */
+/** Derives from the placements of a gang's members whether its missing members may start. */
 import type { TaskPlacement } from '../../domain/task.js';
 
 /** Whether and how missing members may start. */
 export type GangState =
-  /** A member is done or stopping, or members are placed under different attempts: the gang has to come to rest first. */
+  /** A member is done or stopping, or members are placed under different attempts: nothing starts until this has changed. */
   | { kind: 'unsettled' }
-  /** No member is placed: all start anew. */
+  /** No member is placed: all start under a new attempt. */
   | { kind: 'unplaced'; nextAttempt: number }
-  /** Members are placed under one attempt; `heardAtMs`: since when all their machines have been heard, in steady ms. */
-  | { kind: 'placed'; attempt: number; heardAtMs: number };
+  /** Members are placed under one attempt. `oldestHeartbeatAtMs`: the oldest last heartbeat of their machines, monotonic ms. */
+  | { kind: 'placed'; attempt: number; oldestHeartbeatAtMs: number };
 
-/** Reads the state from the known placements of all members, by task index; `heardAtMsOf` tells when a machine was last heard. */
+/** The state of a gang by its known placements; `lastHeartbeatAtMsOf` returns the time of a machine's last heartbeat. */
 export function gangStateOf(
   placements: Iterable<readonly [number, TaskPlacement]>,
-  heardAtMsOf: (machineId: string) => number,
+  lastHeartbeatAtMsOf: (machineId: string) => number,
 ): GangState {
   let highestAttempt = 0;
   let placedAttempt: number | undefined;
-  let heardAtMs = Infinity;
+  let oldestHeartbeatAtMs = Infinity;
   for (const [, placement] of placements) {
     if (placement.kind === 'done') return { kind: 'unsettled' };
     highestAttempt = Math.max(highestAttempt, placement.attempt);
@@ -25,9 +25,9 @@
     if (placement.gracePeriodS !== null) return { kind: 'unsettled' };
     if (placedAttempt !== undefined && placedAttempt !== placement.attempt) return { kind: 'unsettled' };
     placedAttempt = placement.attempt;
-    heardAtMs = Math.min(heardAtMs, heardAtMsOf(placement.machineId));
+    oldestHeartbeatAtMs = Math.min(oldestHeartbeatAtMs, lastHeartbeatAtMsOf(placement.machineId));
   }
   return placedAttempt === undefined
     ? { kind: 'unplaced', nextAttempt: highestAttempt + 1 }
-    : { kind: 'placed', attempt: placedAttempt, heardAtMs };
+    : { kind: 'placed', attempt: placedAttempt, oldestHeartbeatAtMs };
 }
--- a/src/scheduling/decisions/happiness.ts
+++ b/src/scheduling/decisions/happiness.ts
@@ -1,16 +1,16 @@
 /**
- * Happiness, the term of the paper that the design follows: the share of healthy checks among all checks of a service task in
- * a sliding window. A heartbeat that lists the task as running is a healthy check, its death an unhealthy one. A task whose
- * happiness is below a threshold is unhappy and may be moved. All times are steady ms of this node.
+ * Happiness of a service task, as defined in the paper that the design follows: the share of healthy checks among all checks in
+ * a sliding window. A heartbeat that lists the task as running is a healthy check, the task's death an unhealthy one. A task
+ * whose happiness is below a threshold is unhappy and may be moved. All times are monotonic ms of this node.
  */
 
 interface Check {
-  at: number;
+  atMs: number;
   isHealthy: boolean;
 }
 
-/** A task with unhealthy checks in the window. */
-export interface TroubledTask {
+/** The check counts of a task with unhealthy checks in the window. */
+export interface TaskCheckCounts {
   task: string;
   /** Number of healthy checks in the window. */
   healthy: number;
@@ -20,73 +20,73 @@
   lastAt: number;
 }
 
-/** The checks and moves of service tasks, by task id; checks of a task are in order of time. */
+/** The checks and moves of service tasks, by task id. The checks of a task are ordered by time. */
 export class Happiness {
   private readonly checks = new Map<string, Check[]>();
-  private readonly movedAt = new Map<string, number>();
+  private readonly movedAtMs = new Map<string, number>();
 
   constructor(private readonly windowMs: number) {}
 
-  /** Takes in a check of the task. */
-  recordCheck(task: string, isHealthy: boolean, at: number): void {
-    const checks = this.checks.get(task);
+  /** Adds a check of the task. */
+  recordCheck(taskId: string, isHealthy: boolean, atMs: number): void {
+    const checks = this.checks.get(taskId);
     if (checks === undefined) {
-      this.checks.set(task, [{ at, isHealthy }]);
+      this.checks.set(taskId, [{ atMs, isHealthy }]);
       return;
     }
-    checks.push({ at, isHealthy });
-    while (checks[0]!.at < at - this.windowMs) checks.shift();
+    checks.push({ atMs, isHealthy });
+    while (checks[0]!.atMs < atMs - this.windowMs) checks.shift();
   }
 
-  /** The task's happiness, from 0 to 1; undefined: without checks in the window there is no judgement. */
-  happinessOf(task: string, now: number): number | undefined {
-    const checks = this.recentChecks(this.checks.get(task) ?? [], now);
+  /** The task's happiness, from 0 to 1; undefined if there are no checks in the window. */
+  happinessOf(taskId: string, nowMs: number): number | undefined {
+    const checks = this.recentChecks(this.checks.get(taskId) ?? [], nowMs);
     if (checks.length === 0) return undefined;
     return checks.filter((check) => check.isHealthy).length / checks.length;
   }
 
-  /** Tasks with unhealthy checks in the window: what a successor could not learn from the next heartbeats. */
-  *tasksWithUnhealthyChecks(now: number): Iterable<TroubledTask> {
+  /** Tasks with unhealthy checks in the window. A successor can't learn these from the next heartbeats. */
+  *tasksWithUnhealthyChecks(nowMs: number): Iterable<TaskCheckCounts> {
     for (const [task, checks] of this.checks) {
-      const recent = this.recentChecks(checks, now);
+      const recent = this.recentChecks(checks, nowMs);
       const healthy = recent.filter((check) => check.isHealthy).length;
-      const lastAt = recent.at(-1)?.at;
+      const lastAt = recent.at(-1)?.atMs;
       if (lastAt === undefined || healthy === recent.length) continue;
       yield { task, healthy, unhealthy: recent.length - healthy, lastAt };
     }
   }
 
-  /** Takes in what a former leader has counted; the checks all count as made at its last one. */
-  restore(task: string, healthy: number, unhealthy: number, at: number): void {
+  /** Adds the check counts of a former leader; all its checks get the time of its last one. */
+  restore(taskId: string, healthy: number, unhealthy: number, atMs: number): void {
     const restored: Check[] = [];
-    for (let index = 0; index < healthy + unhealthy; index++) restored.push({ at, isHealthy: index < healthy });
-    this.checks.set(task, [...restored, ...(this.checks.get(task) ?? [])]);
+    for (let index = 0; index < healthy + unhealthy; index++) restored.push({ atMs, isHealthy: index < healthy });
+    this.checks.set(taskId, [...restored, ...(this.checks.get(taskId) ?? [])]);
   }
 
-  /** Tasks that were moved within the window, with the time. */
+  /** Tasks that were moved within the window, with the time of their last move. */
   *recentMoves(): Iterable<{ task: string; at: number }> {
-    for (const [task, at] of this.movedAt) yield { task, at };
+    for (const [task, at] of this.movedAtMs) yield { task, at };
   }
 
-  /** The task is moved now. */
-  recordMove(task: string, now: number): void {
-    this.movedAt.set(task, now);
+  /** Records a move of the task. */
+  recordMove(taskId: string, atMs: number): void {
+    this.movedAtMs.set(taskId, atMs);
   }
 
-  /** Each task moves at most once per window. */
-  canMove(task: string, now: number): boolean {
-    return now - (this.movedAt.get(task) ?? -Infinity) >= this.windowMs;
+  /** Whether the task may be moved now: each task moves at most once per window. */
+  canMove(taskId: string, nowMs: number): boolean {
+    return nowMs - (this.movedAtMs.get(taskId) ?? -Infinity) >= this.windowMs;
   }
 
-  /** Drops what is too old to matter. */
-  prune(now: number): void {
-    for (const [task, checks] of this.checks) {
-      if (checks.at(-1)!.at < now - this.windowMs) this.checks.delete(task);
+  /** Removes tasks without checks in the window, and moves before it. */
+  prune(nowMs: number): void {
+    for (const [taskId, checks] of this.checks) {
+      if (checks.at(-1)!.atMs < nowMs - this.windowMs) this.checks.delete(taskId);
     }
-    for (const [task, at] of this.movedAt) if (now - at >= this.windowMs) this.movedAt.delete(task);
+    for (const [taskId, atMs] of this.movedAtMs) if (nowMs - atMs >= this.windowMs) this.movedAtMs.delete(taskId);
   }
 
-  private recentChecks(checks: readonly Check[], now: number): Check[] {
-    return checks.filter((check) => check.at >= now - this.windowMs);
+  private recentChecks(checks: readonly Check[], nowMs: number): Check[] {
+    return checks.filter((check) => check.atMs >= nowMs - this.windowMs);
   }
 }
--- a/src/scheduling/decisions/job-matching.ts
+++ b/src/scheduling/decisions/job-matching.ts
@@ -1,20 +1,20 @@
-/** Matching of one job's tasks under its rules about zones: all or most in one zone, spread, or replicas on separate machines. */
+/** Matching of one job's tasks under its placement rules: one zone, spread across zones, or replicas on separate machines. */
 import type { JobSpec } from '../../domain/job.js';
 import { subtractResources } from '../../domain/resources.js';
 import { isZoneAllowed } from '../../records/placement-rules.js';
 import { match, type MatchingMachine, type MatchingTask } from './matching.js';
 
-/** A job's tasks to be matched, with all that decides about it. */
+/** The tasks of a job that are to be matched, and the inputs of the matching. */
 export interface JobMatching {
   spec: JobSpec;
   tasks: readonly MatchingTask[];
   machines: readonly MatchingMachine[];
-  /** The job's tasks that are placed or in flight, by zone. */
+  /** Number of the job's tasks that are placed or in flight, by zone. */
   tasksPerZone: ReadonlyMap<string, number>;
   tierOf: (machine: MatchingMachine) => number;
 }
 
-/** Can the zone take one more task of the job, beside its tasks elsewhere and those matched so far, both by zone? */
+/** Whether the zone can take one more task of the job, given its placed and its newly matched tasks, each counted by zone. */
 export function isZoneOpenFor(
   spec: JobSpec,
   zone: string,
@@ -38,7 +38,7 @@
     tierOf: (_, machine) => tierOf(machine),
   });
 
-/** Matches the tasks of an array or a gang. A single-zone job that has no task yet goes to the zone that takes most of it. */
+/** Matches the tasks of an array or gang. A single-zone job without placed tasks goes to the zone that takes most of them. */
 export function matchJob(job: JobMatching): Map<string, MatchingMachine> {
   const { spec, machines, tasksPerZone } = job;
   const canChooseZone = spec.singleZone && tasksPerZone.size === 0 && spec.taskCount > 1;
@@ -52,14 +52,14 @@
   return best;
 }
 
-/** What is known of a service's replicas and its image. */
-export interface ReplicaFacts {
-  /** Machine ids of the replicas that are placed, one entry a replica. */
-  placedOn: Iterable<string>;
+/** Where a service's replicas are placed and its image is cached. */
+export interface ReplicaState {
+  /** Machine ids of the placed replicas, one entry per replica. */
+  placedMachineIds: Iterable<string>;
   hasImageCached: (machine: MatchingMachine) => boolean;
 }
 
-/** One run of `matchReplicas`. Works on copies of the machines, off which it takes what it has matched. */
+/** One run of `matchReplicas`. Works on copies of the machines, and subtracts matched tasks from their free resources. */
 class ReplicaMatching {
   readonly matches = new Map<string, MatchingMachine>();
   private readonly machines: MatchingMachine[];
@@ -71,14 +71,14 @@
     this.tasksPerZone = new Map(job.tasksPerZone);
   }
 
-  run({ placedOn, hasImageCached }: ReplicaFacts): void {
-    for (const machineId of placedOn) this.countReplica(machineId);
+  run({ placedMachineIds, hasImageCached }: ReplicaState): void {
+    for (const machineId of placedMachineIds) this.countReplica(machineId);
     const cachedMachines = this.machines.filter(hasImageCached);
     this.fillEvenly(cachedMachines);
     this.fillEvenly(this.machines);
   }
 
-  /** Allows one replica a machine, then two, and so on. */
+  /** Allows one replica per machine first, then two, and so on. */
   private fillEvenly(machines: readonly MatchingMachine[]): void {
     const { spec } = this.job;
     for (let maxPerMachine = 1; maxPerMachine <= spec.taskCount; maxPerMachine++) {
@@ -86,7 +86,7 @@
       if (tasks.length === 0) return;
       const rest = { ...this.job, tasks, machines, tasksPerZone: this.tasksPerZone };
       const matches = matchInZones(rest, ({ id }, matchedCount) => this.replicasOn(id) + matchedCount < maxPerMachine);
-      // No siblings in the way, and still no match: more of them on one machine won't help.
+      // All machines are below the limit, and none takes a replica: a higher limit won't help.
       if (matches.size === 0 && machines.every(({ id }) => this.replicasOn(id) < maxPerMachine)) return;
       for (const [taskId, machine] of matches) this.take(taskId, machine);
     }
@@ -109,12 +109,12 @@
 }
 
 /**
- * Matches replicas of a service to as many machines as there are: a machine's loss then costs the service less, and more
- * machines have its image cached when the next service comes. But two share a machine with the image rather than wait for a
- * fetch.
+ * Spreads the replicas of a service over as many machines as possible: the loss of a machine then affects fewer replicas, and
+ * more machines have its image cached when the next service starts. Replicas still share a machine with the cached image rather
+ * than wait for a fetch on another machine.
  */
-export function matchReplicas(job: JobMatching, facts: ReplicaFacts): Map<string, MatchingMachine> {
+export function matchReplicas(job: JobMatching, replicaState: ReplicaState): Map<string, MatchingMachine> {
   const matching = new ReplicaMatching(job);
-  matching.run(facts);
+  matching.run(replicaState);
   return matching.matches;
 }
--- a/src/scheduling/decisions/matching.ts
+++ b/src/scheduling/decisions/matching.ts
@@ -1,13 +1,13 @@
-/** Stable matching of tasks to machines: pure, on plain data; the callers say what is allowed and what is preferred. */
+/** Stable matching of tasks to machines, as a pure function; callers pass the rules on what is allowed and preferred. */
 import { fits, type Resources, subtractResources } from '../../domain/resources.js';
 
-/** A task to be matched. Tasks of one `group` (job) are alike and share one preference list. */
+/** A task to be matched. Tasks of one `group` (job) are identical and share one preference list. */
 export interface MatchingTask {
   id: string;
   group: string;
-  /** What the task uses: the usage of its machine split by request, or its request where nothing is known. */
+  /** What the task uses: its share, by request, of its machine's usage, or its request if that usage is not known. */
   usage: Resources;
-  /** The most it may use: its request. */
+  /** The task's request: the most that it may use. */
   requested: Resources;
 }
 
@@ -18,23 +18,23 @@
   free: Resources;
 }
 
-/** What the callers decide about a group and a machine. All methods are pure during one matching. */
+/** The caller's rules for a group and a machine. All methods must be pure during one matching. */
 export interface MatchRules {
-  /** Can the machine take tasks of the group at all (type, zone, spot, health)? */
+  /** Whether the machine may run tasks of the group at all (type, zone, spot, health). */
   isAllowed(group: string, machine: MatchingMachine): boolean;
-  /** Can the zone take one more task of the group, beside `taken`, its matched tasks by zone? */
-  isZoneOpen(group: string, zone: string, taken: ReadonlyMap<string, number>): boolean;
-  /** Extension: can the machine take one more task of the group, beside the `taken` ones matched to it so far? */
-  isMachineOpen(group: string, machine: MatchingMachine, taken: number): boolean;
-  /** Extension: machines of a lower tier are preferred whatever their distance, e.g. those with the image cached. */
+  /** Whether the zone can take one more task of the group; `matchedPerZone` counts the tasks matched so far. */
+  isZoneOpen(group: string, zone: string, matchedPerZone: ReadonlyMap<string, number>): boolean;
+  /** Extension: whether the machine can take one more task of the group; `matchedCount` tasks are matched to it so far. */
+  isMachineOpen(group: string, machine: MatchingMachine, matchedCount: number): boolean;
+  /** Extension: machines of a lower tier, such as those with the image cached, are preferred regardless of distance. */
   tierOf(group: string, machine: MatchingMachine): number;
 }
 
-/** Euclidean distance from a task's use to a machine's free CPU and memory. */
+/** Euclidean distance between a task's usage and a machine's free resources, in CPUs and GB of memory. */
 const distanceBetween = (usage: Resources, free: Resources): number =>
   Math.hypot(free.cpus - usage.cpus, free.memoryGb - usage.memoryGb);
 
-/** The machines that a group may go to, nearest first. */
+/** The machines that the task's group may run on, most preferred first: by tier, then by distance. */
 export function preferenceListOf(
   task: MatchingTask,
   machines: readonly MatchingMachine[],
@@ -53,11 +53,11 @@
   return candidates.map((each) => each.machine);
 }
 
-/** Do machines prefer task `a` to task `b`? Higher CPU use first; names decide ties, so that the order is strict. */
+/** Whether machines prefer task `a` to task `b`: by higher CPU usage, then by id, so that the order is strict. */
 export const isPreferredOver = (a: MatchingTask, b: MatchingTask): boolean =>
   a.usage.cpus > b.usage.cpus || (a.usage.cpus === b.usage.cpus && a.id < b.id);
 
-/** A machine with the tasks matched to it so far, the most preferred first, and what they leave free. */
+/** A machine with the tasks matched to it so far, the most preferred first, and the resources that they leave free. */
 class MachineAssignment {
   readonly tasks: MatchingTask[] = [];
   readonly free: Resources;
@@ -90,7 +90,7 @@
     return count;
   }
 
-  /** Would the task fit if all matched tasks of lower preference were displaced? */
+  /** Whether the task would fit if all matched tasks of lower preference were displaced. */
   canAdmit(task: MatchingTask): boolean {
     if (fits(task.requested, this.free)) return true;
     const free = { ...this.free };
@@ -103,15 +103,15 @@
   }
 }
 
-/** One run of the matching: the proposals still to be made, and what has been matched so far. */
+/** One run of the matching: the tasks that still have to propose, and the matches so far. */
 class StableMatching {
   readonly matches = new Map<string, MatchingMachine>();
   private readonly preferenceLists = new Map<string, MatchingMachine[]>();
-  /** Made when a task proposes to the machine: a few tasks among hundreds of machines see only the first ones. */
+  /** Created when a task first proposes to the machine: a few tasks propose only to a few of hundreds of machines. */
   private readonly assignments = new Map<MatchingMachine, MachineAssignment>();
-  /** The tasks that each machine has refused, to be reconsidered when something about its tasks changes. */
-  private readonly refused = new Map<MatchingMachine, Set<MatchingTask>>();
-  /** Matched tasks by group and zone. */
+  /** The tasks that each machine has rejected, to be reconsidered when a matched task leaves the machine. */
+  private readonly rejectedTasks = new Map<MatchingMachine, Set<MatchingTask>>();
+  /** Number of matched tasks by group and zone. */
   private readonly zoneCounts = new Map<string, Map<string, number>>();
   private readonly proposers: MatchingTask[];
   private readonly queued: Set<MatchingTask>;
@@ -125,9 +125,9 @@
     this.queued = new Set(tasks);
   }
 
-  /** Lets tasks propose in turn until none has a machine left that it would rather have and that would admit it. */
+  /** Lets tasks propose in turn until no task is admitted by a machine that it prefers to its current one. */
   run(): void {
-    // The list grows while it is worked off, and the iteration follows.
+    // The array grows during the loop, and the iteration includes the added tasks.
     for (const task of this.proposers) {
       this.queued.delete(task);
       this.propose(task);
@@ -141,11 +141,11 @@
       if (machine === current) return;
       const assignment = this.assignmentOf(machine);
       if (this.canAdmit(assignment, task)) {
-        this.leave(task, current);
+        this.unassign(task, current);
         this.admit(assignment, task);
         return;
       }
-      this.noteRefused(task, machine);
+      this.recordRejection(task, machine);
     }
   }
 
@@ -157,14 +157,14 @@
     return assignment.canAdmit(task);
   }
 
-  private leave(task: MatchingTask, current: MatchingMachine | undefined): void {
+  private unassign(task: MatchingTask, current: MatchingMachine | undefined): void {
     if (current === undefined) return;
     this.assignments.get(current)!.remove(task);
     this.addToZoneCount(task, current, -1);
-    this.reconsiderRefused(current);
+    this.reconsiderRejected(current);
   }
 
-  /** Displaces tasks of lower preference where the task would not fit otherwise; they propose anew. */
+  /** Displaces tasks of lower preference if the task would not fit otherwise; they propose again. */
   private admit(assignment: MachineAssignment, task: MatchingTask): void {
     const { machine } = assignment;
     let hasDisplaced = false;
@@ -178,7 +178,7 @@
     assignment.add(task);
     this.matches.set(task.id, machine);
     this.addToZoneCount(task, machine, 1);
-    if (hasDisplaced) this.reconsiderRefused(machine);
+    if (hasDisplaced) this.reconsiderRejected(machine);
   }
 
   private enqueue(task: MatchingTask): void {
@@ -187,38 +187,38 @@
     this.proposers.push(task);
   }
 
-  private noteRefused(task: MatchingTask, machine: MatchingMachine): void {
-    const tasks = this.refused.get(machine);
-    if (tasks === undefined) this.refused.set(machine, new Set([task]));
+  private recordRejection(task: MatchingTask, machine: MatchingMachine): void {
+    const tasks = this.rejectedTasks.get(machine);
+    if (tasks === undefined) this.rejectedTasks.set(machine, new Set([task]));
     else tasks.add(task);
   }
 
-  private reconsiderRefused(machine: MatchingMachine): void {
-    const tasks = this.refused.get(machine);
+  private reconsiderRejected(machine: MatchingMachine): void {
+    const tasks = this.rejectedTasks.get(machine);
     if (tasks === undefined) return;
-    this.refused.delete(machine);
+    this.rejectedTasks.delete(machine);
     for (const task of tasks) this.enqueue(task);
   }
 
   private preferenceListFor(task: MatchingTask): readonly MatchingMachine[] {
-    const known = this.preferenceLists.get(task.group);
-    if (known !== undefined) return known;
+    const existing = this.preferenceLists.get(task.group);
+    if (existing !== undefined) return existing;
     const list = preferenceListOf(task, this.machines, this.rules);
     this.preferenceLists.set(task.group, list);
     return list;
   }
 
   private assignmentOf(machine: MatchingMachine): MachineAssignment {
-    const known = this.assignments.get(machine);
-    if (known !== undefined) return known;
+    const existing = this.assignments.get(machine);
+    if (existing !== undefined) return existing;
     const assignment = new MachineAssignment(machine);
     this.assignments.set(machine, assignment);
     return assignment;
   }
 
   private zoneCountsOf(group: string): Map<string, number> {
-    const known = this.zoneCounts.get(group);
-    if (known !== undefined) return known;
+    const existing = this.zoneCounts.get(group);
+    if (existing !== undefined) return existing;
     const counts = new Map<string, number>();
     this.zoneCounts.set(group, counts);
     return counts;
@@ -231,13 +231,14 @@
 }
 
 /**
- * Task-optimal many-to-one stable matching by deferred acceptance: each task proposes to its machines in order; a machine
- * admits while it has free resources, and a full one lets a preferred task displace its tasks of lowest preference, which
- * go on to their next choice. Tasks differ in size, so after a displacement or a departure a task that was refused before
- * may fit: it is reconsidered, without which pairs could remain that would both prefer each other. All machines order tasks
- * alike, so each reconsideration settles the most preferred task that it concerns, and the proposals end.
+ * Task-optimal many-to-one stable matching by deferred acceptance. Each task proposes to the machines of its preference list in
+ * order. A machine admits tasks while it has free resources; when it is full, a preferred task displaces the tasks of lowest
+ * preference, which propose to their next choice. Tasks differ in size, so a rejected task may fit after a displacement or a
+ * departure; it is reconsidered then, since otherwise blocking pairs could remain, which prefer each other to their matches.
+ * All machines order tasks alike, so each reconsideration settles the most preferred task that it concerns, and the proposals
+ * terminate.
  *
- * @returns the machine of each matched task, by task id; tasks without an entry found none.
+ * @returns the machine of each matched task, by task id; unmatched tasks have no entry.
  */
 export function match(
   tasks: readonly MatchingTask[],
--- a/src/scheduling/decisions/service-rematching.ts
+++ b/src/scheduling/decisions/service-rematching.ts
@@ -1,4 +1,4 @@
-/** The re-matching of all service tasks of a partition, as if none of them were placed. */
+/** Re-matching of all service tasks of a partition, as if none of them were placed. */
 import type { JobSpec } from '../../domain/job.js';
 import type { MachineInfo } from '../../domain/machine-state.js';
 import { type Resources, resourcesOf, subtractResources } from '../../domain/resources.js';
@@ -7,7 +7,7 @@
 import { isZoneOpenFor } from './job-matching.js';
 import { match, type MatchingMachine, type MatchingTask } from './matching.js';
 
-/** A service task that is placed and not about to stop. */
+/** A service task that is placed and not requested to stop. */
 export interface RunningTask {
   taskId: string;
   jobId: string;
@@ -17,19 +17,19 @@
   spec: JobSpec;
 }
 
-/** The partition as it is. */
-export interface ServiceRematching {
+/** The current state of a partition. */
+export interface RematchingInput {
   runningTasks: readonly RunningTask[];
   machines: readonly MachineInfo[];
-  /** By machine id, beside the running tasks; it is changed: what they use is given back. */
+  /** Free resources by machine id. `rematchServices` modifies it: it adds the resources of the running tasks. */
   freeByMachine: ReadonlyMap<string, Resources>;
   /** All placements of a job, by task index. */
   placementsOf: (jobId: string) => Iterable<readonly [number, TaskPlacement]>;
 }
 
-/** The machine that each task would run on if it could choose now, by task id; tasks without an entry found none. */
-export function rematchServices(rematching: ServiceRematching): Map<string, MatchingMachine> {
-  const { runningTasks, machines, freeByMachine } = rematching;
+/** The machine that each task would get in a new matching, by task id; unmatched tasks have no entry. */
+export function rematchServices(input: RematchingInput): Map<string, MatchingMachine> {
+  const { runningTasks, machines, freeByMachine } = input;
   // All service tasks of the partition are matched anew, so their resources count as free.
   for (const { machineId, spec } of runningTasks) {
     const free = freeByMachine.get(machineId);
@@ -37,7 +37,7 @@
   }
   const specByJob = new Map(runningTasks.map(({ jobId, spec }) => [jobId, spec]));
   const machineById = new Map(machines.map((machine) => [machine.machineId, machine]));
-  const tasksPerZoneElsewhere = countTasksElsewhere(rematching);
+  const tasksPerZoneElsewhere = countTasksElsewhere(input);
   return match(runningTasks.map(matchingTaskOf), matchingMachinesOf(machines, freeByMachine), {
     isAllowed: (jobId, { id }) => {
       const machine = machineById.get(id)!;
@@ -50,8 +50,8 @@
   });
 }
 
-/** Tasks by zone of each job, without those that are matched anew. */
-function countTasksElsewhere({ runningTasks, placementsOf }: ServiceRematching): Map<string, Map<string, number>> {
+/** Number of tasks per zone of each job, without the tasks that are re-matched. */
+function countTasksElsewhere({ runningTasks, placementsOf }: RematchingInput): Map<string, Map<string, number>> {
   const matchedIndexes = new Map<string, Set<number>>();
   for (const { jobId, taskIndex } of runningTasks) {
     const indexes = matchedIndexes.get(jobId);
@@ -66,7 +66,7 @@
   return tasksPerZone;
 }
 
-/** Without usage data of the machine, a task's usage equals its request. */
+/** Actual usage is not known here, so it is taken to equal the request. */
 const matchingTaskOf = ({ taskId, jobId, spec }: RunningTask): MatchingTask => ({
   id: taskId,
   group: jobId,
--- a/src/scheduling/eviction-marker.ts
+++ b/src/scheduling/eviction-marker.ts
@@ -1,4 +1,4 @@
-/** Marks tasks for eviction on the cluster leader's behalf, and remembers which until their records show it. */
+/** Marks tasks for eviction as cluster leader, and keeps track of them until their placement records show it. */
 import { EVICTION_PENDING_MS } from '../constants/scheduling.js';
 import type { JobSpec } from '../domain/job.js';
 import { CLUSTER_LEADER_ROLE } from '../domain/role.js';
@@ -12,7 +12,7 @@
 import type { TransactionDraft } from '../store/transaction-draft.js';
 import { attemptKeyOf } from '../workers/attempt-key.js';
 
-/** What evictions are recorded through. */
+/** What evictions are committed through, and the state that they are read from. */
 export interface EvictionMarkerDependencies {
   leadership: RoleLeadership;
   clusterState: ClusterState;
@@ -21,38 +21,38 @@
   log: Log;
 }
 
-/** The evictions of one cluster leader; a successor can take them over. All times are steady ms of this node. */
+/** The evictions of one cluster leader; its successor can restore them. All times are monotonic ms of this node. */
 export class EvictionMarker {
   /** When each attempt was evicted, by attempt key. */
   private readonly evictedAtMs = new Map<string, number>();
 
   constructor(private readonly dependencies: EvictionMarkerDependencies) {}
 
-  /** Attempts that were lately asked to stop. */
+  /** Attempts that were recently requested to stop, by attempt key, with the time of the request. */
   *recentEvictions(): Iterable<{ attempt: string; at: number }> {
     for (const [attempt, at] of this.evictedAtMs) if (this.isRecent(at)) yield { attempt, at };
   }
 
-  /** A former leader has asked the attempt to stop. */
+  /** Restores an eviction that a former leader requested. */
   restoreEviction(attempt: string, at: number): void {
     if (!this.evictedAtMs.has(attempt)) this.evictedAtMs.set(attempt, at);
   }
 
-  /** Is the task about to exit, because its record says so or because its eviction is under way? */
+  /** Whether the task is about to exit: its placement record says so, or its eviction has been requested recently. */
   isBeingEvicted(placedTask: PlacedTask): boolean {
     if (placedTask.placement.gracePeriodS !== null) return true;
-    // Most of the time nothing is evicted: no key is made then.
+    // Usually nothing is being evicted, and building the key can be skipped.
     if (this.evictedAtMs.size === 0) return false;
     const atMs = this.evictedAtMs.get(attemptKeyOf(placedTask));
     return atMs !== undefined && this.isRecent(atMs);
   }
 
-  /** Asks the task, or its whole gang, to stop within `gracePeriodS`. `reason` is for the log only. */
+  /** Requests the task, or its whole gang, to stop within `gracePeriodS`. `reason` is only logged. */
   evict(placedTask: PlacedTask, spec: JobSpec, gracePeriodS: number, reason: string): void {
     const { clusterState, transactions, log } = this.dependencies;
     const { jobId, taskIndex, placement } = placedTask;
     const placedTasks = spec.kind === 'gang' ? this.gangMembersOf(placedTask) : [placedTask];
-    this.remember(placedTasks);
+    this.recordEvictions(placedTasks);
     log.debug(
       { jobId, machineId: placement.machineId, taskCount: placedTasks.length, gracePeriodS, reason },
       'task eviction requested',
@@ -62,7 +62,7 @@
     });
   }
 
-  /** A gang stops whole: every member must be told within the peer timeout of the first. */
+  /** All placed members of the task's gang. A gang stops as a whole: each must be told within the peer timeout of the first. */
   private gangMembersOf({ jobId, placement: { attempt } }: PlacedTask): PlacedTask[] {
     const members: PlacedTask[] = [];
     for (const [taskIndex, placement] of this.dependencies.clusterState.jobs.get(jobId)?.knownPlacements() ?? []) {
@@ -71,7 +71,7 @@
     return members;
   }
 
-  private remember(placedTasks: readonly PlacedTask[]): void {
+  private recordEvictions(placedTasks: readonly PlacedTask[]): void {
     const nowMs = this.dependencies.clock.now();
     for (const [attempt, atMs] of this.evictedAtMs) {
       if (nowMs - atMs > EVICTION_PENDING_MS) this.evictedAtMs.delete(attempt);
@@ -79,12 +79,12 @@
     for (const placedTask of placedTasks) this.evictedAtMs.set(attemptKeyOf(placedTask), nowMs);
   }
 
-  /** Runs within the transaction; false: no record is to be changed. */
+  /** Runs within the transaction; returns false if there is nothing to commit. */
   private markAll(draft: TransactionDraft, placedTasks: readonly PlacedTask[], gracePeriodS: number): boolean {
     if (!this.dependencies.leadership.requireLeadership(draft, CLUSTER_LEADER_ROLE)) return false;
-    let hasMarked = false;
-    for (const placedTask of placedTasks) if (markForStop(draft, placedTask, gracePeriodS)) hasMarked = true;
-    return hasMarked;
+    let isAnyMarked = false;
+    for (const placedTask of placedTasks) if (markForStop(draft, placedTask, gracePeriodS)) isAnyMarked = true;
+    return isAnyMarked;
   }
 
   private isRecent(atMs: number): boolean {
--- a/src/scheduling/in-flight-starts.ts
+++ b/src/scheduling/in-flight-starts.ts
@@ -1,29 +1,29 @@
-/** Starts of tasks that have been decided but are not committed to the store yet. */
+/** Starts of tasks that are planned but not yet committed to the store. */
 import type { JobSpec } from '../domain/job.js';
 
-/** One decided start: where the task will run, and what it will use there. */
+/** One planned start: where the task will run, and the job spec with the resources that it will use. */
 export interface InFlightStart {
   machineId: string;
   zone: string;
   spec: JobSpec;
 }
 
-/** The in-flight starts of this node, by task and by job. A task has at most one. */
+/** The in-flight starts of this node, by task and by job. Each task has at most one. */
 export class InFlightStarts {
   private readonly starts = new Map<string, InFlightStart>();
   private readonly taskIndexesByJob = new Map<string, Set<number>>();
 
-  /** All in-flight starts, in the order in which they were decided. */
+  /** All in-flight starts, in the order in which they were added. */
   all(): Iterable<InFlightStart> {
     return this.starts.values();
   }
 
-  /** Indexes of the job's tasks that are in flight; undefined where there are none. */
+  /** Indexes of the job's tasks with an in-flight start; undefined if there are none. */
   taskIndexesOf(jobId: string): ReadonlySet<number> | undefined {
     return this.taskIndexesByJob.get(jobId);
   }
 
-  /** Zones of the job's in-flight starts, one entry a start. */
+  /** Zones of the job's in-flight starts, one entry per start. */
   zonesOf(jobId: string): string[] {
     const zones: string[] = [];
     if (!this.taskIndexesByJob.has(jobId)) return zones;
@@ -33,7 +33,6 @@
     return zones;
   }
 
-  /** Takes in a decided start. */
   add(taskId: string, taskIndex: number, start: InFlightStart): void {
     this.starts.set(taskId, start);
     const jobId = start.spec.id;
@@ -42,7 +41,7 @@
     else taskIndexes.add(taskIndex);
   }
 
-  /** The transaction of the start is over, whatever its outcome. */
+  /** Removes a start whose transaction has ended, whatever its outcome. */
   remove(jobId: string, taskId: string, taskIndex: number): void {
     this.starts.delete(taskId);
     const taskIndexes = this.taskIndexesByJob.get(jobId);
--- a/src/scheduling/job-queue.ts
+++ b/src/scheduling/job-queue.ts
@@ -1,4 +1,4 @@
-/** The queue: jobs with pending tasks in the order of their turn, and the tasks of each that may start now. */
+/** The queue of jobs with pending tasks in scheduling order, and the tasks of each job that may start now. */
 import { OVERDUE_START_MS } from '../constants/scheduling.js';
 import type { ServiceLevelObjective } from '../domain/settings.js';
 import { taskIdOf } from '../domain/task.js';
@@ -21,7 +21,7 @@
 import type { RunTimeRatios } from './run-time-ratios.js';
 import type { PendingTask } from './task-placer.js';
 
-/** What decides about a job's turn and about which of its tasks may start. */
+/** What determines a job's position in the queue and which of its tasks may start. */
 export interface JobQueueDependencies {
   objectives: readonly ServiceLevelObjective[];
   teams: ReadonlyMap<string, Team>;
@@ -38,11 +38,11 @@
 
 const hasTasksToPlace = (view: JobView): boolean => view.record.state === 'active' && !isFullyPlaced(view);
 
-/** Reads the queue from the cluster's state at each call; it holds no copy. */
+/** Computes the queue from the cluster state at each call; it keeps no copy. */
 export class JobQueue {
   constructor(private readonly dependencies: JobQueueDependencies) {}
 
-  /** All active jobs with tasks to place, in the order of their turn. */
+  /** All active jobs with tasks to place, in scheduling order. */
   queuedJobs(): QueuedJob[] {
     const { teams, clusterState, usage, gangs, clock } = this.dependencies;
     const usages = usage.teamUsages();
@@ -50,7 +50,7 @@
     const nowMs = clock.wall();
     for (const view of clusterState.jobs.values()) {
       const isPlaced = isFullyPlaced(view);
-      // A gang that is whole again has forgotten its last loss: the next one is told from it.
+      // The gang is complete again, so the wait for a replacement is timed anew at its next loss of a member.
       if (isPlaced) gangs.forget(view.jobId);
       const { spec, state } = view.record;
       if (state !== 'active' || isPlaced) continue;
@@ -62,7 +62,7 @@
     return queuedJobs.sort(compareQueuedJobs);
   }
 
-  /** The pending tasks of a job that may start now, in order of index, up to `maxTasks`; for a gang all or none. */
+  /** The pending tasks of a job that may start now, by index, at most `maxTasks`; of a gang all queued tasks or none. */
   pendingTasksOf(view: JobView, maxTasks: number): PendingTask[] {
     if (!hasTasksToPlace(view)) return [];
     const nowMs = this.dependencies.clock.now();
--- a/src/scheduling/placement-planner.ts
+++ b/src/scheduling/placement-planner.ts
@@ -1,6 +1,6 @@
 /**
- * Assigns machines to pending tasks. A plan flows one way: the queue of jobs, the candidate machines of each, the matching
- * of its tasks, the reservation of resources and the commit of the starts.
+ * Assigns machines to pending tasks. A plan runs these steps in order: queue the jobs, find the candidate machines of each,
+ * match its tasks to them, reserve resources and commit the starts.
  */
 import type { JobSpec } from '../domain/job.js';
 import type { MachineInfo } from '../domain/machine-state.js';
@@ -29,7 +29,7 @@
 import { StartCommitter } from './start-committer.js';
 import { type PendingTask, TaskPlacer } from './task-placer.js';
 
-/** The parts of the controller that the planner reads from and commits through. */
+/** The components of the controller that the planner reads from and commits through. */
 export interface PlacementPlannerDependencies {
   settings: Settings;
   tuning: ReschedulingSettings;
@@ -43,7 +43,7 @@
   log: Log;
 }
 
-/** Plans as partition leader for the small jobs of its partitions, and as cluster leader for the rest. */
+/** Plans the small jobs of the partitions that this node leads and, on the cluster leader, all other placements. */
 export class PlacementPlanner {
   private readonly inFlight = new InFlightStarts();
   private readonly runTimeRatios = new RunTimeRatios();
@@ -94,32 +94,32 @@
     this.timer = new PlanTimer({ clock, plan: () => this.plan() });
   }
 
-  /** What could not be placed in the last round as cluster leader: scale-out and preemption work for it. */
+  /** The tasks that the last round on the cluster leader could not place: the input of scale-out and preemption. */
   get unplaceableTasks(): readonly PendingTask[] {
     return this.unplaced;
   }
 
-  /** Plans whenever something has changed, and now and then anyway, until the signal aborts. */
+  /** Plans after each change, and periodically without one, until the signal aborts. */
   run(signal: AbortSignal): Promise<void> {
     return this.timer.run(signal);
   }
 
-  /** Something has changed: plan soon; urgently for work that is waited for within seconds. */
+  /** Requests a plan after a change; an urgent one, for work that must start within seconds, is made sooner. */
   planSoon(isUrgent = false): void {
     this.timer.planSoon(isUrgent);
   }
 
-  /** The task is being moved: when it is pending, it goes to that machine if it fits. */
+  /** Records the target machine of a task that is being moved: once pending, the task is placed there if it fits. */
   preferMachine(taskId: string, machineId: string): void {
     this.roundDependencies.taskPlacer.prefer(taskId, machineId);
   }
 
-  /** A task has run to its end in `ranS` seconds; later estimates of its job class are corrected by it. */
+  /** Records that a task completed in `ranS` seconds; this corrects later estimates of its job class. */
   recordRunTime(spec: JobSpec, ranS: number): void {
     this.runTimeRatios.record(spec, ranS);
   }
 
-  /** The effective priority of a job has changed: its starts that are queued for the store follow. */
+  /** Promotes a job's starts that are queued for the store, if its effective priority has become urgent. */
   priorityChanged(jobId: string): void {
     const { clusterState, transactions } = this.dependencies;
     const spec = clusterState.jobs.get(jobId)?.record.spec;
@@ -128,12 +128,12 @@
     transactions.promote((key) => key.startsWith(jobPlacementPrefix(jobId)), Priority.background, Priority.start);
   }
 
-  /** Free resources by machine id, less what in-flight starts will use. The caller owns the result. */
+  /** Free resources by machine id, with in-flight starts subtracted. The caller owns the result. */
   freeResources(machines: Iterable<MachineInfo>): Map<string, Resources> {
     return this.usage.freeResources(machines);
   }
 
-  /** Usage by team, of placed tasks and in-flight starts together. The caller owns the result. */
+  /** Usage by team, by placed tasks and in-flight starts together. The caller owns the result. */
   teamUsages(): Map<string, TeamUsage> {
     return this.usage.teamUsages();
   }
--- a/src/scheduling/placement-round.ts
+++ b/src/scheduling/placement-round.ts
@@ -1,4 +1,4 @@
-/** One pass over the queue: filters the machines of each job, matches its tasks, reserves resources and commits the starts. */
+/** One pass over the queue: for each job, filters the machines, matches tasks, reserves resources and commits the starts. */
 import { MAX_PLAN_TASKS, MAX_UNPLACED_TASKS, SAMPLE_TASKS_OF_JOB } from '../constants/scheduling.js';
 import { isPlacedByLeader, type JobSpec } from '../domain/job.js';
 import type { MachineInfo } from '../domain/machine-state.js';
@@ -19,7 +19,7 @@
 import type { PlannedStart, StartCommitter } from './start-committer.js';
 import type { PendingTask, TaskPlacer } from './task-placer.js';
 
-/** The parts of the planner that a round works with; they outlive it. */
+/** The components of the planner that a round works with; they are shared by all rounds. */
 export interface PlacementRoundDependencies {
   teams: ReadonlyMap<string, Team>;
   leadership: RoleLeadership;
@@ -33,15 +33,15 @@
   committer: StartCommitter;
 }
 
-/** The roles that this node leads: it commits the starts that are theirs. */
+/** The roles that this node leads: it commits only the starts that belong to one of them. */
 export interface LedRoles {
   isClusterLeader: boolean;
   partitions: ReadonlySet<number>;
 }
 
 /**
- * Every node makes the whole plan and commits only what is its own: so it reserves what others will use, and what is freed
- * for a service does not go to the next batch task.
+ * Every node computes the whole plan and commits only the starts of the roles that it leads. It thereby reserves the resources
+ * that other nodes will use, and resources freed for a service are not taken by the next batch task.
  */
 export class PlacementRound {
   /** Pending tasks for which no machine was found, in the order of the queue. */
@@ -51,7 +51,7 @@
   private readonly candidateIndex: CandidateMachineIndex;
   private readonly clusterLeaderRole: string | undefined;
 
-  /** Takes the snapshot of free resources and usages that the round works on. */
+  /** Takes the snapshot of free resources and team usages that the round works on. */
   constructor(
     private readonly dependencies: PlacementRoundDependencies,
     private readonly ledRoles: LedRoles,
@@ -65,7 +65,7 @@
     taskPlacer.beginPlan();
   }
 
-  /** Places the tasks of one job; to be called for each in the order of the queue. */
+  /** Places the tasks of one job. Jobs must be passed in the order of the queue. */
   placeJob({ record, isOverdue }: QueuedJob): void {
     if (isPlacedByLeader(record.spec)) this.placeLargeJob(record.spec, isOverdue);
     else this.placeSmallJob(record.spec, isOverdue);
@@ -73,18 +73,18 @@
 
   private placeLargeJob(spec: JobSpec, isOverdue: boolean): void {
     const candidates = this.candidateIndex.allowed(spec);
-    // A full cluster is the usual case under load: only the leader needs to know who waits there.
+    // Under load the cluster is usually full, and only the cluster leader needs the list of unplaced tasks.
     if (candidates.isFull(spec) && !this.ledRoles.isClusterLeader) return;
     const pendingTasks = this.pendingTasksOf(spec, isOverdue);
     this.placeTasks(pendingTasks, candidates, this.clusterLeaderRole, this.unplacedTasks);
   }
 
-  /** First on machines of the job's own partition, by the partition's leader; the cluster leader places the rest elsewhere. */
+  /** The partition leader places tasks within the job's partition; the cluster leader places the rest on other machines. */
   private placeSmallJob(spec: JobSpec, isOverdue: boolean): void {
     const partition = this.dependencies.leadership.partitionOf(spec.id);
     const { local, remote } = this.candidateIndex.split(spec, partition);
     if (!this.ledRoles.isClusterLeader && local.isFull(spec) && remote.isFull(spec)) return;
-    // Behind so many that wait already, a look at a few tells whether the job's tasks still fit somewhere.
+    // With many unplaced tasks already, a few tasks of the job are enough to see whether any machine still takes them.
     const isSample = isOverdue || this.unplacedTasks.length >= MAX_UNPLACED_TASKS;
     const pendingTasks = this.pendingTasksOf(spec, isSample);
     if (pendingTasks.length === 0) return;
@@ -100,8 +100,8 @@
   }
 
   /**
-   * Matches pending tasks of one job to machines and commits what was found, or without a role only reserves the resources;
-   * the rest is added to `unplaced`.
+   * Matches pending tasks of one job to machines, reserves the resources and, if `role` is given, commits the starts. Tasks
+   * without a machine are added to `unplaced`.
    */
   private placeTasks(
     pendingTasks: readonly PendingTask[],
@@ -115,7 +115,7 @@
     const isGang = view.record.spec.kind === 'gang';
     const gangAttempt = isGang ? gangs.attemptFor(view) : undefined;
     if (isGang && gangAttempt === undefined) return;
-    // A gang starts whole or not at all.
+    // A gang starts with all its tasks or not at all.
     const minTasks = isGang ? pendingTasks.length : 1;
     const allowedTasks = this.tasksWithinQuota(pendingTasks);
     if (allowedTasks.length < minTasks) return;
@@ -128,7 +128,7 @@
     if (role !== undefined) committer.commit(view, starts, role);
   }
 
-  /** The first tasks, as many as the team's limit allows; waiting for that is not a lack of machines. */
+  /** The first tasks, up to the team's limit. Tasks over the limit don't count as unplaced, since no machine is missing. */
   private tasksWithinQuota(pendingTasks: readonly PendingTask[]): readonly PendingTask[] {
     const { spec } = pendingTasks[0]!.view.record;
     const team = this.dependencies.teams.get(spec.team)!;
@@ -150,7 +150,7 @@
     return taskPlacer.find(tasks, candidates, this.freeByMachine, inFlightZones);
   }
 
-  /** Takes the resources of the matched tasks off the snapshot; the others are added to `unplaced`. */
+  /** Subtracts the resources of the matched tasks from the snapshot; tasks without a match are added to `unplaced`. */
   private reserve(
     tasks: readonly PendingTask[],
     matches: ReadonlyMap<string, MachineInfo>,
@@ -177,8 +177,8 @@
   }
 
   private usageOf(team: string): TeamUsage {
-    const known = this.usages.get(team);
-    if (known !== undefined) return known;
+    const existing = this.usages.get(team);
+    if (existing !== undefined) return existing;
     const usage = { cpus: 0, gpus: 0 };
     this.usages.set(team, usage);
     return usage;
--- a/src/scheduling/plan-timer.ts
+++ b/src/scheduling/plan-timer.ts
@@ -1,4 +1,4 @@
-/** When the planner plans: soon after events, after a rest in proportion to the time that the last plan took. */
+/** Schedules the plans: shortly after events, with a pause in proportion to the duration of the previous plan. */
 import {
   PLAN_GATHER_MS,
   PLAN_TICK_MS,
@@ -6,26 +6,26 @@
   URGENT_PLANNING_TIME_SHARE,
 } from '../constants/scheduling.js';
 import type { Clock } from '../net/clock.js';
-import { planRestMs } from './decisions/plan-rest.js';
+import { planPauseMs } from './decisions/plan-rest.js';
 
-/** The clock, and the plan to be made, which runs to its end before it returns. */
+/** The clock, and the function that makes a plan; it runs synchronously. */
 export interface PlanTimerDependencies {
   clock: Clock;
   plan: () => void;
 }
 
-/** Gathers events and starts plans. All times are steady ms. */
+/** Combines events into plans. All times are monotonic ms. */
 export class PlanTimer {
   private signal: AbortSignal | undefined;
   private nextPlanAtMs = Infinity;
-  /** No plan is made before, whatever has happened. */
-  private urgentRestUntilMs = -Infinity;
-  /** No plan is made before for work that may wait. */
-  private restUntilMs = -Infinity;
+  /** No plan is made before this time, urgent or not. */
+  private urgentPausedUntilMs = -Infinity;
+  /** No plan is made before this time unless it is urgent. */
+  private pausedUntilMs = -Infinity;
 
   constructor(private readonly dependencies: PlanTimerDependencies) {}
 
-  /** Plans now and then even when nothing happens, until the signal aborts. No plan is made before it is called. */
+  /** Plans periodically, even without events, until the signal aborts. No plan is made before this method is called. */
   async run(signal: AbortSignal): Promise<void> {
     this.signal = signal;
     while (!signal.aborted) {
@@ -34,28 +34,28 @@
     }
   }
 
-  /** Something has changed: a plan is made soon, sooner if it is urgent, unless one is due earlier anyway. */
+  /** Schedules a plan, unless one is already due at that time or earlier. Urgent plans have a shorter pause. */
   planSoon(isUrgent = false): void {
     if (this.signal === undefined || this.signal.aborted) return;
     const nowMs = this.dependencies.clock.now();
-    const atMs = Math.max(nowMs + PLAN_GATHER_MS, isUrgent ? this.urgentRestUntilMs : this.restUntilMs);
+    const atMs = Math.max(nowMs + PLAN_GATHER_MS, isUrgent ? this.urgentPausedUntilMs : this.pausedUntilMs);
     if (atMs >= this.nextPlanAtMs) return;
     this.nextPlanAtMs = atMs;
     void this.dependencies.clock.sleep(atMs - nowMs, this.signal).then(() => {
-      // An earlier plan has replaced this one.
+      // A plan was scheduled for an earlier time instead, or the planner has stopped.
       if (this.nextPlanAtMs !== atMs || this.signal?.aborted !== false) return;
       this.nextPlanAtMs = Infinity;
-      this.planAndRest();
+      this.planAndPause();
     });
   }
 
-  private planAndRest(): void {
+  private planAndPause(): void {
     const startedAtMs = this.dependencies.clock.now();
     this.dependencies.plan();
     const nowMs = this.dependencies.clock.now();
     const tookMs = nowMs - startedAtMs;
-    // Changes come by the dozen a second: a plan that takes long is made more rarely, and takes them together.
-    this.restUntilMs = nowMs + planRestMs(tookMs, PLANNING_TIME_SHARE);
-    this.urgentRestUntilMs = nowMs + planRestMs(tookMs, URGENT_PLANNING_TIME_SHARE);
+    // Dozens of changes arrive per second: the longer plans take, the more rarely they run, each for all changes in between.
+    this.pausedUntilMs = nowMs + planPauseMs(tookMs, PLANNING_TIME_SHARE);
+    this.urgentPausedUntilMs = nowMs + planPauseMs(tookMs, URGENT_PLANNING_TIME_SHARE);
   }
 }
--- a/src/scheduling/preemption-round.ts
+++ b/src/scheduling/preemption-round.ts
@@ -1,4 +1,4 @@
-/** One round of preemption: chooses, for one job after the other, the machines where eviction costs least. */
+/** One round of preemption: for each job in turn, chooses the machines where eviction costs least. */
 import { IMAGE_FETCH_COST } from '../constants/scheduling.js';
 import type { JobSpec } from '../domain/job.js';
 import type { MachineInfo } from '../domain/machine-state.js';
@@ -17,10 +17,10 @@
 import type { EvictionMarker } from './eviction-marker.js';
 import type { PendingTask } from './task-placer.js';
 
-/** A machine of the inventory with its free resources and what could be evicted from it. */
+/** A machine of the inventory with its free resources and the tasks that could be evicted from it. */
 export type LoadedMachine = MachineLoad<MachineInfo>;
 
-/** The snapshot that the round works on, and takes its decisions off. */
+/** The snapshot that the round works on and updates with its decisions, and the marker that carries out the evictions. */
 export interface PreemptionRoundDependencies {
   loads: readonly LoadedMachine[];
   usages: Map<string, TeamUsage>;
@@ -28,42 +28,42 @@
   evictionMarker: EvictionMarker;
 }
 
-/** The search for one job: on which machines which evictions would make one more of its tasks fit. */
+/** The search for one job: the machines on which evictions would make one more of its tasks fit. */
 interface EvictionSearch {
   view: JobView;
-  /** The job's tasks by zone, those included that evictions have been made for. */
+  /** The job's tasks by zone, including those for which tasks have been evicted in this round. */
   tasksPerZone: Map<string, number>;
   canEvict: (candidate: JobSpec) => boolean;
   options: Map<LoadedMachine, EvictionOption<LoadedMachine>>;
 }
 
-/** Evicts for job after job; each sees what the ones before it have left. */
+/** Evicts tasks for one job after the other; each job sees the snapshot as the previous ones left it. */
 export class PreemptionRound {
-  /** Has any task been evicted in this round? */
+  /** Whether any task has been evicted in this round. */
   hasEvicted = false;
-  /** Requirements that no machine can be made to meet: most of a full cluster waits behind its like. */
-  private readonly impossibleKeys = new Set<string>();
+  /** Requirements that no machine can meet even by evictions. In a full cluster, most pending jobs share their requirements. */
+  private readonly impossibleRequirementKeys = new Set<string>();
 
   constructor(private readonly dependencies: PreemptionRoundDependencies) {}
 
-  /** Evicts tasks so that as many of the job's pending tasks fit as possible. */
+  /** Evicts tasks to make as many of the job's pending tasks fit as possible. */
   evictFor(pendingTasks: readonly PendingTask[]): void {
     const { view } = pendingTasks[0]!;
     const { spec } = view.record;
-    const isOwed = this.dependencies.claims.isOwed(spec);
-    const requirementKey = `${requirementKeyOf(spec)} ${isOwed ? spec.team : ''}`;
-    if (this.impossibleKeys.has(requirementKey)) return;
-    const search = this.startSearch(view, isOwed);
-    if (search.options.size === 0) this.impossibleKeys.add(requirementKey);
+    const isEntitled = this.dependencies.claims.isEntitled(spec);
+    const requirementKey = `${requirementKeyOf(spec)} ${isEntitled ? spec.team : ''}`;
+    if (this.impossibleRequirementKeys.has(requirementKey)) return;
+    const search = this.startSearch(view, isEntitled);
+    if (search.options.size === 0) this.impossibleRequirementKeys.add(requirementKey);
     let remaining = pendingTasks.length;
     while (remaining > 0 && this.evictForOneTask(search)) remaining--;
   }
 
-  private startSearch(view: JobView, isOwed: boolean): EvictionSearch {
+  private startSearch(view: JobView, isEntitled: boolean): EvictionSearch {
     const { loads, claims } = this.dependencies;
     const { spec } = view.record;
     const canEvict = (candidate: JobSpec) =>
-      priorityIndexOf(candidate) > priorityIndexOf(spec) || (isOwed && claims.canReclaim(spec, candidate));
+      priorityIndexOf(candidate) > priorityIndexOf(spec) || (isEntitled && claims.canReclaim(spec, candidate));
     const search: EvictionSearch = { view, tasksPerZone: view.tasksPerZone, canEvict, options: new Map() };
     for (const load of loads) this.updateOption(search, load);
     return search;
@@ -75,7 +75,7 @@
     else options.set(load, option);
   }
 
-  /** false: no machine is left where one more task could be made to fit. */
+  /** Makes one more task of the job fit; returns false if no machine is left where evictions could do so. */
   private evictForOneTask(search: EvictionSearch): boolean {
     const option = this.cheapestOption(search);
     if (option === undefined) return false;
@@ -97,7 +97,7 @@
     return cheapest;
   }
 
-  /** Evicts the tasks of the option, and gives back what they use. */
+  /** Evicts the tasks of the option and returns their resources to the snapshot. */
   private evict({ load, evicted }: EvictionOption<LoadedMachine>, view: JobView): void {
     const { usages, evictionMarker } = this.dependencies;
     for (const { placedTask, spec } of evicted) {
--- a/src/scheduling/preemptor.ts
+++ b/src/scheduling/preemptor.ts
@@ -1,4 +1,4 @@
-/** Preemption on the cluster leader: which pending tasks others may be evicted for, and how often that is looked at. */
+/** Preemption on the cluster leader: for which pending tasks others may be evicted, and how often the search runs. */
 import { PLANNING_TIME_SHARE, PREEMPT_PERIOD_MS } from '../constants/scheduling.js';
 import { subtractResources } from '../domain/resources.js';
 import type { Settings } from '../domain/settings.js';
@@ -13,10 +13,10 @@
 import { type LoadedMachine, PreemptionRound } from './preemption-round.js';
 import type { PendingTask } from './task-placer.js';
 
-/** A task that failed so often is not worth evicting others for. */
+/** Number of failures above which a pending task is not worth evicting others for. */
 const MAX_FAILURES = 1;
 
-/** What preemption decides by, and who carries it out. */
+/** The state that preemption decides by, and the marker that carries out the evictions. */
 export interface PreemptorDependencies {
   settings: Settings;
   clusterState: ClusterState;
@@ -26,24 +26,24 @@
   clock: Clock;
 }
 
-/** Evicts the cheapest tasks for pending tasks of a higher priority, or of a team within its guarantee. */
+/** Evicts the tasks that cost least, for pending tasks of a higher priority or of a team within its guarantee. */
 export class Preemptor {
   private readonly teams: ReadonlyMap<string, Team>;
-  /** Steady ms before which no other round is made. */
+  /** Monotonic ms before which no other round is run. */
   private pausedUntilMs = -Infinity;
 
   constructor(private readonly dependencies: PreemptorDependencies) {
     this.teams = new Map(dependencies.settings.cluster.teams.map((team) => [team.name, team]));
   }
 
-  /** Called now and then while this node is cluster leader. */
+  /** Runs a round if it is due; to be called periodically while this node is cluster leader. */
   round(): void {
     const { clock, planner } = this.dependencies;
     const startedAtMs = clock.now();
     if (startedAtMs < this.pausedUntilMs || planner.unplaceableTasks.length === 0) return;
     const hasEvicted = this.evictForUnplacedTasks();
     const nowMs = clock.now();
-    // The exits of the last round must have been seen; and a full cluster must not take the processor for looking alone.
+    // Waits until the exits caused by this round are known, and bounds the share of processor time spent on searching.
     const exitWaitMs = hasEvicted ? PREEMPT_PERIOD_MS : 0;
     this.pausedUntilMs = nowMs + Math.max(exitWaitMs, (nowMs - startedAtMs) * (1 / PLANNING_TIME_SHARE - 1));
   }
@@ -51,7 +51,7 @@
   private evictForUnplacedTasks(): boolean {
     const usages = this.dependencies.planner.teamUsages();
     const claims = new GuaranteeClaims({ teams: this.teams, demands: this.teamDemands(), usages });
-    const pendingByJob = this.preemptingTasks(claims);
+    const pendingByJob = this.tasksAllowedToPreempt(claims);
     if (pendingByJob.size === 0) return false;
     const { evictionMarker } = this.dependencies;
     const round = new PreemptionRound({ loads: this.machineLoads(), usages, claims, evictionMarker });
@@ -60,17 +60,17 @@
   }
 
   /**
-   * The unplaced tasks that others may be evicted for, by job. Most of a full cluster waits behind its like: tasks for which
-   * nothing can be evicted are told apart before any machine is looked at.
+   * The unplaced tasks that others may be evicted for, by job. In a full cluster most pending tasks compete with tasks of
+   * their own priority: tasks for which nothing can be evicted are excluded before any machine is searched.
    */
-  private preemptingTasks(claims: GuaranteeClaims): Map<string, PendingTask[]> {
+  private tasksAllowedToPreempt(claims: GuaranteeClaims): Map<string, PendingTask[]> {
     const pendingByJob = new Map<string, PendingTask[]>();
     const lowestPriorityIndex = this.lowestPriorityIndex();
     for (const pendingTask of this.dependencies.planner.unplaceableTasks) {
       const { spec } = pendingTask.view.record;
       if (pendingTask.placement.failures > MAX_FAILURES) continue;
-      const isByPriority = spec.priority !== 'low' && priorityIndexOf(spec) < lowestPriorityIndex;
-      if (!isByPriority && !claims.canReclaimAny(spec)) continue;
+      const canPreemptByPriority = spec.priority !== 'low' && priorityIndexOf(spec) < lowestPriorityIndex;
+      if (!canPreemptByPriority && !claims.canReclaimAny(spec)) continue;
       const tasksOfJob = pendingByJob.get(spec.id);
       if (tasksOfJob === undefined) pendingByJob.set(spec.id, [pendingTask]);
       else tasksOfJob.push(pendingTask);
@@ -78,7 +78,7 @@
     return pendingByJob;
   }
 
-  /** Every open machine; what evicted tasks will leave counts as free, since they are about to exit. */
+  /** All schedulable machines. The resources of tasks that are being evicted count as free, since they exit soon. */
   private machineLoads(): LoadedMachine[] {
     const { inventory, planner, clusterState, evictionMarker } = this.dependencies;
     const machines = inventory.schedulableMachines();
@@ -96,7 +96,7 @@
     });
   }
 
-  /** Index of the lowest priority that any placed task has; -1: none is placed. */
+  /** Index of the lowest priority among placed tasks; -1 if no task is placed. */
   private lowestPriorityIndex(): number {
     let lowest = -1;
     for (const view of this.dependencies.clusterState.jobs.values()) {
@@ -105,7 +105,7 @@
     return lowest;
   }
 
-  /** What all unfinished jobs of each team ask for together. */
+  /** Resources that all unfinished jobs of each team request together. */
   private teamDemands(): Map<string, TeamUsage> {
     const demands = new Map<string, TeamUsage>();
     for (const view of this.dependencies.clusterState.jobs.values()) {
--- a/src/scheduling/rescheduler.ts
+++ b/src/scheduling/rescheduler.ts
@@ -1,4 +1,4 @@
-/** Moves unhappy service tasks: the duty of a partition leader that keeps services happy by stable re-matching. */
+/** Moves unhappy service tasks to better machines, which a partition leader finds by stable re-matching. */
 import type { MachineInfo } from '../domain/machine-state.js';
 import { partitionRole } from '../domain/role.js';
 import type { ReschedulingSettings } from '../domain/settings.js';
@@ -17,7 +17,7 @@
 import { rematchServices, type RunningTask } from './decisions/service-rematching.js';
 import type { PlacementPlanner } from './placement-planner.js';
 
-/** What the rescheduler checks, and what moves go through. */
+/** The state that the rescheduler reads, and what moves are made through. */
 export interface ReschedulerDependencies {
   tuning: ReschedulingSettings;
   leadership: RoleLeadership;
@@ -31,11 +31,11 @@
   log: Log;
 }
 
-/** Checks the happiness of the service tasks of each partition led here and re-matches when some are unhappy. */
+/** Checks the service tasks of each partition that this node leads, and re-matches the partition when some are unhappy. */
 export class Rescheduler {
   constructor(private readonly dependencies: ReschedulerDependencies) {}
 
-  /** Checks until the signal aborts. The checks are jittered, so that the controllers' re-matches do not start in one tick. */
+  /** Checks until the signal aborts. The interval is jittered, so that the controllers don't all re-match at the same time. */
   async run(signal: AbortSignal): Promise<void> {
     const { tuning, leadership, clock, random } = this.dependencies;
     while (!signal.aborted) {
@@ -46,8 +46,8 @@
   }
 
   /**
-   * Are more service tasks unplaced than a round would move? They come first. After an outage or a lost zone all that have died
-   * count as unhappy, and matching a whole partition anew takes the time that the starts and the heartbeats need.
+   * Whether more service tasks are unplaced than a round would move. Placing them takes precedence: after an outage or the loss
+   * of a zone all tasks that died count as unhappy, and re-matching a whole partition would delay starts and heartbeats.
    */
   private hasUnplacedBacklog(): boolean {
     const { clusterState, tuning } = this.dependencies;
@@ -72,7 +72,7 @@
     for (const task of unhappyTasks) {
       if (movingJobs.size >= tuning.movesPerRound) return;
       const target = matches.get(task.taskId);
-      // Unmatched tasks stay put, and so do those matched to the machine they are on.
+      // A task without a match, or with its current machine as the match, is not moved.
       if (target === undefined || target.id === task.machineId) continue;
       if (movingJobs.has(task.jobId) || !this.canMove(task, nowMs)) continue;
       movingJobs.add(task.jobId);
@@ -118,7 +118,7 @@
     return this.dependencies.happiness.canMove(taskId, nowMs) && !this.isMoving(jobId);
   }
 
-  /** Never two replicas of one service at once: one that is stopping or pending counts. */
+  /** Only one replica of a service moves at a time: a stopping or pending replica counts as moving. */
   private isMoving(jobId: string): boolean {
     const view = this.dependencies.clusterState.jobs.get(jobId);
     if (view === undefined || view.placed < view.record.spec.taskCount) return true;
--- a/src/scheduling/resource-usage.ts
+++ b/src/scheduling/resource-usage.ts
@@ -1,4 +1,4 @@
-/** What machines have free and what teams use, in-flight starts included. */
+/** Free resources of machines and usage of teams, in-flight starts included. */
 import type { MachineInfo } from '../domain/machine-state.js';
 import { resourcesOfMachineType } from '../domain/machine-type.js';
 import { isNonNegative, type Resources, subtractResources } from '../domain/resources.js';
@@ -7,20 +7,20 @@
 import type { ClusterState } from '../records/cluster-state.js';
 import type { InFlightStarts } from './in-flight-starts.js';
 
-/** What the usage is computed from. */
+/** The state that usage is computed from. */
 export interface ResourceUsageDependencies {
   clusterState: ClusterState;
   inventory: MachineInventory;
   inFlight: InFlightStarts;
 }
 
-/** Computes usage anew at each call, from the cluster's state and the starts that are in flight on this node. */
+/** Computes usage anew at each call, from the cluster state and the in-flight starts of this node. */
 export class ResourceUsage {
   constructor(private readonly dependencies: ResourceUsageDependencies) {}
 
   /**
-   * Free resources by machine id: those of the machine's type, less what placed tasks and in-flight starts use. Machines of
-   * an unknown type are left out. The caller owns the result and may change it.
+   * Free resources by machine id: those of the machine type, minus the usage of placed tasks and in-flight starts. Machines of
+   * an unknown type are omitted. The caller owns the result and may change it.
    */
   freeResources(machines: Iterable<MachineInfo>): Map<string, Resources> {
     const { clusterState, inventory, inFlight } = this.dependencies;
@@ -41,16 +41,16 @@
   }
 
   /**
-   * Does the machine still have resources for all in-flight starts on it? A start is queued at the store, and in the
-   * meantime another node may have filled the machine: the worker would refuse the task, which costs two more changes and
-   * closes the machine.
+   * Whether the machine still has resources for all in-flight starts on it. While a start is queued for the store, another
+   * node may fill the machine. The worker would then refuse the task, which costs two more record changes and closes the
+   * machine to starts for a while.
    */
   canHoldInFlightStarts(machine: MachineInfo): boolean {
     const free = this.freeResources([machine]).get(machine.machineId);
     return free !== undefined && isNonNegative(free);
   }
 
-  /** Usage by team, of placed tasks and in-flight starts together. The caller owns the result and may change it. */
+  /** Usage by team, by placed tasks and in-flight starts together. The caller owns the result and may change it. */
   teamUsages(): Map<string, TeamUsage> {
     const { clusterState, inFlight } = this.dependencies;
     const usages = new Map<string, TeamUsage>();
--- a/src/scheduling/start-committer.ts
+++ b/src/scheduling/start-committer.ts
@@ -1,4 +1,4 @@
-/** The commit step: writes the starts that a plan has decided to the store. */
+/** The commit step of a plan: writes the planned starts to the store. */
 import type { MachineInfo } from '../domain/machine-state.js';
 import type { Team } from '../domain/team.js';
 import type { MachineInventory } from '../inventory/machine-inventory.js';
@@ -14,10 +14,10 @@
 import type { ResourceUsage } from './resource-usage.js';
 import type { PendingTask } from './task-placer.js';
 
-/** ms after which a start that has not got its turn at the store is given up: the next plan decides anew. */
+/** ms after which a start that is still queued for the store is dropped; the next plan places the task again. */
 const START_TIMEOUT_MS = 5000;
 
-/** A pending task with the machine and the attempt under which it is to start. */
+/** A pending task with the machine and the attempt number that it is to start with. */
 export interface PlannedStart {
   taskId: string;
   pendingTask: PendingTask;
@@ -25,7 +25,7 @@
   attempt: number;
 }
 
-/** What starts are checked against and written through, and who hears of their end. */
+/** What starts are checked against and written through, and the callbacks for their outcome. */
 export interface StartCommitterDependencies {
   teams: ReadonlyMap<string, Team>;
   leadership: RoleLeadership;
@@ -36,19 +36,19 @@
   usage: ResourceUsage;
   inFlight: InFlightStarts;
   log: Log;
-  /** The start of the task is in the store. */
+  /** Called when the start of the task is committed. */
   taskStarted: (taskId: string) => void;
-  /** A transaction of starts is over, whatever its outcome. */
+  /** Called when a transaction of starts has ended, whatever its outcome. */
   transactionEnded: () => void;
 }
 
-/** Commits starts under the fencing token of a role; until the outcome is known they count as in flight. */
+/** Commits starts under the fencing token of a role. Starts count as in flight until the outcome is known. */
 export class StartCommitter {
   constructor(private readonly dependencies: StartCommitterDependencies) {}
 
-  /** Commits starts of one job in the name of a role that is led here. */
+  /** Commits starts of one job for a role that this node leads. */
   commit(view: JobView, starts: readonly PlannedStart[], role: string): void {
-    // A gang starts whole or not at all, so its members share one transaction; others are grouped by placement chunk.
+    // A gang starts atomically, so its members share one transaction; tasks of other jobs are grouped by placement chunk.
     const isAtomic = view.record.spec.kind === 'gang';
     const groups = new Map<number, PlannedStart[]>();
     for (const start of starts) {
@@ -94,7 +94,7 @@
     }
   }
 
-  /** Runs within the transaction, on the records as they are then; false: nothing is to be committed. */
+  /** Runs within the transaction, on the current records; returns false if there is nothing to commit. */
   private applyStarts(draft: TransactionDraft, group: readonly PlannedStart[], role: string): boolean {
     if (!this.dependencies.leadership.requireLeadership(draft, role)) return false;
     const isAtomic = group[0]!.pendingTask.view.record.spec.kind === 'gang';
@@ -108,7 +108,7 @@
 
   private applyStart(draft: TransactionDraft, { pendingTask, machine, attempt }: PlannedStart): boolean {
     const { teams, inventory, accounting, usage } = this.dependencies;
-    // The machine may have begun a new agent epoch, or have gone silent, since the choice was made.
+    // Since the machine was chosen, its agent may have begun a new epoch, or its heartbeats may have stopped.
     if (inventory.agentEpochOf(machine.machineId) !== machine.agentEpoch) return false;
     if (!usage.canHoldInFlightStarts(machine)) return false;
     const { view, taskIndex } = pendingTask;
--- a/src/scheduling/task-placer.ts
+++ b/src/scheduling/task-placer.ts
@@ -22,7 +22,7 @@
   placement: Extract<TaskPlacement, { kind: 'queued' }>;
 }
 
-/** What machines are filtered and scored by. */
+/** The state and settings by which machines are filtered and scored. */
 export interface TaskPlacerDependencies {
   tuning: ReschedulingSettings;
   clusterState: ClusterState;
@@ -31,46 +31,46 @@
   random: Random;
 }
 
-/** The machines that have resources for a task of the job. */
+/** The machines that have resources for a task of the job and on which it has not failed lately. */
 interface UsableMachines {
   machines: MachineInfo[];
-  /** Tasks that fit on all usable machines together, up to those asked for. */
+  /** Number of tasks that fit on all usable machines together, at most the number requested. */
   taskCount: number;
   /** No machine has resources for even one task. */
   isFull: boolean;
 }
 
-/** Finds machines for pending tasks; it reserves nothing, the caller keeps the free resources. */
+/** Finds machines for pending tasks. It reserves nothing: the caller updates the free resources. */
 export class TaskPlacer {
   private readonly cachedImageWait: CachedImageWait;
-  /** Machine id by task id. */
+  /** Target machine of each moved task, machine id by task id. */
   private readonly preferredMachines = new Map<string, string>();
-  /** Tasks matched in the plan under way. */
+  /** Number of tasks matched in the current plan. */
   private matchedCount = 0;
 
   constructor(private readonly dependencies: TaskPlacerDependencies) {
     this.cachedImageWait = new CachedImageWait(dependencies);
   }
 
-  /** A new plan over all jobs begins. */
+  /** Resets the state of the previous plan; to be called before each plan. */
   beginPlan(): void {
     this.matchedCount = 0;
     this.cachedImageWait.prune();
   }
 
-  /** The machine that a moved task was matched to; it goes there if it still fits. */
+  /** Sets the machine that a moved task was matched to: the task is placed there if it still fits. */
   prefer(taskId: string, machineId: string): void {
     this.preferredMachines.set(taskId, machineId);
   }
 
-  /** The task has started. */
+  /** Removes the target machine of a task that has started. */
   forgetPreference(taskId: string): void {
     this.preferredMachines.delete(taskId);
   }
 
   /**
-   * Machines for pending tasks of one job, by task id; the rest found none. `freeByMachine` has every candidate;
-   * `inFlightZones` are the zones of the job's in-flight starts.
+   * Machines for pending tasks of one job, by task id; tasks without a machine have no entry. `freeByMachine` contains every
+   * candidate; `inFlightZones` are the zones of the job's in-flight starts.
    */
   find(
     pendingTasks: readonly PendingTask[],
@@ -85,9 +85,9 @@
     if (candidates.isFull(spec)) return new Map();
     const machines = this.cachedImageWait.filter(view, candidates.machines, freeByMachine);
     const usable = this.usableMachines(spec, machines, freeByMachine, pendingTasks.length);
-    // While a service waits for a cached image, not all candidates have been looked at.
+    // While a service waits for a cached image, only some of the candidates have been checked.
     if (usable.isFull && machines === candidates.machines) candidates.recordFull(spec);
-    // A full cluster is the usual case under load: nothing is matched where nothing fits, and no more than fits at all.
+    // Under load the cluster is usually full, so the matching gets no more tasks than fit, and is skipped if none fits.
     const isIncompleteGang = spec.kind === 'gang' && usable.taskCount < pendingTasks.length;
     if (usable.taskCount === 0 || isIncompleteGang) return new Map();
     this.matchedCount += usable.taskCount;
@@ -97,7 +97,7 @@
     return this.matchTasks({ spec, tasks, tasksPerZone }, usable.machines, freeByMachine);
   }
 
-  /** Filters the machines by their free resources and the job's failures there. */
+  /** Filters the machines by their free resources and by recent failures of the job on them. */
   private usableMachines(
     spec: JobSpec,
     machines: readonly MachineInfo[],
@@ -115,7 +115,7 @@
       usable.push(machine);
       taskCount += countFittingTasks(free, spec);
     }
-    // With more to place than one plan takes, a sample of many machines will do; what hangs together needs them all.
+    // Once a plan has matched its maximum, small jobs get a sample of the machines; the rules of large jobs need them all.
     const isSampled = this.matchedCount >= MAX_PLAN_TASKS && !isPlacedByLeader(spec);
     const sample = isSampled ? this.dependencies.random.sample(usable, SAMPLE_MACHINES) : usable;
     return { machines: sample, taskCount: Math.min(taskCount, maxTasks), isFull };
@@ -123,7 +123,7 @@
 
   private matchingTasksOf(pendingTasks: readonly PendingTask[]): MatchingTask[] {
     const { view } = pendingTasks[0]!;
-    // Without usage data of the machine, a task's usage equals its request.
+    // Actual usage is not known here, so it is taken to equal the request.
     const requested = resourcesOf(view.record.spec);
     return pendingTasks.map(({ taskIndex }) => ({
       id: taskIdOf(view.jobId, taskIndex),
@@ -149,7 +149,7 @@
     const hasImageCached = ({ id }: MatchingMachine) => machineById.get(id)!.images.includes(spec.image);
     const matches =
       spec.kind === 'service'
-        ? matchReplicas(matching, { placedOn: this.machinesOfPlacedTasks(spec.id), hasImageCached })
+        ? matchReplicas(matching, { placedMachineIds: this.machinesOfPlacedTasks(spec.id), hasImageCached })
         : matchJob(matching);
     return new Map([...matches].map(([taskId, { id }]) => [taskId, machineById.get(id)!]));
   }
--- a/src/scheduling/team-settlement.ts
+++ b/src/scheduling/team-settlement.ts
@@ -1,7 +1,7 @@
 /**
- * Sets the usage records of teams to what the placements show, where exits have left them as they were and no start has followed.
- * Done by the cluster leader, for teams of which nothing has started for a while, so that it does not conflict with the starts of
- * those that are busy.
+ * Lowers the usage records of teams to the usage of their placements. Exits may leave a record unchanged, and it stays too high
+ * if no start follows. The cluster leader does this only for teams whose record has not changed lately, so that it does not
+ * conflict with the starts of busy teams.
  */
 import type { RoleLeadership } from '../leadership/role-leadership.js';
 import { Priority } from '../net/token-bucket.js';
@@ -10,7 +10,7 @@
 import type { Replica } from '../store/replica.js';
 import type { TransactionBatcher } from '../store/transaction-batcher.js';
 
-/** The teams, and the accounting of what they use. */
+/** The teams, their usage records, and what the records are corrected through. */
 export interface TeamSettlementDependencies {
   teams: readonly { name: string }[];
   leadership: RoleLeadership;
@@ -19,14 +19,14 @@
   accounting: TeamAccounting;
 }
 
-/** A duty of the cluster leader. */
+/** Corrects overstated usage records of idle teams, as cluster leader. */
 export class TeamSettlement {
-  /** The modRevision of each team's record when it was last looked at. */
+  /** The modRevision of each team's record at the previous check, by team. */
   private readonly lastModRevisions = new Map<string, number>();
 
   constructor(private readonly dependencies: TeamSettlementDependencies) {}
 
-  /** Called now and then: what has not changed since the last time is settled. */
+  /** Corrects the records that have not changed since the previous call; to be called periodically. */
   settleQuietTeams(): void {
     const { teams, leadership, replica, transactions, accounting } = this.dependencies;
     if (!leadership.isLeader) return;
--- a/test/scheduling/decisions/matching.test.ts
+++ b/test/scheduling/decisions/matching.test.ts
@@ -27,8 +27,8 @@
   free: resources(cpus, memoryGb),
 });
 
-describe('matching', () => {
-  it('sends a task to the machine whose free resources are nearest to its usage', () => {
+describe('stable matching', () => {
+  it('matches a task to the machine whose free resources are nearest to the usage of the task', () => {
     const found = match(
       [task('t', 2, 4)],
       [machine('large', 32, 64), machine('small', 4, 8), machine('tiny', 1, 2)],
@@ -37,18 +37,18 @@
     assert.equal(found.get('t')?.id, 'small');
   });
 
-  it('lets a task of higher CPU usage displace the lowest one, which goes to its next choice', () => {
+  it('lets a task with higher CPU usage displace the task with the lowest, which goes to its next choice', () => {
     const found = match([task('low', 2), task('high', 4)], [machine('near', 4, 1), machine('far', 8, 60)], open);
     assert.equal(found.get('high')?.id, 'near');
     assert.equal(found.get('low')?.id, 'far');
   });
 
-  it('leaves a task unmatched when all its machines are full of preferred ones', () => {
+  it('leaves a task unmatched if preferred tasks fill all its machines', () => {
     const found = match([task('a', 3), task('b', 4)], [machine('only', 4)], open);
     assert.deepEqual([...found.keys()], ['b']);
   });
 
-  it('counts tasks of a group by zone while matching', () => {
+  it('passes the number of tasks matched per zone to the zone rule', () => {
     const tasks = ['x', 'y', 'z'].map((id) => ({ ...task(id, 1), group: 'g' }));
     const rules = {
       ...open,
@@ -59,7 +59,7 @@
     assert.deepEqual(zones, ['a', 'a', 'b']);
   });
 
-  it('has no blocking pair: no task and machine would both prefer each other', () => {
+  it('leaves no blocking pair of a task and a machine that prefer each other to their matches', () => {
     const taskSizes = fc.array(fc.tuple(fc.integer({ min: 1, max: 8 }), fc.integer({ min: 1, max: 16 })), {
       maxLength: 25,
     });
--- a/test/scheduling/rescheduler.test.ts
+++ b/test/scheduling/rescheduler.test.ts
@@ -17,18 +17,18 @@
 import { noLog } from '../../testing/fixtures.js';
 
 describe('rescheduler', () => {
-  it('does not re-match while more service tasks are unplaced than a round would move', async () => {
+  it('skips re-matching while more service tasks are unplaced than one round moves', async () => {
     const clock = new FakeClock();
     const stop = new AbortController();
     let placed = 1;
-    let lookCount = 0;
+    let inventoryReadCount = 0;
     const record = { spec: { kind: 'service', taskCount: 5 }, state: 'active' };
     const jobs = { values: () => [{ record, placed }] };
-    const all = () => {
-      lookCount++;
+    const readMachines = () => {
+      inventoryReadCount++;
       return new Map();
     };
-    const inventory = { machines: all, isSchedulable: () => true };
+    const inventory = { machines: readMachines, isSchedulable: () => true };
     const rescheduler = new Rescheduler({
       tuning: decodeTuning({ ...DEFAULT_TUNING, standby: DEFAULT_STANDBY_SETTINGS }),
       leadership: {
@@ -47,10 +47,10 @@
     });
     void rescheduler.run(stop.signal);
     await clock.advance(60_000);
-    assert.equal(lookCount, 0);
+    assert.equal(inventoryReadCount, 0);
     placed = 4;
     await clock.advance(60_000);
-    assert.ok(lookCount >= 4, `${lookCount} looks once no more than two are unplaced`);
+    assert.ok(inventoryReadCount >= 4, `${inventoryReadCount} inventory reads with at most two unplaced`);
     stop.abort();
   });
 });
