--- a/src/scheduling/cached-image-wait.ts
+++ b/src/scheduling/cached-image-wait.ts
@@ -13,8 +13,8 @@
 }
 
 /**
- * For a prod service, evicting tasks of lower priority from a machine with its image cached takes less time than fetching the
- * image elsewhere. For a short time only such machines are used, if evictions can make any of them fit.
+ * For a prod service, evicting tasks of lower priority from a machine with its image cached is usually faster than fetching
+ * the image elsewhere. For a short time only such machines are used, if evictions can make any of them fit.
  */
 export class CachedImageWait {
   /** Monotonic ms since when each service has been waiting, by job id. */
--- a/src/scheduling/decisions/eviction-options.ts
+++ b/src/scheduling/decisions/eviction-options.ts
@@ -54,7 +54,7 @@
   return fits(spec, free) ? { load, evicted, cost } : undefined;
 }
 
-/** Key of a job's priority and machine requirements. Cached images are not part of it. */
+/** Jobs with the same key have the same priority and machine requirements; cached images are not compared. */
 export const requirementKeyOf = (spec: JobSpec): string =>
   [
     spec.priority,
--- a/src/scheduling/decisions/queue-order.ts
+++ b/src/scheduling/decisions/queue-order.ts
@@ -64,7 +64,7 @@
   return targets;
 }
 
-/** Whether a job whose last task runs for `runS` can still meet one of its targets, if any, at wall-clock time `nowMs`. */
+/** Whether a job whose last task starts at wall-clock time `nowMs` and runs for `runS` meets a target; true without targets. */
 export const isFeasible = (targets: readonly number[], runS: number, nowMs: number): boolean =>
   targets.length === 0 || targets.some((target) => target >= nowMs + runS * 1000);
 
--- a/src/scheduling/decisions/service-rematching.ts
+++ b/src/scheduling/decisions/service-rematching.ts
@@ -7,7 +7,7 @@
 import { isZoneOpenFor } from './job-matching.js';
 import { match, type MatchingMachine, type MatchingTask } from './matching.js';
 
-/** A service task that is placed and not requested to stop. */
+/** A placed service task without a stop request. */
 export interface RunningTask {
   taskId: string;
   jobId: string;
--- a/src/scheduling/eviction-marker.ts
+++ b/src/scheduling/eviction-marker.ts
@@ -28,12 +28,12 @@
 
   constructor(private readonly dependencies: EvictionMarkerDependencies) {}
 
-  /** Attempts that were recently requested to stop, by attempt key, with the time of the request. */
+  /** Attempts with a recent stop request, as attempt keys with the time of the request. */
   *recentEvictions(): Iterable<{ attempt: string; at: number }> {
     for (const [attempt, at] of this.evictedAtMs) if (this.isRecent(at)) yield { attempt, at };
   }
 
-  /** Restores an eviction that a former leader requested. */
+  /** Restores an eviction that a former leader requested, unless this node has recorded one for the attempt. */
   restoreEviction(attempt: string, at: number): void {
     if (!this.evictedAtMs.has(attempt)) this.evictedAtMs.set(attempt, at);
   }
@@ -47,7 +47,7 @@
     return atMs !== undefined && this.isRecent(atMs);
   }
 
-  /** Requests the task, or its whole gang, to stop within `gracePeriodS`. `reason` is only logged. */
+  /** Requests that the task, or its whole gang, stop within `gracePeriodS`. `reason` is only logged. */
   evict(placedTask: PlacedTask, spec: JobSpec, gracePeriodS: number, reason: string): void {
     const { clusterState, transactions, log } = this.dependencies;
     const { jobId, taskIndex, placement } = placedTask;
--- a/src/scheduling/preemptor.ts
+++ b/src/scheduling/preemptor.ts
@@ -43,7 +43,7 @@
     if (startedAtMs < this.pausedUntilMs || planner.unplaceableTasks.length === 0) return;
     const hasEvicted = this.evictForUnplacedTasks();
     const nowMs = clock.now();
-    // Waits until the exits caused by this round are known, and bounds the share of processor time spent on searching.
+    // Leaves time for the exits caused by this round to be seen, and bounds the share of time that searches take.
     const exitWaitMs = hasEvicted ? PREEMPT_PERIOD_MS : 0;
     this.pausedUntilMs = nowMs + Math.max(exitWaitMs, (nowMs - startedAtMs) * (1 / PLANNING_TIME_SHARE - 1));
   }
--- a/test/scheduling/decisions/matching.test.ts
+++ b/test/scheduling/decisions/matching.test.ts
@@ -29,33 +29,34 @@
 
 describe('stable matching', () => {
   it('matches a task to the machine whose free resources are nearest to the usage of the task', () => {
-    const found = match(
+    const matches = match(
       [task('t', 2, 4)],
       [machine('large', 32, 64), machine('small', 4, 8), machine('tiny', 1, 2)],
       open,
     );
-    assert.equal(found.get('t')?.id, 'small');
+    assert.equal(matches.get('t')?.id, 'small');
   });
 
   it('lets a task with higher CPU usage displace the task with the lowest, which goes to its next choice', () => {
-    const found = match([task('low', 2), task('high', 4)], [machine('near', 4, 1), machine('far', 8, 60)], open);
-    assert.equal(found.get('high')?.id, 'near');
-    assert.equal(found.get('low')?.id, 'far');
+    const matches = match([task('low', 2), task('high', 4)], [machine('near', 4, 1), machine('far', 8, 60)], open);
+    assert.equal(matches.get('high')?.id, 'near');
+    assert.equal(matches.get('low')?.id, 'far');
   });
 
   it('leaves a task unmatched if preferred tasks fill all its machines', () => {
-    const found = match([task('a', 3), task('b', 4)], [machine('only', 4)], open);
-    assert.deepEqual([...found.keys()], ['b']);
+    const matches = match([task('a', 3), task('b', 4)], [machine('only', 4)], open);
+    assert.deepEqual([...matches.keys()], ['b']);
   });
 
   it('passes the number of tasks matched per zone to the zone rule', () => {
     const tasks = ['x', 'y', 'z'].map((id) => ({ ...task(id, 1), group: 'g' }));
     const rules = {
       ...open,
-      isZoneOpen: (_: string, zone: string, taken: ReadonlyMap<string, number>) => (taken.get(zone) ?? 0) < 2,
+      isZoneOpen: (_: string, zone: string, matchedPerZone: ReadonlyMap<string, number>) =>
+        (matchedPerZone.get(zone) ?? 0) < 2,
     };
-    const found = match(tasks, [machine('a1', 8, 64, 'a'), machine('b1', 8, 64, 'b')], rules);
-    const zones = [...found.values()].map((each) => each.zone).sort();
+    const matches = match(tasks, [machine('a1', 8, 64, 'a'), machine('b1', 8, 64, 'b')], rules);
+    const zones = [...matches.values()].map((each) => each.zone).sort();
     assert.deepEqual(zones, ['a', 'a', 'b']);
   });
 
@@ -70,19 +71,22 @@
       fc.property(taskSizes, machineSizes, (rawTasks, rawMachines) => {
         const tasks = rawTasks.map(([cpus, memoryGb], i) => task(`t${i}`, cpus, memoryGb));
         const machines = rawMachines.map(([cpus, memoryGb], i) => machine(`h${i}`, cpus, memoryGb));
-        const found = match(tasks, machines, open);
+        const matches = match(tasks, machines, open);
         for (const offered of machines) {
-          const here = tasks.filter((each) => found.get(each.id) === offered);
+          const matchedTasks = tasks.filter((each) => matches.get(each.id) === offered);
           const sum = (key: 'cpus' | 'memoryGb', list: MatchingTask[]) =>
             list.reduce((total, each) => total + each.requested[key], 0);
-          assert.ok(sum('cpus', here) <= offered.free.cpus && sum('memoryGb', here) <= offered.free.memoryGb);
+          assert.ok(
+            sum('cpus', matchedTasks) <= offered.free.cpus && sum('memoryGb', matchedTasks) <= offered.free.memoryGb,
+          );
           for (const candidate of tasks) {
             const list = preferenceListOf(candidate, machines, open);
             const position = list.indexOf(offered);
-            const now = found.get(candidate.id);
-            if (position < 0 || now === offered || (now !== undefined && list.indexOf(now) < position)) continue;
+            const current = matches.get(candidate.id);
+            if (position < 0 || current === offered || (current !== undefined && list.indexOf(current) < position))
+              continue;
             // The task prefers this machine. Could the machine admit it by displacing tasks of lower preference?
-            const kept = here.filter((each) => isPreferredOver(each, candidate));
+            const kept = matchedTasks.filter((each) => isPreferredOver(each, candidate));
             const blocks =
               sum('cpus', kept) + candidate.requested.cpus <= offered.free.cpus &&
               sum('memoryGb', kept) + candidate.requested.memoryGb <= offered.free.memoryGb;
