--- a/src/records/cluster-state.ts
+++ b/src/records/cluster-state.ts
@@ -10,7 +10,7 @@
 import { MachinePlacements, type PlacedTask } from './machine-placements.js';
 import { OrphanChunks } from './orphan-chunks.js';
 import { decodeChunk } from './placement-codec.js';
-import { isLimited } from './placement-rules.js';
+import { isQuotaLimited } from './placement-rules.js';
 import { decodeJobRecord, decodeLeadershipRecord, decodeRentalRecord } from './record-codecs.js';
 import { JOB_PREFIX, LEADERSHIP_PREFIX, PLACEMENT_PREFIX, placementChunkKey, RENTAL_PREFIX } from './record-keys.js';
 import { chunkSize, type LeadershipRecord, type RentalRecord } from './records.js';
@@ -19,26 +19,26 @@
 export { JobView } from './job-view.js';
 export type { PlacedTask } from './machine-placements.js';
 
-/** Told of changes after they have been taken in. */
+/** Called after a change has been applied. */
 export interface ClusterStateListener {
-  /** Something about a job has changed; with `taskIndexes`: the placements of these tasks. */
+  /** A job's record has changed or, with `taskIndexes`, the placements of these tasks. */
   jobChanged?(jobId: string, taskIndexes?: readonly number[]): void;
-  /** A job has another priority or deadline for the sake of those that depend on it. */
+  /** The priority or deadline that a job inherits from its dependents has changed. */
   urgencyChanged?(jobId: string): void;
   leadershipChanged?(role: string): void;
-  /** A record could not be decoded; nothing is decided on it. */
+  /** A record could not be decoded; no decision is based on it. */
   recordUnreadable?(key: string, error: unknown): void;
 }
 
-/** All live records as decoded objects, kept current from the replica. */
+/** The decoded live records, updated with every change of the replica. */
 export class ClusterState {
   /** Jobs that are not over. */
   readonly jobs = new Map<string, JobView>();
-  /** Which jobs wait for which others. */
+  /** The dependency graph of the waiting jobs. */
   readonly dependencies = new JobDependencies((jobId, urgency) => this.applyUrgency(jobId, urgency));
-  /** Who leads each role, by role. */
+  /** The leader of each role, by role. */
   readonly leadershipRecords = new Map<string, { record: LeadershipRecord; modRevision: number }>();
-  /** Rentals that are not over, by the name in their key. */
+  /** Rentals that have not ended, by rental id. */
   readonly rentals = new Map<string, RentalRecord>();
   private readonly machines = new MachinePlacements();
   private readonly teams = new TeamUsageIndex();
@@ -49,10 +49,10 @@
     private readonly replica: Replica,
     private readonly listener: ClusterStateListener,
   ) {
-    replica.onChange((key, now) => this.apply(key, now));
+    replica.onChange((key, now) => this.applyChange(key, now));
   }
 
-  /** Tasks that are placed on a machine, whatever the epoch of its agent. */
+  /** Tasks that are placed on a machine, in any agent epoch. */
   tasksOn(machineId: string): Iterable<PlacedTask> {
     return this.machines.tasksOn(machineId);
   }
@@ -61,12 +61,12 @@
     return this.machines.taskCountOn(machineId);
   }
 
-  /** Resources that placed tasks use on a machine; undefined: no task is placed there. */
+  /** Resources used by the tasks placed on a machine; undefined: no task is placed there. */
   usedOn(machineId: string): Readonly<Resources> | undefined {
-    return this.machines.usedOn(machineId);
+    return this.machines.usedResourcesOn(machineId);
   }
 
-  /** Machines with a placed task. */
+  /** Number of machines with at least one placed task. */
   get usedMachineCount(): number {
     return this.machines.machineCount;
   }
@@ -75,48 +75,48 @@
     yield* this.machines.machineIds;
   }
 
-  /** What each team's placed tasks use together. */
+  /** Total usage of each team's placed tasks. */
   get teamUsages(): ReadonlyMap<string, Readonly<TeamUsage>> {
     return this.teams.all;
   }
 
   /**
-   * What a team's placed tasks use, if the replica holds all that happened up to the revision and all of it can be read; it may
-   * count tasks that have ended by now, and misses none.
+   * Usage of a team's placed tasks; undefined unless the replica holds all changes up to `revision` and can decode all of them.
+   * The usage may include tasks that have exited since, but omits none.
    */
-  placedUsageOf(team: string, upTo: number): Readonly<TeamUsage> | undefined {
+  placedUsageOf(team: string, revision: number): Readonly<TeamUsage> | undefined {
     const isComplete =
-      this.replica.revision >= upTo && this.unreadableKeys.size === 0 && !this.orphanChunks.hasActivePlacements;
+      this.replica.revision >= revision && this.unreadableKeys.size === 0 && !this.orphanChunks.mayHoldActivePlacements;
     return isComplete ? this.teams.usageOf(team) : undefined;
   }
 
-  /** Hint for the start or exit of a task: it writes the task's chunk, and its team's record if that may change with it. */
+  /** Hint for the start or exit of a task: it writes the task's chunk, and the record of `team` if the job counts against its limits. */
   batchingHintFor(jobId: string, taskIndex: number, team?: Team): BatchingHint | undefined {
     const view = this.jobs.get(jobId);
     if (view === undefined) return undefined;
-    const isTeamCounted = team !== undefined && isLimited(team, view.record.spec);
+    const isTeamCounted = team !== undefined && isQuotaLimited(team, view.record.spec);
     return {
       key: placementChunkKey(jobId, Math.floor(taskIndex / view.record.tasksPerChunk)),
       shared: isTeamCounted ? team.name : undefined,
     };
   }
 
-  /** Chunks of jobs that are over: those that the transaction of the end had no room to delete. */
+  /** Chunks without a job record, which the transaction that ended the job had no room to delete. */
   *leftoverChunks(): Iterable<{ jobId: string; chunks: number[] }> {
     for (const [jobId, chunks] of this.orphanChunks.entries()) {
       if (!this.unreadableKeys.has(`${JOB_PREFIX}${jobId}`)) yield { jobId, chunks: [...chunks.keys()] };
     }
   }
 
-  private apply(key: string, now: StoredValue): void {
+  private applyChange(key: string, stored: StoredValue): void {
     try {
-      if (key.startsWith(JOB_PREFIX)) this.applyJob(key.slice(JOB_PREFIX.length), now.value);
-      else if (key.startsWith(PLACEMENT_PREFIX)) this.applyChunk(key.slice(PLACEMENT_PREFIX.length), now.value);
-      else if (key.startsWith(LEADERSHIP_PREFIX)) this.applyLeadership(key.slice(LEADERSHIP_PREFIX.length), now);
-      else if (key.startsWith(RENTAL_PREFIX)) this.applyRental(key.slice(RENTAL_PREFIX.length), now.value);
+      if (key.startsWith(JOB_PREFIX)) this.applyJob(key.slice(JOB_PREFIX.length), stored.value);
+      else if (key.startsWith(PLACEMENT_PREFIX)) this.applyChunk(key.slice(PLACEMENT_PREFIX.length), stored.value);
+      else if (key.startsWith(LEADERSHIP_PREFIX)) this.applyLeadership(key.slice(LEADERSHIP_PREFIX.length), stored);
+      else if (key.startsWith(RENTAL_PREFIX)) this.applyRental(key.slice(RENTAL_PREFIX.length), stored.value);
       this.unreadableKeys.delete(key);
     } catch (error) {
-      // Refuse to act on what can't be read: the job stays out of this state, and its resources stay taken in the store.
+      // No decision is based on an undecodable record: it is not applied, and its resources stay allocated in the store.
       this.unreadableKeys.add(key);
       this.listener.recordUnreadable?.(key, error);
     }
@@ -125,13 +125,13 @@
   private applyUrgency(jobId: string, urgency: Urgency): void {
     const view = this.jobs.get(jobId);
     if (view === undefined) return;
-    view.inherit(urgency);
+    view.inheritUrgency(urgency);
     this.listener.urgencyChanged?.(jobId);
   }
 
-  private applyRental(name: string, value: unknown): void {
-    if (value === undefined) this.rentals.delete(name);
-    else this.rentals.set(name, decodeRentalRecord(value));
+  private applyRental(rentalId: string, value: unknown): void {
+    if (value === undefined) this.rentals.delete(rentalId);
+    else this.rentals.set(rentalId, decodeRentalRecord(value));
   }
 
   private applyLeadership(role: string, { value, modRevision }: StoredValue): void {
@@ -154,9 +154,9 @@
     const record = decodeJobRecord(value);
     const view = new JobView(jobId, record);
     this.jobs.set(jobId, view);
-    view.inherit(this.dependencies.urgencyOf(jobId));
+    view.inheritUrgency(this.dependencies.urgencyOf(jobId));
     this.dependencies.update(jobId, record);
-    // Pages and changes may bring chunks before their job.
+    // Pages and changes may deliver chunks before their job's record.
     for (const [chunkIndex, chunk] of this.orphanChunks.get(jobId) ?? []) {
       this.setChunk(view, chunkIndex, decodeChunk(chunk, chunkSize(view.record, chunkIndex)));
     }
@@ -179,7 +179,7 @@
     this.dependencies.update(jobId, undefined);
   }
 
-  /** `path`: the part of the key behind the prefix, JOB/INDEX. */
+  /** `path`: the key without its prefix, `JOB/INDEX`. */
   private applyChunk(path: string, value: unknown): void {
     const slash = path.lastIndexOf('/');
     const jobId = path.slice(0, slash);
@@ -189,41 +189,42 @@
       this.orphanChunks.set(jobId, chunkIndex, value);
       return;
     }
-    const before = view.chunks.get(chunkIndex);
-    const placements = value === undefined ? undefined : decodeChunk(value, chunkSize(view.record, chunkIndex), before);
+    const previous = view.chunks.get(chunkIndex);
+    const placements =
+      value === undefined ? undefined : decodeChunk(value, chunkSize(view.record, chunkIndex), previous);
     this.listener.jobChanged?.(jobId, this.setChunk(view, chunkIndex, placements));
   }
 
   /**
-   * Takes in a chunk, placement by placement: most of it stays as it was, whatever its size. Returns the indexes of the tasks
-   * whose placement has changed.
+   * Applies a chunk placement by placement, since most placements in it are unchanged whatever its size. Returns the indexes of
+   * the tasks whose placement has changed.
    */
   private setChunk(view: JobView, chunkIndex: number, placements: readonly TaskPlacement[] | undefined): number[] {
     const changed: number[] = [];
-    const first = chunkIndex * view.record.tasksPerChunk;
-    const before = view.chunks.get(chunkIndex) ?? [];
-    const now = placements ?? [];
-    const size = Math.max(before.length, now.length);
-    for (let at = 0; at < size; at++) {
-      if (before[at] === now[at]) continue;
-      changed.push(first + at);
-      this.updateIndexes(view, first + at, before[at], now[at]);
+    const firstTaskIndex = chunkIndex * view.record.tasksPerChunk;
+    const previous = view.chunks.get(chunkIndex) ?? [];
+    const current = placements ?? [];
+    const size = Math.max(previous.length, current.length);
+    for (let offset = 0; offset < size; offset++) {
+      if (previous[offset] === current[offset]) continue;
+      changed.push(firstTaskIndex + offset);
+      this.updateTaskIndexes(view, firstTaskIndex + offset, previous[offset], current[offset]);
     }
     view.setChunk(chunkIndex, placements);
     return changed;
   }
 
-  private updateIndexes(view: JobView, taskIndex: number, before?: TaskPlacement, now?: TaskPlacement): void {
-    view.countChange(before, now);
+  private updateTaskIndexes(view: JobView, taskIndex: number, previous?: TaskPlacement, current?: TaskPlacement): void {
+    view.countChange(previous, current);
     const { jobId, record } = view;
-    const oldTask = before?.kind === 'placed' ? { jobId, taskIndex, placement: before } : undefined;
-    const newTask = now?.kind === 'placed' ? { jobId, taskIndex, placement: now } : undefined;
-    if (newTask !== undefined && newTask.placement.machineId === oldTask?.placement.machineId) {
-      this.machines.replace(newTask);
+    const previousTask = previous?.kind === 'placed' ? { jobId, taskIndex, placement: previous } : undefined;
+    const currentTask = current?.kind === 'placed' ? { jobId, taskIndex, placement: current } : undefined;
+    if (currentTask !== undefined && currentTask.placement.machineId === previousTask?.placement.machineId) {
+      this.machines.replace(currentTask);
       return;
     }
-    if (oldTask !== undefined) this.removeTask(oldTask, record.spec);
-    if (newTask !== undefined) this.addTask(newTask, record.spec);
+    if (previousTask !== undefined) this.removeTask(previousTask, record.spec);
+    if (currentTask !== undefined) this.addTask(currentTask, record.spec);
   }
 
   private addTask(placedTask: PlacedTask, spec: JobSpec): void {
--- a/src/records/dependency-mutations.ts
+++ b/src/records/dependency-mutations.ts
@@ -1,16 +1,16 @@
-/** Mutations of jobs that wait for others. Each is decided under the condition that the job still waits. */
+/** Mutations of jobs that wait for their dependencies. Each is conditional on the job still waiting. */
 import type { TransactionDraft } from '../store/transaction-draft.js';
 import { readJob } from './placement-mutations.js';
 import { decodeFinalJobRecord, encodeFinalJobRecord, encodeJobRecord } from './record-codecs.js';
 import { finalJobKey, jobKey } from './record-keys.js';
 
-/** Done is final, so what has once been seen needs no condition. */
+/** A job that is done stays done, so its final record needs no condition. */
 function isDone(draft: TransactionDraft, jobId: string): boolean {
   const value = draft.peek(finalJobKey(jobId));
   return value !== undefined && decodeFinalJobRecord(value).state === 'done';
 }
 
-/** Lets a waiting job start, if all its dependencies are done. `nowMs`: time of day. */
+/** Releases a waiting job if all its dependencies are done. `nowMs`: time of day. */
 export function releaseJob(draft: TransactionDraft, jobId: string, nowMs: number): boolean {
   const job = readJob(draft, jobId);
   if (job?.state !== 'waiting' || job.dependencies?.every((dependency) => isDone(draft, dependency)) !== true)
@@ -23,7 +23,7 @@
   return true;
 }
 
-/** Ends a waiting job as cancelled, with a job that it depends on; the caller has seen that one's cancellation, which is final. */
+/** Cancels a waiting job whose dependency was cancelled. The caller has seen that cancellation, which is final. */
 export function cancelWaitingJob(draft: TransactionDraft, jobId: string): boolean {
   const job = readJob(draft, jobId);
   if (job?.state !== 'waiting') return false;
--- a/src/records/job-dependencies.ts
+++ b/src/records/job-dependencies.ts
@@ -1,15 +1,15 @@
 /**
- * The graph of jobs that wait for others, and the urgency that each job inherits from its dependents. Kept up with every change
- * of a job record: a change propagates only to the dependencies whose urgency it changes.
+ * The dependency graph of waiting jobs, and the urgency that each job inherits from its dependents. Both are updated with every
+ * change of a job record; a change propagates only to the dependencies whose urgency it changes.
  */
 import { JOB_PRIORITIES } from '../domain/job.js';
 import type { JobRecord } from './records.js';
 
-/** What a job inherits from the jobs that depend on it. */
+/** The urgency that a job inherits from its dependents, the jobs that depend on it. */
 export interface Urgency {
-  /** Index in `JOB_PRIORITIES` of the highest priority among them, directly or through others. */
+  /** Index in `JOB_PRIORITIES` of the highest priority among direct and indirect dependents. */
   priorityIndex: number;
-  /** Time of day, ms, by which the job must be complete so that the last of them can be in time; Infinity: no deadline. */
+  /** Time of day, ms, by which the job must be complete for all dependents to meet their deadlines; Infinity: no deadline. */
   finishBy: number;
 }
 
@@ -17,22 +17,22 @@
 const NO_DEPENDENTS: ReadonlySet<string> = new Set();
 const NO_URGENCY: Urgency = { priorityIndex: JOB_PRIORITIES.length, finishBy: Infinity };
 
-/** Time of day, ms. */
-const deadlineOf = ({ spec, submittedAtMs }: JobRecord): number =>
+/** The job's own deadline as time of day, ms; Infinity: none. */
+const deadlineAtMs = ({ spec, submittedAtMs }: JobRecord): number =>
   spec.deadlineS === null ? Infinity : submittedAtMs + spec.deadlineS * MS_PER_S;
 
 /** The dependency graph of the live jobs. */
 export class JobDependencies {
-  /** The waiting jobs, with their records. */
+  /** Records of the waiting jobs. */
   private readonly waiting = new Map<string, JobRecord>();
-  /** The waiting jobs that name a job as their dependency. */
+  /** The waiting jobs that depend on a job directly, by the id of that job. */
   private readonly dependents = new Map<string, Set<string>>();
-  private readonly inherited = new Map<string, Urgency>();
+  private readonly inheritedUrgencies = new Map<string, Urgency>();
 
-  /** `onChange`: what a job inherits has changed. */
+  /** `onChange`: called when the urgency that a job inherits has changed. */
   constructor(private readonly onChange: (jobId: string, urgency: Urgency) => void) {}
 
-  /** All jobs that wait for others. */
+  /** Ids of all jobs that wait for their dependencies. */
   get waitingJobs(): Iterable<string> {
     return this.waiting.keys();
   }
@@ -45,12 +45,12 @@
     return this.waiting.has(jobId);
   }
 
-  /** The jobs that a waiting job depends on; empty for one that does not wait. */
+  /** The direct dependencies of a waiting job; empty for a job that is not waiting. */
   dependenciesOf(jobId: string): readonly string[] {
     return this.waiting.get(jobId)?.dependencies ?? [];
   }
 
-  /** The waiting jobs that depend on a job directly. */
+  /** The waiting jobs that depend on the job directly. */
   dependentsOf(jobId: string): ReadonlySet<string> {
     return this.dependents.get(jobId) ?? NO_DEPENDENTS;
   }
@@ -60,55 +60,59 @@
   }
 
   urgencyOf(jobId: string): Urgency {
-    return this.inherited.get(jobId) ?? NO_URGENCY;
+    return this.inheritedUrgencies.get(jobId) ?? NO_URGENCY;
   }
 
-  /** Takes in a job's record; undefined: the job is over. */
+  /** Applies a job's record; undefined: the job has ended. */
   update(jobId: string, record: JobRecord | undefined): void {
-    const before = this.dependenciesOf(jobId);
+    const previousDependencies = this.dependenciesOf(jobId);
     const isWaiting = record?.state === 'waiting';
-    if (!isWaiting && before.length === 0) return;
-    for (const dependency of before) this.unlink(dependency, jobId);
+    if (!isWaiting && previousDependencies.length === 0) return;
+    for (const dependency of previousDependencies) this.removeDependent(dependency, jobId);
     this.waiting.delete(jobId);
     if (isWaiting) {
       this.waiting.set(jobId, record);
-      for (const dependency of record.dependencies ?? []) this.link(dependency, jobId);
+      for (const dependency of record.dependencies ?? []) this.addDependent(dependency, jobId);
     }
-    this.propagate([...before, ...this.dependenciesOf(jobId)]);
+    this.propagate([...previousDependencies, ...this.dependenciesOf(jobId)]);
   }
 
-  private link(dependency: string, jobId: string): void {
-    const known = this.dependents.get(dependency) ?? new Set();
-    this.dependents.set(dependency, known.add(jobId));
+  private addDependent(dependency: string, jobId: string): void {
+    const dependents = this.dependents.get(dependency) ?? new Set();
+    this.dependents.set(dependency, dependents.add(jobId));
   }
 
-  private unlink(dependency: string, jobId: string): void {
-    const known = this.dependents.get(dependency);
-    known?.delete(jobId);
-    if (known?.size === 0) this.dependents.delete(dependency);
+  private removeDependent(dependency: string, jobId: string): void {
+    const dependents = this.dependents.get(dependency);
+    dependents?.delete(jobId);
+    if (dependents?.size === 0) this.dependents.delete(dependency);
   }
 
-  /** Computes anew what these jobs inherit, and then their dependencies in turn, as far as anything changes. */
+  /** Recomputes the urgency of these jobs, then of the dependencies of those whose urgency has changed. */
   private propagate(jobIds: readonly string[]): void {
     const pending = [...jobIds];
     for (let jobId = pending.pop(); jobId !== undefined; jobId = pending.pop()) {
-      const old = this.urgencyOf(jobId);
-      const now = this.inheritedBy(jobId);
-      if (now.priorityIndex === old.priorityIndex && now.finishBy === old.finishBy) continue;
-      if (this.hasDependents(jobId)) this.inherited.set(jobId, now);
-      else this.inherited.delete(jobId);
-      this.onChange(jobId, now);
+      const previous = this.urgencyOf(jobId);
+      const current = this.computeUrgency(jobId);
+      if (current.priorityIndex === previous.priorityIndex && current.finishBy === previous.finishBy) continue;
+      if (this.hasDependents(jobId)) this.inheritedUrgencies.set(jobId, current);
+      else this.inheritedUrgencies.delete(jobId);
+      this.onChange(jobId, current);
       pending.push(...this.dependenciesOf(jobId));
     }
   }
 
-  private inheritedBy(jobId: string): Urgency {
+  private computeUrgency(jobId: string): Urgency {
     let { priorityIndex, finishBy } = NO_URGENCY;
     for (const dependent of this.dependentsOf(jobId)) {
       const record = this.waiting.get(dependent)!;
-      const theirs = this.urgencyOf(dependent);
-      priorityIndex = Math.min(priorityIndex, theirs.priorityIndex, JOB_PRIORITIES.indexOf(record.spec.priority));
-      const dependentFinishBy = Math.min(theirs.finishBy, deadlineOf(record));
+      const dependentUrgency = this.urgencyOf(dependent);
+      priorityIndex = Math.min(
+        priorityIndex,
+        dependentUrgency.priorityIndex,
+        JOB_PRIORITIES.indexOf(record.spec.priority),
+      );
+      const dependentFinishBy = Math.min(dependentUrgency.finishBy, deadlineAtMs(record));
       finishBy = Math.min(finishBy, dependentFinishBy - record.spec.estimatedRunS * MS_PER_S);
     }
     return { priorityIndex, finishBy };
--- a/src/records/job-spec-codec.ts
+++ b/src/records/job-spec-codec.ts
@@ -1,10 +1,10 @@
-/** A job as users submit it and as its record in the store holds it: the wire names, and their translation. */
+/** Codec of job specifications. Submissions and stored job records use the same wire form. */
 import type { JobKind, JobPriority, JobSpec } from '../domain/job.js';
 
-/** The kind of a job, as users submit it. */
+/** Wire names of the job kinds. */
 export type WireJobShape = 'array' | 'ensemble' | 'service';
 
-/** A job's specification on the wire and in the store; the order of the fields is the order in which they are stored. */
+/** A job's specification on the wire and in the store; the order of the fields is their order in the store. */
 export interface WireJobSpec {
   Ref: string;
   Jobclass: string;
@@ -32,12 +32,12 @@
 const SHAPE_OF_KIND: Record<JobKind, WireJobShape> = { array: 'array', gang: 'ensemble', service: 'service' };
 
 /**
- * The wire form that a specification was read from. A specification never changes, so it is written back as it came, with the
- * fields that a later version of the program may have added.
+ * The wire form that each specification was decoded from. A specification never changes, so it is encoded as that wire form,
+ * which keeps fields added by a later version of the program.
  */
 const wireForms = new WeakMap<JobSpec, WireJobSpec>();
 
-/** Takes a specification that has been checked. */
+/** Decodes a specification that has already been validated. */
 export function decodeJobSpec(wire: WireJobSpec): JobSpec {
   const spec: JobSpec = {
     id: wire.Ref,
@@ -65,10 +65,10 @@
   return spec;
 }
 
-/** The wire form that the specification was read from, else a new one. */
+/** Returns the wire form that the specification was decoded from, or a new one. */
 export function encodeJobSpec(spec: JobSpec): WireJobSpec {
-  const known = wireForms.get(spec);
-  if (known !== undefined) return known;
+  const cached = wireForms.get(spec);
+  if (cached !== undefined) return cached;
   const wire: WireJobSpec = {
     Ref: spec.id,
     Jobclass: spec.jobClass,
--- a/src/records/job-view.ts
+++ b/src/records/job-view.ts
@@ -1,20 +1,20 @@
-/** One job that is not over, with the placements of its tasks, as far as the replica knows them. */
+/** The replica's view of one live job: its record and the placements of its tasks. */
 import { JOB_PRIORITIES } from '../domain/job.js';
 import type { TaskPlacement } from '../domain/task.js';
 import type { Urgency } from './job-dependencies.js';
 import { countTasksPerZone } from './placement-rules.js';
 import { chunkSize, type JobRecord } from './records.js';
 
-/** One live job: its record and the placements of its tasks. */
+/** A job that has not ended: its record and the placements of its tasks. */
 export class JobView {
-  /** Placements by chunk index; a chunk that is missing holds tasks that were never placed. */
+  /** Placements by chunk index; the tasks of a missing chunk were never placed. */
   readonly chunks = new Map<number, readonly TaskPlacement[]>();
-  /** Number of tasks that are done, and of those that are on a machine. */
+  /** Number of tasks that are done, and number of tasks that are placed on a machine. */
   done = 0;
   placed = 0;
   private queuedTasks: number[] | undefined;
   private effectiveRecord: JobRecord;
-  /** Time of day, ms, by which the job must be complete for the sake of the jobs that depend on it; Infinity: no deadline. */
+  /** Time of day, ms, by which the job must be complete for its dependents to meet their deadlines; Infinity: no deadline. */
   finishBy = Infinity;
   private inheritedPriorityIndex = JOB_PRIORITIES.length;
 
@@ -25,19 +25,19 @@
     this.effectiveRecord = storedRecord;
   }
 
-  /** The job's record, but with the priority of the most urgent job that depends on it, where that is higher than its own. */
+  /** The job's record, with its priority raised to the highest among its dependents if that is higher. */
   get record(): JobRecord {
     return this.effectiveRecord;
   }
 
-  /** Takes in a new record of the job. */
+  /** Replaces the job's stored record. */
   updateRecord(record: JobRecord): void {
     this.storedRecord = record;
     this.applyInheritedPriority();
   }
 
-  /** Takes in what the jobs that depend on this one ask of it. */
-  inherit({ priorityIndex, finishBy }: Urgency): void {
+  /** Applies the urgency inherited from the job's dependents. */
+  inheritUrgency({ priorityIndex, finishBy }: Urgency): void {
     this.finishBy = finishBy;
     this.inheritedPriorityIndex = priorityIndex;
     this.applyInheritedPriority();
@@ -56,60 +56,60 @@
     return chunk?.[taskIndex % this.record.tasksPerChunk] ?? { kind: 'queued', attempt: 0, failures: 0 };
   }
 
-  /** Replaces a chunk; undefined: it has been deleted. */
+  /** Replaces a chunk; `placements` undefined: the chunk has been deleted. */
   setChunk(chunkIndex: number, placements: readonly TaskPlacement[] | undefined): void {
     this.queuedTasks = undefined;
     if (placements === undefined) this.chunks.delete(chunkIndex);
     else this.chunks.set(chunkIndex, placements);
   }
 
-  /** Counts a task whose placement has changed. */
-  countChange(before: TaskPlacement | undefined, now: TaskPlacement | undefined): void {
+  /** Updates the counters for a task whose placement has changed. */
+  countChange(before: TaskPlacement | undefined, after: TaskPlacement | undefined): void {
     this.count(before, -1);
-    this.count(now, 1);
+    this.count(after, 1);
   }
 
-  private count(placement: TaskPlacement | undefined, tasks: 1 | -1): void {
-    if (placement?.kind === 'done') this.done += tasks;
-    if (placement?.kind === 'placed') this.placed += tasks;
+  private count(placement: TaskPlacement | undefined, delta: 1 | -1): void {
+    if (placement?.kind === 'done') this.done += delta;
+    if (placement?.kind === 'placed') this.placed += delta;
   }
 
-  /** Indexes of the tasks that wait for a machine, in order; listed anew only when placements have changed. */
+  /** Indexes of the tasks that wait for a machine, in ascending order; cached until placements change. */
   get queued(): readonly number[] {
-    this.queuedTasks ??= this.listQueued();
+    this.queuedTasks ??= this.listQueuedTasks();
     return this.queuedTasks;
   }
 
-  private listQueued(): number[] {
+  private listQueuedTasks(): number[] {
     const queued: number[] = [];
     const { tasksPerChunk, spec } = this.record;
-    for (let first = 0; first < spec.taskCount; first += tasksPerChunk) {
-      const chunkIndex = first / tasksPerChunk;
+    for (let firstTaskIndex = 0; firstTaskIndex < spec.taskCount; firstTaskIndex += tasksPerChunk) {
+      const chunkIndex = firstTaskIndex / tasksPerChunk;
       const placements = this.chunks.get(chunkIndex);
       const size = chunkSize(this.record, chunkIndex);
-      for (let at = 0; at < size; at++) {
-        if (placements === undefined || placements[at]!.kind === 'queued') queued.push(first + at);
+      for (let offset = 0; offset < size; offset++) {
+        if (placements === undefined || placements[offset]!.kind === 'queued') queued.push(firstTaskIndex + offset);
       }
     }
     return queued;
   }
 
-  /** All tasks that were ever placed, with their indexes. */
+  /** Placements of the tasks in all stored chunks, with the task indexes. */
   *knownPlacements(): Generator<[taskIndex: number, TaskPlacement]> {
     for (const [chunkIndex, placements] of this.chunks) {
-      const first = chunkIndex * this.record.tasksPerChunk;
-      for (const [at, placement] of placements.entries()) yield [first + at, placement];
+      const firstTaskIndex = chunkIndex * this.record.tasksPerChunk;
+      for (const [offset, placement] of placements.entries()) yield [firstTaskIndex + offset, placement];
     }
   }
 
-  /** Tasks of the job in each zone, where a rule asks for them; empty for other jobs, whose tasks are not looked through. */
+  /** Placed tasks in each zone, for jobs that are spread or kept in one zone; empty for others, whose tasks are not scanned. */
   get tasksPerZone(): Map<string, number> {
     const { spreadAcrossZones, singleZone } = this.record.spec;
     if (!spreadAcrossZones && !singleZone) return new Map();
     return countTasksPerZone([...this.knownPlacements()].map(([, placement]) => placement));
   }
 
-  /** A gang completes together: tasks that were lost before the end of the others was recorded have ended with them. */
+  /** Whether all tasks are done. A gang completes as a whole: tasks lost before the others' exits were recorded are done too. */
   get isComplete(): boolean {
     const { kind, taskCount } = this.record.spec;
     return this.done === taskCount || (kind === 'gang' && this.done > 0 && this.placed === 0);
--- a/src/records/machine-placements.ts
+++ b/src/records/machine-placements.ts
@@ -1,9 +1,9 @@
-/** Which tasks are on which machine, and the resources that they use there; kept up with every change, not summed anew. */
+/** The tasks placed on each machine and the resources they use, updated with every change instead of being recomputed. */
 import type { JobSpec } from '../domain/job.js';
 import { type Resources, subtractResources } from '../domain/resources.js';
 import type { ActivePlacement } from '../domain/task.js';
 
-/** A task that is on a machine. */
+/** A task that is placed on a machine. */
 export interface PlacedTask {
   jobId: string;
   taskIndex: number;
@@ -14,11 +14,11 @@
 
 /** Index of the placed tasks by machine. */
 export class MachinePlacements {
-  /** By machine, and there by task. */
+  /** By machine id, then by task. */
   private readonly tasksByMachine = new Map<string, Map<string, PlacedTask>>();
-  private readonly usedByMachine = new Map<string, Resources>();
+  private readonly usedResourcesByMachine = new Map<string, Resources>();
 
-  /** In the order in which they were placed. */
+  /** The machine's tasks in the order in which they were added. */
   tasksOn(machineId: string): Iterable<PlacedTask> {
     return this.tasksByMachine.get(machineId)?.values() ?? [];
   }
@@ -27,12 +27,12 @@
     return this.tasksByMachine.get(machineId)?.size ?? 0;
   }
 
-  /** Undefined: no task is there. */
-  usedOn(machineId: string): Readonly<Resources> | undefined {
-    return this.usedByMachine.get(machineId);
+  /** Undefined: no task is placed on the machine. */
+  usedResourcesOn(machineId: string): Readonly<Resources> | undefined {
+    return this.usedResourcesByMachine.get(machineId);
   }
 
-  /** Machines with a task. */
+  /** Machines with at least one placed task. */
   get machineIds(): Iterable<string> {
     return this.tasksByMachine.keys();
   }
@@ -49,15 +49,15 @@
       this.tasksByMachine.set(machineId, placedTasks);
     }
     placedTasks.set(keyOf(placedTask), placedTask);
-    let used = this.usedByMachine.get(machineId);
+    let used = this.usedResourcesByMachine.get(machineId);
     if (used === undefined) {
       used = { cpus: 0, gpus: 0, memoryGb: 0 };
-      this.usedByMachine.set(machineId, used);
+      this.usedResourcesByMachine.set(machineId, used);
     }
     subtractResources(used, spec, -1);
   }
 
-  /** Another placement of a task on the same machine. */
+  /** Replaces the placement of a task that stays on its machine. */
   replace(placedTask: PlacedTask): void {
     this.tasksByMachine.get(placedTask.placement.machineId)!.set(keyOf(placedTask), placedTask);
   }
@@ -67,10 +67,10 @@
     const placedTasks = this.tasksByMachine.get(machineId)!;
     placedTasks.delete(keyOf(placedTask));
     if (placedTasks.size > 0) {
-      subtractResources(this.usedByMachine.get(machineId)!, spec, 1);
+      subtractResources(this.usedResourcesByMachine.get(machineId)!, spec, 1);
       return;
     }
     this.tasksByMachine.delete(machineId);
-    this.usedByMachine.delete(machineId);
+    this.usedResourcesByMachine.delete(machineId);
   }
 }
--- a/src/records/orphan-chunks.ts
+++ b/src/records/orphan-chunks.ts
@@ -1,17 +1,17 @@
 /**
- * Chunks of placements without the record of their job: pages and changes may bring them before it, and the transaction that
- * ended the job may have had no room to delete them.
+ * Placement chunks whose job has no record in the replica. Pages and changes may deliver chunks before their job's record, and
+ * the transaction that ended a job may have had no room to delete all its chunks.
  */
 import { hasNoActivePlacements } from './placement-codec.js';
 
 /** The stored chunks of one job, by chunk index. */
 export type StoredChunks = ReadonlyMap<number, unknown>;
 
-/** Placement chunks whose job record has not arrived yet. */
+/** The placement chunks without a job record, by job. */
 export class OrphanChunks {
   private readonly chunksByJob = new Map<string, Map<number, unknown>>();
 
-  /** `value`: undefined: the chunk has been deleted. */
+  /** `value`: the stored chunk; undefined: it has been deleted. */
   set(jobId: string, chunkIndex: number, value: unknown): void {
     const chunks = this.chunksByJob.get(jobId) ?? new Map<number, unknown>();
     if (value === undefined) chunks.delete(chunkIndex);
@@ -20,7 +20,7 @@
     else this.chunksByJob.delete(jobId);
   }
 
-  /** The chunks of a job, until it has a record (again). */
+  /** The orphan chunks of a job; undefined: it has none. */
   get(jobId: string): StoredChunks | undefined {
     return this.chunksByJob.get(jobId);
   }
@@ -33,8 +33,8 @@
     yield* this.chunksByJob;
   }
 
-  /** Might any of them hold a task that is on a machine? */
-  get hasActivePlacements(): boolean {
+  /** Whether any of the chunks may hold a placed task. */
+  get mayHoldActivePlacements(): boolean {
     for (const chunks of this.chunksByJob.values()) {
       for (const chunk of chunks.values()) if (!hasNoActivePlacements(chunk)) return true;
     }
--- a/src/records/placement-mutations.ts
+++ b/src/records/placement-mutations.ts
@@ -1,17 +1,17 @@
-/** Mutations of task placements: start, release and stop of a task, and the end of a job. */
+/** Mutations that start, release and stop tasks, and that end jobs. */
 import { END_WRITES } from '../constants/records.js';
 import type { Machine } from '../domain/machine.js';
 import type { ActivePlacement, TaskPlacement } from '../domain/task.js';
 import type { Team } from '../domain/team.js';
 import type { TransactionDraft } from '../store/transaction-draft.js';
 import { decodeChunk, withPlacement } from './placement-codec.js';
-import { findStartRefusal, provesFree, type ReleaseProof, type StartRefusal } from './placement-rules.js';
+import { findStartRefusal, provesRelease, type ReleaseProof, type StartRefusal } from './placement-rules.js';
 import { decodeJobRecord, encodeFinalJobRecord } from './record-codecs.js';
 import { finalJobKey, jobKey, placementChunkKey } from './record-keys.js';
 import { chunkCount, chunkSize, type JobRecord } from './records.js';
 import type { TeamAccounting } from './team-accounting.js';
 
-/** Reads a job's record and makes it a condition; undefined: there is no such job, or it is over. */
+/** Reads a job's record and makes it a condition; undefined: the job does not exist or has ended. */
 export function readJob(draft: TransactionDraft, jobId: string): JobRecord | undefined {
   const value = draft.get(jobKey(jobId));
   return value === undefined ? undefined : decodeJobRecord(value);
@@ -31,7 +31,7 @@
   for (let chunkIndex = 0; chunkIndex < chunkCount(job); chunkIndex++) yield* readChunk(draft, job, chunkIndex);
 }
 
-/** Replaces a placement by what `change` makes of it; undefined leaves it as it is, and the result is false. */
+/** Replaces a placement with the result of `change`. Returns false if `change` returns undefined, which leaves it unchanged. */
 function editPlacement(
   draft: TransactionDraft,
   job: JobRecord,
@@ -42,12 +42,12 @@
   if (next === undefined) return false;
   const chunkIndex = Math.floor(taskIndex / job.tasksPerChunk);
   const key = placementChunkKey(job.spec.id, chunkIndex);
-  const at = taskIndex % job.tasksPerChunk;
-  draft.set(key, withPlacement(draft.get(key), chunkSize(job, chunkIndex), at, next));
+  const offset = taskIndex % job.tasksPerChunk;
+  draft.set(key, withPlacement(draft.get(key), chunkSize(job, chunkIndex), offset, next));
   return true;
 }
 
-/** Which task is to start, and where. */
+/** A task to start, and the machine to start it on. */
 export interface TaskStart {
   /** The job's team. */
   team: Team;
@@ -57,7 +57,7 @@
   attempt: number;
 }
 
-/** Places a task on a machine, if the rules allow it on the records as they are; else the rule that it would break. */
+/** Places a task on a machine if the rules allow it for the current records; otherwise returns the rule that it would break. */
 export function startTask(
   draft: TransactionDraft,
   accounting: TeamAccounting,
@@ -69,17 +69,17 @@
   const refusal = findStartRefusal({
     job,
     placement,
-    others: job.spec.spreadAcrossZones || job.spec.singleZone ? readPlacements(draft, job) : [],
+    jobPlacements: job.spec.spreadAcrossZones || job.spec.singleZone ? readPlacements(draft, job) : [],
     team,
     teamUsage: accounting.usageOf(draft, team, job.spec),
     machine,
     attempt,
   });
   if (refusal !== undefined) return refusal;
-  editPlacement(draft, job, taskIndex, (old) => ({
+  editPlacement(draft, job, taskIndex, (previous) => ({
     kind: 'placed',
     attempt,
-    failures: old.kind === 'queued' ? old.failures : 0,
+    failures: previous.kind === 'queued' ? previous.failures : 0,
     machineId: machine.machineId,
     agentEpoch: machine.agentEpoch,
     gracePeriodS: null,
@@ -92,7 +92,7 @@
 /** How a task ended. */
 export type TaskEnding = 'done' | 'failed' | 'lost';
 
-/** Which task has left its machine, how, and what proves it. */
+/** A task that has left its machine, how it ended, and the proof. */
 export interface TaskRelease {
   jobId: string;
   taskIndex: number;
@@ -101,7 +101,7 @@
   ending: TaskEnding;
 }
 
-/** Takes a task off its machine on proof, and records how it ended. False: the proof is of no task that is there. */
+/** Releases a task's placement and records how the task ended. Returns false if the proof does not apply to its placement. */
 export function releasePlacement(
   draft: TransactionDraft,
   accounting: TeamAccounting,
@@ -109,13 +109,13 @@
 ): boolean {
   const job = readJob(draft, jobId);
   if (job === undefined) return false;
-  // A gang completes together: once one task is done, the others are, also those whose machine went away just then.
+  // A gang completes as a whole: once one task is done, all are, including those whose machine was lost at that moment.
   const isDone =
     ending === 'done' ||
     (job.spec.kind === 'gang' && [...readPlacements(draft, job)].some((placement) => placement.kind === 'done'));
   const isReleased = editPlacement(draft, job, taskIndex, (placement) => {
     if (placement.kind !== 'placed' || placement.machineId !== machineId) return undefined;
-    if (!provesFree(proof, placement)) return undefined;
+    if (!provesRelease(proof, placement)) return undefined;
     if (isDone) return { kind: 'done' };
     const failures = ending === 'failed' ? placement.failures + 1 : placement.failures;
     return { kind: 'queued', attempt: placement.attempt, failures };
@@ -124,7 +124,7 @@
   return isReleased;
 }
 
-/** A task that is to stop, as it was seen on its machine. */
+/** A task to stop, with the placement in which it was observed. */
 export interface StopTarget {
   jobId: string;
   taskIndex: number;
@@ -132,36 +132,36 @@
 }
 
 /**
- * Marks a task for stopping, if it is still where it was seen; the leader of the machine's partition sends the command. A
- * shorter grace period replaces a longer one.
+ * Marks a task for stopping if it is still in the observed placement; the leader of the machine's partition sends the command.
+ * A shorter grace period replaces a longer one.
  */
 export function markForStop(
   draft: TransactionDraft,
-  { jobId, taskIndex, placement: seen }: StopTarget,
+  { jobId, taskIndex, placement: observed }: StopTarget,
   gracePeriodS: number,
 ): boolean {
   const job = readJob(draft, jobId);
   if (job === undefined) return false;
   return editPlacement(draft, job, taskIndex, (placement) => {
     if (placement.kind !== 'placed') return undefined;
-    if (placement.machineId !== seen.machineId || placement.attempt !== seen.attempt) return undefined;
+    if (placement.machineId !== observed.machineId || placement.attempt !== observed.attempt) return undefined;
     const isShorter = placement.gracePeriodS === null || placement.gracePeriodS > gracePeriodS;
     return isShorter ? { ...placement, gracePeriodS } : undefined;
   });
 }
 
 /**
- * Moves a job whose tasks are all over to its final record. The chunks need no conditions: a task that is done stays done, and
- * once a job is cancelled nothing more can start. For the latter the caller makes sure that it has seen all that happened
- * before the cancellation. Chunks beyond the limit of one transaction, `maxWrites`, are deleted later.
+ * Replaces the record of a job whose tasks have all ended with its final record. The chunks need no conditions: a done task
+ * stays done, and no task of a cancelled job can start. For a cancelled job, the caller must have seen all changes before the
+ * cancellation. Chunks beyond `maxWrites`, the limit of one transaction, are deleted later.
  */
 export function endJob(draft: TransactionDraft, jobId: string, maxWrites: number): boolean {
   const job = readJob(draft, jobId);
   if (job === undefined) return false;
   const keys = Array.from({ length: chunkCount(job) }, (_, chunkIndex) => placementChunkKey(jobId, chunkIndex));
-  const placements = (): TaskPlacement[] =>
+  const readAllPlacements = (): TaskPlacement[] =>
     keys.flatMap((key, chunkIndex) => decodeChunk(draft.peek(key), chunkSize(job, chunkIndex)));
-  if (!isOver(job, placements)) return false;
+  if (!isFinished(job, readAllPlacements)) return false;
   const state = job.state === 'cancelled' ? 'cancelled' : 'done';
   draft.set(finalJobKey(jobId), encodeFinalJobRecord({ state, taskCount: job.spec.taskCount }));
   draft.delete(jobKey(jobId));
@@ -170,16 +170,16 @@
   return true;
 }
 
-/** Is nothing of the job left to be done? `placements` of its tasks, read only where they matter. */
-function isOver({ state, spec }: JobRecord, readAll: () => TaskPlacement[]): boolean {
+/** Whether the job has nothing left to run. Placements are read only if the job is not waiting. */
+function isFinished({ state, spec }: JobRecord, readAllPlacements: () => TaskPlacement[]): boolean {
   if (state === 'waiting') return false;
-  const placements = readAll();
+  const placements = readAllPlacements();
   if (placements.some(({ kind }) => kind === 'placed')) return false;
   if (state === 'cancelled') return true;
   switch (spec.kind) {
     case 'service':
       return false;
-    // A gang completes together. Its placements fit one transaction, so all of them are compared here.
+    // A gang completes as a whole, so one done task is enough. Its placements fit one transaction, so all are checked here.
     case 'gang':
       return placements.some(({ kind }) => kind === 'done');
     case 'array':
--- a/src/records/placement-rules.ts
+++ b/src/records/placement-rules.ts
@@ -1,52 +1,52 @@
-/** The rules of starts and of releases: which task may start on which machine, and what proves that one has left it. */
+/** Rules for starts and releases: which task may start on which machine, and what proves that a task has left its machine. */
 import type { JobSpec } from '../domain/job.js';
 import type { Machine } from '../domain/machine.js';
 import type { ActivePlacement, TaskPlacement } from '../domain/task.js';
 import type { Team, TeamUsage } from '../domain/team.js';
 import type { JobRecord } from './records.js';
 
-/** May a task of this job ever run on such a machine? */
+/** Whether the job's constraints on machine type, zone and spot machines allow its tasks to run on the machine. */
 export const isAllowedOn = (job: JobSpec, machine: Pick<Machine, 'machineType' | 'zone' | 'isSpot'>): boolean =>
   (job.machineTypes === null || job.machineTypes.includes(machine.machineType)) &&
   (job.zone === null || job.zone === machine.zone) &&
   (job.allowsSpot || !machine.isSpot);
 
-/** The most tasks that one zone may hold, of a job that is spread across zones. */
-const spreadLimit = (job: JobSpec): number => Math.ceil(job.taskCount / 2);
+/** Maximum number of placed tasks in one zone, for a job that is spread across zones. */
+const maxTasksPerZone = (job: JobSpec): number => Math.ceil(job.taskCount / 2);
 
-/** Tasks of the job in each zone; a task counts until its exit is known. */
+/** Number of placed tasks in each zone; a task counts until its exit is recorded. */
 export function countTasksPerZone(placements: Iterable<TaskPlacement>): Map<string, number> {
-  const zones = new Map<string, number>();
+  const tasksPerZone = new Map<string, number>();
   for (const placement of placements)
-    if (placement.kind === 'placed') zones.set(placement.zone, (zones.get(placement.zone) ?? 0) + 1);
-  return zones;
+    if (placement.kind === 'placed') tasksPerZone.set(placement.zone, (tasksPerZone.get(placement.zone) ?? 0) + 1);
+  return tasksPerZone;
 }
 
-/** May one more task start in the zone, given where the job's other tasks are? */
-export function isZoneAllowed(job: JobSpec, zones: ReadonlyMap<string, number>, zone: string): boolean {
-  if (job.spreadAcrossZones && (zones.get(zone) ?? 0) >= spreadLimit(job)) return false;
-  if (job.singleZone) for (const [other, count] of zones) if (count > 0 && other !== zone) return false;
+/** Whether one more task of the job may start in the zone, given the zones of its placed tasks. */
+export function isZoneAllowed(job: JobSpec, tasksPerZone: ReadonlyMap<string, number>, zone: string): boolean {
+  if (job.spreadAcrossZones && (tasksPerZone.get(zone) ?? 0) >= maxTasksPerZone(job)) return false;
+  if (job.singleZone) for (const [otherZone, count] of tasksPerZone) if (count > 0 && otherZone !== zone) return false;
   return true;
 }
 
-/** Amounts are decimal; what differs by less counts as equal. */
+/** Amounts that differ by less count as equal, since sums of decimal amounts are inexact. */
 const TOLERANCE = 1e-6;
 
-/** Does the team's recorded usage, with this added, stay within its limit? 0 means no limit. */
-export const isWithinQuota = ({ limit }: Team, use: TeamUsage, cpus: number, gpus: number): boolean =>
-  (limit.cpus === 0 || cpus === 0 || use.cpus + cpus <= limit.cpus + TOLERANCE) &&
-  (limit.gpus === 0 || gpus === 0 || use.gpus + gpus <= limit.gpus + TOLERANCE);
+/** Whether the team's usage stays within its limits with these amounts added. A limit of 0 means no limit. */
+export const isWithinQuota = ({ limit }: Team, usage: TeamUsage, cpus: number, gpus: number): boolean =>
+  (limit.cpus === 0 || cpus === 0 || usage.cpus + cpus <= limit.cpus + TOLERANCE) &&
+  (limit.gpus === 0 || gpus === 0 || usage.gpus + gpus <= limit.gpus + TOLERANCE);
 
-/** Does the team have any limit that this job counts against? Without one its usage is not recorded. */
-export const isLimited = ({ limit }: Team, job: JobSpec): boolean =>
+/** Whether the job counts against any limit of its team; the usage of jobs that do not is not recorded. */
+export const isQuotaLimited = ({ limit }: Team, job: JobSpec): boolean =>
   (limit.cpus > 0 && job.cpus > 0) || (limit.gpus > 0 && job.gpus > 0);
 
-/** Everything compared in the transaction of a start, and nothing else. */
-export interface StartFacts {
+/** The inputs of the start check. The records among them are conditions of the start's transaction. */
+export interface StartCheckInput {
   job: JobRecord | undefined;
   placement: TaskPlacement;
-  /** Placements of the job's other tasks, where a rule on zones asks for them. */
-  others: Iterable<TaskPlacement>;
+  /** Placements of all tasks of the job, if a zone rule applies to it; otherwise empty. */
+  jobPlacements: Iterable<TaskPlacement>;
   team: Team;
   teamUsage: TeamUsage;
   machine: Machine;
@@ -65,11 +65,11 @@
   | 'zone_not_allowed'
   | 'over_quota';
 
-/** The one check of every start: undefined if it may be committed, else the rule that it would break. */
-export function findStartRefusal(facts: StartFacts): StartRefusal | undefined {
-  const { job } = facts;
+/** The single check for starts: returns the rule that the start would break; undefined: it may be committed. */
+export function findStartRefusal(input: StartCheckInput): StartRefusal | undefined {
+  const { job } = input;
   if (job === undefined) return 'no_such_job';
-  return findJobRefusal(job) ?? findPlacementRefusal(job.spec, facts) ?? findMachineRefusal(job.spec, facts);
+  return findJobRefusal(job) ?? findPlacementRefusal(job.spec, input) ?? findMachineRefusal(job.spec, input);
 }
 
 function findJobRefusal({ state }: JobRecord): StartRefusal | undefined {
@@ -83,34 +83,34 @@
   }
 }
 
-function findPlacementRefusal(job: JobSpec, { placement, attempt }: StartFacts): StartRefusal | undefined {
+function findPlacementRefusal(job: JobSpec, { placement, attempt }: StartCheckInput): StartRefusal | undefined {
   if (placement.kind === 'done') return 'already_done';
   if (placement.kind === 'placed') return 'already_placed';
-  // All tasks of a gang start with one attempt, also those that have not used it.
+  // All tasks of a gang start under the same attempt, including the replacement for a task lost from it.
   const isUsed = attempt < placement.attempt || (attempt === placement.attempt && job.kind !== 'gang');
   return isUsed ? 'attempt_used' : undefined;
 }
 
-function findMachineRefusal(job: JobSpec, facts: StartFacts): StartRefusal | undefined {
-  const { machine, others, team, teamUsage } = facts;
+function findMachineRefusal(job: JobSpec, input: StartCheckInput): StartRefusal | undefined {
+  const { machine, jobPlacements, team, teamUsage } = input;
   if (!isAllowedOn(job, machine)) return 'machine_not_allowed';
-  if (!isZoneAllowed(job, countTasksPerZone(others), machine.zone)) return 'zone_not_allowed';
+  if (!isZoneAllowed(job, countTasksPerZone(jobPlacements), machine.zone)) return 'zone_not_allowed';
   return isWithinQuota(team, teamUsage, job.cpus, job.gpus) ? undefined : 'over_quota';
 }
 
-/** Why a task has left its machine. Nothing else proves it. */
+/** Proof that a task has left its machine; nothing else releases its placement. */
 export type ReleaseProof =
-  /** The agent has reported the end of this attempt. */
+  /** The agent has reported the exit of this attempt. */
   | { kind: 'exited'; attempt: number; agentEpoch: number }
-  /** The agent has begun another epoch, and with it ended what ran before. */
+  /** The agent has begun a newer epoch, which ended all tasks of earlier epochs. */
   | { kind: 'newer_agent_epoch'; agentEpoch: number }
   /** The cloud has confirmed that the machine is terminated. */
   | { kind: 'machine_terminated' }
-  /** The lease of the agent's epoch has expired; it says nothing of what the machine is given in its next one. */
+  /** The lease of this agent epoch has expired; tasks placed in a later epoch are not affected. */
   | { kind: 'lease_expired'; agentEpoch: number };
 
-/** Does the proof release exactly this placement? */
-export function provesFree(proof: ReleaseProof, placement: ActivePlacement): boolean {
+/** Whether the proof applies to this placement. */
+export function provesRelease(proof: ReleaseProof, placement: ActivePlacement): boolean {
   switch (proof.kind) {
     case 'exited':
       return proof.attempt === placement.attempt && proof.agentEpoch === placement.agentEpoch;
--- a/src/records/record-codecs.ts
+++ b/src/records/record-codecs.ts
@@ -1,4 +1,4 @@
-/** The stored form of each kind of record, and its translation. Task placements have a codec of their own. */
+/** Codecs of the records in the store, except task placements, which have a codec of their own. */
 import { JOB_PRIORITIES } from '../domain/job.js';
 import type { TeamUsage } from '../domain/team.js';
 import { decodeJobSpec, encodeJobSpec, type WireJobSpec } from './job-spec-codec.js';
@@ -16,7 +16,7 @@
 
 type StoredPhase = 'waiting' | 'active' | 'withdrawn';
 
-/** The order of the fields is the order in which they are stored. */
+/** The order of the fields is their order in the store. */
 interface StoredJob {
   spec: WireJobSpec;
   phase: StoredPhase;
@@ -37,32 +37,32 @@
   cancelled: 'withdrawn',
 };
 
-const isListOfJobs = (value: unknown): boolean =>
+const isOptionalIdList = (value: unknown): boolean =>
   value === undefined || (Array.isArray(value) && value.every((each) => typeof each === 'string'));
 
 function isStoredJob(value: unknown): value is StoredJob {
   const job = value as StoredJob | null | undefined;
   if (job?.spec === undefined || !isStoredSpec(job.spec)) return false;
   const hasChunkSize = isNonNegativeInteger(job.chunk) && job.chunk >= 1;
-  return hasChunkSize && Object.hasOwn(STATE_OF_PHASE, job.phase) && hasStoredDependencies(job);
+  return hasChunkSize && Object.hasOwn(STATE_OF_PHASE, job.phase) && hasValidDependencies(job);
 }
 
 const isStoredSpec = (spec: WireJobSpec): boolean =>
   typeof spec.Ref === 'string' && isNonNegativeInteger(spec.Shards) && JOB_PRIORITIES.includes(spec.Rank);
 
-/** A job that waits must say for which; the time of its release stands in the records of those that have waited. */
-const hasStoredDependencies = ({ phase, awaits, releasedAt }: StoredJob): boolean =>
-  isListOfJobs(awaits) &&
+/** A waiting job must name its dependencies; only jobs that have waited have a release time. */
+const hasValidDependencies = ({ phase, awaits, releasedAt }: StoredJob): boolean =>
+  isOptionalIdList(awaits) &&
   (phase !== 'waiting' || awaits !== undefined) &&
   (releasedAt === undefined || typeof releasedAt === 'number');
 
-/** Records are never changed in place, so each is decoded once, however many decisions look at it. */
+/** Stored records are never changed in place, so the decoded form of each is cached by identity. */
 const decodedJobs = new WeakMap<object, JobRecord>();
 
-/** Throws `CorruptRecord` for what is no job record. */
+/** Throws `CorruptRecordError` if the value is not a job record. */
 export function decodeJobRecord(value: unknown): JobRecord {
-  const known = typeof value === 'object' && value !== null ? decodedJobs.get(value) : undefined;
-  if (known !== undefined) return known;
+  const cached = typeof value === 'object' && value !== null ? decodedJobs.get(value) : undefined;
+  if (cached !== undefined) return cached;
   if (!isStoredJob(value)) throw new CorruptRecordError('job record');
   const { spec, phase, at, chunk, awaits, releasedAt } = value;
   const record: JobRecord = {
@@ -77,7 +77,7 @@
   return record;
 }
 
-/** The order of the fields is that in which they are stored. */
+/** Writes the fields in their order in the store. */
 export function encodeJobRecord(record: JobRecord): unknown {
   const { spec, state, submittedAtMs, tasksPerChunk, dependencies, releasedAtMs } = record;
   const stored: StoredJob = {
@@ -92,14 +92,14 @@
   return stored;
 }
 
-/** The stored form of a job's record once the job is cancelled: nothing else of it changes. */
+/** The stored record of a job with its state set to cancelled; all other fields are unchanged. */
 export const cancelStoredJob = (stored: unknown): unknown => ({ ...(stored as StoredJob), phase: 'withdrawn' });
 
-/** Is this the stored record of a cancelled job? */
+/** Whether this is the stored record of a cancelled job that has not ended yet. */
 export const isStoredCancellation = (key: string, value: unknown): boolean =>
   key.startsWith(JOB_PREFIX) && (value as StoredJob | undefined)?.phase === 'withdrawn';
 
-/** The same record without the machine types: nothing of a cancelled job starts any more, so they can go. */
+/** Removes the machine types from the record of a cancelled job, none of whose tasks can start any more. */
 export function withoutMachineTypes(stored: unknown): unknown {
   const job = stored as StoredJob;
   return job.phase === 'withdrawn' ? { ...job, spec: { ...job.spec, Flavors: null } } : job;
@@ -110,7 +110,7 @@
   shards: number;
 }
 
-/** Throws `CorruptRecord` for what is no final record. */
+/** Throws `CorruptRecordError` if the value is not a final job record. */
 export function decodeFinalJobRecord(value: unknown): FinalJobRecord {
   const stored = value as StoredFinalJob | null;
   if (stored?.phase !== 'done' && stored?.phase !== 'withdrawn') throw new CorruptRecordError('final job record');
@@ -125,7 +125,7 @@
   latch: number;
 }
 
-/** Undefined: nobody leads the role. */
+/** Undefined: no node leads the role. */
 export function decodeLeadershipRecord(value: unknown): LeadershipRecord | undefined {
   if (value === undefined) return undefined;
   const { node, latch } = value as StoredLeadership;
@@ -145,11 +145,11 @@
   hosts: string[] | null;
 }
 
-/** Throws `CorruptRecord` for what is no rental. */
+/** Throws `CorruptRecordError` if the value is not a rental record. */
 export function decodeRentalRecord(value: unknown): RentalRecord {
   const stored = value as StoredRental | null;
-  const texts = [stored?.name, stored?.flavor, stored?.site].every((each) => typeof each === 'string');
-  if (!texts || !isNonNegativeInteger(stored!.count) || typeof stored!.at !== 'number')
+  const hasNames = [stored?.name, stored?.flavor, stored?.site].every((each) => typeof each === 'string');
+  if (!hasNames || !isNonNegativeInteger(stored!.count) || typeof stored!.at !== 'number')
     throw new CorruptRecordError('rental record');
   if (stored!.hosts !== null && !Array.isArray(stored!.hosts)) throw new CorruptRecordError('rental record');
   const { name, flavor, site, reclaimable, count, at, hosts } = stored!;
@@ -180,7 +180,7 @@
   cards: number;
 }
 
-/** A team without a record uses nothing. Throws `CorruptRecord` for what is no usage. */
+/** A team without a record has no usage. Throws `CorruptRecordError` if the value is not a team's usage record. */
 export function decodeTeamUsage(value: unknown): TeamUsage {
   if (value === undefined) return { cpus: 0, gpus: 0 };
   const stored = value as StoredTeamUsage | null;
@@ -197,7 +197,7 @@
   latch: number;
 }
 
-/** Undefined: the process has not announced its format. */
+/** Undefined: no process of the node has announced its record format. */
 export function decodeFormatRecord(value: unknown): FormatRecord | undefined {
   if (value === undefined) return undefined;
   const { format, latch } = value as StoredFormat;
@@ -207,7 +207,7 @@
 export const encodeFormatRecord = ({ format, leaseId }: FormatRecord): unknown =>
   ({ format, latch: leaseId }) satisfies StoredFormat;
 
-/** The record that says that all controllers read the format. */
+/** The record which states that all controllers read the format. */
 export const encodeFormatCompleteRecord = (format: number): unknown => ({ format });
 
 interface StoredStandby {
@@ -215,7 +215,7 @@
   latch: number;
 }
 
-/** Undefined: the process has not announced that it reads the stream. */
+/** Undefined: no process of the node has announced that it reads the standby's stream. */
 export function decodeStandbyRecord(value: unknown): StandbyRecord | undefined {
   if (value === undefined) return undefined;
   const { life, latch } = value as StoredStandby;
--- a/src/records/record-keys.ts
+++ b/src/records/record-keys.ts
@@ -1,12 +1,12 @@
 /**
- * The keys of the records in the store. Everything that can still change lives under `live/`, so that one ordered watch keeps a
- * whole replica up; final records move to `ended/`, where they never change.
+ * Keys of the records in the store. All records that can still change are under `live/`, so that one ordered watch keeps a
+ * replica of them up to date; final records are under `ended/` and never change.
  */
 
 /** Prefix of the records that the replica holds. */
 export const LIVE_PREFIX = 'live/';
 
-/** Who leads a role. */
+/** The leader of each role. */
 export const LEADERSHIP_PREFIX = `${LIVE_PREFIX}claim/`;
 export const leadershipKey = (role: string): string => `${LEADERSHIP_PREFIX}${role}`;
 
@@ -16,21 +16,21 @@
 
 /** Task placements, in chunks of consecutive tasks of one job. */
 export const PLACEMENT_PREFIX = `${LIVE_PREFIX}ledger/`;
-/** Digits of a chunk's index, so that the keys of one job are ordered as its chunks are. */
+/** Chunk indexes are padded to this many digits, so that the keys of a job's chunks sort by index. */
 const CHUNK_INDEX_DIGITS = 4;
 export const jobPlacementPrefix = (jobId: string): string => `${PLACEMENT_PREFIX}${jobId}/`;
 export const placementChunkKey = (jobId: string, chunkIndex: number): string =>
   `${jobPlacementPrefix(jobId)}${String(chunkIndex).padStart(CHUNK_INDEX_DIGITS, '0')}`;
 
-/** A team's usage. */
+/** Recorded usage of a team. */
 export const teamKey = (team: string): string => `${LIVE_PREFIX}team/${team}`;
 
-/** The catalog's machine types. */
+/** Machine types of the cloud's catalog. */
 export const MACHINE_TYPE_PREFIX = `${LIVE_PREFIX}flavor/`;
 export const machineTypeKey = (machineType: string): string =>
   `${MACHINE_TYPE_PREFIX}${encodeURIComponent(machineType)}`;
 
-/** Requests for machines. */
+/** Requests to rent machines. */
 export const RENTAL_PREFIX = `${LIVE_PREFIX}hire/`;
 export const rentalKey = (rentalId: string): string => `${RENTAL_PREFIX}${rentalId}`;
 
@@ -38,10 +38,10 @@
 export const FINAL_JOB_PREFIX = 'ended/';
 export const finalJobKey = (jobId: string): string => `${FINAL_JOB_PREFIX}${jobId}`;
 
-/** Attached to the store lease of each process that reads the present record format. */
+/** Announces that the node's process reads the current record format; attached to the process's store lease. */
 export const formatKey = (node: string): string => `${LIVE_PREFIX}format/node/${node}`;
-/** Exists once all controllers have been seen to read the present record format; never deleted. */
+/** Exists once all controllers have announced in one transaction that they read the current record format; never deleted. */
 export const FORMAT_COMPLETE_KEY = `${LIVE_PREFIX}format/complete`;
 
-/** Attached to the store lease of each process that reads the warm standby's stream. */
+/** Announces that the node's process reads the warm standby's stream; attached to the process's store lease. */
 export const standbyKey = (node: string): string => `${LIVE_PREFIX}standby/${node}`;
--- a/src/records/records.ts
+++ b/src/records/records.ts
@@ -1,25 +1,25 @@
-/** The records in the store, as the program works with them; the codecs beside hold their stored form. */
+/** Types of the records in the store; the codecs in this folder translate between them and the stored form. */
 import type { JobSpec } from '../domain/job.js';
 
-/** Version of the record format that this program reads: 2 knows compact chunks of task placements. */
+/** Version of the record format that this program reads; version 2 added compact chunks of task placements. */
 export const RECORD_FORMAT = 2;
 
 /** A job that is not over. */
 export interface JobRecord {
   spec: JobSpec;
-  /** `waiting`: until its dependencies are done; versions that know none can't read such a record, and start nothing. */
+  /** `waiting`: not all dependencies are done. Versions without dependencies can't decode this and start no task of the job. */
   state: 'waiting' | 'active' | 'cancelled';
-  /** Time of day, ms, of the submission; jobs are ordered and deadlines counted by it, but no safety depends on it. */
+  /** Time of day, ms, of the submission; used to order jobs and to compute deadlines, but safety does not depend on it. */
   submittedAtMs: number;
-  /** Tasks in one chunk of this job's placements. */
+  /** Number of tasks in one chunk of this job's placements. */
   tasksPerChunk: number;
-  /** Jobs that must be done before this one may start, of one that waits for them. */
+  /** Ids of the jobs that must be done before this one may start; set while the job waits for them. */
   dependencies?: readonly string[];
-  /** Time of day, ms, when the last dependency was seen to be done; absent where there was none. */
+  /** Time of day, ms, when the job was released because all its dependencies were done; absent if it never waited. */
   releasedAtMs?: number;
 }
 
-/** Time of day from which the job may run, ms. */
+/** Time of day, ms, since when the job may run. */
 export const runnableSinceMs = (job: JobRecord): number => job.releasedAtMs ?? job.submittedAtMs;
 
 /** A job that is over. */
@@ -28,27 +28,27 @@
   taskCount: number;
 }
 
-/** A controller's process that reads records of this format, and the store lease that its record is attached to. */
+/** Announces the record format that a controller process reads, and the store lease that the announcement is attached to. */
 export interface FormatRecord {
   format: number;
   leaseId: number;
 }
 
-/** A controller's process that reads the warm standby's stream. */
+/** Announces a controller process that reads the warm standby's stream. */
 export interface StandbyRecord {
-  /** The process, as its gossip names it. */
+  /** The incarnation number of the process in gossip. */
   incarnation: number;
   leaseId: number;
 }
 
-/** Who leads a role. */
+/** The node that leads a role. */
 export interface LeadershipRecord {
   node: string;
-  /** The store lease that the record is attached to; tells two incarnations of one node apart. */
+  /** The store lease that the record is attached to; distinguishes two incarnations of one node. */
   leaseId: number;
 }
 
-/** A request for machines: written before it is sent, so that no leader asks twice for one need. */
+/** A request to rent machines; stored before it is sent, so that no leader requests machines twice for the same need. */
 export interface RentalRecord {
   /** The idempotency key of the request. */
   rentalId: string;
@@ -58,26 +58,26 @@
   count: number;
   /** Time of day, ms. */
   requestedAtMs: number;
-  /** null: not answered yet. */
+  /** null: the cloud has not answered yet. */
   machineIds: string[] | null;
 }
 
-/** A stored record that can't be decoded; nothing is decided on it. `what` names the kind of record. */
+/** Thrown for a stored record that can't be decoded; no decision is based on such a record. */
 export class CorruptRecordError extends Error {
   readonly code = 'record_corrupt';
 
-  constructor(what: string) {
-    super(`${what} can not be decoded`);
+  constructor(recordKind: string) {
+    super(`${recordKind} cannot be decoded`);
   }
 }
 
-/** Is the value a whole number, 0 or more? */
+/** Whether the value is a safe integer, 0 or greater. */
 export const isNonNegativeInteger = (value: unknown): value is number =>
   Number.isSafeInteger(value) && (value as number) >= 0;
 
-/** Chunks that hold the placements of all tasks of a job. */
+/** Number of chunks that hold the placements of all tasks of a job. */
 export const chunkCount = (job: JobRecord): number => Math.ceil(job.spec.taskCount / job.tasksPerChunk);
 
-/** Tasks in one chunk: the last one may be shorter. */
+/** Number of tasks in a chunk; the last chunk of a job may hold fewer than the others. */
 export const chunkSize = (job: JobRecord, chunkIndex: number): number =>
   Math.min(job.tasksPerChunk, job.spec.taskCount - chunkIndex * job.tasksPerChunk);
--- a/src/records/team-accounting.ts
+++ b/src/records/team-accounting.ts
@@ -1,36 +1,37 @@
 /**
- * What each team uses, as its record in the store has it. The record is never less than what the team's tasks use: every start
- * adds to it, under the condition that nobody else has changed it. Exits far below the team's limit leave it as it is, since
- * a write, for every task of a team, of a record that all controllers write is what the store's rate of writes allows least;
- * the next start sets it to what the placements show, if the replica is known to hold every start that the record counts.
+ * Accounts for each team's usage in the team's record in the store. The recorded usage is never below that of the team's tasks:
+ * every start adds to it, under the condition that the record has not changed since it was read. While usage is far below the
+ * team's limit, exits leave the record unchanged, since a write per task to a record that all controllers write is what the
+ * store's write rate can least afford. The next start lowers the record to the usage of the placements, if the replica is known
+ * to hold every start that the record counts.
  */
 import { DEFERRED_EXIT_SHARE } from '../constants/records.js';
 import type { JobSpec } from '../domain/job.js';
 import type { Team, TeamUsage } from '../domain/team.js';
 import type { StoredValue } from '../store/replica.js';
 import type { TransactionDraft } from '../store/transaction-draft.js';
-import { isLimited } from './placement-rules.js';
+import { isQuotaLimited } from './placement-rules.js';
 import { decodeTeamUsage, encodeTeamUsage } from './record-codecs.js';
 import { teamKey } from './record-keys.js';
-import { withTask } from './team-usage-index.js';
+import { adjustUsage } from './team-usage-index.js';
 
-/** What a team's use is counted from. */
+/** The sources of the usage figures, and the rule for deferring exits. */
 export interface TeamAccountingDependencies {
   teams: readonly Team[];
-  /** What a team's placed tasks use; undefined unless the replica holds all that happened up to the revision. */
+  /** Usage of a team's placed tasks; undefined unless the replica holds all changes up to the revision. */
   placedUsageOf: (team: string, upTo: number) => TeamUsage | undefined;
-  /** A record as the replica has it. */
+  /** The replica's copy of a record. */
   recordOf: (key: string) => StoredValue;
-  /** Do all controllers know that a record may say more than its team uses? */
+  /** Whether all controllers expect that a record may overstate its team's usage. */
   canDeferExits: () => boolean;
 }
 
-/** Is the usage so far below the limit that the next start need not know of every exit? */
+/** Whether usage is so far below the limits that a start finds room even if exits have not been recorded. */
 const isFarBelowLimit = (usage: TeamUsage, { limit }: Team): boolean =>
   (limit.cpus === 0 || usage.cpus <= limit.cpus * DEFERRED_EXIT_SHARE) &&
   (limit.gpus === 0 || usage.gpus <= limit.gpus * DEFERRED_EXIT_SHARE);
 
-/** What each team uses, and what a transaction must change for it to stay so. */
+/** Reads each team's usage, and updates its record in the transactions that change it. */
 export class TeamAccounting {
   private readonly teams: ReadonlyMap<string, Team>;
 
@@ -38,27 +39,27 @@
     this.teams = new Map(dependencies.teams.map((team) => [team.name, team]));
   }
 
-  /** What the job's team uses at most; its record is a condition of the draft from then on. */
+  /** Upper bound of the usage of the job's team. Makes the team's record a condition of the draft. */
   usageOf(draft: TransactionDraft, team: Team, spec: JobSpec): TeamUsage {
-    if (!isLimited(team, spec)) return { cpus: 0, gpus: 0 };
+    if (!isQuotaLimited(team, spec)) return { cpus: 0, gpus: 0 };
     const key = teamKey(team.name);
     const isWritten = draft.hasWritten(key);
     const recorded = decodeTeamUsage(draft.get(key));
     if (isWritten) return recorded;
-    return this.usageAtMost(team.name, recorded, draft.conditions.get(key) ?? Infinity);
+    return this.usageUpperBound(team.name, recorded, draft.conditions.get(key) ?? Infinity);
   }
 
-  /** Adds a task to its team's record. */
+  /** Adds a started task to its team's record. */
   addStart(draft: TransactionDraft, team: Team, spec: JobSpec): void {
-    if (!isLimited(team, spec)) return;
-    draft.set(teamKey(team.name), encodeTeamUsage(withTask(this.usageOf(draft, team, spec), spec, 1)));
+    if (!isQuotaLimited(team, spec)) return;
+    draft.set(teamKey(team.name), encodeTeamUsage(adjustUsage(this.usageOf(draft, team, spec), spec, 1)));
   }
 
-  /** Takes a task off its team's record, unless that can be left to the team's next start. */
+  /** Subtracts an exited task from its team's record, unless that can be deferred to the team's next start. */
   addExit(draft: TransactionDraft, spec: JobSpec): void {
     const team = this.teams.get(spec.team);
-    if (team === undefined || !isLimited(team, spec) || this.isDeferred(draft, team)) return;
-    draft.set(teamKey(team.name), encodeTeamUsage(withTask(this.usageOf(draft, team, spec), spec, -1)));
+    if (team === undefined || !isQuotaLimited(team, spec) || this.isDeferred(draft, team)) return;
+    draft.set(teamKey(team.name), encodeTeamUsage(adjustUsage(this.usageOf(draft, team, spec), spec, -1)));
   }
 
   private isDeferred(draft: TransactionDraft, team: Team): boolean {
@@ -70,12 +71,12 @@
     );
   }
 
-  /** Does a team's record say more than the placements show? */
+  /** Whether a team's record shows more usage than its placements. */
   isOverstated(team: string): boolean {
     return this.findLowerUsage(team, this.dependencies.recordOf(teamKey(team))) !== undefined;
   }
 
-  /** Sets a team's record to what the placements show, if that is less. */
+  /** Lowers a team's record to the usage of its placements, if that is less. */
   settle(draft: TransactionDraft, team: string): boolean {
     const key = teamKey(team);
     if (draft.hasWritten(key)) return false;
@@ -86,25 +87,25 @@
     return true;
   }
 
-  /** What a team's record should say, where that is less than what it says. */
+  /** The usage that a team's record should show, if lower than the recorded one; undefined otherwise. */
   private findLowerUsage(team: string, { value, modRevision }: StoredValue): TeamUsage | undefined {
     if (value === undefined) return undefined;
     const recorded = decodeTeamUsage(value);
-    const usage = this.usageAtMost(team, recorded, modRevision);
+    const usage = this.usageUpperBound(team, recorded, modRevision);
     return usage.cpus < recorded.cpus || usage.gpus < recorded.gpus ? usage : undefined;
   }
 
   /**
-   * The smaller of what the record and the placements say. Every start changes the record, so the record's revision is that of
-   * the last start; exits that the replica has not seen count as usage.
+   * The lower of the recorded usage and that of the placements. Every start changes the record, so a replica that holds the
+   * record's revision holds all starts; tasks whose exits it has not seen yet still count as usage.
    */
-  private usageAtMost(team: string, recorded: TeamUsage, modRevision: number): TeamUsage {
+  private usageUpperBound(team: string, recorded: TeamUsage, modRevision: number): TeamUsage {
     const placed = this.dependencies.placedUsageOf(team, modRevision);
     if (placed === undefined) return recorded;
     return { cpus: Math.min(recorded.cpus, placed.cpus), gpus: Math.min(recorded.gpus, placed.gpus) };
   }
 
-  /** The team whose record an exit may change. */
+  /** The team whose record an exit changes; undefined if exits can be deferred, since few of them then write it. */
   teamChangedByExit(spec: JobSpec | undefined): Team | undefined {
     return spec === undefined || this.dependencies.canDeferExits() ? undefined : this.teams.get(spec.team);
   }
--- a/test/records/dependency-mutations.test.ts
+++ b/test/records/dependency-mutations.test.ts
@@ -12,33 +12,33 @@
 import { specOf } from '../../testing/fixtures.js';
 
 const JOB_ID = 'j-000002';
-const BEFORE = ['j-000000', 'j-000001'];
+const DEPENDENCIES = ['j-000000', 'j-000001'];
 const spec = specOf({ id: JOB_ID });
-const waiting: JobRecord = { spec, state: 'waiting', submittedAtMs: 5, tasksPerChunk: 64, dependencies: BEFORE };
+const waiting: JobRecord = { spec, state: 'waiting', submittedAtMs: 5, tasksPerChunk: 64, dependencies: DEPENDENCIES };
 
 const draftOf = (records: Record<string, unknown>) => {
   const draft = new TransactionDraft((key) => ({ value: records[key], modRevision: key in records ? 3 : 0 }));
   return draft;
 };
-const ended = (phases: Record<string, string>) =>
+const finalRecordsOf = (phases: Record<string, string>) =>
   Object.fromEntries(Object.entries(phases).map(([jobId, phase]) => [finalJobKey(jobId), { phase, shards: 1 }]));
 
 describe('a waiting job', () => {
-  it('is released only when each of its dependencies has a final record that says done', () => {
-    const tries: Record<string, string>[] = [
+  it('is released only when the final record of every dependency says done', () => {
+    const incompletePhases: Record<string, string>[] = [
       {},
-      { [BEFORE[0]!]: 'done' },
-      { [BEFORE[0]!]: 'done', [BEFORE[1]!]: 'withdrawn' },
+      { [DEPENDENCIES[0]!]: 'done' },
+      { [DEPENDENCIES[0]!]: 'done', [DEPENDENCIES[1]!]: 'withdrawn' },
     ];
-    for (const phases of tries) {
+    for (const phases of incompletePhases) {
       assert.equal(
-        releaseJob(draftOf({ [jobKey(JOB_ID)]: encodeJobRecord(waiting), ...ended(phases) }), JOB_ID, 9),
+        releaseJob(draftOf({ [jobKey(JOB_ID)]: encodeJobRecord(waiting), ...finalRecordsOf(phases) }), JOB_ID, 9),
         false,
       );
     }
     const records = {
       [jobKey(JOB_ID)]: encodeJobRecord(waiting),
-      ...ended({ [BEFORE[0]!]: 'done', [BEFORE[1]!]: 'done' }),
+      ...finalRecordsOf({ [DEPENDENCIES[0]!]: 'done', [DEPENDENCIES[1]!]: 'done' }),
     };
     const draft = draftOf(records);
     assert.equal(releaseJob(draft, JOB_ID, 9), true);
@@ -49,12 +49,12 @@
       chunk: 64,
       releasedAt: 9,
     });
-    // That it still waits is the one condition.
+    // The only condition is that the job still waits.
     assert.deepEqual([...draft.conditions], [[jobKey(JOB_ID), 3]]);
   });
 
-  it('is neither released nor cancelled once it no longer waits', () => {
-    const done = ended({ [BEFORE[0]!]: 'done', [BEFORE[1]!]: 'done' });
+  it('is neither released nor cancelled for its dependencies once it no longer waits', () => {
+    const done = finalRecordsOf({ [DEPENDENCIES[0]!]: 'done', [DEPENDENCIES[1]!]: 'done' });
     for (const state of ['active', 'cancelled'] as const) {
       const records = { [jobKey(JOB_ID)]: encodeJobRecord({ ...waiting, state }), ...done };
       assert.equal(releaseJob(draftOf(records), JOB_ID, 9), false);
@@ -62,11 +62,11 @@
     }
   });
 
-  it('starts no task, whatever machine there is, and does not end as done', () => {
+  it('can start no task, and does not end even if its tasks are recorded as done', () => {
     const refusal = findStartRefusal({
       job: waiting,
       placement: { kind: 'queued', attempt: 0, failures: 0 },
-      others: [],
+      jobPlacements: [],
       team: { name: 'red', guaranteed: { cpus: 0, gpus: 0 }, limit: { cpus: 0, gpus: 0 } },
       teamUsage: { cpus: 0, gpus: 0 },
       machine: { machineId: 'i-1', machineType: 'c8', zone: 'a', isSpot: false, agentEpoch: 1 },
--- a/test/records/team-accounting.test.ts
+++ b/test/records/team-accounting.test.ts
@@ -11,17 +11,17 @@
 const team: Team = { name: 'red', guaranteed: { cpus: 0, gpus: 0 }, limit: { cpus: 20, gpus: 0 } };
 const spec = specOf({ cpus: 2 });
 const KEY = teamKey('red');
-/** The revision of the team's last change, and the one up to which the replica is complete. */
+/** Revision of the last change of the team's record; by default, the replica is complete up to it. */
 const REVISION = 7;
 
-function prepare({ recorded = 10, placed = 4, completeTo = REVISION, mayDefer = true } = {}) {
+function prepare({ recorded = 10, placed = 4, completeTo = REVISION, canDeferExits = true } = {}) {
   const record: TeamUsage = { cpus: recorded, gpus: 0 };
   const read = () => ({ value: encodeTeamUsage(record), modRevision: REVISION });
   const accounting = new TeamAccounting({
     teams: [team],
     placedUsageOf: (_, upTo) => (completeTo >= upTo ? { cpus: placed, gpus: 0 } : undefined),
     recordOf: read,
-    canDeferExits: () => mayDefer,
+    canDeferExits: () => canDeferExits,
   });
   const draft = new TransactionDraft(read);
   return {
@@ -32,7 +32,7 @@
 }
 
 describe("a team's record", () => {
-  it('counts the placed tasks and the new one, under the condition that nobody has started another', () => {
+  it('is set by a start to the placed tasks and the new one, on condition that no other start has changed it', () => {
     const { accounting, draft, written } = prepare();
     accounting.addStart(draft, team, spec);
     accounting.addStart(draft, team, spec);
@@ -40,18 +40,18 @@
     assert.equal(draft.conditions.get(KEY), REVISION);
   });
 
-  it('is trusted where the replica may lack a start that it counts', () => {
+  it('is preferred to the placements if the replica may lack a start that it counts', () => {
     const { accounting, draft, written } = prepare({ completeTo: REVISION - 1 });
     accounting.addStart(draft, team, spec);
     assert.equal(written(), 12);
   });
 
-  it('is never raised to what the placements show', () => {
+  it('is never raised to a higher usage of the placements', () => {
     const { accounting, draft } = prepare({ placed: 16 });
     assert.equal(accounting.usageOf(draft, team, spec).cpus, 10);
   });
 
-  it('is left unchanged by exits far below the limit, once all controllers know of that', () => {
+  it('is left unchanged by exits far below the limit, once all controllers can defer exits', () => {
     const far = prepare();
     far.accounting.addExit(far.draft, spec);
     assert.equal(far.written(), undefined);
@@ -59,12 +59,12 @@
     const near = prepare({ recorded: 18, placed: 18 });
     near.accounting.addExit(near.draft, spec);
     assert.equal(near.written(), 16);
-    const early = prepare({ mayDefer: false, placed: 10 });
+    const early = prepare({ canDeferExits: false, placed: 10 });
     early.accounting.addExit(early.draft, spec);
     assert.equal(early.written(), 8);
   });
 
-  it('is settled where it says more than the placements show', () => {
+  it('is settled if it shows more usage than the placements of a complete replica', () => {
     const { accounting, draft, written } = prepare();
     assert.ok(accounting.isOverstated('red'));
     assert.ok(accounting.settle(draft, 'red'));
