--- a/src/records/cluster-state.ts
+++ b/src/records/cluster-state.ts
@@ -49,7 +49,7 @@
     private readonly replica: Replica,
     private readonly listener: ClusterStateListener,
   ) {
-    replica.onChange((key, now) => this.applyChange(key, now));
+    replica.onChange((key, stored) => this.applyChange(key, stored));
   }
 
   /** Tasks that are placed on a machine, in any agent epoch. */
@@ -90,7 +90,7 @@
     return isComplete ? this.teams.usageOf(team) : undefined;
   }
 
-  /** Hint for the start or exit of a task: it writes the task's chunk, and the record of `team` if the job counts against its limits. */
+  /** Hint for a task's start or exit: it writes the task's chunk and, if the job counts against a limit of `team`, its record. */
   batchingHintFor(jobId: string, taskIndex: number, team?: Team): BatchingHint | undefined {
     const view = this.jobs.get(jobId);
     if (view === undefined) return undefined;
@@ -208,13 +208,13 @@
     for (let offset = 0; offset < size; offset++) {
       if (previous[offset] === current[offset]) continue;
       changed.push(firstTaskIndex + offset);
-      this.updateTaskIndexes(view, firstTaskIndex + offset, previous[offset], current[offset]);
+      this.reindexTask(view, firstTaskIndex + offset, previous[offset], current[offset]);
     }
     view.setChunk(chunkIndex, placements);
     return changed;
   }
 
-  private updateTaskIndexes(view: JobView, taskIndex: number, previous?: TaskPlacement, current?: TaskPlacement): void {
+  private reindexTask(view: JobView, taskIndex: number, previous?: TaskPlacement, current?: TaskPlacement): void {
     view.countChange(previous, current);
     const { jobId, record } = view;
     const previousTask = previous?.kind === 'placed' ? { jobId, taskIndex, placement: previous } : undefined;
--- a/src/records/dependency-mutations.ts
+++ b/src/records/dependency-mutations.ts
@@ -23,7 +23,7 @@
   return true;
 }
 
-/** Cancels a waiting job whose dependency was cancelled. The caller has seen that cancellation, which is final. */
+/** Ends a waiting job as cancelled because a dependency was cancelled; the caller has seen that cancellation, which is final. */
 export function cancelWaitingJob(draft: TransactionDraft, jobId: string): boolean {
   const job = readJob(draft, jobId);
   if (job?.state !== 'waiting') return false;
--- a/src/records/job-dependencies.ts
+++ b/src/records/job-dependencies.ts
@@ -10,12 +10,12 @@
   /** Index in `JOB_PRIORITIES` of the highest priority among direct and indirect dependents. */
   priorityIndex: number;
   /** Time of day, ms, by which the job must be complete for all dependents to meet their deadlines; Infinity: no deadline. */
-  finishBy: number;
+  finishByMs: number;
 }
 
 const MS_PER_S = 1000;
 const NO_DEPENDENTS: ReadonlySet<string> = new Set();
-const NO_URGENCY: Urgency = { priorityIndex: JOB_PRIORITIES.length, finishBy: Infinity };
+const NO_URGENCY: Urgency = { priorityIndex: JOB_PRIORITIES.length, finishByMs: Infinity };
 
 /** The job's own deadline as time of day, ms; Infinity: none. */
 const deadlineAtMs = ({ spec, submittedAtMs }: JobRecord): number =>
@@ -94,7 +94,7 @@
     for (let jobId = pending.pop(); jobId !== undefined; jobId = pending.pop()) {
       const previous = this.urgencyOf(jobId);
       const current = this.computeUrgency(jobId);
-      if (current.priorityIndex === previous.priorityIndex && current.finishBy === previous.finishBy) continue;
+      if (current.priorityIndex === previous.priorityIndex && current.finishByMs === previous.finishByMs) continue;
       if (this.hasDependents(jobId)) this.inheritedUrgencies.set(jobId, current);
       else this.inheritedUrgencies.delete(jobId);
       this.onChange(jobId, current);
@@ -103,7 +103,7 @@
   }
 
   private computeUrgency(jobId: string): Urgency {
-    let { priorityIndex, finishBy } = NO_URGENCY;
+    let { priorityIndex, finishByMs } = NO_URGENCY;
     for (const dependent of this.dependentsOf(jobId)) {
       const record = this.waiting.get(dependent)!;
       const dependentUrgency = this.urgencyOf(dependent);
@@ -112,9 +112,9 @@
         dependentUrgency.priorityIndex,
         JOB_PRIORITIES.indexOf(record.spec.priority),
       );
-      const dependentFinishBy = Math.min(dependentUrgency.finishBy, deadlineAtMs(record));
-      finishBy = Math.min(finishBy, dependentFinishBy - record.spec.estimatedRunS * MS_PER_S);
+      const dependentFinishByMs = Math.min(dependentUrgency.finishByMs, deadlineAtMs(record));
+      finishByMs = Math.min(finishByMs, dependentFinishByMs - record.spec.estimatedRunS * MS_PER_S);
     }
-    return { priorityIndex, finishBy };
+    return { priorityIndex, finishByMs };
   }
 }
--- a/src/records/job-view.ts
+++ b/src/records/job-view.ts
@@ -37,8 +37,8 @@
   }
 
   /** Applies the urgency inherited from the job's dependents. */
-  inheritUrgency({ priorityIndex, finishBy }: Urgency): void {
-    this.finishBy = finishBy;
+  inheritUrgency({ priorityIndex, finishByMs }: Urgency): void {
+    this.finishBy = finishByMs;
     this.inheritedPriorityIndex = priorityIndex;
     this.applyInheritedPriority();
   }
--- a/src/records/records.ts
+++ b/src/records/records.ts
@@ -7,7 +7,7 @@
 /** A job that is not over. */
 export interface JobRecord {
   spec: JobSpec;
-  /** `waiting`: not all dependencies are done. Versions without dependencies can't decode this and start no task of the job. */
+  /** `waiting`: not all dependencies are done. Versions that don't support dependencies can't decode it, so they start no task. */
   state: 'waiting' | 'active' | 'cancelled';
   /** Time of day, ms, of the submission; used to order jobs and to compute deadlines, but safety does not depend on it. */
   submittedAtMs: number;
--- a/src/records/team-accounting.ts
+++ b/src/records/team-accounting.ts
@@ -19,7 +19,7 @@
 export interface TeamAccountingDependencies {
   teams: readonly Team[];
   /** Usage of a team's placed tasks; undefined unless the replica holds all changes up to the revision. */
-  placedUsageOf: (team: string, upTo: number) => TeamUsage | undefined;
+  placedUsageOf: (team: string, revision: number) => TeamUsage | undefined;
   /** The replica's copy of a record. */
   recordOf: (key: string) => StoredValue;
   /** Whether all controllers expect that a record may overstate its team's usage. */
--- a/test/records/job-dependencies.test.ts
+++ b/test/records/job-dependencies.test.ts
@@ -46,11 +46,11 @@
     index.update('j-end', waiting(middle, { priority: 'prod', deadlineS: 100, estimatedRunS: 10 }));
     for (const jobId of middle) index.update(jobId, waiting(['j-begin'], { estimatedRunS: 20 }));
     assert.equal(inheritedPriorityOf(index, 'j-begin'), 'prod');
-    assert.equal(index.urgencyOf('j-begin').finishBy, (100 - 10 - 20) * 1000);
+    assert.equal(index.urgencyOf('j-begin').finishByMs, (100 - 10 - 20) * 1000);
     assert.ok(updateCount <= 2 * width + 1, `${updateCount}`);
     index.update('j-end', undefined);
     assert.equal(inheritedPriorityOf(index, 'j-begin'), 'low');
-    assert.equal(index.urgencyOf('j-begin').finishBy, Infinity);
+    assert.equal(index.urgencyOf('j-begin').finishByMs, Infinity);
     for (const jobId of middle) index.update(jobId, undefined);
     assert.equal(index.hasDependents('j-begin'), false);
     assert.equal(index.waitingCount, 0);
@@ -60,9 +60,9 @@
     const index = countedDependencies();
     index.update('j-short', waiting(['j-a'], { deadlineS: 100, estimatedRunS: 60 }));
     index.update('j-long', waiting(['j-a'], { deadlineS: 90, estimatedRunS: 10 }));
-    assert.equal(index.urgencyOf('j-a').finishBy, 40_000);
+    assert.equal(index.urgencyOf('j-a').finishByMs, 40_000);
     index.update('j-short', undefined);
-    assert.equal(index.urgencyOf('j-a').finishBy, 80_000);
+    assert.equal(index.urgencyOf('j-a').finishByMs, 80_000);
   });
 });
 
