--- a/packages/standby/src/advisory-log.ts
+++ b/packages/standby/src/advisory-log.ts
@@ -1,7 +1,7 @@
 /**
- * What a controller remembers beside the records and a successor should know. Entries are kept by kind and name; each carries the
- * sequence number of its last change, so a follower that lags is sent each entry that changed since once, and nothing grows with
- * its lag.
+ * In-memory state of a controller that is not in the records but useful to a successor. Entries are keyed by kind and name; each
+ * has the sequence number of its last change, so a lagging follower is sent each changed entry only once, and memory does not
+ * grow with its lag.
  */
 import type { AdvisoryEntry, AdvisoryKind, SentEntry } from './stream-messages.js';
 
@@ -10,31 +10,31 @@
   readonly sequence: number;
 }
 
-/** Bounds of the memory of a log. */
+/** Memory limits of an advisory log. */
 export interface AdvisoryLimits {
-  /** Entries kept; the oldest are dropped first. */
+  /** Maximum number of entries; the oldest are dropped first. */
   readonly entries: number;
-  /** Removals kept; a follower that lags further needs a snapshot. */
+  /** Maximum number of removals kept; a follower that lags further needs a snapshot. */
   readonly removals: number;
 }
 
 const DEFAULT_ADVISORY_LIMITS: AdvisoryLimits = { entries: 4096, removals: 1024 };
 
-/** Key of an entry: its kind and name, separated by a space, which no kind contains. */
+/** Key of an entry: kind and name, separated by a space, which no kind contains. */
 export const advisoryKeyOf = (kind: AdvisoryKind, name: string): string => `${kind} ${name}`;
 
-/** The advisory state of this process, from which all its followers are served. */
+/** The advisory state of this process; serves all its followers. */
 export class AdvisoryLog {
-  /** In the order of their last change, oldest first. */
+  /** Ordered by last change, oldest first. */
   private readonly entries = new Map<string, LoggedEntry>();
   /** Sequence number of each removal, oldest first. */
   private readonly removals = new Map<string, number>();
-  /** Changes up to this sequence number are no longer known one by one. */
+  /** Removals up to this sequence number have been discarded. */
   private compactedUpTo = 0;
   private lastSequence = 0;
 
   constructor(
-    /** Steady ms. */
+    /** Monotonic ms. */
     private readonly now: () => number,
     private readonly limits: AdvisoryLimits = DEFAULT_ADVISORY_LIMITS,
   ) {}
@@ -44,23 +44,23 @@
     return this.lastSequence;
   }
 
-  /** Entries kept now. */
+  /** Current number of entries. */
   get size(): number {
     return this.entries.size;
   }
 
-  /** Sets an entry; an entry equal to the one before is no change. */
+  /** Sets an entry; an entry equal to the current one does not count as a change. */
   put(entry: AdvisoryEntry): void {
     const key = advisoryKeyOf(entry.kind, entry.name);
     const before = this.entries.get(key)?.entry;
-    if (before !== undefined && isSame(before, entry)) return;
+    if (before !== undefined && isUnchanged(before, entry)) return;
     this.entries.delete(key);
     this.removals.delete(key);
     this.entries.set(key, { entry, sequence: ++this.lastSequence });
     if (this.entries.size > this.limits.entries) this.removeKey(this.entries.keys().next().value!);
   }
 
-  /** Replaces all entries of a kind by these. */
+  /** Replaces all entries of a kind. */
   replace(kind: AdvisoryKind, entries: Iterable<AdvisoryEntry>): void {
     const names = new Set<string>();
     for (const entry of entries) {
@@ -79,8 +79,8 @@
     this.compactedUpTo = sequence;
   }
 
-  /** Whether all changes after the sequence number are known; else a follower that has come so far needs a snapshot. */
-  hasChangesSince(sequence: number): boolean {
+  /** Whether all changes after the sequence number are available; otherwise a follower at that number needs a snapshot. */
+  retainsChangesSince(sequence: number): boolean {
     return sequence >= this.compactedUpTo && sequence <= this.lastSequence;
   }
 
@@ -98,8 +98,8 @@
   }
 }
 
-/** Moments that differ by less than 1 ms count as the same. */
-const isSame = (a: AdvisoryEntry, b: AdvisoryEntry): boolean =>
+/** Times that differ by less than 1 ms count as equal. */
+const isUnchanged = (a: AdvisoryEntry, b: AdvisoryEntry): boolean =>
   Math.abs(a.at - b.at) < 1 && a.healthy === b.healthy && a.unhealthy === b.unhealthy;
 
 const toSentEntry = ({ kind, name, at, healthy, unhealthy }: AdvisoryEntry, now: number) => ({
--- a/packages/standby/src/byte-allowance.ts
+++ b/packages/standby/src/byte-allowance.ts
@@ -1,11 +1,11 @@
-/** Bounds the bytes sent in a second: a token bucket that holds one second's worth. */
-export class ByteAllowance {
+/** Limits the bytes sent per second: a token bucket with the capacity of one second. */
+export class ByteRateLimiter {
   private availableBytes: number;
   private refilledAt: number;
 
   constructor(
     private readonly bytesPerSecond: number,
-    /** Steady ms. */
+    /** Monotonic ms. */
     private readonly now: () => number,
   ) {
     this.availableBytes = bytesPerSecond;
@@ -14,12 +14,12 @@
 
   refill(): void {
     const now = this.now();
-    const earnedBytes = ((now - this.refilledAt) / 1000) * this.bytesPerSecond;
-    this.availableBytes = Math.min(this.bytesPerSecond, this.availableBytes + earnedBytes);
+    const refillBytes = ((now - this.refilledAt) / 1000) * this.bytesPerSecond;
+    this.availableBytes = Math.min(this.bytesPerSecond, this.availableBytes + refillBytes);
     this.refilledAt = now;
   }
 
-  /** Spends the bytes if they are there; what is larger than a second's worth waits for a full bucket. */
+  /** Spends the bytes if available; a message larger than the capacity requires a full bucket. */
   trySpend(bytes: number): boolean {
     if (this.availableBytes < Math.min(bytes, this.bytesPerSecond)) return false;
     this.availableBytes -= bytes;
--- a/packages/standby/src/follow-throttle.ts
+++ b/packages/standby/src/follow-throttle.ts
@@ -1,23 +1,23 @@
 /**
- * How often a follower sends requests. Following must not cost a small machine its other work, so it is throttled, and at last
- * suspended, when the process's own timers fire late, and resumes in the same steps when they have been in time for a while.
+ * Throttles the requests of a follower. Following must not starve the other work of a small machine, so requests are throttled
+ * and then suspended when the process's own timers fire late; they resume in the same stages after a while of timely ticks.
  */
 
-/** Rate of requests: the normal one, a quarter of it, or none; takeovers then start from the records alone. */
+/** Request rate: normal, a quarter of it, or none; when suspended, takeovers start from the records alone. */
 export type FollowStage = 'following' | 'throttled' | 'suspended';
 
 const STAGES: readonly FollowStage[] = ['following', 'throttled', 'suspended'];
 
-/** When the stage changes. */
+/** Thresholds at which the stage changes. */
 export interface FollowThrottleLimits {
-  /** Lateness of a timer, ms, from which on a tick counts as late. */
+  /** Lateness of a timer in ms from which a tick counts as late. */
   readonly lateThresholdMs: number;
-  /** Late ticks in a row that move one stage down, and ticks in time that move one up. */
+  /** Consecutive late ticks that move one stage towards `suspended`, and timely ticks that move one stage back. */
   readonly lateTicksToThrottle: number;
   readonly timelyTicksToRecover: number;
 }
 
-/** On a twentieth of a core a request may take 100 ms; more than a quarter of a second is a queue. */
+/** On a twentieth of a core a request may take 100 ms; a delay above 250 ms indicates a backlog. */
 const DEFAULT_FOLLOW_THROTTLE_LIMITS: FollowThrottleLimits = {
   lateThresholdMs: 250,
   lateTicksToThrottle: 3,
@@ -26,31 +26,31 @@
 
 const THROTTLED_PERIOD_FACTOR = 4;
 
-/** Starts in the stage `following`; each change moves by one stage. */
+/** Starts in stage `following`; each change moves by one stage. */
 export class FollowThrottle {
   private stageIndex = 0;
   private lateTicks = 0;
   private timelyTicks = 0;
   private ticks = 0;
 
-  constructor(private readonly bounds: FollowThrottleLimits = DEFAULT_FOLLOW_THROTTLE_LIMITS) {}
+  constructor(private readonly limits: FollowThrottleLimits = DEFAULT_FOLLOW_THROTTLE_LIMITS) {}
 
   get stage(): FollowStage {
     return STAGES[this.stageIndex]!;
   }
 
-  /** One tick of a timer that fired so late. Returns the stage if it has changed. */
+  /** Records a timer tick that fired `latenessMs` late. Returns the new stage if it has changed. */
   recordTick(latenessMs: number): FollowStage | undefined {
     this.ticks++;
-    const isLate = latenessMs >= this.bounds.lateThresholdMs;
+    const isLate = latenessMs >= this.limits.lateThresholdMs;
     this.lateTicks = isLate ? this.lateTicks + 1 : 0;
     this.timelyTicks = isLate ? 0 : this.timelyTicks + 1;
-    if (this.lateTicks >= this.bounds.lateTicksToThrottle) return this.move(1);
-    if (this.timelyTicks >= this.bounds.timelyTicksToRecover) return this.move(-1);
+    if (this.lateTicks >= this.limits.lateTicksToThrottle) return this.moveStage(1);
+    if (this.timelyTicks >= this.limits.timelyTicksToRecover) return this.moveStage(-1);
     return undefined;
   }
 
-  private move(by: 1 | -1): FollowStage | undefined {
+  private moveStage(by: 1 | -1): FollowStage | undefined {
     this.lateTicks = 0;
     this.timelyTicks = 0;
     const next = Math.min(STAGES.length - 1, Math.max(0, this.stageIndex + by));
@@ -59,7 +59,7 @@
     return this.stage;
   }
 
-  /** Whether requests may be sent at this tick. */
+  /** Whether requests may be sent on the current tick. */
   get canRequest(): boolean {
     if (this.stage === 'suspended') return false;
     return this.stage === 'following' || this.ticks % THROTTLED_PERIOD_FACTOR === 0;
--- a/packages/standby/src/index.ts
+++ b/packages/standby/src/index.ts
@@ -1,4 +1,4 @@
-/** Warm standby of controllers: who succeeds whom, what a successor follows, and when it may act. See docs/standby.md. */
+/** Warm standby of controllers: successor designation, the advisory stream and the takeover barrier. See docs/standby.md. */
 export { AdvisoryLog } from './advisory-log.js';
 export { type FollowStage, FollowThrottle } from './follow-throttle.js';
 export { maySend, type OutboundCall, stalenessGuardOf } from './outbound-calls.js';
--- a/packages/standby/src/pause-guard.ts
+++ b/packages/standby/src/pause-guard.ts
@@ -1,6 +1,6 @@
 /**
- * Detects that this process has paused for longer than the TTL of its store lease, after which another node may lead its roles.
- * From then on its leadership does not count until the store has confirmed the lease by a request that was sent after the pause.
+ * Detects pauses of this process longer than the TTL of its store lease, after which another node may lead its roles. After such
+ * a pause its leadership is invalid until the store has confirmed the lease for a request that was sent after the pause.
  */
 export class PauseGuard {
   private lastCheckAt: number;
@@ -8,39 +8,39 @@
   private confirmedAt = -Infinity;
 
   constructor(
-    /** Steady ms. */
+    /** Monotonic ms. */
     private readonly now: () => number,
-    /** ms; a shorter pause can't outlast a lease that was confirmed when it began. */
-    private readonly longestPauseMs: number,
+    /** Pauses up to this many ms can't outlast a lease that was confirmed at their start. */
+    private readonly maxPauseMs: number,
   ) {
     this.lastCheckAt = now();
   }
 
-  /** To be called often by a timer. `isConfirmed` checks too, since a resumed process may be asked before its timers fire. */
+  /** Must be called frequently by a timer. `isConfirmed` checks too, since it may be read after a pause before timers fire. */
   check(): void {
     const now = this.now();
-    if (now - this.lastCheckAt > this.longestPauseMs) this.pausedUntil = now;
+    if (now - this.lastCheckAt > this.maxPauseMs) this.pausedUntil = now;
     this.lastCheckAt = now;
   }
 
-  /** The store has confirmed the lease; `sentAt`: steady ms when the request was sent. */
+  /** Records that the store has confirmed the lease; `sentAt`: monotonic ms when the request was sent. */
   confirm(sentAt: number): void {
     this.check();
     this.confirmedAt = Math.max(this.confirmedAt, sentAt);
   }
 
-  /** Steady ms when the last request was sent by which the store confirmed the lease; -Infinity: none was. */
+  /** Monotonic ms when the last confirmed renewal was sent; -Infinity: the lease was never confirmed. */
   get lastConfirmedAt(): number {
     return this.confirmedAt;
   }
 
-  /** No pause since the lease was last confirmed, as of this very moment. */
+  /** Whether there was no pause since the last confirmation of the lease; checks the clock. */
   get isConfirmed(): boolean {
     this.check();
     return this.wasConfirmed;
   }
 
-  /** The same as of the last check: reads no clock, for what is asked thousands of times a second and sends nothing. */
+  /** As of the last check, without reading the clock: for callers that run thousands of times a second and send nothing. */
   get wasConfirmed(): boolean {
     return this.confirmedAt >= this.pausedUntil;
   }
--- a/packages/standby/src/settings.ts
+++ b/packages/standby/src/settings.ts
@@ -1,27 +1,27 @@
-/** The operators' settings of the warm standby, the `[standby]` table of the tuning file. */
+/** Operator settings of the warm standby: the `[standby]` table of the tuning file. */
 import * as v from 'valibot';
 
-/** The settings as the program uses them. Times are in ms, sizes in bytes. */
+/** The parsed settings. Times are in ms, sizes in bytes. */
 export interface StandbySettings {
-  /** Designated successors, the takeover barrier and planned handovers. */
+  /** Enables designated successors, the takeover barrier and planned handovers. */
   readonly enabled: boolean;
-  /** Successors follow the advisory state of the leaders. Needs `enabled`. */
+  /** Makes successors follow the advisory state of the leaders. Requires `enabled`. */
   readonly follow: boolean;
-  /** Age from which a message of the stream is refused, and the stream is resynchronized. */
+  /** Age above which a stream message is rejected and the stream is resynchronized. */
   readonly maxLagMs: number;
-  /** Bytes a second that one controller sends to all its followers at most. */
+  /** Maximum bytes per second that a controller sends to all its followers together. */
   readonly streamBytesPerS: number;
-  /** Bytes of one message of the stream at most. */
+  /** Maximum size of a stream message. */
   readonly messageBytes: number;
-  /** Bytes sent but not acknowledged, beyond which changes are dropped in favour of a snapshot. */
+  /** Limit on unacknowledged bytes above which pending changes are dropped in favour of a snapshot. */
   readonly unacknowledgedBytes: number;
-  /** ms that a controller that is told to stop may take to hand its roles over. */
+  /** Time limit for a controller that is shutting down to hand over its roles. */
   readonly handoverMs: number;
-  /** File to which spans of takeovers are appended as JSON lines; empty: no tracing. */
+  /** File to which takeover spans are appended as JSON lines; empty: no tracing. */
   readonly traceFile: string;
 }
 
-/** The settings of an empty table: all off. */
+/** The settings of an empty table: everything disabled. */
 export const DEFAULT_STANDBY_SETTINGS: StandbySettings = {
   enabled: false,
   follow: false,
@@ -36,7 +36,7 @@
 const milliseconds = v.pipe(v.number(), v.integer(), v.minValue(1));
 const bytes = v.pipe(v.number(), v.integer(), v.minValue(1024));
 
-/** The table under the names of the tuning file, every field optional; parsed, it is the settings. */
+/** Schema of the table with the field names of the tuning file, all optional; its output is `StandbySettings`. */
 export const StandbySettingsSchema = v.pipe(
   v.strictObject({
     enabled: v.optional(v.boolean(), DEFAULT_STANDBY_SETTINGS.enabled),
@@ -60,21 +60,21 @@
   })),
 );
 
-/** What the settings must be consistent with. */
+/** Limits set by other components, with which the settings must be consistent. */
 export interface StandbyBounds {
-  /** TTL of a store lease, ms: a role may change its leader after that. */
+  /** TTL of a store lease, ms: afterwards a role may have another leader. */
   storeLeaseTtlMs: number;
-  /** Bytes that the link between two controllers takes in one message. */
+  /** Maximum message size, in bytes, of the link between two controllers. */
   linkMessageBytes: number;
 }
 
 /**
- * The first field that contradicts another or the bounds, as `field: reason` with the field's name in the tuning file;
- * undefined: none does.
+ * Finds the first field that contradicts another one or the bounds; returns `field: reason` with the field's name in the tuning
+ * file, or undefined if there is none.
  */
 export function findContradiction(settings: StandbySettings, bounds: StandbyBounds): string | undefined {
   if (settings.follow && !settings.enabled) return 'follow: needs enabled = true';
-  // Operators know this wording, and a test pins it: a hold is a store lease.
+  // A hold is a store lease; the wording is kept because operators know it and a test matches it.
   if (settings.maxLagMs > bounds.storeLeaseTtlMs)
     return `max_lag_ms: must not exceed the life of a hold, ${bounds.storeLeaseTtlMs}`;
   if (settings.messageBytes > bounds.linkMessageBytes)
--- a/packages/standby/src/stream-follower.ts
+++ b/packages/standby/src/stream-follower.ts
@@ -1,28 +1,28 @@
-/** The successor's side of the stream: a view of what one leader knows, whole or not at all. */
+/** The follower's side of the stream: a consistent view of one leader's advisory state. */
 import { advisoryKeyOf } from './advisory-log.js';
 import type { AdvisoryEntry, AdvisoryKind, FollowRequest, SentEntry, StreamBatch } from './stream-messages.js';
 
-/** Why a batch is refused as a whole. */
+/** Why a batch is rejected as a whole. */
 export type RefusalReason =
-  /** It answers a request of another incarnation of this node. */
+  /** The batch answers a request of another incarnation of this node. */
   | 'other_incarnation'
-  /** It builds on changes that this follower does not have. */
+  /** The batch builds on changes that this follower does not have. */
   | 'gap'
-  /** It was requested too long ago. */
+  /** The batch was requested too long ago. */
   | 'too_old'
-  /** It comes from an incarnation of the leader that a later one has replaced. */
+  /** The batch comes from an incarnation of the leader that a later one has replaced. */
   | 'former_incarnation';
 
-/** What became of a batch that was received. */
+/** Result of receiving a batch. */
 export type BatchOutcome =
   | { readonly kind: 'applied'; readonly lagMs: number }
-  /** A part of an update whose other parts have not arrived yet. */
+  /** The batch is part of an update whose other parts have not all arrived yet. */
   | { readonly kind: 'incomplete' }
-  /** Applied already. */
+  /** The batch has already been applied. */
   | { readonly kind: 'duplicate' }
   | { readonly kind: 'refused'; readonly reason: RefusalReason };
 
-/** An update of which some parts have arrived. */
+/** An update of which only some parts have arrived. */
 interface PartialUpdate {
   readonly incarnation: number;
   readonly after: number;
@@ -30,28 +30,28 @@
   readonly isSnapshot: boolean;
   readonly parts: number;
   readonly entries: Map<number, readonly SentEntry[]>;
-  /** Steady ms of the latest arrival. */
+  /** Monotonic ms of the latest arrival. */
   arrivedAt: number;
 }
 
-/** Follows one node. The view is at all times what that node knew at one of its sequence numbers. */
+/** Follows one node. The view always equals the state of that node at one of its sequence numbers. */
 export class StreamFollower {
   private view = new Map<string, AdvisoryEntry>();
   private followedIncarnation = 0;
   private upTo = 0;
-  private partial: PartialUpdate | undefined;
-  /** Steady ms of the request that was answered by the update applied last. */
+  private partialUpdate: PartialUpdate | undefined;
+  /** Monotonic ms of the latest request that an applied update has answered. */
   private answeredRequestClock = -Infinity;
-  /** Steady ms when the last update was applied. */
+  /** Monotonic ms when the last update was applied. */
   private appliedAt = -Infinity;
-  private lag = Infinity;
+  private lastLagMs = Infinity;
 
   constructor(
     private readonly node: string,
-    /** Tells this process from its former incarnations. */
+    /** Distinguishes this process from its former incarnations. */
     private readonly incarnation: number,
     private readonly maxLagMs: number,
-    /** Steady ms. */
+    /** Monotonic ms. */
     private readonly now: () => number,
   ) {}
 
@@ -61,19 +61,19 @@
     return { node, incarnation, clock: this.now(), followedIncarnation, upTo };
   }
 
-  /** Takes in a batch of the leader, or refuses it as a whole. */
+  /** Applies a batch from the leader, or rejects it as a whole. */
   receive(batch: StreamBatch): BatchOutcome {
     const now = this.now();
     const lagMs = now - batch.echo.clock;
     const reason = this.staleReasonOf(batch, lagMs);
     if (reason !== undefined) return { kind: 'refused', reason };
     if (this.isApplied(batch)) return { kind: 'duplicate' };
-    if (!this.buildsOnView(batch)) return { kind: 'refused', reason: 'gap' };
+    if (!this.continuesView(batch)) return { kind: 'refused', reason: 'gap' };
     const update = this.addPart(batch, now);
     if (update === undefined) return { kind: 'incomplete' };
     this.apply(update);
     this.answeredRequestClock = Math.max(this.answeredRequestClock, batch.echo.clock);
-    this.lag = lagMs;
+    this.lastLagMs = lagMs;
     this.appliedAt = now;
     return { kind: 'applied', lagMs };
   }
@@ -81,7 +81,7 @@
   private staleReasonOf(batch: StreamBatch, lagMs: number): RefusalReason | undefined {
     if (batch.echo.incarnation !== this.incarnation) return 'other_incarnation';
     if (lagMs > this.maxLagMs || lagMs < 0) return 'too_old';
-    // A process that has ended was sent no later request. One that has not been followed yet can only be told by that.
+    // A terminated incarnation can't answer a later request; for an unknown incarnation this is the only way to tell.
     const isFollowed = batch.incarnation === this.followedIncarnation;
     return !isFollowed && batch.echo.clock <= this.answeredRequestClock ? 'former_incarnation' : undefined;
   }
@@ -90,21 +90,22 @@
     return batch.incarnation === this.followedIncarnation && batch.upTo <= this.upTo;
   }
 
-  private buildsOnView(batch: StreamBatch): boolean {
+  private continuesView(batch: StreamBatch): boolean {
     return batch.isSnapshot || (batch.incarnation === this.followedIncarnation && batch.after === this.upTo);
   }
 
-  /** Returns the update once all its parts are there. */
+  /** Returns the update once all its parts have arrived. */
   private addPart(batch: StreamBatch, now: number): PartialUpdate | undefined {
     const { incarnation, after, upTo, isSnapshot, parts } = batch;
     const isSame =
-      this.partial?.incarnation === incarnation &&
-      this.partial.upTo === upTo &&
-      this.partial.after === after &&
-      this.partial.isSnapshot === isSnapshot &&
-      this.partial.parts === parts;
-    if (!isSame) this.partial = { incarnation, after, upTo, isSnapshot, parts, entries: new Map(), arrivedAt: now };
-    const update = this.partial!;
+      this.partialUpdate?.incarnation === incarnation &&
+      this.partialUpdate.upTo === upTo &&
+      this.partialUpdate.after === after &&
+      this.partialUpdate.isSnapshot === isSnapshot &&
+      this.partialUpdate.parts === parts;
+    if (!isSame)
+      this.partialUpdate = { incarnation, after, upTo, isSnapshot, parts, entries: new Map(), arrivedAt: now };
+    const update = this.partialUpdate!;
     update.entries.set(batch.part, batch.entries);
     update.arrivedAt = now;
     return update.entries.size === parts ? update : undefined;
@@ -119,20 +120,20 @@
     this.view = view;
     this.followedIncarnation = update.incarnation;
     this.upTo = update.upTo;
-    this.partial = undefined;
+    this.partialUpdate = undefined;
   }
 
-  /** ms between the request and the arrival of the answer that was applied last; Infinity: none was. */
+  /** ms between the request and the arrival of the last applied answer; Infinity: none was applied. */
   get lagMs(): number {
-    return this.lag;
+    return this.lastLagMs;
   }
 
-  /** Steady ms as of which the view is known to be right; -Infinity: there is none. */
+  /** Monotonic ms as of which the view is known to be correct; -Infinity: there is no view. */
   get knownAt(): number {
-    return this.appliedAt - this.lag;
+    return this.appliedAt - this.lastLagMs;
   }
 
-  /** Entries in the view. */
+  /** Number of entries in the view. */
   get size(): number {
     return this.view.size;
   }
--- a/packages/standby/src/stream-messages.ts
+++ b/packages/standby/src/stream-messages.ts
@@ -1,52 +1,52 @@
-/** Messages of the stream between a leader and the controllers that follow it. Their encoding is in src/gossip/stream-codec.ts. */
+/** Messages of the advisory stream between a leader and its followers. Their encoding is in src/gossip/stream-codec.ts. */
 
 /** See docs/standby.md, "What is followed". The order is part of the encoding. */
 export const ADVISORY_KINDS = ['health', 'moved', 'stopping', 'idle', 'no_capacity'] as const;
-/** What an entry is about. */
+/** The subject of an entry. */
 export type AdvisoryKind = (typeof ADVISORY_KINDS)[number];
 
-/** One thing that a controller remembers beside the records. */
+/** One entry of the in-memory state of a controller that is not in the records. */
 export interface AdvisoryEntry {
   readonly kind: AdvisoryKind;
-  /** Name of the task, attempt, machine or offer. */
+  /** Name of the task, attempt, machine or offer that the entry describes. */
   readonly name: string;
-  /** Steady ms of the reader's own clock. */
+  /** Monotonic ms on the clock of the process that holds the entry. */
   readonly at: number;
-  /** Checks of a `health` entry; 0 in all others. */
+  /** Number of checks of a `health` entry; 0 in all others. */
   readonly healthy: number;
   readonly unhealthy: number;
 }
 
-/** An entry as it is sent: moments become ages, since the steady clocks of two processes are unrelated. */
+/** An entry as sent: with its age in place of a time, since the monotonic clocks of two processes are unrelated. */
 export interface SentEntry extends Omit<AdvisoryEntry, 'at'> {
   readonly ageMs: number;
   readonly isRemoved: boolean;
 }
 
-/** A moment of a process's own clock, with the incarnation of that process. */
+/** A time on a process's own clock, with the incarnation of that process. */
 export interface ClockEcho {
   readonly incarnation: number;
   readonly clock: number;
 }
 
-/** Asks a leader for what changed, and tells how far the follower has come. */
+/** Requests changes from a leader, and acknowledges what the follower has applied. */
 export interface FollowRequest {
   readonly node: string;
-  /** The follower's incarnation, and its steady clock, ms, when it sent the request. */
+  /** The follower's incarnation, and its monotonic clock, ms, when it sent the request. */
   readonly incarnation: number;
   readonly clock: number;
-  /** The leader's incarnation whose changes are known up to `upTo`; 0: none. */
+  /** The leader's incarnation whose changes the follower has applied up to `upTo`; 0: none. */
   readonly followedIncarnation: number;
   readonly upTo: number;
 }
 
-/** One part of an update, which is a set of changes or a snapshot. */
+/** One part of an update; an update is either a set of changes or a snapshot. */
 export interface StreamBatch {
   readonly node: string;
   readonly incarnation: number;
-  /** The sequence number that it builds on; in all parts of a snapshot 0. */
+  /** The sequence number that the update builds on; 0 in all parts of a snapshot. */
   readonly after: number;
-  /** The sequence number that the update leads to, with all its parts. */
+  /** The sequence number reached when all parts of the update are applied. */
   readonly upTo: number;
   readonly isSnapshot: boolean;
   readonly part: number;
@@ -55,15 +55,15 @@
   readonly entries: readonly SentEntry[];
 }
 
-/** A message of the stream. */
+/** A message of the advisory stream. */
 export type StreamMessage = { readonly follow: FollowRequest } | { readonly batch: StreamBatch };
 
-/** Bytes of an entry beside its name, and of a message beside its entries: upper bounds of what the encoding takes. */
+/** Encoded bytes of an entry without its name, and of a message without its entries: upper bounds. */
 const ENTRY_BYTES = 24;
 const BATCH_BYTES = 96;
 
-/** Bytes of an entry in a message, at most. */
+/** Upper bound of the encoded bytes of an entry. */
 export const entryBytes = (entry: SentEntry): number => ENTRY_BYTES + Buffer.byteLength(entry.name);
-/** Bytes of a message, at most. */
+/** Upper bound of the encoded bytes of a message. */
 export const batchBytes = ({ entries }: StreamBatch): number =>
   entries.reduce((bytes, entry) => bytes + entryBytes(entry), BATCH_BYTES);
--- a/packages/standby/src/stream-sender.ts
+++ b/packages/standby/src/stream-sender.ts
@@ -1,108 +1,110 @@
-/** The leader's side of the stream: what each follower is sent, within limits. */
+/** The leader's side of the stream: sends changes or snapshots to each follower within the limits. */
 import type { AdvisoryLog } from './advisory-log.js';
-import { ByteAllowance } from './byte-allowance.js';
+import { ByteRateLimiter } from './byte-allowance.js';
 import { batchBytes, entryBytes, type FollowRequest, type SentEntry, type StreamBatch } from './stream-messages.js';
 
-/** What the stream may cost. */
+/** Resource limits of the stream. */
 export interface StreamLimits {
   readonly bytesPerSecond: number;
   readonly messageBytes: number;
-  /** Bytes sent but not acknowledged, from which on a follower is sent nothing but, later, a snapshot. */
+  /** Unacknowledged bytes from which a follower is sent nothing more; its pending changes are later replaced by a snapshot. */
   readonly unacknowledgedBytes: number;
-  /** ms after which a follower that has not asked again is sent nothing. */
+  /** ms after its last request at which a follower is dropped. */
   readonly followerTimeoutMs: number;
 }
 
-/** The log that is sent, and by whom. */
+/** The log to send, and the identity of its sender. */
 export interface StreamSenderOptions {
   readonly node: string;
-  /** Tells this process from its former incarnations. */
+  /** Distinguishes this process from its former incarnations. */
   readonly incarnation: number;
   readonly log: AdvisoryLog;
   readonly limits: StreamLimits;
-  /** Steady ms. */
+  /** Monotonic ms. */
   readonly now: () => number;
 }
 
-/** Requests of a follower after which what it has not acknowledged counts as lost. */
+/** Number of further requests of a follower after which an unacknowledged update counts as lost. */
 const LOST_AFTER_REQUESTS = 2;
 
 interface UnacknowledgedUpdate {
   readonly upTo: number;
   readonly bytes: number;
-  /** Requests of the follower since it was sent. */
+  /** Requests received from the follower since the update was sent. */
   requests: number;
 }
 
 interface Follower {
   request: FollowRequest;
-  /** Steady ms of the last request. */
+  /** Monotonic ms of the last request. */
   requestedAt: number;
-  /** Sequence number up to which it has been sent changes. */
+  /** Sequence number up to which changes have been sent. */
   sentUpTo: number;
   needsSnapshot: boolean;
   unacknowledged: UnacknowledgedUpdate[];
 }
 
-/** How well followers are served, for the log. */
+/** Statistics for the log. */
 export interface StreamStatus {
   readonly followers: number;
   readonly snapshots: number;
   readonly bytesSent: number;
-  /** Changes that the slowest follower has not acknowledged. */
+  /** Unacknowledged changes of the slowest follower. */
   readonly maxPendingChanges: number;
 }
 
-/** Serves all followers of this node from one log, so its memory does not grow with their lag. */
+/** Serves all followers of this node from one log, so that memory does not grow with their lag. */
 export class StreamSender {
   private readonly followers = new Map<string, Follower>();
-  private readonly allowance: ByteAllowance;
+  private readonly rateLimiter: ByteRateLimiter;
   private snapshots = 0;
   private bytesSent = 0;
 
   constructor(private readonly options: StreamSenderOptions) {
-    this.allowance = new ByteAllowance(options.limits.bytesPerSecond, options.now);
+    this.rateLimiter = new ByteRateLimiter(options.limits.bytesPerSecond, options.now);
   }
 
-  /** Takes in how far a follower has come. */
+  /** Processes a request, which also acknowledges what the follower has applied. */
   receiveRequest(request: FollowRequest): void {
     const follower = this.followers.get(request.node);
-    if (follower?.request.incarnation === request.incarnation) this.acknowledge(follower, request);
+    if (follower?.request.incarnation === request.incarnation) this.processRequest(follower, request);
     else this.addFollower(request);
   }
 
   private addFollower(request: FollowRequest): void {
     const requestedAt = this.options.now();
     const follower: Follower = { request, requestedAt, sentUpTo: 0, needsSnapshot: true, unacknowledged: [] };
-    this.resume(follower);
+    this.resumeFromRequest(follower);
     this.followers.set(request.node, follower);
   }
 
-  private acknowledge(follower: Follower, request: FollowRequest): void {
+  private processRequest(follower: Follower, request: FollowRequest): void {
     follower.request = request;
     follower.requestedAt = this.options.now();
-    const hasFollowed = request.followedIncarnation === this.options.incarnation;
-    follower.unacknowledged = follower.unacknowledged.filter(({ upTo }) => !hasFollowed || upTo > request.upTo);
+    const followsThisIncarnation = request.followedIncarnation === this.options.incarnation;
+    follower.unacknowledged = follower.unacknowledged.filter(
+      ({ upTo }) => !followsThisIncarnation || upTo > request.upTo,
+    );
     for (const update of follower.unacknowledged) update.requests++;
     const isLost = follower.unacknowledged.some(({ requests }) => requests >= LOST_AFTER_REQUESTS);
-    const isUpToDate = hasFollowed && request.upTo === follower.sentUpTo;
-    if (isLost || (follower.unacknowledged.length === 0 && !isUpToDate)) this.resume(follower);
+    const isUpToDate = followsThisIncarnation && request.upTo === follower.sentUpTo;
+    if (isLost || (follower.unacknowledged.length === 0 && !isUpToDate)) this.resumeFromRequest(follower);
   }
 
-  /** Goes on from where the follower says it is. */
-  private resume(follower: Follower): void {
+  /** Continues from the sequence number in the request of the follower, or with a snapshot. */
+  private resumeFromRequest(follower: Follower): void {
     const { incarnation, log } = this.options;
     const { followedIncarnation, upTo } = follower.request;
-    const canContinue = followedIncarnation === incarnation && log.hasChangesSince(upTo);
+    const canContinue = followedIncarnation === incarnation && log.retainsChangesSince(upTo);
     follower.needsSnapshot = !canContinue;
     follower.sentUpTo = canContinue ? upTo : 0;
     follower.unacknowledged = [];
   }
 
-  /** What is to be sent now, by follower. To be called whenever something changed, and now and then. */
+  /** Composes the batches to send now, by follower. Must be called after changes and periodically. */
   composeBatches(): Map<string, StreamBatch[]> {
     const { limits, now } = this.options;
-    this.allowance.refill();
+    this.rateLimiter.refill();
     const messages = new Map<string, StreamBatch[]>();
     for (const [node, follower] of this.followers) {
       if (now() - follower.requestedAt > limits.followerTimeoutMs) {
@@ -118,16 +120,16 @@
   private composeFor(follower: Follower): StreamBatch[] {
     const { log } = this.options;
     if (!this.canSendTo(follower)) return [];
-    if (!log.hasChangesSince(follower.sentUpTo)) follower.needsSnapshot = true;
+    if (!log.retainsChangesSince(follower.sentUpTo)) follower.needsSnapshot = true;
     const isSnapshot = follower.needsSnapshot;
     const after = isSnapshot ? 0 : follower.sentUpTo;
     if (!isSnapshot && after === log.sequence) return [];
     const changes = log.changesSince(after).map(({ entry }) => entry);
     const entries = isSnapshot ? changes.filter(({ isRemoved }) => !isRemoved) : changes;
-    const batches = this.split(entries, { after, isSnapshot, request: follower.request });
+    const batches = this.splitIntoBatches(entries, { after, isSnapshot, request: follower.request });
     const bytes = batches.reduce((sum, batch) => sum + batchBytes(batch), 0);
-    // All or nothing, since a part alone is of no use.
-    if (!this.allowance.trySpend(bytes)) return [];
+    // All parts or none, since a follower can't apply a single part.
+    if (!this.rateLimiter.trySpend(bytes)) return [];
     this.bytesSent += bytes;
     if (isSnapshot) this.snapshots++;
     follower.needsSnapshot = false;
@@ -136,7 +138,7 @@
     return batches;
   }
 
-  /** A follower with too much unacknowledged is sent nothing; its pending changes are dropped in favour of a snapshot. */
+  /** A follower at the limit of unacknowledged bytes is sent nothing; its pending changes are replaced by a snapshot. */
   private canSendTo(follower: Follower): boolean {
     const unacknowledgedBytes = follower.unacknowledged.reduce((sum, { bytes }) => sum + bytes, 0);
     if (unacknowledgedBytes < this.options.limits.unacknowledgedBytes) return true;
@@ -144,7 +146,7 @@
     return false;
   }
 
-  private split(
+  private splitIntoBatches(
     entries: readonly SentEntry[],
     { after, isSnapshot, request }: { after: number; isSnapshot: boolean; request: FollowRequest },
   ): StreamBatch[] {
@@ -173,7 +175,7 @@
   }
 }
 
-/** Groups of at most so many bytes, in order; one group at least, and one entry in each if there is any. */
+/** Splits entries, in order, into groups of at most `limitBytes`. Returns at least one group; a larger entry gets its own. */
 function groupByBytes(entries: readonly SentEntry[], limitBytes: number): SentEntry[][] {
   const groups: SentEntry[][] = [[]];
   let groupBytes = 0;
--- a/packages/standby/src/succession.ts
+++ b/packages/standby/src/succession.ts
@@ -1,34 +1,34 @@
-/** Who takes a role over: computed by every controller from what it knows, so that it needs no vote. */
+/** Designation of successors: each controller computes them from local information, so no vote is needed. */
 
-/** A controller as the others see it. */
+/** A controller as seen by another one. */
 export interface Candidate {
   readonly node: string;
   readonly zone: string;
-  /** Heard from recently, and the store has confirmed its replica of the records recently. */
+  /** Whether the node was heard from recently and the store has recently confirmed its replica of the records. */
   readonly isServing: boolean;
-  /** It is being stopped, or has released this very role and does not acquire it again for now. */
+  /** Whether the node is shutting down, or has released this role and temporarily does not reacquire it. */
   readonly avoidsRole: boolean;
-  /** Roles that it leads. */
+  /** Number of roles that the node leads. */
   readonly ledRoleCount: number;
 }
 
-/** The role for which a successor is sought. */
+/** The role to designate a successor for. */
 export interface RoleToSucceed {
   readonly role: string;
-  /** The node that leads it, or led it last; undefined: none is known to have. */
+  /** The current or last known leader; undefined: none is known. */
   readonly leader: string | undefined;
-  /** The node that the partition prefers; undefined for the leadership of the cluster. */
+  /** The preferred node of the partition; undefined for the cluster leader. */
   readonly preferredNode: string | undefined;
 }
 
-/** FNV-1a hash, so that ties are broken differently for each role and alike at every node. */
+/** FNV-1a hash, so that ties are broken differently for each role but identically on every node. */
 function tieBreaker(text: string): number {
   let hash = 0x811c9dc5;
   for (let i = 0; i < text.length; i++) hash = Math.imul(hash ^ text.charCodeAt(i), 0x01000193);
   return (hash ^ (hash >>> 15)) >>> 0;
 }
 
-/** The node that should acquire the role first once it is vacant; undefined: none is eligible. */
+/** The node that should acquire the role first once it is vacant; undefined: no node is eligible. */
 export function designateSuccessor(target: RoleToSucceed, candidates: readonly Candidate[]): string | undefined {
   const leaderZone = candidates.find(({ node }) => node === target.leader)?.zone;
   const eligible = candidates.filter(
@@ -40,8 +40,8 @@
     candidate.ledRoleCount,
     tieBreaker(`${target.role} ${candidate.node}`),
   ];
-  const [first] = eligible.sort((a, b) => compareRanks(rank(a), rank(b)) || (a.node < b.node ? -1 : 1));
-  return first?.node;
+  const [best] = eligible.sort((a, b) => compareRanks(rank(a), rank(b)) || (a.node < b.node ? -1 : 1));
+  return best?.node;
 }
 
 function compareRanks(a: readonly number[], b: readonly number[]): number {
--- a/packages/standby/src/takeover-barrier.ts
+++ b/packages/standby/src/takeover-barrier.ts
@@ -1,26 +1,26 @@
-/** What must hold before a controller makes its first decision in a role, and before each one after it. */
+/** Preconditions of the first and of every later decision that a controller makes in a role. */
 
-/** What is missing; see docs/standby.md, "The barrier". */
+/** The precondition that is not met; see docs/standby.md, "The barrier". */
 export type BarrierReason = 'not_leader' | 'lease_unconfirmed' | 'replica_stale' | 'replica_behind';
 
-/** Whether a decision may be made, and if not, why. */
+/** Whether decisions may be made, and if not, why. */
 export type BarrierOutcome = { readonly kind: 'open' } | { readonly kind: 'closed'; readonly reason: BarrierReason };
 
-/** One unbroken term of a role with this process, identified by the object itself. */
+/** One continuous term in which this process leads a role, identified by object identity. */
 export interface RoleTerm {
-  /** Revision of the store by which the role was acquired. */
+  /** Store revision of the acquisition. */
   readonly startRevision: number;
 }
 
-/** What this process knows of a role at this very moment. */
+/** What this process currently knows about a role. */
 export interface BarrierEvidence {
-  /** The term, if this process leads the role under its present store lease. */
+  /** The term, if this process leads the role under its current store lease. */
   readonly term: RoleTerm | undefined;
-  /** The process has not paused since the store last confirmed its lease. */
+  /** Whether the process has not paused since the store last confirmed its lease. */
   readonly isLeaseConfirmed: boolean;
-  /** The store has recently shown the replica of the records complete. */
+  /** Whether the store has recently confirmed that the replica of the records is complete. */
   readonly isReplicaFresh: boolean;
-  /** Revision up to which the replica is complete. */
+  /** Store revision up to which the replica is complete. */
   readonly replicaRevision: number;
 }
 
@@ -29,14 +29,14 @@
 const closed = (reason: BarrierReason): BarrierOutcome => ({ kind: 'closed', reason });
 
 /**
- * The barrier of one role. What was followed of the former leader is reconciled with the records once in each term, as soon as
- * the replica is complete up to the acquisition.
+ * The barrier of one role. State streamed from the former leader is reconciled with the records once per term, as soon as the
+ * replica is complete up to the acquisition.
  */
 export class TakeoverBarrier {
-  private reconciled: RoleTerm | undefined;
+  private reconciledTerm: RoleTerm | undefined;
 
   constructor(
-    /** Compares what was followed with the records and restores it. It must neither fail nor wait. */
+    /** Checks the streamed state against the records and restores it. Must be synchronous and must not throw. */
     private readonly reconcile: (term: RoleTerm) => void,
   ) {}
 
@@ -46,12 +46,12 @@
     if (!evidence.isLeaseConfirmed) return closed('lease_unconfirmed');
     if (!evidence.isReplicaFresh) return closed('replica_stale');
     if (evidence.replicaRevision < term.startRevision) return closed('replica_behind');
-    if (this.reconciled !== term) return this.reconcileOnce(term);
+    if (this.reconciledTerm !== term) return this.reconcileOnce(term);
     return OPEN;
   }
 
   private reconcileOnce(term: RoleTerm): BarrierOutcome {
-    this.reconciled = term;
+    this.reconciledTerm = term;
     this.reconcile(term);
     return OPEN;
   }
--- a/packages/standby/src/takeover-timeline.ts
+++ b/packages/standby/src/takeover-timeline.ts
@@ -1,26 +1,26 @@
-/** The steps of a takeover and when each came, as the new leader sees them. */
+/** The steps of a takeover and their times, as seen by the new leader. */
 
-/** The steps in their usual order. */
+/** The steps of a takeover in their usual order. */
 export type TakeoverStep = 'vacant' | 'acquired' | 'records_complete' | 'worker_answered' | 'decided';
 
-/** What is known of the term that a takeover follows. */
+/** What is known about the term that ended before the takeover. */
 export interface FormerTerm {
   /** The node that led the role before. */
   readonly formerLeader: string;
-  /** Fencing token of the former leader: with the role it identifies the takeover at both nodes. */
+  /** Fencing token of the former leader; together with the role it identifies the takeover on both nodes. */
   readonly formerFencingToken: number;
-  /** Steady ms when the former leader was last heard from. */
+  /** Monotonic ms when the former leader was last heard from. */
   readonly lastSeenAt: number;
 }
 
-/** A finished takeover: its first decision has been made, or none was needed within 30 s. */
+/** A finished takeover: the first decision was made, or none was needed within 30 s. */
 export interface TakeoverReport extends FormerTerm {
   readonly role: string;
-  /** Steady ms of each step that was reached. */
+  /** Monotonic ms of each step that was reached. */
   readonly steps: ReadonlyMap<TakeoverStep, number>;
 }
 
-/** ms from when the former leader was last heard from to each step. */
+/** ms between the last sign of life of the former leader and each step. */
 export function stepDurations({ steps, lastSeenAt }: TakeoverReport): Partial<Record<TakeoverStep, number>> {
   const entries = [...steps].map(([step, at]) => [step, Math.round(at - lastSeenAt)] as const);
   return Object.fromEntries(entries);
@@ -30,31 +30,31 @@
   readonly steps: Map<TakeoverStep, number>;
 }
 
-/** ms after which a takeover counts as finished although nothing had to be decided. */
+/** ms after which a takeover counts as finished even without a decision. */
 const TAKEOVER_TIMEOUT_MS = 30_000;
 
-/** Follows takeovers in progress, one a role at most, and reports each once when it is finished. */
+/** Tracks takeovers in progress, at most one per role, and reports each one once when it is finished. */
 export class TakeoverTimeline {
   private readonly inProgress = new Map<string, TakeoverInProgress>();
 
   constructor(
-    /** Steady ms. */
+    /** Monotonic ms. */
     private readonly now: () => number,
     private readonly report: (report: TakeoverReport) => void,
   ) {}
 
-  /** A role that another node led has become vacant. */
+  /** Called when a role that another node led has become vacant. */
   startTakeover(role: string, former: FormerTerm): void {
     const steps = new Map<TakeoverStep, number>([['vacant', this.now()]]);
     this.inProgress.set(role, { ...former, steps });
   }
 
-  /** Another node has acquired the role. */
+  /** Called when another node has acquired the role. */
   acquiredElsewhere(role: string): void {
     this.inProgress.delete(role);
   }
 
-  /** Records the first time of a step; steps before the acquisition are none of the takeover's. */
+  /** Records when a step first occurs; steps before the acquisition do not belong to the takeover and are ignored. */
   recordStep(role: string, step: Exclude<TakeoverStep, 'vacant'>): void {
     const takeover = this.inProgress.get(role);
     if (takeover === undefined || takeover.steps.has(step)) return;
@@ -63,7 +63,7 @@
     if (step === 'decided') this.finish(role, takeover);
   }
 
-  /** Reports takeovers that time out; a role that was never acquired here is no takeover. */
+  /** Finishes takeovers that have timed out; roles that were never acquired here are not reported. */
   expire(): void {
     for (const [role, takeover] of this.inProgress) {
       if (this.now() - takeover.steps.get('vacant')! > TAKEOVER_TIMEOUT_MS) this.finish(role, takeover);
--- a/packages/standby/src/takeover-tracer.ts
+++ b/packages/standby/src/takeover-tracer.ts
@@ -1,27 +1,27 @@
-/** Interface of the tracing of takeovers. The implementation, tracing.ts, is loaded only where tracing is on. */
+/** Interface of takeover tracing. The implementation, tracing.ts, is loaded only if tracing is enabled. */
 import type { TakeoverReport } from './takeover-timeline.js';
 
-/** Another node leads a role that this process led. */
+/** A role of this process that another node now leads. */
 export interface LeadershipLoss {
   readonly role: string;
-  /** Fencing token of this process. */
+  /** Fencing token under which this process led the role. */
   readonly fencingToken: number;
-  /** Steady ms when the store last confirmed the lease, and when the loss was noticed. */
+  /** Monotonic ms when the store last confirmed the lease, and when the loss was noticed. */
   readonly leaseConfirmedAt: number;
   readonly noticedAt: number;
 }
 
-/** Receives what is to be traced; must neither fail nor wait. */
+/** Receives the events to trace; implementations must be synchronous and must not throw. */
 export interface TakeoverTracer {
-  /** This process has taken a role over. */
+  /** Called when this process has taken over a role. */
   takeoverFinished(report: TakeoverReport): void;
   leadershipLost(loss: LeadershipLoss): void;
 }
 
-/** Used where tracing is off. */
+/** Used if tracing is disabled. */
 export const NO_TRACER: TakeoverTracer = { takeoverFinished: () => undefined, leadershipLost: () => undefined };
 
-/** What the module with the implementation exports. `wallOf` maps the steady clock to the time of day, ms. */
+/** Exports of the implementation module. `toWallClockMs` converts monotonic ms to wall-clock ms. */
 export interface TracingModule {
-  createTakeoverTracer: (file: string, node: string, wallOf: (steadyMs: number) => number) => TakeoverTracer;
+  createTakeoverTracer: (file: string, node: string, toWallClockMs: (monotonicMs: number) => number) => TakeoverTracer;
 }
--- a/packages/standby/src/tracing.ts
+++ b/packages/standby/src/tracing.ts
@@ -1,6 +1,6 @@
 /**
- * Takeovers as OpenTelemetry traces, one a takeover across both nodes: the trace id is computed from the role and the former
- * fencing token, which both know, so nothing has to be sent. A module of its own, loaded only where tracing is on.
+ * Records takeovers as OpenTelemetry traces, one per takeover across both nodes: the trace id is derived from the role and the
+ * former fencing token, which both nodes know, so no trace context is sent. Loaded only if tracing is enabled.
  */
 import { createHash } from 'node:crypto';
 import { appendFileSync } from 'node:fs';
@@ -18,11 +18,11 @@
 
 const TRACE_ID_DIGITS = 32;
 const SPAN_ID_DIGITS = 16;
-/** `ExportResultCode` of the SDK. */
-const SUCCESS = 0;
-const FAILED = 1;
+/** Values of the SDK's `ExportResultCode`. */
+const EXPORT_SUCCESS = 0;
+const EXPORT_FAILED = 1;
 
-/** Writes each span as one line of JSON. */
+/** Appends each span to a file as one line of JSON. */
 class JsonLinesExporter implements SpanExporter {
   constructor(
     private readonly file: string,
@@ -31,14 +31,14 @@
 
   export(spans: ReadableSpan[], done: (result: { code: number; error?: Error }) => void): void {
     try {
-      appendFileSync(this.file, spans.map((span) => `${JSON.stringify(this.describe(span))}\n`).join(''));
-      done({ code: SUCCESS });
+      appendFileSync(this.file, spans.map((span) => `${JSON.stringify(this.toJson(span))}\n`).join(''));
+      done({ code: EXPORT_SUCCESS });
     } catch (error) {
-      done({ code: FAILED, error: error as Error });
+      done({ code: EXPORT_FAILED, error: error as Error });
     }
   }
 
-  private describe(span: ReadableSpan): object {
+  private toJson(span: ReadableSpan): object {
     const { traceId, spanId } = span.spanContext();
     return {
       traceId,
@@ -59,8 +59,8 @@
 
 const toMilliseconds = ([seconds, nanoseconds]: HrTime): number => seconds * 1000 + nanoseconds / 1e6;
 
-/** The parent context of both nodes' spans of one takeover. */
-function contextOf(role: string, formerFencingToken: number): Context {
+/** The common parent context of the spans that both nodes record for one takeover. */
+function parentContextOf(role: string, formerFencingToken: number): Context {
   const digest = createHash('sha256').update(`${role} ${formerFencingToken}`).digest('hex');
   return trace.setSpanContext(ROOT_CONTEXT, {
     traceId: digest.slice(0, TRACE_ID_DIGITS),
@@ -70,8 +70,8 @@
   });
 }
 
-/** The steps between which each span lies; the first begins when the former leader was last heard from. */
-const SPANS: readonly { name: string; from: TakeoverStep | undefined; to: TakeoverStep }[] = [
+/** The steps at which each span starts and ends; the first span starts when the former leader was last heard from. */
+const STEP_SPANS: readonly { name: string; from: TakeoverStep | undefined; to: TakeoverStep }[] = [
   { name: 'detection', from: undefined, to: 'vacant' },
   { name: 'acquisition', from: 'vacant', to: 'acquired' },
   { name: 'records complete', from: 'acquired', to: 'records_complete' },
@@ -85,8 +85,8 @@
   constructor(
     file: string,
     node: string,
-    /** Time of day, ms, of a moment of the steady clock. */
-    private readonly wallOf: (steadyMs: number) => number,
+    /** Converts monotonic ms to wall-clock ms. */
+    private readonly toWallClockMs: (monotonicMs: number) => number,
   ) {
     const spanProcessors = [new SimpleSpanProcessor(new JsonLinesExporter(file, node))];
     this.tracer = new BasicTracerProvider({ spanProcessors }).getTracer('dewlatch.standby');
@@ -100,34 +100,36 @@
     const attributes = { role, formerLeader, formerFencingToken };
     const takeoverSpan = this.tracer.startSpan(
       'takeover',
-      { startTime: this.wallOf(begin), attributes },
-      contextOf(role, formerFencingToken),
+      { startTime: this.toWallClockMs(begin), attributes },
+      parentContextOf(role, formerFencingToken),
     );
     const takeoverContext = trace.setSpan(ROOT_CONTEXT, takeoverSpan);
-    for (const { name, from, to } of SPANS) {
+    for (const { name, from, to } of STEP_SPANS) {
       const startAt = from === undefined ? begin : steps.get(from);
       const endAt = steps.get(to);
       if (startAt === undefined || endAt === undefined) continue;
-      this.tracer.startSpan(name, { startTime: this.wallOf(startAt) }, takeoverContext).end(this.wallOf(endAt));
+      this.tracer
+        .startSpan(name, { startTime: this.toWallClockMs(startAt) }, takeoverContext)
+        .end(this.toWallClockMs(endAt));
     }
-    takeoverSpan.end(this.wallOf(end));
+    takeoverSpan.end(this.toWallClockMs(end));
   }
 
   leadershipLost(loss: LeadershipLoss): void {
     const { role, fencingToken, leaseConfirmedAt, noticedAt } = loss;
-    const startTime = this.wallOf(leaseConfirmedAt);
+    const startTime = this.toWallClockMs(leaseConfirmedAt);
     const span = this.tracer.startSpan(
       'leadership lost',
       { startTime, attributes: { role } },
-      contextOf(role, fencingToken),
+      parentContextOf(role, fencingToken),
     );
-    span.end(this.wallOf(noticedAt));
+    span.end(this.toWallClockMs(noticedAt));
   }
 }
 
-/** Creates a tracer that appends to the file; `wallOf` maps the steady clock to the time of day, ms. */
+/** Creates a tracer that appends to the file; `toWallClockMs` converts monotonic ms to wall-clock ms. */
 export const createTakeoverTracer = (
   file: string,
   node: string,
-  wallOf: (steadyMs: number) => number,
-): TakeoverTracer => new OpenTelemetryTracer(file, node, wallOf);
+  toWallClockMs: (monotonicMs: number) => number,
+): TakeoverTracer => new OpenTelemetryTracer(file, node, toWallClockMs);
--- a/packages/standby/test/settings.test.ts
+++ b/packages/standby/test/settings.test.ts
@@ -6,10 +6,10 @@
 import { DEFAULT_STANDBY_SETTINGS, findContradiction, StandbySettingsSchema } from '../src/index.js';
 
 const BOUNDS = { storeLeaseTtlMs: 3000, linkMessageBytes: 1_000_000 };
-const fault = (fields: object) => findContradiction({ ...DEFAULT_STANDBY_SETTINGS, ...fields }, BOUNDS);
+const contradictionIn = (fields: object) => findContradiction({ ...DEFAULT_STANDBY_SETTINGS, ...fields }, BOUNDS);
 
 describe('the settings of the warm standby', () => {
-  it('are read under the names of the tuning file, with defaults for those left out', () => {
+  it('are parsed by their names in the tuning file, with defaults for missing fields', () => {
     assert.deepEqual(v.parse(StandbySettingsSchema, {}), DEFAULT_STANDBY_SETTINGS);
     const table = {
       ...{ enabled: true, follow: true, max_lag_ms: 1, stream_bytes_per_s: 1024, message_bytes: 1025 },
@@ -23,16 +23,16 @@
     assert.throws(() => v.parse(StandbySettingsSchema, settings));
   });
 
-  it('are consistent by default, on and off', () => {
-    assert.equal(fault({}), undefined);
-    assert.equal(fault({ enabled: true, follow: true }), undefined);
+  it('are consistent by default, whether enabled or disabled', () => {
+    assert.equal(contradictionIn({}), undefined);
+    assert.equal(contradictionIn({ enabled: true, follow: true }), undefined);
   });
 
-  it('are rejected by the name of the field that contradicts another', () => {
-    assert.match(fault({ follow: true })!, /^follow:/);
-    assert.match(fault({ maxLagMs: 3001 })!, /^max_lag_ms:/);
-    assert.match(fault({ messageBytes: 1_000_001 })!, /^message_bytes:/);
-    assert.match(fault({ unacknowledgedBytes: 2000 })!, /^unacknowledged_bytes:/);
-    assert.match(fault({ streamBytesPerS: 2000 })!, /^stream_bytes_per_s:/);
+  it('are rejected with the name of the contradictory field', () => {
+    assert.match(contradictionIn({ follow: true })!, /^follow:/);
+    assert.match(contradictionIn({ maxLagMs: 3001 })!, /^max_lag_ms:/);
+    assert.match(contradictionIn({ messageBytes: 1_000_001 })!, /^message_bytes:/);
+    assert.match(contradictionIn({ unacknowledgedBytes: 2000 })!, /^unacknowledged_bytes:/);
+    assert.match(contradictionIn({ streamBytesPerS: 2000 })!, /^stream_bytes_per_s:/);
   });
 });
--- a/packages/standby/test/succession.test.ts
+++ b/packages/standby/test/succession.test.ts
@@ -12,7 +12,7 @@
 const leadership = { role: 'leader', leader: 'n0', preferredNode: undefined };
 
 describe('the successor of a role', () => {
-  it('is the preferred node of the partition while that serves, in whichever zone', () => {
+  it('is the preferred node of the partition while that node is serving, in any zone', () => {
     const nodes = [
       candidate('n0'),
       candidate('n1', { zone: 'b', ledRoleCount: 0 }),
@@ -21,7 +21,7 @@
     assert.equal(designateSuccessor({ role: 'part-2', leader: 'n0', preferredNode: 'n2' }, nodes), 'n2');
   });
 
-  it('is in another zone than the leader, where there is a choice', () => {
+  it('is in a different zone than the leader if possible', () => {
     const nodes = [
       candidate('n0'),
       candidate('n1', { ledRoleCount: 0 }),
@@ -30,7 +30,7 @@
     assert.equal(designateSuccessor(leadership, nodes), 'n2');
   });
 
-  it('is another at once when the first does not serve or avoids the role', () => {
+  it('is the next candidate when the best one is not serving or avoids the role', () => {
     const others = [candidate('n0'), candidate('n1', { ledRoleCount: 0 })];
     assert.equal(designateSuccessor(leadership, [...others, candidate('n2', { ledRoleCount: 4 })]), 'n1');
     for (const ineligible of [{ isServing: false }, { avoidsRole: true }]) {
@@ -47,7 +47,7 @@
     assert.equal(designateSuccessor(leadership, [candidate('n0'), candidate('n1', { isServing: false })]), undefined);
   });
 
-  it('does not depend on the order of the candidates, and is always eligible', () => {
+  it('is always eligible and independent of the order of the candidates', () => {
     const node = fc.record({
       node: fc.constantFrom('n0', 'n1', 'n2', 'n3', 'n4'),
       zone: fc.constantFrom('a', 'b'),
--- a/packages/standby/test/takeover-barrier.test.ts
+++ b/packages/standby/test/takeover-barrier.test.ts
@@ -16,8 +16,8 @@
 const FREEZE_MS = 3500;
 
 /**
- * A store, a leader A that may freeze, and a successor B. The leader sends to the cloud, which accepts whatever comes; the
- * successor decides on its replica of the records.
+ * A store, a leader A that may freeze, and a successor B. The leader sends requests to the cloud, which accepts all of them; the
+ * successor makes decisions based on its replica of the records.
  */
 class Model {
   private time = 0;
@@ -44,7 +44,7 @@
       this.time += TICK_MS;
       this.guard.check();
     },
-    // Nothing of A runs meanwhile; a request may reach it when it resumes before its timers fire.
+    // A runs nothing during the freeze; after it, a request may be handled before the timers of A fire.
     freeze: () => void (this.time += FREEZE_MS),
     renew: () => {
       if (this.time >= this.leaseUntil) return;
@@ -52,7 +52,7 @@
       this.freshOfA = this.time;
       this.guard.confirm(this.time);
     },
-    // A read that was in flight when A froze: it says nothing of the lease, but makes the replica look fresh.
+    // The answer to a read that was in flight when A froze: it does not confirm the lease, but makes the replica appear fresh.
     lateRead: () => void (this.freshOfA = this.time),
     acquire: () => {
       if (this.time < this.leaseUntil || this.leader === 'B') return;
@@ -85,7 +85,7 @@
     });
   }
 
-  /** What must never happen: A sends to the cloud when it no longer leads; B decides on an outdated replica. */
+  /** Detects the forbidden cases: A sends to the cloud after losing leadership; B makes a decision on an outdated replica. */
   violation(): string | undefined {
     const isSent = maySend('cloud_return', () => this.assessA().kind === 'open');
     if (isSent && this.leader === 'B') return 'a scale-in by the former leader';
@@ -96,59 +96,59 @@
   }
 }
 
-/** Runs every sequence of so many actions; returns the first that leads to a violation. */
-function explore(depth: number, hasGuard: boolean): string[] | undefined {
+/** Executes every sequence of `depth` actions; returns the first one that leads to a violation, followed by the violation. */
+function findViolation(depth: number, hasGuard: boolean): string[] | undefined {
   const names = Object.keys(new Model(hasGuard).actions);
   const sequences = names.length ** depth;
   for (let number = 0; number < sequences; number++) {
     const model = new Model(hasGuard);
-    const played: string[] = [];
+    const executed: string[] = [];
     for (let rest = number, step = 0; step < depth; step++, rest = Math.floor(rest / names.length)) {
       const name = names[rest % names.length]!;
       model.actions[name]!();
-      played.push(name);
+      executed.push(name);
       const violation = model.violation();
-      if (violation !== undefined) return [...played, violation];
+      if (violation !== undefined) return [...executed, violation];
     }
   }
   return undefined;
 }
 
 describe('the takeover barrier', () => {
-  it('lets no former leader send to the cloud and no successor decide early, in any sequence of seven steps', () => {
-    assert.equal(explore(7, true), undefined);
+  it('prevents calls to the cloud by a former leader and early decisions by a successor, in all sequences of seven actions', () => {
+    assert.equal(findViolation(7, true), undefined);
   });
 
-  it('is needed: without the check for pauses some sequence breaks it', () => {
-    const found = explore(5, false);
-    assert.ok(found !== undefined);
-    assert.equal(found.at(-1), 'a scale-in by the former leader');
+  it('permits a scale-in by the former leader if pauses are not detected', () => {
+    const counterexample = findViolation(5, false);
+    assert.ok(counterexample !== undefined);
+    assert.equal(counterexample.at(-1), 'a scale-in by the former leader');
   });
 
-  it('names what is missing, in order, and reconciles once in each term', () => {
+  it('reports the first unmet precondition in a fixed order, and reconciles once per term', () => {
     const reconciled: number[] = [];
     const barrier = new TakeoverBarrier(({ startRevision }) => reconciled.push(startRevision));
     const term = { startRevision: 9 };
-    const good = { term, isLeaseConfirmed: true, isReplicaFresh: true, replicaRevision: 9 };
-    const reason = (evidence: typeof good | (Omit<typeof good, 'term'> & { term: undefined })) => {
+    const complete = { term, isLeaseConfirmed: true, isReplicaFresh: true, replicaRevision: 9 };
+    const outcomeOf = (evidence: typeof complete | (Omit<typeof complete, 'term'> & { term: undefined })) => {
       const outcome = barrier.assess(evidence);
       return outcome.kind === 'closed' ? outcome.reason : 'open';
     };
-    assert.equal(reason({ ...good, term: undefined }), 'not_leader');
-    assert.equal(reason({ ...good, isLeaseConfirmed: false }), 'lease_unconfirmed');
-    assert.equal(reason({ ...good, isReplicaFresh: false }), 'replica_stale');
-    assert.equal(reason({ ...good, replicaRevision: 8 }), 'replica_behind');
+    assert.equal(outcomeOf({ ...complete, term: undefined }), 'not_leader');
+    assert.equal(outcomeOf({ ...complete, isLeaseConfirmed: false }), 'lease_unconfirmed');
+    assert.equal(outcomeOf({ ...complete, isReplicaFresh: false }), 'replica_stale');
+    assert.equal(outcomeOf({ ...complete, replicaRevision: 8 }), 'replica_behind');
     assert.deepEqual(reconciled, []);
-    assert.equal(reason(good), 'open');
-    assert.equal(reason(good), 'open');
+    assert.equal(outcomeOf(complete), 'open');
+    assert.equal(outcomeOf(complete), 'open');
     assert.deepEqual(reconciled, [9]);
-    assert.equal(reason({ ...good, term: { startRevision: 9 } }), 'open');
+    assert.equal(outcomeOf({ ...complete, term: { startRevision: 9 } }), 'open');
     assert.deepEqual(reconciled, [9, 9]);
   });
 });
 
 describe('outbound calls', () => {
-  it('that no receiver can reject are checked when they are sent', () => {
+  it('are checked at the time of sending if the receiver cannot reject stale ones', () => {
     assert.equal(stalenessGuardOf('cloud_return').kind, 'checked_when_sent');
     assert.equal(stalenessGuardOf('cloud_rent').kind, 'checked_when_sent');
     assert.equal(stalenessGuardOf('command').kind, 'rejected_by_receiver');
@@ -163,8 +163,8 @@
   });
 });
 
-describe('following', () => {
-  it('is throttled and suspended when timers fire late, and resumes step by step', () => {
+describe('requests of a follower', () => {
+  it('are throttled and then suspended when timers fire late, and resume stage by stage', () => {
     const throttle = new FollowThrottle();
     const afterTicks = (count: number, latenessMs: number) => {
       for (let n = 0; n < count; n++) throttle.recordTick(latenessMs);
--- a/packages/standby/test/tracing.test.ts
+++ b/packages/standby/test/tracing.test.ts
@@ -17,8 +17,8 @@
   endMs: number;
 }
 
-/** A takeover of the leadership that became vacant 3 s after its leader was last heard from, step by step. */
-function takeOver(): TakeoverReport {
+/** Simulates a takeover of the cluster leadership, which becomes vacant 3 s after its leader was last heard from. */
+function completeTakeover(): TakeoverReport {
   let time = 10_000;
   const reports: TakeoverReport[] = [];
   const timeline = new TakeoverTimeline(
@@ -38,12 +38,12 @@
 }
 
 describe('the timeline of a takeover', () => {
-  it('counts from when the former leader was last heard from, and only steps after the acquisition', () => {
+  it('measures steps from the last sign of life of the former leader, and ignores those before the acquisition', () => {
     const expected = { vacant: 3000, acquired: 3020, records_complete: 3040, decided: 3060 };
-    assert.deepEqual(stepDurations(takeOver()), expected);
+    assert.deepEqual(stepDurations(completeTakeover()), expected);
   });
 
-  it('reports nothing of a role that another node has acquired', () => {
+  it('reports nothing for a role that another node has acquired', () => {
     let time = 0;
     let reports = 0;
     const timeline = new TakeoverTimeline(
@@ -59,13 +59,13 @@
 });
 
 describe('the trace of a takeover', () => {
-  it('is one at both nodes, with a span for each step', () => {
+  it('is shared by both nodes and has a span for each step', () => {
     const folder = mkdtempSync(join(tmpdir(), 'dewlatch-trace-'));
     const file = join(folder, 'spans.jsonl');
-    const wallOf = (steadyMs: number) => 1_700_000_000_000 + steadyMs;
-    createTakeoverTracer(file, 'n1', wallOf).takeoverFinished(takeOver());
+    const toWallClockMs = (monotonicMs: number) => 1_700_000_000_000 + monotonicMs;
+    createTakeoverTracer(file, 'n1', toWallClockMs).takeoverFinished(completeTakeover());
     const loss = { role: 'leader', fencingToken: 41, leaseConfirmedAt: 7000, noticedAt: 12_000 };
-    createTakeoverTracer(file, 'n0', wallOf).leadershipLost(loss);
+    createTakeoverTracer(file, 'n0', toWallClockMs).leadershipLost(loss);
     const lines = readFileSync(file, 'utf8').trim().split('\n');
     rmSync(folder, { recursive: true });
     const spans = lines.map((line) => JSON.parse(line) as SpanLine);
@@ -78,10 +78,10 @@
       'n1 records complete',
       'n1 takeover',
     ]);
-    const whole = spans.find(({ name }) => name === 'takeover')!;
-    assert.equal(whole.endMs - whole.startMs, 3060);
-    const inside = spans.filter(({ parentSpanId }) => parentSpanId === whole.spanId);
-    assert.equal(inside.length, 4);
-    assert.equal(spans.find(({ node }) => node === 'n0')!.parentSpanId, whole.parentSpanId);
+    const takeoverSpan = spans.find(({ name }) => name === 'takeover')!;
+    assert.equal(takeoverSpan.endMs - takeoverSpan.startMs, 3060);
+    const stepSpans = spans.filter(({ parentSpanId }) => parentSpanId === takeoverSpan.spanId);
+    assert.equal(stepSpans.length, 4);
+    assert.equal(spans.find(({ node }) => node === 'n0')!.parentSpanId, takeoverSpan.parentSpanId);
   });
 });
--- a/src/leadership/advisory-collector.ts
+++ b/src/leadership/advisory-collector.ts
@@ -1,56 +1,58 @@
-/** Collects what this node remembers beside the records into the advisory log, from which followers are served. */
+/** Collects the advisory state of this node, which is kept in memory only, into the log that is streamed to its followers. */
 import type { AdvisoryKind, AdvisoryLog } from '@dewlatch/standby';
 
 import type { Clock } from '../net/clock.js';
-import type { HappinessMemory, LeaderMemory } from './advisory-memory.js';
+import type { HealthAdvisoryState, LeaderMemory } from './advisory-memory.js';
 import type { RoleLeadership } from './role-leadership.js';
 
-/** What the collector reads from and writes to. */
+/** Sources of the advisory state, and the log that it is written to. */
 export interface AdvisoryCollectorDependencies {
   advisoryLog: AdvisoryLog;
   leadership: RoleLeadership;
-  happiness: HappinessMemory;
+  happiness: HealthAdvisoryState;
   leader: { readonly memory: LeaderMemory };
   clock: Clock;
 }
 
-/** Reads the parts that remember something, and writes the advisory log. What only the cluster leader knows is empty elsewhere. */
+/** Writes the advisory log. Entries that only the cluster leader maintains are left empty on other nodes. */
 export class AdvisoryCollector {
   constructor(private readonly dependencies: AdvisoryCollectorDependencies) {}
 
-  /** Collects what changes at single moments; cheap enough for each tick. */
+  /** Collects recent moves, evictions and refused offers; cheap enough to run on every tick. */
   collectEvents(): void {
     const { leadership, happiness, leader } = this.dependencies;
     const { memory } = leader;
     const isLeader = leadership.isLeader;
-    const moved = [...happiness.recentMoves()].map(({ task, at }) => ({ name: task, at }));
-    const stopping = isLeader ? [...memory.recentEvictions()].map(({ attempt, at }) => ({ name: attempt, at })) : [];
-    const refused = isLeader ? [...memory.refusedOffers()].map(({ offer, at }) => ({ name: offer, at })) : [];
-    this.replaceMoments('moved', moved);
-    this.replaceMoments('stopping', stopping);
-    this.replaceMoments('no_capacity', refused);
+    const recentMoves = [...happiness.recentMoves()].map(({ task, at }) => ({ name: task, at }));
+    const recentEvictions = isLeader
+      ? [...memory.recentEvictions()].map(({ attempt, at }) => ({ name: attempt, at }))
+      : [];
+    const refusedOffers = isLeader ? [...memory.refusedOffers()].map(({ offer, at }) => ({ name: offer, at })) : [];
+    this.replaceTimedEntries('moved', recentMoves);
+    this.replaceTimedEntries('stopping', recentEvictions);
+    this.replaceTimedEntries('no_capacity', refusedOffers);
   }
 
-  /** Collects what is counted over a while; to be called more rarely. */
+  /** Collects idle machines and the counts of health checks; called less often than `collectEvents`. */
   collectCounts(): void {
     const { advisoryLog, leadership, happiness, leader, clock } = this.dependencies;
     const idle = leadership.isLeader ? [...leader.memory.idleMachines()] : [];
-    this.replaceMoments(
+    this.replaceTimedEntries(
       'idle',
       idle.map(({ machineId, at }) => ({ name: machineId, at })),
     );
-    const troubled = [...happiness.tasksWithUnhealthyChecks(clock.now())];
-    const health = troubled.map(({ task, healthy, unhealthy, lastAt }) => {
+    const unhealthyTasks = [...happiness.tasksWithUnhealthyChecks(clock.now())];
+    const health = unhealthyTasks.map(({ task, healthy, unhealthy, lastAt }) => {
       return { kind: 'health' as const, name: task, at: lastAt, healthy, unhealthy };
     });
     advisoryLog.replace('health', health);
   }
 
-  private replaceMoments(
+  private replaceTimedEntries(
     kind: Exclude<AdvisoryKind, 'health'>,
-    moments: readonly { name: string; at: number }[],
+    timedEntries: readonly { name: string; at: number }[],
   ): void {
-    const entries = moments.map(({ name, at }) => ({ kind, name, at, healthy: 0, unhealthy: 0 }));
+    const entries = timedEntries.map(({ name, at }) => ({ kind, name, at, healthy: 0, unhealthy: 0 }));
     this.dependencies.advisoryLog.replace(kind, entries);
   }
 }
--- a/src/leadership/advisory-restorer.ts
+++ b/src/leadership/advisory-restorer.ts
@@ -1,4 +1,4 @@
-/** Restores what was followed of a role's former leader, as far as the records agree with it. */
+/** Restores the advisory state that was streamed from a role's former leader, except what the records contradict. */
 import type { StreamFollower } from '@dewlatch/standby';
 
 import { CLUSTER_LEADER_ROLE, partitionRole } from '../domain/role.js';
@@ -6,28 +6,28 @@
 import type { Log } from '../logging/log.js';
 import type { Clock } from '../net/clock.js';
 import type { ClusterState } from '../records/cluster-state.js';
-import type { HappinessMemory, LeaderMemory } from './advisory-memory.js';
+import type { HealthAdvisoryState, LeaderMemory } from './advisory-memory.js';
 import type { AdvisoryStream } from './advisory-stream.js';
 import type { LeadershipHistory } from './leadership-history.js';
 
-/** What the restorer reads from and writes to. */
+/** Sources of the streamed state, and the components that it is restored to. */
 export interface AdvisoryRestorerDependencies {
   history: LeadershipHistory;
   stream: AdvisoryStream;
-  /** The partition of a machine. */
+  /** Maps a machine to its partition. */
   leadership: { partitionOf(machineId: string): number };
   clusterState: ClusterState;
-  happiness: HappinessMemory;
+  happiness: HealthAdvisoryState;
   leader: { readonly memory: LeaderMemory };
   clock: Clock;
   log: Log;
 }
 
-/** Only saves time: an entry that the records contradict is left out, and no decision rests on one. */
+/** An optimization only: entries that the records contradict are skipped, and no decision depends on a restored entry. */
 export class AdvisoryRestorer {
   constructor(private readonly dependencies: AdvisoryRestorerDependencies) {}
 
-  /** To be called once in each term, when the replica is complete up to the acquisition. */
+  /** Must be called once per term, when the replica is complete up to the acquisition. */
   restore(role: string): void {
     const { history, stream, clock, log } = this.dependencies;
     const former = history.formerLeaderOf(role);
@@ -39,7 +39,7 @@
     log.info({ role, formerLeader: former.node, entries: follower.size, restored, ageMs }, 'standby state restored');
   }
 
-  /** Returns how many entries were restored. */
+  /** Returns the number of restored entries. */
   private restoreLeader(follower: StreamFollower): number {
     const { leader, clusterState } = this.dependencies;
     const { memory } = leader;
--- a/src/leadership/advisory-stream.ts
+++ b/src/leadership/advisory-stream.ts
@@ -1,4 +1,4 @@
-/** Both ends of the stream of advisory state: this node as a leader that is followed, and as a follower of others. */
+/** Both ends of the advisory stream: this node as the sender to its followers, and as a follower of other nodes. */
 import {
   type AdvisoryLog,
   type FollowRequest,
@@ -18,7 +18,7 @@
 import { standbyKey } from '../records/record-keys.js';
 import type { Replica } from '../store/replica.js';
 
-/** Identity of this node and the way to its peers. */
+/** Identity of this node, and what it needs to exchange messages with its peers. */
 export interface AdvisoryStreamDependencies {
   node: string;
   incarnation: number;
@@ -31,10 +31,10 @@
   send: (node: string, message: { kind: 'standby_stream'; payload: StreamMessage }) => void;
 }
 
-/** One sender for all followers of this node, and one follower for each node that this one is ready to succeed. */
+/** Holds one sender for all followers of this node, and one `StreamFollower` per node that this node is to succeed. */
 export class AdvisoryStream {
   private readonly sender: StreamSender;
-  /** By the node that is followed. */
+  /** Keyed by the followed node. */
   private readonly followers = new Map<string, StreamFollower>();
 
   constructor(private readonly dependencies: AdvisoryStreamDependencies) {
@@ -65,13 +65,13 @@
     if (outcome.reason === 'gap') this.request(batch.node);
   }
 
-  /** Sends what has changed to the followers, as far as the limits allow. */
+  /** Sends pending changes to the followers, within the configured limits. */
   sendChanges(): void {
     for (const [node, batches] of this.sender.composeBatches())
       for (const batch of batches) this.dependencies.send(node, { kind: 'standby_stream', payload: { batch } });
   }
 
-  /** Asks these nodes for what has changed. */
+  /** Requests changes from these nodes. */
   requestFrom(nodes: Iterable<string>): void {
     const { node: ownNode, incarnation, standby, clock } = this.dependencies;
     for (const node of nodes) {
@@ -89,14 +89,14 @@
     this.dependencies.send(node, { kind: 'standby_stream', payload: { follow: follower.request() } });
   }
 
-  /** The very incarnation of the node that gossip knows has announced in the store that it reads the stream. */
+  /** Whether the incarnation of the node that is known from gossip has announced in the store that it reads the stream. */
   private canReadStream(node: string): boolean {
     const { replica, peerDirectory } = this.dependencies;
     const record = decodeStandbyRecord(replica.get(standbyKey(node)).value);
     return record !== undefined && record.incarnation === peerDirectory.incarnationOf(node);
   }
 
-  /** What is known of a node's advisory state; undefined: it was never followed. */
+  /** The streamed advisory state of a node; undefined: it was never followed. */
   followerOf(node: string): StreamFollower | undefined {
     return this.followers.get(node);
   }
@@ -105,7 +105,7 @@
     return this.sender.status;
   }
 
-  /** ms of lag behind each node that is followed and has answered. */
+  /** Lag in ms behind each followed node that has answered. */
   followedLagsMs(): Record<string, number> {
     const lags = [...this.followers].map(([node, { lagMs }]) => [node, Math.round(lagMs)] as const);
     return Object.fromEntries(lags.filter(([, lagMs]) => Number.isFinite(lagMs)));
--- a/src/leadership/handover.ts
+++ b/src/leadership/handover.ts
@@ -1,4 +1,4 @@
-/** Planned handover: a controller that is told to stop releases its roles to its successors instead of letting them expire. */
+/** Planned handover: a controller that shuts down releases its roles to its successors instead of letting them expire. */
 import { DELTA_GATHER_MS } from '../constants/gossip.js';
 import { DRAIN_SHARE } from '../constants/leadership.js';
 import type { GossipSender } from '../gossip/gossip-sender.js';
@@ -6,33 +6,33 @@
 import type { Clock } from '../net/clock.js';
 import type { RoleLeadership } from './role-leadership.js';
 
-/** What a planned handover needs. */
+/** Collaborators of a planned handover, and its time limit. */
 export interface HandoverDependencies {
-  /** ms that it may take; roles that are left then end with the store lease. */
+  /** Time limit in ms; roles not released by then become vacant when the store lease expires. */
   limitMs: number;
   leadership: RoleLeadership;
-  /** Sends no more commands, and waits for the answers to those in flight, for so long at most. */
+  /** Stops sending commands, and waits up to `withinMs` for the answers to those in flight. */
   workerManager: { drain(withinMs: number): Promise<void> };
   gossip: GossipSender;
   clock: Clock;
   log: Log;
 }
 
-/** Runs once, when the controller is told to stop. */
+/** Runs once, when the controller is asked to shut down. */
 export class Handover {
-  private hasBegun = false;
+  private hasStarted = false;
 
   constructor(private readonly dependencies: HandoverDependencies) {}
 
-  /** From its start on the node acquires no role, and users and peers should use other nodes. */
+  /** Once the handover has started, the node acquires no role, and users and peers should use other nodes. */
   get isUnderway(): boolean {
-    return this.hasBegun;
+    return this.hasStarted;
   }
 
-  /** Resolves when all roles are released, or when the time is over. */
+  /** Resolves when all roles are released, or when the time limit is reached. */
   async run(): Promise<void> {
     const { limitMs, leadership, gossip, clock, log } = this.dependencies;
-    this.hasBegun = true;
+    this.hasStarted = true;
     leadership.stopAcquiring();
     gossip.sendNow();
     await Promise.race([clock.sleep(limitMs), this.releaseRoles()]);
@@ -43,7 +43,7 @@
     const { limitMs, leadership, workerManager, clock } = this.dependencies;
     await workerManager.drain(limitMs * DRAIN_SHARE);
     await leadership.releaseAll('shutdown');
-    // Peers are sent changed records a moment later; without that they learn of the vacant roles only by their next watch.
+    // Changed records reach peers only after a batching delay; otherwise they learn of the vacant roles only by their next watch.
     await clock.sleep(2 * DELTA_GATHER_MS);
   }
 }
--- a/src/leadership/held-roles.ts
+++ b/src/leadership/held-roles.ts
@@ -1,16 +1,16 @@
-/** The store lease of this process and the roles that it leads under that lease, as far as it knows. */
+/** The store lease of this process, and the roles that it leads under that lease according to its local state. */
 import type { ClusterState } from '../records/cluster-state.js';
 import type { HeldLeadership, LeadershipTerm } from './leadership-term.js';
 import type { SuccessionPolicy } from './succession-policy.js';
 
-/** What the held roles are computed from. */
+/** Sources from which the held roles are computed. */
 export interface HeldRolesDependencies {
   clusterState: ClusterState;
-  /** Asked each time, since the warm standby is attached after construction. */
+  /** A getter, since the warm standby is attached after construction. */
   succession: () => SuccessionPolicy;
 }
 
-/** A role is led here only while the stored record has both this lease and the fencing token that is known here. */
+/** A role is led here only while the stored record holds both the lease and the fencing token that this process knows. */
 export class HeldRoles {
   private leaseId: number | undefined;
   private readonly leaderships = new Map<string, HeldLeadership>();
@@ -22,12 +22,12 @@
     return this.leaseId;
   }
 
-  /** All further roles are acquired under this lease. */
+  /** Roles acquired from now on are held under this lease. */
   startLease(leaseId: number): void {
     this.leaseId = leaseId;
   }
 
-  /** The store lease has expired, and all leadership with it. */
+  /** Ends all leadership of this process after its store lease has expired. */
   endLease(): void {
     this.leaderships.clear();
     this.leaseId = undefined;
@@ -41,7 +41,7 @@
     this.leaderships.delete(role);
   }
 
-  /** While a role is released it is not led: answers stop before the leadership record is deleted. */
+  /** A role being released is not led: answers to workers stop before the leadership record is deleted. */
   startRelease(role: string): void {
     this.releasing.add(role);
   }
@@ -56,7 +56,7 @@
 
   leadershipOf(role: string): HeldLeadership | undefined {
     const { clusterState, succession } = this.dependencies;
-    // After a long pause another process may lead it, whatever this replica says.
+    // After a long pause another process may lead the role, even if this replica does not show it yet.
     if (this.releasing.has(role) || !succession().wasConfirmed) return undefined;
     const held = this.leaderships.get(role);
     const stored = clusterState.leadershipRecords.get(role);
--- a/src/leadership/leadership-history.ts
+++ b/src/leadership/leadership-history.ts
@@ -1,11 +1,11 @@
-/** Follows the leadership records as they change: who led each role before, when it became vacant, and what this node lost. */
+/** Tracks changes of the leadership records: former leaders, roles that became vacant, and roles that this node lost. */
 import type { PauseGuard, TakeoverTimeline, TakeoverTracer } from '@dewlatch/standby';
 
 import { CLUSTER_LEADER_ROLE, partitionRole } from '../domain/role.js';
 import type { Clock } from '../net/clock.js';
 import type { ClusterState } from '../records/cluster-state.js';
 
-/** What the history observes. */
+/** Sources of the history, and the timeline and tracer that it reports to. */
 export interface LeadershipHistoryDependencies {
   node: string;
   partitionCount: number;
@@ -17,20 +17,20 @@
   clock: Clock;
 }
 
-/** The node that led a role last, with the fencing token that it had. */
+/** The last node that led a role, with its fencing token. */
 export interface FormerLeader {
   readonly node: string;
   readonly fencingToken: number;
 }
 
-/** The history since this process read the records; it is not stored. */
+/** The history since this process loaded the records; not persisted. */
 export class LeadershipHistory {
   private readonly roles: readonly string[];
-  /** Who led each role last, other than this node. */
+  /** The last leader of each role other than this node. */
   private readonly formerLeaders = new Map<string, FormerLeader>();
-  /** Fencing tokens of the roles that this node led at the last change, by role. */
+  /** Fencing tokens of the roles that this node led as of the last change, by role. */
   private readonly ownTokens = new Map<string, number>();
-  /** Roles that were vacant at the last change. */
+  /** Roles that were vacant as of the last change. */
   private readonly vacantRoles = new Set<string>();
 
   constructor(private readonly dependencies: LeadershipHistoryDependencies) {
@@ -42,16 +42,16 @@
     return this.formerLeaders.get(role);
   }
 
-  /** To be called whenever a leadership record has changed. */
-  recordsChanged(): void {
-    for (const role of this.roles) this.recordChanged(role);
+  /** Must be called after every change of a leadership record. */
+  leadershipRecordsChanged(): void {
+    for (const role of this.roles) this.updateRole(role);
   }
 
-  private recordChanged(role: string): void {
+  private updateRole(role: string): void {
     const { node, clusterState, timeline } = this.dependencies;
     const stored = clusterState.leadershipRecords.get(role);
     if (stored === undefined) {
-      this.noteVacant(role);
+      this.handleVacancy(role);
       return;
     }
     this.vacantRoles.delete(role);
@@ -59,12 +59,12 @@
       this.ownTokens.set(role, stored.modRevision);
       return;
     }
-    this.noteLoss(role);
+    this.traceOwnLoss(role);
     timeline.acquiredElsewhere(role);
     this.formerLeaders.set(role, { node: stored.record.node, fencingToken: stored.modRevision });
   }
 
-  private noteVacant(role: string): void {
+  private handleVacancy(role: string): void {
     const { peerDirectory, timeline } = this.dependencies;
     if (this.vacantRoles.has(role)) return;
     this.vacantRoles.add(role);
@@ -77,7 +77,7 @@
     });
   }
 
-  private noteLoss(role: string): void {
+  private traceOwnLoss(role: string): void {
     const { tracer, guard, clock } = this.dependencies;
     const fencingToken = this.ownTokens.get(role);
     if (fencingToken === undefined) return;
--- a/src/leadership/leadership-term.ts
+++ b/src/leadership/leadership-term.ts
@@ -1,17 +1,17 @@
-/** The leadership of a role as the process that has it knows it. */
+/** Leadership of a role, as seen by the process that holds it. */
 
 /**
- * One unbroken term of a role with this process, from the acquisition to the loss; advancing the fencing token does not end it.
- * What is known of the partition's workers is bound to this object (see worker-registry.ts).
+ * One continuous term in which this process leads a role, from acquisition to loss; advancing the fencing token does not end it.
+ * The state of the partition's workers is bound to this object (see worker-registry.ts).
  */
 export interface LeadershipTerm {
-  /** Revision of the store by which the role was acquired: what former leaders did is older. */
+  /** Store revision of the acquisition; all writes of former leaders have lower revisions. */
   readonly startRevision: number;
-  /** Steady ms when the role was acquired. */
+  /** Monotonic ms when the role was acquired. */
   readonly at: number;
 }
 
-/** Leadership of a role that this process has, as of now. */
+/** The current leadership of a role held by this process. */
 export interface HeldLeadership {
   /** `modRevision` of the leadership record. */
   readonly fencingToken: number;
--- a/src/leadership/load-tracer.ts
+++ b/src/leadership/load-tracer.ts
@@ -1,4 +1,4 @@
-/** Loads the tracing of takeovers where it is configured; it is no part of the program's bundle or startup snapshot. */
+/** Loads takeover tracing if configured; the module is not part of the program's bundle or startup snapshot. */
 import { createRequire } from 'node:module';
 import { resolve } from 'node:path';
 
@@ -7,16 +7,16 @@
 import type { Log } from '../logging/log.js';
 import type { Clock } from '../net/clock.js';
 
-/** Written by the build beside the program; the program is started from the folder above. */
+/** Written by the build next to the program; relative to the working directory, which is the parent folder. */
 const TRACING_BUNDLE = 'target/tracing.cjs';
 
-/** Falls back to no tracing if the module can't be loaded: the service matters more. */
+/** Falls back to no tracing if the module can't be loaded, since tracing must not prevent the controller from starting. */
 export function loadTracer(file: string, node: string, clock: Clock, log: Log): TakeoverTracer {
   if (file === '') return NO_TRACER;
   try {
     const path = resolve(TRACING_BUNDLE);
     const { createTakeoverTracer } = createRequire(path)(path) as TracingModule;
-    return createTakeoverTracer(file, node, (steadyMs) => clock.wall() - (clock.now() - steadyMs));
+    return createTakeoverTracer(file, node, (monotonicMs) => clock.wall() - (clock.now() - monotonicMs));
   } catch (error) {
     log.error({ error: String(error) }, 'takeover tracing unavailable');
     return NO_TRACER;
--- a/src/leadership/responsibility.ts
+++ b/src/leadership/responsibility.ts
@@ -2,7 +2,7 @@
 import { partitionRole } from '../domain/role.js';
 import type { RoleLeadership } from './role-leadership.js';
 
-/** Whether this node maintains the records of the job now. */
+/** Whether this node currently maintains the records of the job. */
 export function isResponsibleFor(leadership: RoleLeadership, jobId: string): boolean {
   const role = partitionRole(leadership.partitionOf(jobId));
   const isLedHere = leadership.leadershipOf(role) !== undefined;
--- a/src/leadership/role-barriers.ts
+++ b/src/leadership/role-barriers.ts
@@ -1,4 +1,4 @@
-/** The takeover barrier of each role, fed with what this process knows of the role at this very moment. */
+/** Assesses the takeover barrier of each role against the current local state of this process. */
 import { type BarrierOutcome, type PauseGuard, TakeoverBarrier } from '@dewlatch/standby';
 
 import type { Log } from '../logging/log.js';
@@ -7,31 +7,31 @@
 import type { HeldLeadership } from './leadership-term.js';
 import type { RoleLeadership } from './role-leadership.js';
 
-/** What the barriers of a new leader are judged by. */
+/** What the barriers of a new leader are assessed from. */
 export interface RoleBarriersDependencies {
   leadership: RoleLeadership;
   clusterState: ClusterState;
   replica: Replica;
   guard: PauseGuard;
-  /** Called once in each term, before its first decision, as soon as the replica is complete up to the acquisition. */
+  /** Called once per term, before the first decision, as soon as the replica is complete up to the acquisition. */
   replicaComplete: (role: string) => void;
   log: Log;
 }
 
-/** Keeps one barrier a role and logs each change of its state. */
+/** Keeps one barrier per role and logs each change of its state. */
 export class RoleBarriers {
   private readonly barriers = new Map<string, TakeoverBarrier>();
-  /** The last outcome that was logged, by role. */
+  /** The last logged outcome, by role. */
   private readonly loggedOutcomes = new Map<string, string>();
 
   constructor(private readonly dependencies: RoleBarriersDependencies) {}
 
-  /** Whether a decision may be made in a role that this process leads. */
+  /** Whether decisions may be made in a role that this process leads. */
   isOpen(role: string, held: HeldLeadership): boolean {
     const { leadership, replica, guard } = this.dependencies;
     const outcome = this.barrierOf(role).assess({
       term: held.term,
-      // Whoever has found the role led by this process has checked for a pause at this very moment.
+      // The caller has just checked for a pause when it determined that this process leads the role.
       isLeaseConfirmed: guard.wasConfirmed,
       isReplicaFresh: leadership.hasRecentStoreContact,
       replicaRevision: replica.revision,
@@ -40,7 +40,7 @@
     return outcome.kind === 'open';
   }
 
-  /** Assesses all roles led here: what was followed is of use before the first decision, too. */
+  /** Assesses all roles led here, so that streamed state is restored even before the first decision. */
   assessAll(): void {
     const { leadership, clusterState } = this.dependencies;
     for (const role of clusterState.leadershipRecords.keys()) {
--- a/src/leadership/role-leadership.ts
+++ b/src/leadership/role-leadership.ts
@@ -1,4 +1,4 @@
-/** Which roles this node leads, and what that permits right now: answers to workers, decisions, transactions. */
+/** Which roles this node leads, and what that currently permits: answers to workers, decisions, transactions. */
 import { LEASE_RENEWAL_PERIOD_MS, REPLICA_FRESH_MS } from '../constants/leadership.js';
 import { CLUSTER_LEADER_ROLE, hashName, partitionRole } from '../domain/role.js';
 import type { Settings } from '../domain/settings.js';
@@ -23,21 +23,21 @@
 export { degradedServingMs } from './degraded-serving.js';
 export type { HeldLeadership, LeadershipTerm } from './leadership-term.js';
 
-/** Shortest ms between two renewals of the store lease. */
-const SHORTEST_RENEWAL_PAUSE_MS = 50;
+/** Minimum ms from the end of one renewal of the store lease to the start of the next. */
+const MIN_RENEWAL_PAUSE_MS = 50;
 
-/** While a role is vacant the lease is renewed, and the role looked for, so many times as often. */
+/** While a role is vacant, lease renewals and attempts to acquire the role are this many times more frequent. */
 const VACANT_ROLE_RENEWAL_FACTOR = 5;
 
-/** What the peers say, as far as leadership needs it. */
+/** The peers' access to the store, as known from gossip. */
 export interface PeerStoreAccess {
-  /** The peer is up and reaches the store, as of just now. */
+  /** Whether the peer is currently up and reaches the store. */
   reachesStore(node: string): boolean;
-  /** A peer reaches the store, this node does not. */
+  /** Whether some peer reaches the store while this node does not. */
   isAnyPeerWithStore(): boolean;
 }
 
-/** What acquiring and holding roles needs. */
+/** Collaborators needed to acquire and hold roles. */
 export interface RoleLeadershipDependencies {
   settings: Settings;
   client: StoreClient;
@@ -45,22 +45,22 @@
   clusterState: ClusterState;
   transactions: TransactionBatcher;
   peerDirectory: PeerStoreAccess;
-  /** Steady ms as of which the replica has all that anybody has confirmed. */
+  /** Monotonic ms as of which the replica holds every write confirmed by any node. */
   replicaFreshness: { completeAsOf(): number };
   clock: Clock;
   random: Random;
   log: Log;
 }
 
-/** The leadership of this node. What is asked before something is sent or decided is answered as of that very moment. */
+/** The leadership of this node. Checks made before sending or deciding evaluate the state at the time of the call. */
 export class RoleLeadership {
   /**
-   * Who succeeds whom, and what must hold before a decision. Attached after construction, as the standby itself needs the
-   * leadership; until then nothing stands in the way of a decision.
+   * Designates successors and sets the preconditions of decisions. Attached after construction, since the standby itself depends
+   * on the leadership; until then decisions are not restricted.
    */
   succession: SuccessionPolicy = NO_SUCCESSION;
   readonly partitionCount: number;
-  /** The partition that prefers this node. */
+  /** The partition whose preferred node is this one. */
   readonly preferredPartition: number;
   private readonly degradedServingMs: number;
   private readonly preferences: RolePreferences;
@@ -98,49 +98,49 @@
     return hashName(name) % this.partitionCount;
   }
 
-  /** The store lease under which this process leads its roles, as far as it knows. */
+  /** The store lease under which this process leads its roles, according to its local state. */
   get storeLeaseId(): number | undefined {
     return this.heldRoles.storeLeaseId;
   }
 
-  /** The node that leads the role by the records; undefined: the role is vacant. */
+  /** The node that leads the role according to the records; undefined: the role is vacant. */
   leaderOf(role: string): string | undefined {
     return this.dependencies.clusterState.leadershipRecords.get(role)?.record.node;
   }
 
-  /** The leadership of a role, if this very process has it as far as it knows. */
+  /** The leadership of a role if this process holds it according to its local state. */
   leadershipOf(role: string): HeldLeadership | undefined {
     return this.heldRoles.leadershipOf(role);
   }
 
-  /** The same, for whoever is about to send something: also after a pause that no timer has noticed yet. */
+  /** Like `leadershipOf`, but also detects a pause that no timer has noticed yet; to be used right before sending. */
   confirmedLeadershipOf(role: string): HeldLeadership | undefined {
     return this.heldRoles.confirmedLeadershipOf(role);
   }
 
   /**
-   * The term of a role that this process has not seen end. Unlike `leadershipOf`, it goes on while an advanced token is known
-   * from the watch before the answer to the transaction has come, and while a release waits: at such times no answer and no
-   * decision is permitted, but what is known of the workers stays known.
+   * The term of a role whose end this process has not observed. Unlike `leadershipOf`, it continues while a release is pending,
+   * and when the watch shows an advanced token before the transaction has been answered: then no answer or decision is
+   * permitted, but the state of the workers is kept.
    */
   termOf(role: string): LeadershipTerm | undefined {
     return this.heldRoles.termOf(role);
   }
 
-  /** In touch with the store: decisions and new starts are allowed. */
+  /** Whether the store has confirmed the replica recently enough for decisions and new starts. */
   get hasRecentStoreContact(): boolean {
     return this.dependencies.clock.now() - this.dependencies.replica.freshAt < REPLICA_FRESH_MS;
   }
 
-  /** The leadership under which this node may answer the partition's workers, and so renew their leases. */
+  /** The leadership under which this node may answer the partition's workers and thereby renew their leases. */
   servingLeadershipOf(role: string): HeldLeadership | undefined {
     const { peerDirectory, clock, replicaFreshness } = this.dependencies;
     const held = this.confirmedLeadershipOf(role);
     if (held === undefined) return undefined;
     if (this.hasRecentStoreContact) return held;
-    // A node that reaches the store will take over: workers that are turned away are with it the sooner.
+    // A node that reaches the store will take over; rejected workers switch to it sooner.
     if (peerDirectory.isAnyPeerWithStore()) return undefined;
-    // A cancellation that this replica does not have was confirmed later than that: see "Time" in docs/design.md.
+    // Any cancellation missing from this replica was confirmed after `completeAsOf`: see "Time" in docs/design.md.
     return clock.now() < replicaFreshness.completeAsOf() + this.degradedServingMs ? held : undefined;
   }
 
@@ -148,13 +148,13 @@
     return this.preferences.partitions().filter((partition) => this.leadershipOf(partitionRole(partition)));
   }
 
-  /** This node leads the cluster and may decide now. */
+  /** Whether this node leads the cluster and may currently make decisions. */
   get isLeader(): boolean {
     const held = this.confirmedLeadershipOf(CLUSTER_LEADER_ROLE);
     return held !== undefined && this.hasRecentStoreContact && this.succession.isReady(CLUSTER_LEADER_ROLE, held);
   }
 
-  /** Makes the fencing token a condition of a transaction; false: this process must not decide in the role. */
+  /** Makes the fencing token a condition of the transaction; false: this process must not make decisions in the role. */
   requireLeadership(draft: TransactionDraft, role: string): boolean {
     const held = this.confirmedLeadershipOf(role);
     if (held === undefined || !this.succession.mayDecide(role, held)) return false;
@@ -162,37 +162,37 @@
     return draft.conditions.get(leadershipKey(role)) === held.fencingToken;
   }
 
-  /** Roles that this node does not acquire for now; peers are told of them. */
+  /** Roles that this node currently does not acquire; announced to its peers. */
   avoidedRoles(): string[] {
     return this.selector.avoidedRoles();
   }
 
-  /** From now on no role is acquired, and peers are told so. */
+  /** Stops acquiring roles for the rest of the process; peers are informed through `avoidedRoles`. */
   stopAcquiring(): void {
     this.selector.stop();
   }
 
-  /** Releases all roles; a role whose release the store does not answer in time ends with the store lease. */
+  /** Releases all roles; a role whose release the store does not answer in time becomes vacant when the store lease expires. */
   async releaseAll(reason: string): Promise<void> {
     const ledRoles = this.preferences.roles().filter((role) => this.leadershipOf(role) !== undefined);
     await Promise.all(ledRoles.map((role) => this.release(role, reason, Infinity)));
   }
 
-  /** A new fencing token for a role that is led: late commands under the former one are refused from then on. */
+  /** Advances the fencing token of a led role, so that workers reject late commands under the former token. */
   async advanceFencingToken(role: string): Promise<void> {
     const held = this.leadershipOf(role);
     if (held !== undefined) await this.roleTransactions.advanceFencingToken(role, held);
   }
 
-  /** Releases a role for a node that should have it or can serve it better, and does not acquire it again for `avoidMs`. */
+  /** Releases a role in favour of another node, and does not acquire it again for `avoidMs`. */
   async release(role: string, reason: string, avoidMs: number): Promise<void> {
     if (this.leadershipOf(role) === undefined) return;
-    // Set before the record is deleted, or this node would be the first to acquire the role again.
+    // Must be set before the record is deleted, or this node would be the first to acquire the role again.
     this.selector.avoid(role, avoidMs);
     await this.roleTransactions.release(role, reason);
   }
 
-  /** Acquires the vacant roles that are this node's to take. */
+  /** Acquires the vacant roles that the selector assigns to this node. */
   async acquireVacantRoles(): Promise<void> {
     if (!this.canAcquire()) return;
     const roles = this.selector.rolesToAcquire();
@@ -213,14 +213,14 @@
         .renew()
         .catch((error: unknown) => log.debug({ error: String(error) }, 'store lease renewal failed'));
       const pauseMs = this.renewalPeriodMs() - (clock.now() - startedAt);
-      await clock.sleep(Math.max(pauseMs, SHORTEST_RENEWAL_PAUSE_MS), signal);
+      await clock.sleep(Math.max(pauseMs, MIN_RENEWAL_PAUSE_MS), signal);
     }
   }
 
-  /** The store lease is confirmed: the replica is brought up to date, and vacant roles are looked for. */
+  /** Refreshes the replica and acquires vacant roles after the store has confirmed the lease. */
   private async leaseConfirmed(): Promise<void> {
     const { clock, replica } = this.dependencies;
-    // At a busy time the watch has already shown the replica complete.
+    // Under load the watch has already confirmed that the replica is complete.
     const isFresh = clock.now() - replica.freshAt < LEASE_RENEWAL_PERIOD_MS / 2;
     if (!isFresh && !(await replica.refresh())) return;
     await this.acquireVacantRoles();
--- a/src/leadership/role-preferences.ts
+++ b/src/leadership/role-preferences.ts
@@ -1,11 +1,11 @@
-/** Which roles there are, and which node each partition prefers: the same at every node, since all sort the same names. */
+/** All roles, and the preferred node of each partition: the same on every node, since all sort the same node names. */
 import { CLUSTER_LEADER_ROLE, partitionRole } from '../domain/role.js';
 import type { Settings } from '../domain/settings.js';
 
-/** The preferences that follow from the settings; they do not change while the process runs. */
+/** Preferences derived from the settings; constant while the process runs. */
 export class RolePreferences {
   readonly partitionCount: number;
-  /** The partition that prefers this node. */
+  /** The partition whose preferred node is this one. */
   readonly preferredPartition: number;
   private readonly sortedNodes: readonly string[];
 
@@ -23,7 +23,7 @@
     return Array.from({ length: this.partitionCount }, (_, partition) => partition);
   }
 
-  /** All roles, in the order in which this node prefers them. */
+  /** All roles, in this node's order of preference. */
   roles(): string[] {
     const others = this.partitions().filter((partition) => partition !== this.preferredPartition);
     return [partitionRole(this.preferredPartition), CLUSTER_LEADER_ROLE, ...others.map(partitionRole)];
--- a/src/leadership/role-rebalancer.ts
+++ b/src/leadership/role-rebalancer.ts
@@ -1,4 +1,4 @@
-/** Releases partitions to their preferred nodes, and partitions whose workers can't reach this node to other nodes. */
+/** Releases partitions to their preferred nodes, and to other nodes if their workers can't reach this one. */
 import {
   AVOID_ROLE_MS,
   LEAST_SILENT_WORKERS,
@@ -13,12 +13,12 @@
 import type { Clock } from '../net/clock.js';
 import type { RoleLeadership } from './role-leadership.js';
 
-/** The workers that have sent heartbeats to this node; `lastHeartbeatAt`: steady ms of the last one. */
+/** The workers that have sent heartbeats to this node; `lastHeartbeatAt`: monotonic ms of the last one. */
 export interface PartitionWorkers {
   ofPartition(partition: number): Iterable<{ machineId: string; lastHeartbeatAt: number }>;
 }
 
-/** What the decision to move roles is made from. */
+/** Inputs of the decision to move roles. */
 export interface RoleRebalancerDependencies {
   settings: Settings;
   leadership: RoleLeadership;
@@ -27,11 +27,11 @@
   clock: Clock;
 }
 
-/** Moves roles, not tasks. The release is left to role leadership, which avoids the role for a while. */
+/** Moves roles between nodes, not tasks. `RoleLeadership` releases the role and avoids reacquiring it for a while. */
 export class RoleRebalancer {
   constructor(private readonly dependencies: RoleRebalancerDependencies) {}
 
-  /** Checks each partition that this node leads, once. */
+  /** Checks once each partition that this node leads. */
   rebalance(): void {
     const { leadership } = this.dependencies;
     if (!leadership.hasRecentStoreContact) return;
@@ -39,12 +39,12 @@
       const role = partitionRole(partition);
       if (this.isPreferredNodeReady(partition))
         void leadership.release(role, 'preferred node is back', STORE_LEASE_TTL_MS);
-      else if (this.isUnreachableHere(partition))
+      else if (this.isBetterReachedElsewhere(partition))
         void leadership.release(role, 'workers reach other nodes only', AVOID_ROLE_MS);
     }
   }
 
-  /** The partition prefers another node, which has been up for a while and does not avoid the role. */
+  /** Whether another node is preferred, has been up for a while, reaches the store and does not avoid the role. */
   private isPreferredNodeReady(partition: number): boolean {
     const { settings, leadership, peerDirectory } = this.dependencies;
     const preferredNode = leadership.preferredNodeOf(partition);
@@ -55,14 +55,15 @@
     );
   }
 
-  /** Many of the partition's workers are silent here, and most of these have sent heartbeats to other nodes since. */
-  private isUnreachableHere(partition: number): boolean {
+  /** Whether many of the partition's workers are silent here, and most of those have since sent heartbeats to other nodes. */
+  private isBetterReachedElsewhere(partition: number): boolean {
     const { settings, workers, peerDirectory, clock } = this.dependencies;
     const now = clock.now();
     const limitMs = unresponsiveAfterMs(settings.cluster.workers);
-    const known = [...workers.ofPartition(partition)];
-    const silent = known.filter((worker) => now - worker.lastHeartbeatAt > limitMs);
-    if (silent.length < LEAST_SILENT_WORKERS || silent.length <= known.length * SELF_SUSPECT_SHARE) return false;
+    const partitionWorkers = [...workers.ofPartition(partition)];
+    const silent = partitionWorkers.filter((worker) => now - worker.lastHeartbeatAt > limitMs);
+    if (silent.length < LEAST_SILENT_WORKERS || silent.length <= partitionWorkers.length * SELF_SUSPECT_SHARE)
+      return false;
     const seenElsewhere = silent.filter((worker) =>
       peerDirectory.hasMisroutedHeartbeatSince(worker.machineId, worker.lastHeartbeatAt),
     );
--- a/src/leadership/role-transactions.ts
+++ b/src/leadership/role-transactions.ts
@@ -1,4 +1,4 @@
-/** The transactions by which a role is acquired, its fencing token advanced, and the role released. */
+/** Transactions that acquire a role, advance its fencing token, and release it. */
 import { STORE_LEASE_TTL_MS } from '../constants/leadership.js';
 import type { Log } from '../logging/log.js';
 import type { Clock } from '../net/clock.js';
@@ -12,7 +12,7 @@
 import type { HeldLeadership } from './leadership-term.js';
 import type { SuccessionPolicy } from './succession-policy.js';
 
-/** What the transactions on role records need. */
+/** Collaborators of the transactions on leadership records. */
 export interface RoleTransactionsDependencies {
   node: string;
   heldRoles: HeldRoles;
@@ -24,7 +24,7 @@
   log: Log;
 }
 
-/** At most one acquisition or token advance of a role is in flight at a time. None of the transactions is tried for longer than a store lease lives. */
+/** At most one acquisition or token advance per role is in flight. Transactions are tried for at most the TTL of a store lease. */
 export class RoleTransactions {
   private readonly acquiring = new Set<string>();
 
@@ -34,7 +34,7 @@
     return this.acquiring.has(role);
   }
 
-  /** Acquires a role that no node leads, or that the store's record gives to this node already. */
+  /** Acquires a role that is vacant, or whose stored record already names this node. */
   acquire(role: string): Promise<void> {
     const { heldRoles, clusterState, clock, log, replica, succession } = this.dependencies;
     const isRecordOwn = clusterState.leadershipRecords.get(role)?.record.leaseId === heldRoles.storeLeaseId;
@@ -42,12 +42,12 @@
       heldRoles.add(role, { fencingToken: revision, term: { startRevision: revision, at: clock.now() } });
       log.info({ role, fencingToken: revision }, 'leadership acquired');
       succession().acquired(role);
-      // No task is started before the replica is complete up to the acquisition.
+      // Tasks are started only once the replica is complete up to the acquisition.
       void replica.refresh();
     });
   }
 
-  /** Writes the record of a role once more, within the same term: workers refuse late commands under the former token. */
+  /** Rewrites the record of a role within the same term, so that workers reject late commands under the former token. */
   advanceFencingToken(role: string, { term }: HeldLeadership): Promise<void> {
     const { heldRoles, log } = this.dependencies;
     return this.writeRecord(role, true, (revision) => {
@@ -57,8 +57,8 @@
   }
 
   /**
-   * `isRecordOwn`: the record must be under this process's lease; else there must be none, or a former incarnation's.
-   * `onWritten` runs in the same step in which the role stops being acquired, so no check finds it neither held nor on its way.
+   * `isRecordOwn`: the record must be under this process's lease; otherwise there must be none, or one of a former incarnation.
+   * `onWritten` runs synchronously after the end of the acquisition, so that the role is always seen as either held or in flight.
    */
   private async writeRecord(role: string, isRecordOwn: boolean, onWritten: (revision: number) => void): Promise<void> {
     const { node, heldRoles, transactions } = this.dependencies;
@@ -70,7 +70,7 @@
       Priority.lease,
       (draft) => {
         const current = decodeLeadershipRecord(draft.get(leadershipKey(role)));
-        // The record of a former incarnation of this node may be replaced at once: that process has ended.
+        // The record of a former incarnation of this node may be replaced immediately, since that process has ended.
         if (leaseId !== heldRoles.storeLeaseId || (current !== undefined && current.node !== node)) return false;
         if ((current?.leaseId === leaseId) !== isRecordOwn) return false;
         draft.setUnderLease(leadershipKey(role), encodeLeadershipRecord({ node, leaseId }), leaseId);
@@ -82,7 +82,7 @@
     if (outcome.kind === 'done') onWritten(outcome.revision);
   }
 
-  /** Deletes the leadership record. Workers are not answered meanwhile. */
+  /** Deletes the leadership record. Workers are not answered while the deletion is in flight. */
   async release(role: string, reason: string): Promise<void> {
     const { heldRoles, transactions, log } = this.dependencies;
     heldRoles.startRelease(role);
@@ -99,7 +99,8 @@
       { timeoutMs: STORE_LEASE_TTL_MS },
     );
     heldRoles.endRelease(role);
-    // As long as the record stands no other node can answer: in an outage the tasks' leases would expire while the release waits.
+    // A release that timed out may have left the record, which keeps other nodes from answering: in an outage the tasks' leases
+    // would expire if this node did not resume serving.
     if (outcome.kind !== 'expired') heldRoles.remove(role);
   }
 }
--- a/src/leadership/standby-announcer.ts
+++ b/src/leadership/standby-announcer.ts
@@ -1,4 +1,4 @@
-/** Announces in the store, under the store lease, that this process reads the stream; other versions are sent none of it. */
+/** Announces in the store, under the store lease, that this process reads the stream; nodes of other versions are sent none. */
 import { Priority } from '../net/token-bucket.js';
 import { decodeStandbyRecord, encodeStandbyRecord } from '../records/record-codecs.js';
 import { standbyKey } from '../records/record-keys.js';
@@ -6,21 +6,21 @@
 import type { TransactionBatcher } from '../store/transaction-batcher.js';
 import type { RoleLeadership } from './role-leadership.js';
 
-/** What the announcement of this node as a standby needs. */
+/** Identity of this process, and the collaborators that announce it. */
 export interface StandbyAnnouncerDependencies {
   node: string;
-  /** Tells this process from its former ones, as the gossip says it. */
+  /** Distinguishes this process from its former incarnations; the same number as in gossip. */
   incarnation: number;
   leadership: RoleLeadership;
   replica: Replica;
   transactions: TransactionBatcher;
 }
 
-/** The record expires with the store lease, so it never outlives the process for long. */
+/** The record expires with the store lease, so it outlives the process by at most the TTL of the lease. */
 export class StandbyAnnouncer {
   constructor(private readonly dependencies: StandbyAnnouncerDependencies) {}
 
-  /** Writes the record if the present store lease has none yet. */
+  /** Writes the record unless it already exists under the current store lease. */
   async announce(): Promise<void> {
     const { node, incarnation, leadership, transactions } = this.dependencies;
     if (leadership.storeLeaseId === undefined || !leadership.hasRecentStoreContact || this.isAnnounced()) return;
--- a/src/leadership/standby.ts
+++ b/src/leadership/standby.ts
@@ -1,6 +1,6 @@
 /**
- * Joins the parts of the warm standby (packages/standby) to the controller: succession, the barrier before decisions, the stream
- * of advisory state, and the timeline of takeovers. Without `[standby] enabled` nothing of it is made.
+ * Integrates the warm standby (packages/standby) into the controller: succession, the takeover barrier, the advisory stream, and
+ * the timeline of takeovers. Only created with `[standby] enabled`.
  */
 import {
   AdvisoryLog,
@@ -25,7 +25,7 @@
 import type { Replica } from '../store/replica.js';
 import type { TransactionBatcher } from '../store/transaction-batcher.js';
 import { AdvisoryCollector } from './advisory-collector.js';
-import type { HappinessMemory, LeaderMemory } from './advisory-memory.js';
+import type { HealthAdvisoryState, LeaderMemory } from './advisory-memory.js';
 import { AdvisoryRestorer } from './advisory-restorer.js';
 import { AdvisoryStream } from './advisory-stream.js';
 import { LeadershipHistory } from './leadership-history.js';
@@ -36,18 +36,18 @@
 import type { SuccessionPolicy } from './succession-policy.js';
 import { SuccessorDesignation } from './successor-designation.js';
 
-/** What the warm standby needs of the controller. */
+/** Parts of the controller that the warm standby depends on. */
 export interface StandbyDependencies {
   settings: Settings;
   standby: StandbySettings;
-  /** Tells this process from its former ones, as the gossip says it. */
+  /** Distinguishes this process from its former incarnations; the same number as in gossip. */
   incarnation: number;
   leadership: RoleLeadership;
   peerDirectory: PeerDirectory;
   clusterState: ClusterState;
   replica: Replica;
   transactions: TransactionBatcher;
-  happiness: HappinessMemory;
+  happiness: HealthAdvisoryState;
   leader: { readonly memory: LeaderMemory };
   clock: Clock;
   log: Log;
@@ -55,12 +55,12 @@
   tracer: TakeoverTracer;
 }
 
-/** Ticks of the standby between two runs of its rarer duties. */
+/** Ticks between two requests to followed leaders, status lines and collections. */
 const TICKS_PER_REQUEST = Math.round(FOLLOW_PERIOD_MS / STANDBY_PERIOD_MS);
 const TICKS_PER_STATUS = Math.round(STATUS_PERIOD_MS / STANDBY_PERIOD_MS);
 const TICKS_PER_COLLECTION = Math.round(ADVISORY_COLLECTION_PERIOD_MS / STANDBY_PERIOD_MS);
 
-/** The one object of the warm standby that the controller knows. */
+/** Facade of the warm standby towards the controller. */
 export class Standby implements SuccessionPolicy {
   private readonly guard: PauseGuard;
   private readonly advisoryLog: AdvisoryLog;
@@ -130,12 +130,12 @@
     this.timeline.recordStep(role, 'worker_answered');
   }
 
-  /** To be called whenever a leadership record has changed. */
+  /** Must be called after every change of a leadership record. */
   leadershipChanged(): void {
-    this.history.recordsChanged();
+    this.history.leadershipRecordsChanged();
   }
 
-  /** Handles a message of the stream from another controller. */
+  /** Handles a stream message from another controller. */
   receive(message: StreamMessage): void {
     this.stream.receive(message);
   }
@@ -173,7 +173,7 @@
     if (this.dependencies.standby.follow) this.follow();
   }
 
-  /** One tick of what successors and those that they follow exchange. */
+  /** One tick of the exchange between followers and followed leaders. */
   private follow(): void {
     void this.announcer.announce();
     this.collector.collectEvents();
@@ -183,7 +183,7 @@
     this.stream.sendChanges();
   }
 
-  /** The state of the standby for the operators' log. */
+  /** Fields of the periodic log line `standby status`. */
   get status(): object {
     const { followers, snapshots, bytesSent, maxPendingChanges } = this.stream.senderStatus;
     const entries = this.advisoryLog.size;
--- a/src/leadership/store-lease-renewal.ts
+++ b/src/leadership/store-lease-renewal.ts
@@ -1,4 +1,4 @@
-/** Keeps the store lease of this process, under which its roles are led. */
+/** Maintains the store lease of this process, under which it holds its roles. */
 import { STORE_LEASE_TTL_MS } from '../constants/leadership.js';
 import type { Log } from '../logging/log.js';
 import type { Clock } from '../net/clock.js';
@@ -6,22 +6,22 @@
 import type { HeldRoles } from './held-roles.js';
 import type { SuccessionPolicy } from './succession-policy.js';
 
-/** What renewing the store lease needs. */
+/** Collaborators of the renewal of the store lease. */
 export interface StoreLeaseRenewalDependencies {
   client: StoreClient;
   heldRoles: HeldRoles;
   succession: () => SuccessionPolicy;
-  /** Called in the same step in which the store has confirmed the lease; the renewal ends with it. */
+  /** Called synchronously after the store has confirmed the lease; `renew` waits for it. */
   leaseConfirmed: () => Promise<void>;
   clock: Clock;
   log: Log;
 }
 
-/** A lease that the store does not renew any more is replaced by a new one, under which no role is led yet. */
+/** A lease that the store no longer renews is replaced by a new one, under which no role is held yet. */
 export class StoreLeaseRenewal {
   constructor(private readonly dependencies: StoreLeaseRenewalDependencies) {}
 
-  /** Renews the lease, or creates one if there is none any more; fails if the store does not answer. */
+  /** Renews the lease, or creates a new one if it has expired; rejects if the store does not answer. */
   async renew(): Promise<void> {
     const { client, heldRoles, succession, leaseConfirmed, clock, log } = this.dependencies;
     let sentAt = clock.now();
--- a/src/leadership/succession-policy.ts
+++ b/src/leadership/succession-policy.ts
@@ -1,25 +1,25 @@
-/** What role leadership asks of the warm standby: who acquires a vacant role first, and what must hold before a decision. */
+/** Interface of the warm standby to role leadership: designated successors and the preconditions of decisions. */
 import type { HeldLeadership } from './leadership-term.js';
 
 /** Implemented by the warm standby (standby.ts). */
 export interface SuccessionPolicy {
-  /** The node that should acquire the vacant role first; undefined: no node in particular. */
+  /** The node that should acquire the vacant role first; undefined: no node is designated. */
   successorOf(role: string): string | undefined;
-  /** The process has not paused since the store last confirmed its lease, as of this very moment. */
+  /** Whether the process has not paused since the store last confirmed its lease; checks the clock. */
   readonly isConfirmed: boolean;
-  /** The same as of the last check, which reads no clock. */
+  /** Like `isConfirmed`, but as of the last check, without reading the clock. */
   readonly wasConfirmed: boolean;
-  /** The store has confirmed the lease; `sentAt`: steady ms when the request was sent. */
+  /** Records that the store has confirmed the lease; `sentAt`: monotonic ms when the request was sent. */
   confirm(sentAt: number): void;
-  /** Whether everything holds that must before a decision in a role that this process leads. */
+  /** Whether all preconditions of a decision hold in a role that this process leads. */
   isReady(role: string, held: HeldLeadership): boolean;
-  /** The same, of a decision that is being made now. */
+  /** Like `isReady`, for a decision that is being made now; records the first one of a takeover. */
   mayDecide(role: string, held: HeldLeadership): boolean;
-  /** This process leads the role from now on. */
+  /** Called when this process has acquired the role. */
   acquired(role: string): void;
 }
 
-/** The policy without warm standby: no designated successor, and nothing in the way of a decision. */
+/** The policy without warm standby: no designated successors, and no restrictions on decisions. */
 export const NO_SUCCESSION: SuccessionPolicy = {
   successorOf: () => undefined,
   isConfirmed: true,
--- a/src/leadership/successor-designation.ts
+++ b/src/leadership/successor-designation.ts
@@ -1,4 +1,4 @@
-/** Applies the rule of succession to what this node knows of the others. */
+/** Applies the succession rule to what this node knows about the other nodes. */
 import { type Candidate, designateSuccessor, type PauseGuard } from '@dewlatch/standby';
 
 import { partitionOfRole } from '../domain/role.js';
@@ -8,7 +8,7 @@
 import type { LeadershipHistory } from './leadership-history.js';
 import type { RoleLeadership } from './role-leadership.js';
 
-/** What a successor is chosen by. */
+/** Inputs of the choice of a successor. */
 export interface SuccessorDesignationDependencies {
   settings: Settings;
   leadership: RoleLeadership;
@@ -18,13 +18,13 @@
   history: LeadershipHistory;
 }
 
-/** Nodes that know different things may designate different successors; the store lets only one acquire the role. */
+/** Nodes with different information may designate different successors; the store lets only one of them acquire the role. */
 export class SuccessorDesignation {
   constructor(private readonly dependencies: SuccessorDesignationDependencies) {}
 
   /**
-   * The node that should acquire a vacant role first. A role that no node is known to have led has none: after a restart of all
-   * controllers each acquires its own.
+   * The node that should acquire a vacant role first; undefined if no former leader is known: after a restart of all controllers
+   * each one acquires its preferred partition.
    */
   successorOf(role: string): string | undefined {
     const former = this.dependencies.history.formerLeaderOf(role);
--- a/src/leadership/vacant-role-selector.ts
+++ b/src/leadership/vacant-role-selector.ts
@@ -1,4 +1,4 @@
-/** Which roles this node should acquire now: its own partition at once, others after a wait that lets the better node go first. */
+/** Selects the vacant roles to acquire now: the preferred partition at once, others after a delay that favours other nodes. */
 import {
   START_GRACE_MS,
   STORE_LEASE_TTL_MS,
@@ -13,7 +13,7 @@
 import type { RolePreferences } from './role-preferences.js';
 import type { SuccessionPolicy } from './succession-policy.js';
 
-/** What the choice among vacant roles is made from. */
+/** Inputs of the choice among vacant roles. */
 export interface VacantRoleSelectorDependencies {
   node: string;
   preferences: RolePreferences;
@@ -21,20 +21,20 @@
   isAcquiring: (role: string) => boolean;
   ledPartitionCount: () => number;
   clusterState: ClusterState;
-  /** The peer is up and reaches the store, as of just now. */
+  /** Whether the peer is currently up and reaches the store. */
   peerDirectory: { reachesStore(node: string): boolean };
   succession: () => SuccessionPolicy;
   clock: Clock;
   random: Random;
 }
 
-/** Only chooses; whether a role is acquired is decided by the transaction. */
+/** Only selects candidates; the transaction decides whether a role is acquired. */
 export class VacantRoleSelector {
-  /** Steady ms, by role. */
+  /** Monotonic ms, by role. */
   private readonly vacantSince = new Map<string, number>();
   private readonly avoidUntil = new Map<string, number>();
-  /** Roles that some node has led since this process read the records. */
-  private readonly everLed = new Set<string>();
+  /** Roles that some node has led since this process loaded the records. */
+  private readonly rolesSeenLed = new Set<string>();
   private hasStopped = false;
 
   constructor(private readonly dependencies: VacantRoleSelectorDependencies) {}
@@ -43,7 +43,7 @@
     return this.hasStopped;
   }
 
-  /** From now on all roles are avoided. */
+  /** Avoids all roles for the rest of the process. */
   stop(): void {
     this.hasStopped = true;
   }
@@ -59,7 +59,7 @@
     return [...this.avoidUntil].filter(([, until]) => until > now).map(([role]) => role);
   }
 
-  /** The roles to acquire now. Notes which roles are vacant and since when, so it is to be called at each change. */
+  /** The roles to acquire now. Also records since when each role is vacant, so it must be called after each change. */
   rolesToAcquire(): string[] {
     const { preferences, clock } = this.dependencies;
     const now = clock.now();
@@ -71,7 +71,7 @@
     const leader = clusterState.leadershipRecords.get(role)?.record.node;
     if (leader !== undefined) {
       this.vacantSince.delete(role);
-      this.everLed.add(role);
+      this.rolesSeenLed.add(role);
       return leader === node && this.canReacquire(role);
     }
     if ((this.avoidUntil.get(role) ?? -Infinity) > now) return false;
@@ -83,7 +83,7 @@
     return now - since >= this.waitMs(role, successor !== undefined);
   }
 
-  /** The record names this node: it is a former incarnation's, or this one's by a transaction whose answer was lost. */
+  /** For a record that names this node: written by a former incarnation, or by a transaction of this one whose answer was lost. */
   private canReacquire(role: string): boolean {
     const { heldRoles, isAcquiring } = this.dependencies;
     return heldRoles.leadershipOf(role) === undefined && !heldRoles.isReleasing(role) && !isAcquiring(role);
@@ -97,12 +97,12 @@
     return successorHeadStartMs + loadMs + this.preferredNodeHeadStartMs(role) + jitterMs;
   }
 
-  /** ms by which a partition is left to its preferred node, should that node come for it. */
+  /** ms for which a partition is left to its preferred node, in case that node acquires it. */
   private preferredNodeHeadStartMs(role: string): number {
     const { preferences, peerDirectory } = this.dependencies;
     if (role === CLUSTER_LEADER_ROLE) return 0;
     const preferredNode = preferences.preferredNodeOf(partitionOfRole(role)!);
     if (peerDirectory.reachesStore(preferredNode)) return STORE_LEASE_TTL_MS / 2;
-    return this.everLed.has(role) ? 0 : START_GRACE_MS;
+    return this.rolesSeenLed.has(role) ? 0 : START_GRACE_MS;
   }
 }
--- a/test/leadership/role-leadership.test.ts
+++ b/test/leadership/role-leadership.test.ts
@@ -11,20 +11,20 @@
 
 const NODES = [0, 1, 2];
 
-/** All controllers end; each of them is up again after so many ms. */
-async function restartAll(upAfterMs: readonly number[]): Promise<void> {
+/** Crashes all controllers; starts each again after its delay, counted from the expiry of the store leases. */
+async function restartAll(startDelaysMs: readonly number[]): Promise<void> {
   for (const node of NODES) cluster.crash(node);
-  // Until the store leases of the former processes have expired.
+  // The store leases of the former processes expire.
   await cluster.advance(5000);
-  let passed = 0;
-  for (const [node, ms] of [...upAfterMs.entries()].sort(([, a], [, b]) => a - b)) {
-    await cluster.advance(ms - passed);
-    passed = ms;
+  let elapsedMs = 0;
+  for (const [node, ms] of [...startDelaysMs.entries()].sort(([, a], [, b]) => a - b)) {
+    await cluster.advance(ms - elapsedMs);
+    elapsedMs = ms;
     cluster.start(node);
   }
 }
 
-async function ready(): Promise<void> {
+async function startCluster(): Promise<void> {
   cluster = new Cluster({ nodes: 3 });
   for (const zone of ['a', 'b', 'c']) cluster.addWorker({ machineId: `i-00000${zone}`, zone });
   await cluster.advance(5000);
@@ -32,9 +32,9 @@
 
 const fencingTokenOf = (node: number, role: string) => cluster.node(node).leadership.leadershipOf(role)?.fencingToken;
 
-describe('controllers that all restart, one a second later', () => {
-  it('leave each other their preferred partitions, so that no worker has to reconnect for a handover', async () => {
-    await ready();
+describe('controllers that all restart, one of them later', () => {
+  it('leave each other their preferred partitions, so that no handover makes workers reconnect', async () => {
+    await startCluster();
     await restartAll([0, 400, 1000]);
     await cluster.advance(1000);
     const fencingTokens = NODES.map((node) => fencingTokenOf(node, `part-${node}`));
@@ -46,17 +46,17 @@
     );
   });
 
-  it('acquire the partition of one that stays down', async () => {
-    await ready();
+  it('acquire the partition of a controller that stays down for a minute', async () => {
+    await startCluster();
     await restartAll([0, 400, 60_000]);
-    // The last one is up only now: who led its partition in the meantime is seen by the fencing token.
+    // The last controller has only just started: the fencing token shows which node led its partition until now.
     assert.ok([0, 1].some((node) => fencingTokenOf(node, 'part-2') !== undefined));
   });
 });
 
-describe('a controller that ends while the others go on', () => {
-  it('is replaced as soon as its store lease has expired', async () => {
-    await ready();
+describe('a controller that crashes while the others keep running', () => {
+  it('is replaced as leader of its partition as soon as its store lease has expired', async () => {
+    await startCluster();
     cluster.crash(2);
     await cluster.advance(4500);
     assert.ok([0, 1].some((node) => fencingTokenOf(node, 'part-2') !== undefined));
--- a/test/leadership/standby-stream.test.ts
+++ b/test/leadership/standby-stream.test.ts
@@ -10,20 +10,20 @@
 afterEach(() => cluster.stop());
 
 const NODES = [0, 1, 2];
-const ON = { enabled: true, follow: true };
+const STANDBY_ON = { enabled: true, follow: true };
 const OFFER = 'c8 a false';
-/** ms by which a moment that came by the stream may be wrong: the lag that it accepts. */
+/** Maximum error, in ms, of a time received over the stream: the lag that the follower accepts. */
 const MAX_LAG_MS = 2000;
 const isStream = (message: Message) => message.kind === 'standby_stream';
 
-async function ready(options: ClusterOptions = {}): Promise<void> {
-  cluster = new Cluster({ nodes: 3, teams: [{ name: 'red' }], standby: ON, ...options });
+async function startCluster(options: ClusterOptions = {}): Promise<void> {
+  cluster = new Cluster({ nodes: 3, teams: [{ name: 'red' }], standby: STANDBY_ON, ...options });
   for (let n = 0; n < 6; n++) cluster.addWorker({ machineId: `i-00000${n}`, zone: ['a', 'b', 'c'][n % 3]! });
   await cluster.advance(8000);
 }
 
-/** Counts the messages of the stream that reach each node. */
-function countStream(): Map<number, number> {
+/** Counts the stream messages that each node receives. */
+function countStreamMessages(): Map<number, number> {
   const counts = new Map(NODES.map((node) => [node, 0]));
   for (const node of NODES) {
     const controller = cluster.node(node);
@@ -36,55 +36,56 @@
   return counts;
 }
 
-const leaderAfter = async (former: number): Promise<number> => {
+const awaitNewLeader = async (former: number): Promise<number> => {
   await cluster.until(() => cluster.leader() !== undefined && cluster.leader() !== former, 8000);
   await cluster.until(() => cluster.node(cluster.leader()!).leadership.isLeader, 2000);
   return cluster.leader()!;
 };
 
-describe('what a leader remembers beside the records', () => {
-  it('is restored at its successor: offers that were refused, and since when machines are idle', async () => {
-    await ready();
+describe('the advisory state of the cluster leader', () => {
+  it('is restored on its successor, with refused offers and the idle times of machines', async () => {
+    await startCluster();
     const leader = cluster.leader()!;
     const { memory } = cluster.node(leader).leader;
     await cluster.advance(12_000);
     memory.restoreRefusal(OFFER, cluster.clock.now());
     await cluster.advance(2000);
-    const idle = new Map([...memory.idleMachines()].map(({ machineId, at }) => [machineId, at]));
-    assert.equal(idle.size, 6);
+    const idleSince = new Map([...memory.idleMachines()].map(({ machineId, at }) => [machineId, at]));
+    assert.equal(idleSince.size, 6);
     cluster.crash(leader);
-    const successor = cluster.node(await leaderAfter(leader)).leader.memory;
+    const successor = cluster.node(await awaitNewLeader(leader)).leader.memory;
     assert.ok([...successor.refusedOffers()].some(({ offer }) => offer === OFFER));
-    const taken = [...successor.idleMachines()];
-    assert.equal(taken.length, 6);
-    for (const { machineId, at } of taken) assert.ok(Math.abs(at - idle.get(machineId)!) <= MAX_LAG_MS, machineId);
+    const restored = [...successor.idleMachines()];
+    assert.equal(restored.length, 6);
+    for (const { machineId, at } of restored)
+      assert.ok(Math.abs(at - idleSince.get(machineId)!) <= MAX_LAG_MS, machineId);
   });
 
-  it('tells the successor of a planned handover which attempts were just asked to stop', async () => {
-    await ready();
+  it('is restored after a planned handover, with the attempts that were recently asked to stop', async () => {
+    await startCluster();
     const leader = cluster.leader()!;
     cluster.node(leader).leader.memory.restoreEviction('j-y/0#3', cluster.clock.now());
     await cluster.advance(600);
     void cluster.terminate(leader);
-    const { memory } = cluster.node(await leaderAfter(leader)).leader;
+    const { memory } = cluster.node(await awaitNewLeader(leader)).leader;
     assert.ok([...memory.recentEvictions()].some(({ attempt }) => attempt === 'j-y/0#3'));
   });
 
-  it('does not delay a takeover when the stream is cut and the store answers', async () => {
-    await ready();
+  it('does not delay a takeover when the stream is cut but the store answers', async () => {
+    await startCluster();
     const leader = cluster.leader()!;
     for (const node of NODES)
       for (const other of NODES) if (node !== other) cluster.partitioned.add(`n${node}>n${other}`);
     await cluster.advance(4000);
-    const lostAt = cluster.clock.now();
+    const crashedAt = cluster.clock.now();
     cluster.crash(leader);
-    await leaderAfter(leader);
-    assert.ok(cluster.clock.now() - lostAt < 5000);
+    await awaitNewLeader(leader);
+    assert.ok(cluster.clock.now() - crashedAt < 5000);
     assert.deepEqual(cluster.verdict(), []);
   });
 
-  it('is followed again after links that flap every second', async () => {
-    await ready();
+  it('is followed again after links have flapped every second', async () => {
+    await startCluster();
     const leader = cluster.leader()!;
     for (let round = 0; round < 20; round++) {
       for (const node of NODES) cluster.partitioned[round % 2 === 0 ? 'add' : 'delete'](`n${leader}>n${node}`);
@@ -94,38 +95,38 @@
     cluster.node(leader).leader.memory.restoreRefusal(OFFER, cluster.clock.now());
     await cluster.advance(2000);
     cluster.crash(leader);
-    const { memory } = cluster.node(await leaderAfter(leader)).leader;
+    const { memory } = cluster.node(await awaitNewLeader(leader)).leader;
     assert.ok([...memory.refusedOffers()].some(({ offer }) => offer === OFFER));
     assert.deepEqual(cluster.verdict(), []);
   });
 });
 
-describe('checks of unhealthy tasks', () => {
-  it('are known to the successor of their partition', async () => {
-    await ready();
+describe('unhealthy checks of a service task', () => {
+  it('are restored on the successor of the partition leader', async () => {
+    await startCluster();
     await cluster.submit({ id: 'j-svc', kind: 'service', priority: 'prod', estimatedRunS: 0, taskCount: 3 });
-    const place = cluster.runs('j-svc/0')[0]!.machineId;
-    const role = cluster.anyNode().workerManager.roleOf(place);
-    const owner = Number(cluster.anyNode().leadership.leaderOf(role)!.slice(1));
-    const { happiness } = cluster.node(owner);
+    const machineId = cluster.runs('j-svc/0')[0]!.machineId;
+    const role = cluster.anyNode().workerManager.roleOf(machineId);
+    const formerLeader = Number(cluster.anyNode().leadership.leaderOf(role)!.slice(1));
+    const { happiness } = cluster.node(formerLeader);
     for (let n = 0; n < 6; n++) happiness.recordCheck('j-svc/0', false, cluster.clock.now());
     const before = happiness.happinessOf('j-svc/0', cluster.clock.now())!;
     assert.ok(before < 0.9);
     await cluster.advance(2500);
-    cluster.crash(owner);
-    const others = NODES.filter((node) => node !== owner);
-    const taker = () => others.find((node) => cluster.node(node).leadership.leadershipOf(role) !== undefined);
-    await cluster.until(() => taker() !== undefined, 6000);
+    cluster.crash(formerLeader);
+    const others = NODES.filter((node) => node !== formerLeader);
+    const newLeader = () => others.find((node) => cluster.node(node).leadership.leadershipOf(role) !== undefined);
+    await cluster.until(() => newLeader() !== undefined, 6000);
     await cluster.advance(600);
-    const known = cluster.node(taker()!).happiness.happinessOf('j-svc/0', cluster.clock.now());
-    assert.ok(known !== undefined && known < 1, 'its unhealthy checks are lost');
+    const restoredHappiness = cluster.node(newLeader()!).happiness.happinessOf('j-svc/0', cluster.clock.now());
+    assert.ok(restoredHappiness !== undefined && restoredHappiness < 1, 'its unhealthy checks are lost');
   });
 });
 
-describe('controllers that do not read the stream', () => {
-  it('are sent none of it, before and after takeovers both ways', async () => {
-    await ready({ standbyOf: (node) => (node === 1 ? { enabled: false, follow: false } : {}) });
-    const counts = countStream();
+describe('controllers that do not read the advisory stream', () => {
+  it('are sent no stream messages, before and after takeovers in both directions', async () => {
+    await startCluster({ standbyOf: (node) => (node === 1 ? { enabled: false, follow: false } : {}) });
+    const counts = countStreamMessages();
     await cluster.advance(5000);
     assert.equal(counts.get(1), 0);
     assert.ok(counts.get(0)! + counts.get(2)! > 0);
@@ -140,8 +141,8 @@
   });
 });
 
-describe('messages of the stream', () => {
-  it('are decoded as they were encoded, and begin like no other message', () => {
+describe('messages of the advisory stream', () => {
+  it('are decoded as they were encoded, and have a first byte that no other message has', () => {
     const echo = { incarnation: 4, clock: 5.5 };
     const entry = { kind: 'health' as const, name: 'j-1/0', ageMs: 7, healthy: 8, unhealthy: 9, isRemoved: false };
     const batch = {
