--- a/src/workers/attempt-key.ts
+++ b/src/workers/attempt-key.ts
@@ -2,13 +2,13 @@
 import type { PlacedTask } from '../records/cluster-state.js';
 import type { WorkerCommand } from './worker-wire-codec.js';
 
-/** One start of a task, as commands and workers name it: `<task id>#<attempt>`. */
+/** The key of one attempt of a task, as commands and statuses identify it: `<task id>#<attempt>`. */
 export const attemptKeyFrom = (taskId: string, attempt: number): string => `${taskId}#${attempt}`;
 
-/** The attempt that a command is about. */
+/** The key of the attempt that a command refers to. */
 export const attemptKeyOfCommand = ({ taskId, attempt }: WorkerCommand): string => attemptKeyFrom(taskId, attempt);
 
-/** The attempt that is recorded on a machine. */
+/** The key of an attempt that is recorded on a machine. */
 export const attemptKeyOf = (placedTask: PlacedTask): string =>
   attemptKeyFrom(taskIdOfPlaced(placedTask), placedTask.placement.attempt);
 
--- a/src/workers/cancellation-enforcer.ts
+++ b/src/workers/cancellation-enforcer.ts
@@ -9,7 +9,10 @@
 import { machineRole } from './machine-role.js';
 import type { WorkerCommand } from './worker-wire-codec.js';
 
-/** What the enforcer reads, and how it reaches the workers. `inventory` knows endpoints also of machines that others lead. */
+/**
+ * The state that the enforcer reads, and the client that it sends with. `inventory` also knows the endpoints of
+ * machines that other nodes lead.
+ */
 export interface CancellationEnforcerDependencies {
   leadership: RoleLeadership;
   clusterState: ClusterState;
@@ -20,33 +23,33 @@
   log: Log;
 }
 
-/** Kills for one machine. */
+/** Kill commands for one machine. */
 interface KillBatch {
-  /** The token of the machine's leader. */
+  /** The fencing token of the machine's leader. */
   fencingToken: number;
   agentEpoch: number;
   commands: WorkerCommand[];
 }
 
 /**
- * Kills what remains of cancelled jobs on machines whose leader is without the store, and so may not know of the cancellation,
- * also while this node is, and can't tell.
- * A cancellation is final, and a worker takes commands from any node under its leader's token: nothing of the leader's is
- * decided here, and it learns of the exits by the next heartbeat. That the tasks go in time does not rest on this; it only
- * stops them sooner.
+ * Kills the remaining tasks of cancelled jobs on machines whose leader is without the store and so may not know of the
+ * cancellation. While this node is without the store itself, it can't tell, and does so for all leaders.
+ * A cancellation is final, and a worker accepts commands from any node under its leader's token. So nothing is decided
+ * in the leader's place, and the leader learns of the exits from the next heartbeat. The cancellation deadline does not
+ * depend on this component, which only stops the tasks sooner.
  */
 export class CancellationEnforcer {
-  /** Steady ms, by machine. */
+  /** When kills were last sent to each machine, in monotonic ms. */
   private readonly sentAt = new Map<string, number>();
   private inFlightCount = 0;
 
   constructor(private readonly dependencies: CancellationEnforcerDependencies) {}
 
-  /** Sends kills to each such machine, again after a pause as long as tasks remain there. */
+  /** Sends kills to each such machine, and repeats them after a pause while tasks remain there. */
   sweep(): void {
     const now = this.dependencies.clock.now();
     for (const [machineId, at] of this.sentAt) if (now - at > TOKEN_ANNOUNCE_AGAIN_MS) this.sentAt.delete(machineId);
-    for (const [machineId, batch] of this.remainingTasks()) this.send(machineId, batch, now);
+    for (const [machineId, batch] of this.remainingTasksByMachine()) this.send(machineId, batch, now);
   }
 
   private send(machineId: string, batch: KillBatch, now: number): void {
@@ -55,12 +58,15 @@
     if (endpoint === undefined || this.sentAt.has(machineId) || this.inFlightCount >= MAX_TOKEN_ANNOUNCEMENTS) return;
     this.sentAt.set(machineId, now);
     this.inFlightCount++;
-    log.info({ machineId, taskCount: batch.commands.length }, 'killing tasks of cancelled jobs for their leader');
+    log.info(
+      { machineId, taskCount: batch.commands.length },
+      'killing tasks of cancelled jobs on behalf of their partition leader',
+    );
     void sendCommands(http, endpoint, batch).finally(() => this.inFlightCount--);
   }
 
-  /** By machine. */
-  private remainingTasks(): Map<string, KillBatch> {
+  /** By machine id. */
+  private remainingTasksByMachine(): Map<string, KillBatch> {
     const remaining = new Map<string, KillBatch>();
     for (const view of this.dependencies.clusterState.jobs.values()) {
       if (view.record.state === 'cancelled' && view.placed > 0) this.addTasksOf(view, remaining);
@@ -71,7 +77,7 @@
   private addTasksOf(view: JobView, remaining: Map<string, KillBatch>): void {
     for (const [taskIndex, placement] of view.knownPlacements()) {
       if (placement.kind !== 'placed') continue;
-      const fencingToken = this.tokenToKillUnder(placement.machineId);
+      const fencingToken = this.leaderTokenForKill(placement.machineId);
       if (fencingToken === undefined) continue;
       const batch = batchFor(remaining, placement, fencingToken);
       const taskId = taskIdOf(view.jobId, taskIndex);
@@ -79,26 +85,30 @@
     }
   }
 
-  /** The token of the machine's leader; undefined: it needs no help, or there is none. */
-  private tokenToKillUnder(machineId: string): number | undefined {
+  /** The fencing token of the machine's leader; undefined if the leader needs no help, or if there is none. */
+  private leaderTokenForKill(machineId: string): number | undefined {
     const { leadership, clusterState, peerDirectory } = this.dependencies;
     const role = machineRole(leadership, machineId);
     const leader = clusterState.leadershipRecords.get(role);
     if (leader === undefined || leadership.leadershipOf(role) !== undefined) return undefined;
-    // A leader that is only busy, or whose partition others will take over, needs no help.
+    // A leader that is only busy, or whose partition another node will take over, needs no help.
     if (leadership.hasRecentStoreContact && !peerDirectory.isWithoutStore(leader.record.node)) return undefined;
     return leader.modRevision;
   }
 }
 
-/** The placements of one machine have one agent epoch, or the older ones are over. undefined: it is such an older one. */
+/**
+ * The placements of one machine have one agent epoch, or the older ones are over. Returns undefined for one of an older
+ * epoch.
+ */
 function batchFor(
   batches: Map<string, KillBatch>,
   { machineId, agentEpoch }: ActivePlacement,
   fencingToken: number,
 ): KillBatch | undefined {
-  const known = batches.get(machineId);
-  if (known !== undefined && known.agentEpoch >= agentEpoch) return known.agentEpoch === agentEpoch ? known : undefined;
+  const existing = batches.get(machineId);
+  if (existing !== undefined && existing.agentEpoch >= agentEpoch)
+    return existing.agentEpoch === agentEpoch ? existing : undefined;
   const batch: KillBatch = { fencingToken, agentEpoch, commands: [] };
   batches.set(machineId, batch);
   return batch;
--- a/src/workers/cancelled-launch-guard.ts
+++ b/src/workers/cancelled-launch-guard.ts
@@ -8,14 +8,14 @@
 import type { Worker } from './worker.js';
 import type { WorkerStatus } from './worker-wire-codec.js';
 
-/** What the guard decides from. */
+/** The state that the guard's decision depends on. */
 export interface CancelledLaunchGuardDependencies {
   leadership: RoleLeadership;
   timings: WorkerTimings;
   clock: Clock;
 }
 
-/** A heartbeat that waits for its answer, and what is known when it does. */
+/** A heartbeat to be answered, with what is known of its worker and partition. */
 export interface UnansweredHeartbeat {
   worker: Worker;
   workerStatus: WorkerStatus;
@@ -24,39 +24,39 @@
 }
 
 /**
- * A launch of a cancelled task may still be on its way, and no new token has shut it out, since the store gives none. It is
- * carried out whenever it arrives, so the lease has to expire instead, early enough. The cancellation may be older than its
- * first sight here by one lease (a worker without contact for longer is in a new agent epoch), the age of the replica and a
- * delay.
+ * Lets a worker's lease expire if a launch of a cancelled task may still arrive there, and the store, which is out of
+ * reach, gives no new fencing token that would make the worker refuse it. The worker would execute the launch whenever
+ * it arrives, so the lease has to expire early enough. The cancellation may be older than its first sight here by one
+ * lease (a worker without contact for longer is in a new agent epoch), the age of the replica and a delay.
  */
 export class CancelledLaunchGuard {
   constructor(private readonly dependencies: CancelledLaunchGuardDependencies) {}
 
-  /** Must the heartbeat stay without an answer that renews the lease? */
+  /** Whether the heartbeat must get no response that renews the lease. */
   mustLetLeaseExpire(heartbeat: UnansweredHeartbeat): boolean {
     const { leadership, timings, clock } = this.dependencies;
     const { launches } = heartbeat.worker;
-    if (!hasCancelledLaunch(heartbeat)) {
-      launches.cancelledSince = undefined;
+    if (!mayCancelledLaunchArrive(heartbeat)) {
+      launches.cancelledUnansweredSince = undefined;
       return false;
     }
     const now = clock.now();
-    launches.cancelledSince ??= now;
-    // With the store a new token is a moment away, and goes out with the next answer.
+    launches.cancelledUnansweredSince ??= now;
+    // While the store is reachable, a new token is obtained shortly and goes out with the next response.
     if (leadership.hasRecentStoreContact) return false;
     const allowedMs = degradedServingMs(timings) - leaseExpiresAt(0, timings.workerLeaseMs) - 2 * REPLICA_FRESH_MS;
-    return now - launches.cancelledSince >= allowedMs;
+    return now - launches.cancelledUnansweredSince >= allowedMs;
   }
 }
 
-function hasCancelledLaunch({ worker, workerStatus, held, desired }: UnansweredHeartbeat): boolean {
-  // Nearly always no launch is unanswered, and nothing is looked through.
+function mayCancelledLaunchArrive({ worker, workerStatus, held, desired }: UnansweredHeartbeat): boolean {
+  // Nearly always no launch is unanswered, and there is no need to search the tasks.
   if (!worker.launches.hasUnanswered || workerStatus.agentEpoch !== worker.agentEpoch) return false;
-  const refusedBelow = Math.max(workerStatus.fencingToken, held.fencingToken);
+  const lowestAcceptedToken = Math.max(workerStatus.fencingToken, held.fencingToken);
   for (const [taskId, { placedTask, isCancelled }] of desired) {
     const sentToken = worker.launches.unansweredToken(attemptKeyOf(placedTask));
     const isPresent = workerStatus.tasks.get(taskId)?.attempt === placedTask.placement.attempt;
-    if (isCancelled && !isPresent && sentToken !== undefined && sentToken >= refusedBelow) return true;
+    if (isCancelled && !isPresent && sentToken !== undefined && sentToken >= lowestAcceptedToken) return true;
   }
   return false;
 }
--- a/src/workers/command-client.ts
+++ b/src/workers/command-client.ts
@@ -7,17 +7,19 @@
   type WorkerStatus,
 } from './worker-wire-codec.js';
 
-/** What became of commands; `workerStatus` is undefined where the answer held none that can be read. */
+/** The outcome of a command request; `workerStatus` is undefined if the response held none that can be decoded. */
 export type CommandResult =
   | { kind: 'done'; workerStatus: WorkerStatus | undefined }
   /** Nothing was executed: the worker has seen a higher fencing token, or is in another agent epoch. */
   | { kind: 'refused'; workerStatus: WorkerStatus | undefined }
-  /** They never reached the worker, or it could not read them. */
+  /** The commands never reached the worker, or it could not decode them. */
   | { kind: 'unsent' }
-  /** They may have been executed, or may be at any time while fencing token and agent epoch still match. */
+  /** The commands may have been executed, or may still be while fencing token and agent epoch match. */
   | { kind: 'unknown' };
 
-/** Sends commands to a worker directly, for speed; they never renew a lease. Failures are results, nothing is thrown. */
+/**
+ * Sends commands to a worker directly, for lower latency; they never renew a lease. Failures are returned, not thrown.
+ */
 export async function sendCommands(
   http: HttpClient,
   endpoint: string,
@@ -28,14 +30,14 @@
       timeoutMs: COMMAND_TIMEOUT_MS,
       connectMs: CONNECT_TIMEOUT_MS,
     });
-    return resultOf(reply);
+    return classifyResponse(reply);
   } catch (error) {
     return error instanceof NoResponseError && !error.wasSent ? { kind: 'unsent' } : { kind: 'unknown' };
   }
 }
 
-/** The status that the worker answered with; undefined: there is none, or it is another machine's. */
-export function statusIn(result: CommandResult, machineId: string): WorkerStatus | undefined {
+/** The status in the worker's response; undefined if there is none or it is another machine's. */
+export function workerStatusFrom(result: CommandResult, machineId: string): WorkerStatus | undefined {
   switch (result.kind) {
     case 'done':
     case 'refused':
@@ -46,7 +48,7 @@
   }
 }
 
-function resultOf({ status, body }: Reply): CommandResult {
+function classifyResponse({ status, body }: Reply): CommandResult {
   switch (status) {
     case 200:
       return { kind: 'done', workerStatus: decodeWorkerStatus(body) };
--- a/src/workers/command-sender.ts
+++ b/src/workers/command-sender.ts
@@ -7,7 +7,7 @@
 import type { HttpClient } from '../net/http-client.js';
 import type { ClusterState } from '../records/cluster-state.js';
 import { attemptKeyOfCommand } from './attempt-key.js';
-import { type CommandResult, sendCommands, statusIn } from './command-client.js';
+import { type CommandResult, sendCommands, workerStatusFrom } from './command-client.js';
 import { desiredTasksOn } from './desired-tasks.js';
 import { machineRole } from './machine-role.js';
 import type { DesiredTask } from './reconciliation.js';
@@ -16,7 +16,7 @@
 import type { WorkerRegistry } from './worker-registry.js';
 import type { WorkerCommand } from './worker-wire-codec.js';
 
-/** What the sender reads and reconciles with, and how it reaches the workers. */
+/** The state that commands are derived from, and the clients that send them. */
 export interface CommandSenderDependencies {
   timings: WorkerTimings;
   leadership: RoleLeadership;
@@ -28,7 +28,7 @@
   log: Log;
 }
 
-/** Commands on their way, and what they were sent under. */
+/** Commands in flight, with the role and the fencing token under which they were sent. */
 interface SentCommands {
   role: string;
   fencingToken: number;
@@ -37,41 +37,41 @@
 }
 
 /**
- * Sends commands to workers directly, for speed: what is not sent here goes with the answer to the next heartbeat.
- * Invariant: at most one request with commands is on its way to a worker.
+ * Sends commands to workers directly, for lower latency; what is not sent here goes into the next heartbeat response.
+ * Invariant: at most one command request is in flight to each worker.
  */
 export class CommandSender {
-  /** Steady ms of the next send to each machine. */
-  private readonly sendsDueAt = new Map<string, number>();
-  /** Workers to which commands are on their way. */
-  private readonly sending = new Set<Worker>();
-  /** Of these, the ones for which there was more to send in between. */
-  private readonly sendAgain = new Set<Worker>();
+  /** Monotonic ms of the next send to each machine. */
+  private readonly nextSendAt = new Map<string, number>();
+  /** Workers with a command request in flight. */
+  private readonly inFlight = new Set<Worker>();
+  /** Those of them that need another request, because there was more to send in the meantime. */
+  private readonly pendingResends = new Set<Worker>();
   private isDraining = false;
 
   constructor(private readonly dependencies: CommandSenderDependencies) {}
 
-  /** Placements on a machine have changed: sends their commands after `gatherMs`, without waiting for a heartbeat. */
-  schedule(machineId: string, gatherMs = COMMAND_BATCHING_MS): void {
+  /** Schedules the commands for a machine's changed placements after `delayMs`, without waiting for a heartbeat. */
+  schedule(machineId: string, delayMs = COMMAND_BATCHING_MS): void {
     const { clock } = this.dependencies;
-    const dueAt = clock.now() + gatherMs;
-    if ((this.sendsDueAt.get(machineId) ?? Infinity) <= dueAt) return;
-    this.sendsDueAt.set(machineId, dueAt);
-    void clock.sleep(gatherMs).then(() => {
-      // A send that could not wait has been quicker, or stands in for this one.
-      if (this.sendsDueAt.get(machineId) !== dueAt) return undefined;
-      this.sendsDueAt.delete(machineId);
+    const dueAt = clock.now() + delayMs;
+    if ((this.nextSendAt.get(machineId) ?? Infinity) <= dueAt) return;
+    this.nextSendAt.set(machineId, dueAt);
+    void clock.sleep(delayMs).then(() => {
+      // A send that was scheduled for an earlier time has replaced this one.
+      if (this.nextSendAt.get(machineId) !== dueAt) return undefined;
+      this.nextSendAt.delete(machineId);
       return this.send(machineId);
     });
   }
 
-  /** Sends no more commands, and waits for the answers to those that are on their way, for `withinMs` at most. */
-  async drain(withinMs: number): Promise<void> {
+  /** Sends no more commands, and waits up to `timeoutMs` for the responses to those in flight. */
+  async drain(timeoutMs: number): Promise<void> {
     const { workers, clock } = this.dependencies;
     this.isDraining = true;
-    const until = clock.now() + withinMs;
-    const isBusy = () => [...workers.values()].some((worker) => this.sending.has(worker));
-    while (isBusy() && clock.now() < until) await clock.sleep(DRAIN_CHECK_PERIOD_MS);
+    const deadline = clock.now() + timeoutMs;
+    const isBusy = () => [...workers.values()].some((worker) => this.inFlight.has(worker));
+    while (isBusy() && clock.now() < deadline) await clock.sleep(DRAIN_CHECK_PERIOD_MS);
   }
 
   private async send(machineId: string): Promise<void> {
@@ -80,54 +80,55 @@
     const held = leadership.confirmedLeadershipOf(role);
     const worker = workers.get(machineId);
     if (held === undefined || worker === undefined || worker.agentEpoch === 0 || this.isDraining) return;
-    if (this.sending.has(worker)) {
-      this.sendAgain.add(worker);
+    if (this.inFlight.has(worker)) {
+      this.pendingResends.add(worker);
       return;
     }
     const commands = this.commandsFor(worker, role, held);
     if (commands.length === 0) return;
-    this.sending.add(worker);
+    this.inFlight.add(worker);
     const { fencingToken } = held;
     const { endpoint, agentEpoch } = worker;
     const launches = commands.filter((command) => command.kind === 'launch').map(attemptKeyOfCommand);
     for (const attemptKey of launches) worker.launches.recordSent(attemptKey, fencingToken);
-    const described = commands.map((command) => `${command.kind} ${attemptKeyOfCommand(command)}`);
-    log.debug({ machineId, commands: described }, 'sending commands');
+    const commandNames = commands.map((command) => `${command.kind} ${attemptKeyOfCommand(command)}`);
+    log.debug({ machineId, commands: commandNames }, 'sending commands');
     const result = await sendCommands(http, endpoint, { fencingToken, agentEpoch, commands });
-    this.sending.delete(worker);
-    const isWantedAgain = this.sendAgain.delete(worker);
-    // The partition was lost and is back: what has been sent since is known of the new worker only, so this one judges nothing.
+    this.inFlight.delete(worker);
+    const mustSendAgain = this.pendingResends.delete(worker);
+    // The partition was lost and acquired again in the meantime: only the new worker object knows what has been sent
+    // since, so no conclusion may be drawn from this result.
     if (workers.get(machineId) !== worker) return;
     this.applyResult(worker, { role, fencingToken, launches }, result);
-    if (isWantedAgain) this.schedule(machineId);
+    if (mustSendAgain) this.schedule(machineId);
   }
 
   private commandsFor(worker: Worker, role: string, held: HeldLeadership): WorkerCommand[] {
     const { clusterState, reconciler } = this.dependencies;
     const desired = desiredTasksOn(clusterState, worker.machineId);
-    const commands = reconciler.reconcile(worker, { role, held, desired, isHeartbeatAnswer: false });
+    const commands = reconciler.reconcile(worker, { role, held, desired, isHeartbeatResponse: false });
     return commands.filter((command) => this.maySend(worker, command, desired));
   }
 
   private maySend(worker: Worker, command: WorkerCommand, desired: ReadonlyMap<string, DesiredTask>): boolean {
-    const isInDoubt = this.isReachInDoubt(worker);
+    const isUncertain = this.isReachabilityUncertain(worker);
     switch (command.kind) {
       case 'kill':
-        // The kill of a cancelled task is final, so it may come whenever it can, by whatever replica knows of it.
-        return !isInDoubt || desired.get(command.taskId)?.isCancelled === true;
+        // A cancellation is final, so the kill may arrive at any time, from any node that knows of it.
+        return !isUncertain || desired.get(command.taskId)?.isCancelled === true;
       case 'launch':
-        // A launch that may still arrive is repeated by the answer to the next heartbeat, not by another command.
-        return !isInDoubt && !worker.launches.has(attemptKeyOfCommand(command));
+        // A launch that may still arrive is repeated in the next heartbeat response, not in another command request.
+        return !isUncertain && !worker.launches.has(attemptKeyOfCommand(command));
       case 'forget':
         return false;
     }
   }
 
   /**
-   * A worker whose heartbeats another node forwards is cut off: commands would only hang, and may arrive late. One that is
-   * silent may be dead, or can only answer.
+   * A worker whose heartbeats are forwarded by another node is cut off: commands would only hang, and may arrive late.
+   * A silent one may be dead, or may be able to respond but not to send heartbeats.
    */
-  private isReachInDoubt(worker: Worker): boolean {
+  private isReachabilityUncertain(worker: Worker): boolean {
     const { timings, leadership, clock } = this.dependencies;
     if (!leadership.hasRecentStoreContact || worker.reachability.forwardedBy !== undefined) return true;
     return clock.now() - worker.lastHeartbeatAt > SILENT_HEARTBEATS * timings.heartbeatIntervalMs;
@@ -136,17 +137,17 @@
   private applyResult(worker: Worker, { role, fencingToken, launches }: SentCommands, result: CommandResult): void {
     const { leadership, clusterState, reconciler, clock, log } = this.dependencies;
     if (result.kind === 'unknown') {
-      log.info({ machineId: worker.machineId, launches }, 'commands unanswered');
+      log.info({ machineId: worker.machineId, launches }, 'no response to commands');
       return;
     }
-    for (const attemptKey of launches) worker.launches.settle(attemptKey, fencingToken);
+    for (const attemptKey of launches) worker.launches.markResolved(attemptKey, fencingToken);
     if (result.kind === 'done') worker.reachability.recordCommandsDelivered();
-    const workerStatus = statusIn(result, worker.machineId);
+    const workerStatus = workerStatusFrom(result, worker.machineId);
     if (workerStatus === undefined || !worker.applyStatus(workerStatus, clock.now(), false)) return;
     reconciler.recordImages(worker);
     const held = leadership.leadershipOf(role);
     if (held === undefined) return;
     const desired = desiredTasksOn(clusterState, worker.machineId);
-    reconciler.reconcile(worker, { role, held, desired, isHeartbeatAnswer: false });
+    reconciler.reconcile(worker, { role, held, desired, isHeartbeatResponse: false });
   }
 }
--- a/src/workers/desired-tasks.ts
+++ b/src/workers/desired-tasks.ts
@@ -2,7 +2,7 @@
 import { taskIdOfPlaced } from './attempt-key.js';
 import type { DesiredTask } from './reconciliation.js';
 
-/** What the recorded placement of a task asks of the worker there. */
+/** The desired state of a placed task on its machine. */
 export function desiredTaskOf(clusterState: ClusterState, placedTask: PlacedTask): DesiredTask {
   const record = clusterState.jobs.get(placedTask.jobId)?.record;
   return { placedTask, isCancelled: record?.state === 'cancelled', isInGang: record?.spec.kind === 'gang' };
--- a/src/workers/exit-recorder.ts
+++ b/src/workers/exit-recorder.ts
@@ -14,15 +14,15 @@
 import type { Worker } from './worker.js';
 import type { WorkerRegistry } from './worker-registry.js';
 
-/** Whom an exit is told to. */
+/** Receives the exits of tasks. */
 export interface ExitListener {
-  /** A task has run to its end, in `ranS` seconds. */
-  taskCompleted(placedTask: PlacedTask, ranS: number): void;
-  /** A task died unfinished: an unhealthy check. */
+  /** A task completed after it ran for `runTimeS` seconds. */
+  taskCompleted(placedTask: PlacedTask, runTimeS: number): void;
+  /** A task ended unfinished, which counts as a failed health check. */
   taskDied(placedTask: PlacedTask): void;
 }
 
-/** Where exits are recorded, and who learns of them. */
+/** The records that exits change, and the components that use their information. */
 export interface ExitRecorderDependencies {
   settings: Settings;
   leadership: RoleLeadership;
@@ -30,22 +30,23 @@
   transactions: TransactionBatcher;
   accounting: TeamAccounting;
   workers: WorkerRegistry;
-  stragglers: StragglerDetector;
+  stragglerDetector: StragglerDetector;
   events: ExitListener;
   clock: Clock;
   log: Log;
 }
 
-/** Records the release of placements in the store, and draws from each exit what it tells of its machine. */
+/** Records the release of placements in the store, and derives from each exit what it shows of its machine. */
 export class ExitRecorder {
-  /** Keys of attempts whose end waits to be recorded, also on machines that this node has had no contact with. */
-  private readonly recording = new Set<string>();
+  /** Keys of attempts whose release is being committed, also on machines that this node has had no contact with. */
+  private readonly pendingReleases = new Set<string>();
 
   constructor(private readonly dependencies: ExitRecorderDependencies) {}
 
   /**
-   * Releases a placement, once at a time for each attempt. `currentProof` is asked again whenever the transaction is tried, and
-   * gives the proof that it is made on; undefined: nothing proves it any more, and nothing is recorded.
+   * Releases a placement; for each attempt at most one commit is in progress. `currentProof` is called on each try of
+   * the transaction and returns the proof to use; if it returns undefined, the release is no longer proven and nothing
+   * is recorded.
    */
   record(
     machineId: string,
@@ -54,13 +55,13 @@
     currentProof: () => ReleaseProof | undefined,
   ): void {
     const attemptKey = attemptKeyOf(release.placedTask);
-    if (this.recording.has(attemptKey)) return;
-    this.recording.add(attemptKey);
+    if (this.pendingReleases.has(attemptKey)) return;
+    this.pendingReleases.add(attemptKey);
     const worker = this.dependencies.workers.get(machineId);
     this.logExit(machineId, worker, release);
     if (worker !== undefined) this.updateWorker(worker, release);
-    this.reportDeath(release);
-    void this.commit(machineId, role, release, currentProof).finally(() => this.recording.delete(attemptKey));
+    this.reportUnfinishedExit(release);
+    void this.commit(machineId, role, release, currentProof).finally(() => this.pendingReleases.delete(attemptKey));
   }
 
   private commit(
@@ -77,9 +78,10 @@
       'release placement',
       exitPriority(spec),
       (draft) => {
-        // What another leader has placed here in between, this proof does not speak of.
+        // The proof does not cover what another leader may have placed here between two terms.
         if (!leadership.requireLeadership(draft, role) || leadership.termOf(role) !== term) return false;
-        // Nor of a later placement on the same machine, after a transaction without an answer has released this one already.
+        // Nor does it cover a later placement on the same machine, after a transaction without a response has released
+        // this one.
         const proof = currentProof();
         if (proof === undefined) return false;
         return releasePlacement(draft, accounting, { jobId, taskIndex, machineId, proof, ending });
@@ -89,7 +91,7 @@
   }
 
   private updateWorker(worker: Worker, { placedTask, ending, task }: PlacementRelease): void {
-    const { settings, stragglers, events, clock } = this.dependencies;
+    const { settings, stragglerDetector, events, clock } = this.dependencies;
     const now = clock.now();
     const startedAt = worker.runTimes.runningSince.get(attemptKeyOf(placedTask));
     if (task !== undefined && ending !== 'lost') worker.health.recordExit(placedTask.jobId, ending, now);
@@ -98,14 +100,14 @@
     }
     if (ending !== 'done' || startedAt === undefined) return;
     events.taskCompleted(placedTask, (now - startedAt) / 1000);
-    stragglers.compareWithSiblings(worker, placedTask, now - startedAt);
+    stragglerDetector.compareWithSiblings(worker, placedTask, now - startedAt);
   }
 
-  private reportDeath({ placedTask, ending }: PlacementRelease): void {
+  private reportUnfinishedExit({ placedTask, ending }: PlacementRelease): void {
     const { clusterState, events } = this.dependencies;
     const isActive = clusterState.jobs.get(placedTask.jobId)?.record.state === 'active';
-    const wasToBeStopped = placedTask.placement.gracePeriodS !== null || !isActive;
-    if (ending !== 'done' && !wasToBeStopped) events.taskDied(placedTask);
+    const wasStopRequested = placedTask.placement.gracePeriodS !== null || !isActive;
+    if (ending !== 'done' && !wasStopRequested) events.taskDied(placedTask);
   }
 
   private logExit(machineId: string, worker: Worker | undefined, { placedTask, proof, task }: PlacementRelease): void {
@@ -128,7 +130,7 @@
   }
 }
 
-/** Rounded to tenths; undefined: one of the moments is not known. */
+/** Rounded to tenths; undefined if either time is unknown. */
 function secondsBetween(fromMs: number | undefined, toMs: number | undefined): number | undefined {
   return fromMs === undefined || toMs === undefined ? undefined : Math.round((toMs - fromMs) / 100) / 10;
 }
--- a/src/workers/fencing-token-advancer.ts
+++ b/src/workers/fencing-token-advancer.ts
@@ -3,16 +3,16 @@
 import type { Clock } from '../net/clock.js';
 
 /**
- * Advances the fencing token of a role, so that commands under the former one are refused. Advancing costs a change and a
- * heartbeat of every worker, so it is done rarely, and only in touch with the store.
+ * Advances the fencing token of a role, so that workers refuse commands sent under the former one. Each advance costs a
+ * write to the store and a heartbeat of every worker, so it is done rarely, and only with recent store contact.
  */
 export class FencingTokenAdvancer {
-  /** Steady ms, by role. */
+  /** When each role's token was last advanced, in monotonic ms. */
   private readonly advancedAt = new Map<string, number>();
 
   constructor(private readonly dependencies: { leadership: RoleLeadership; clock: Clock }) {}
 
-  /** Starts to advance the token, unless that was done a moment ago; the outcome shows in the leadership record. */
+  /** Starts to advance the token, unless that was done recently; the outcome shows in the leadership record. */
   advance(role: string): void {
     const { leadership, clock } = this.dependencies;
     const now = clock.now();
--- a/src/workers/fencing-token-sender.ts
+++ b/src/workers/fencing-token-sender.ts
@@ -3,13 +3,16 @@
 import type { Clock } from '../net/clock.js';
 import type { HttpClient } from '../net/http-client.js';
 import type { ClusterState } from '../records/cluster-state.js';
-import { type CommandResult, sendCommands, statusIn } from './command-client.js';
+import { type CommandResult, sendCommands, workerStatusFrom } from './command-client.js';
 import type { CommandSender } from './command-sender.js';
 import { machineRole } from './machine-role.js';
 import { Worker } from './worker.js';
 import type { WorkerRegistry } from './worker-registry.js';
 
-/** What the sender reads, and how it reaches the workers; `commandSender` follows up the first contact. */
+/**
+ * The state that the sender reads, and the client that it sends with; `commandSender` sends commands after the first
+ * contact.
+ */
 export interface FencingTokenSenderDependencies {
   leadership: RoleLeadership;
   clusterState: ClusterState;
@@ -19,18 +22,18 @@
   clock: Clock;
 }
 
-/** Where a worker that has sent no heartbeat yet is to be told the token. */
+/** Where to send the token to a worker that has sent no heartbeat yet. */
 export interface AnnouncementTarget {
   machineId: string;
   endpoint: string;
-  /** The newest one that is known of the machine; 0: none is. */
+  /** The newest agent epoch known of the machine; 0 if none is known. */
   agentEpoch: number;
 }
 
-/** Sends the fencing token to workers without contact since the takeover, so that old commands are refused. */
+/** Sends the fencing token to workers without contact since the takeover, so that they refuse older commands. */
 export class FencingTokenSender {
   private inFlightCount = 0;
-  /** Steady ms, by machine. */
+  /** When the token was last sent to each machine, in monotonic ms. */
   private readonly sentAt = new Map<string, number>();
 
   constructor(private readonly dependencies: FencingTokenSenderDependencies) {}
@@ -38,23 +41,23 @@
   async send({ machineId, endpoint, agentEpoch }: AnnouncementTarget): Promise<void> {
     const { leadership, workers, http } = this.dependencies;
     const held = leadership.confirmedLeadershipOf(machineRole(leadership, machineId));
-    if (held === undefined || workers.has(machineId) || !this.reserveTurn(machineId)) return;
+    if (held === undefined || workers.has(machineId) || !this.reserveSlot(machineId)) return;
     this.inFlightCount++;
     const result = await sendCommands(http, endpoint, { fencingToken: held.fencingToken, agentEpoch, commands: [] });
     this.inFlightCount--;
     this.applyResult(machineId, held.term, result);
   }
 
-  /** Forgets announcements that may be repeated. */
+  /** Forgets announcements that are old enough to be repeated. */
   prune(now: number): void {
     for (const [machineId, at] of this.sentAt) if (now - at > TOKEN_ANNOUNCE_AGAIN_MS) this.sentAt.delete(machineId);
   }
 
   /**
-   * The next look comes soon, and most workers send a heartbeat before their turn. Those that don't answer must not keep the
-   * others from theirs.
+   * Limits the announcements in flight and the rate for each machine. The next check comes soon, and most workers send
+   * a heartbeat before their turn; those that don't respond must not keep the others waiting.
    */
-  private reserveTurn(machineId: string): boolean {
+  private reserveSlot(machineId: string): boolean {
     const { clusterState, clock } = this.dependencies;
     const now = clock.now();
     const maxInFlight = Math.max(MAX_TOKEN_ANNOUNCEMENTS, clusterState.usedMachineCount * TOKEN_ANNOUNCEMENTS_SHARE);
@@ -67,7 +70,7 @@
   private applyResult(machineId: string, term: LeadershipTerm, result: CommandResult): void {
     const { leadership, workers, commandSender, clock } = this.dependencies;
     const isSameTerm = leadership.leadershipOf(machineRole(leadership, machineId))?.term === term;
-    const workerStatus = statusIn(result, machineId);
+    const workerStatus = workerStatusFrom(result, machineId);
     if (!isSameTerm || workerStatus === undefined) return;
     const worker = workers.get(machineId) ?? new Worker(machineId);
     if (!worker.applyStatus(workerStatus, clock.now(), false)) return;
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -18,7 +18,7 @@
 import type { WorkerRegistry } from './worker-registry.js';
 import { encodeCommand, type WireCommand, type WorkerCommand, type WorkerStatus } from './worker-wire-codec.js';
 
-/** What a heartbeat is judged by, and the parts that its status is handed to. */
+/** State that decides the response to a heartbeat, and the components that process its status. */
 export interface HeartbeatHandlerDependencies {
   settings: Settings;
   leadership: RoleLeadership;
@@ -26,14 +26,14 @@
   workers: WorkerRegistry;
   misroutedWorkers: MisroutedWorkers;
   reconciler: WorkerReconciler;
-  stragglers: StragglerDetector;
+  stragglerDetector: StragglerDetector;
   cancelledLaunchGuard: CancelledLaunchGuard;
   events: WorkerManagerEvents;
   clock: Clock;
   log: Log;
 }
 
-/** A heartbeat of a worker whose partition is led here. */
+/** A heartbeat of a worker whose partition this node leads. */
 interface OwnHeartbeat {
   workerStatus: WorkerStatus;
   forwardedBy: string | undefined;
@@ -41,30 +41,31 @@
   held: HeldLeadership;
 }
 
-/** Decides what a heartbeat is answered: commands and a renewed lease, a redirect, or a refusal. */
+/** Decides the response to a heartbeat: commands and a renewed lease, a redirect, or a refusal. */
 export class HeartbeatHandler {
   constructor(private readonly dependencies: HeartbeatHandlerDependencies) {}
 
-  /** `forwardedBy` is the node that forwarded the heartbeat, if one did. */
+  /** @param forwardedBy the node that forwarded the heartbeat; undefined if the worker sent it directly */
   handle(workerStatus: WorkerStatus, forwardedBy: string | undefined): HeartbeatOutcome {
     const { leadership, events } = this.dependencies;
     const { machineId } = workerStatus;
-    // A late copy of a terminated machine's: it must not bring the machine back.
+    // Heartbeats of a terminated machine are late copies, and must not register it again.
     if (events.isTerminated(machineId)) return { kind: 'redirected', node: undefined, canForward: false };
     const role = machineRole(leadership, machineId);
     const held = leadership.servingLeadershipOf(role);
-    // A worker that has seen a higher token has a new leader, of which a node without store and peers knows nothing. Its 200
-    // would be dropped, and would keep the worker here while its lease runs out.
+    // A worker that has seen a higher token has a new leader, which this node can't know of while it is cut off from
+    // the store and its peers. The worker would ignore a 200 from here, but would keep sending heartbeats here until
+    // its lease expires.
     if (held === undefined || workerStatus.fencingToken > held.fencingToken) return this.redirect(workerStatus, role);
-    return this.handleOwn({ workerStatus, forwardedBy, role, held });
+    return this.handleOwnWorker({ workerStatus, forwardedBy, role, held });
   }
 
-  private handleOwn(heartbeat: OwnHeartbeat): HeartbeatOutcome {
+  private handleOwnWorker(heartbeat: OwnHeartbeat): HeartbeatOutcome {
     const { clusterState, workers, cancelledLaunchGuard, log } = this.dependencies;
     const { workerStatus, role, held } = heartbeat;
     const { machineId, agentEpoch } = workerStatus;
     const worker = workers.get(machineId) ?? this.register(workerStatus, role);
-    // A late copy was sent before the newest heartbeat that is known: its answer makes no lease any longer.
+    // A late copy was sent before the newest known heartbeat, so a response to it extends no lease.
     if (worker.isLate(workerStatus)) return { kind: 'answered', fencingToken: held.fencingToken, commands: [] };
     if (agentEpoch > worker.agentEpoch && worker.agentEpoch > 0) {
       log.info({ machineId, agentEpoch }, 'agent epoch advanced');
@@ -73,27 +74,28 @@
     if (cancelledLaunchGuard.mustLetLeaseExpire({ worker, workerStatus, held, desired })) {
       return { kind: 'unavailable', error: 'no new token' };
     }
-    return this.answer(worker, heartbeat, desired);
+    return this.respond(worker, heartbeat, desired);
   }
 
-  private answer(worker: Worker, heartbeat: OwnHeartbeat, desired: Map<string, DesiredTask>): HeartbeatOutcome {
-    const { settings, reconciler, stragglers, events, clock } = this.dependencies;
+  private respond(worker: Worker, heartbeat: OwnHeartbeat, desired: Map<string, DesiredTask>): HeartbeatOutcome {
+    const { settings, reconciler, stragglerDetector, events, clock } = this.dependencies;
     const { workerStatus, forwardedBy, role, held } = heartbeat;
     const { fencingToken } = held;
     const now = clock.now();
     events.workerAnswered(role);
-    const lateMs = heartbeatLateMs(settings.cluster.workers);
-    worker.recordAnswer({ status: workerStatus, fencingToken, forwardedBy, lateMs, now });
-    // A heartbeat that crossed a newer answer to commands is no late copy: the worker waits for its answer.
+    const lateAfterMs = heartbeatLateMs(settings.cluster.workers);
+    worker.recordResponse({ status: workerStatus, fencingToken, forwardedBy, lateAfterMs, now });
+    // A heartbeat that was overtaken by a newer command response is not a late copy, since the worker waits for the
+    // response to it. So an outdated status does not end the handling here.
     worker.applyStatus(workerStatus, now, true);
     reconciler.recordImages(worker);
     events.heartbeatReceived(workerStatus);
-    stragglers.checkRunning(worker);
-    const commands = reconciler.reconcile(worker, { role, held, desired, isHeartbeatAnswer: true });
+    stragglerDetector.checkRunning(worker);
+    const commands = reconciler.reconcile(worker, { role, held, desired, isHeartbeatResponse: true });
     return { kind: 'answered', fencingToken, commands: this.encodeCommands(worker, commands, workerStatus.sequence) };
   }
 
-  /** First contact with a worker in this term. */
+  /** Registers a worker at the first contact in this leadership term. */
   private register(workerStatus: WorkerStatus, role: string): Worker {
     const { workers, events, log } = this.dependencies;
     const { machineId, agentEpoch, machineType } = workerStatus;
@@ -104,7 +106,7 @@
     return worker;
   }
 
-  /** As many commands as an answer holds; the rest goes with the next one. */
+  /** Encodes as many commands as fit into one response; the next response carries the rest. */
   private encodeCommands(worker: Worker, commands: readonly WorkerCommand[], sequence: number): WireCommand[] {
     const encoded: WireCommand[] = [];
     let bytes = 0;
@@ -119,17 +121,18 @@
   }
 
   private recordLaunch(worker: Worker, command: WorkerCommand, sequence: number): void {
-    worker.launches.recordInAnswer(attemptKeyOfCommand(command), sequence);
+    worker.launches.recordInHeartbeatResponse(attemptKeyOfCommand(command), sequence);
     const { machineId } = worker;
     const { taskId, attempt } = command;
-    this.dependencies.log.debug({ machineId, taskId, attempt }, 'launch added to heartbeat answer');
+    this.dependencies.log.debug({ machineId, taskId, attempt }, 'launch added to heartbeat response');
   }
 
   private redirect(workerStatus: WorkerStatus, role: string): HeartbeatOutcome {
     const { settings, leadership, clusterState, misroutedWorkers, events, clock } = this.dependencies;
     const node = leadership.leaderOf(role);
     if (node === undefined || node === settings.node) return { kind: 'unavailable', error: 'not entitled' };
-    // Copies of heartbeats come late, by a lease and more: they are no sign of life, and nobody waits for their answer.
+    // Copies of heartbeats may arrive later than a whole lease. They don't show that the worker is alive, and nobody
+    // waits for their response.
     if (events.isLate(workerStatus)) return { kind: 'redirected', node, canForward: false };
     const leaderToken = clusterState.leadershipRecords.get(role)?.modRevision;
     const canForward = misroutedWorkers.recordHeartbeat(workerStatus, leaderToken, clock.now());
--- a/src/workers/heartbeat-service.ts
+++ b/src/workers/heartbeat-service.ts
@@ -4,23 +4,26 @@
 import type { HttpAnswer } from '../net/http-answer.js';
 import type { WorkerManager } from './worker-manager.js';
 import type { HeartbeatOutcome } from './worker-manager-dependencies.js';
-import { decodeWorkerStatus, encodeHeartbeatAnswer, encodeRedirect } from './worker-wire-codec.js';
+import { decodeWorkerStatus, encodeHeartbeatResponse, encodeRedirect } from './worker-wire-codec.js';
 
-/** This node, its workers, and the way to the nodes that lead the others. */
+/** This node, its workers, and the forwarder to the leaders of other partitions. */
 export interface HeartbeatServiceDependencies {
   node: string;
   workerManager: WorkerManager;
   heartbeatForwarder: HeartbeatForwarder;
   log: Log;
-  /** First heartbeat of a worker that another node leads: the others wait for that before they take it to be dead. */
+  /**
+   * Called at the first heartbeat of a worker that another node leads: the other nodes need to hear of it before they
+   * take the worker for dead.
+   */
   onMisrouted: () => void;
 }
 
-/** Answers workers' heartbeats over HTTP, also those that one node forwards to another. */
+/** Responds to workers' heartbeats: those received over HTTP, and those that other nodes forward. */
 export class HeartbeatService {
   constructor(private readonly dependencies: HeartbeatServiceDependencies) {}
 
-  /** Answers a heartbeat that a worker has sent to this node; 400: the body is no status. */
+  /** Responds to a heartbeat that a worker sent to this node; 400 if the body is not a worker status. */
   answer(body: unknown): HttpAnswer | Promise<HttpAnswer> {
     const { workerManager, onMisrouted } = this.dependencies;
     const workerStatus = decodeWorkerStatus(body);
@@ -30,27 +33,28 @@
     const wasMisrouted = misroutedWorkers.has(machineId);
     const outcome = workerManager.handleHeartbeat(workerStatus);
     if (!wasMisrouted && misroutedWorkers.has(machineId)) onMisrouted();
-    // It has been redirected before and is back: it can't get to its leader, but this node may.
+    // The worker was with its leader, or redirected there, and is here again: it can't reach the leader, but this node
+    // may.
     if (outcome.kind === 'redirected' && outcome.canForward && outcome.node !== undefined) {
       return this.forward(outcome.node, body);
     }
     return encodeOutcome(outcome);
   }
 
-  /** The leader's own answer; a redirect if it can't be had in time. */
+  /** Returns the leader's own response, or a redirect if the leader does not respond with 200 in time. */
   private async forward(leader: string, body: unknown): Promise<HttpAnswer> {
-    const answer = await this.dependencies.heartbeatForwarder.forward(leader, body);
-    const leaderAnswer = answer?.status === 200 ? parseJson(answer.body) : undefined;
-    if (leaderAnswer === undefined) return encodeOutcome({ kind: 'redirected', node: leader, canForward: false });
-    return { status: 200, body: leaderAnswer };
+    const response = await this.dependencies.heartbeatForwarder.forward(leader, body);
+    const leaderResponse = response?.status === 200 ? parseJson(response.body) : undefined;
+    if (leaderResponse === undefined) return encodeOutcome({ kind: 'redirected', node: leader, canForward: false });
+    return { status: 200, body: leaderResponse };
   }
 
-  /** Answers a heartbeat that another node has forwarded; undefined: it can't be read. */
+  /** Responds to a heartbeat that another node forwarded; undefined if it can't be decoded. */
   answerForwarded({ node: sender, id, status: text }: ForwardedHeartbeat): ForwardedHeartbeatAnswer | undefined {
     const { node, workerManager, log } = this.dependencies;
     const workerStatus = decodeWorkerStatus(parseJson(text));
     if (workerStatus === undefined) {
-      log.warn({ sender }, 'forwarded heartbeat rejected');
+      log.warn({ sender }, 'forwarded heartbeat rejected: not a worker status');
       return undefined;
     }
     const { status, body } = encodeOutcome(workerManager.handleHeartbeat(workerStatus, sender));
@@ -61,7 +65,7 @@
 function encodeOutcome(outcome: HeartbeatOutcome): HttpAnswer {
   switch (outcome.kind) {
     case 'answered':
-      return { status: 200, body: encodeHeartbeatAnswer(outcome.fencingToken, outcome.commands) };
+      return { status: 200, body: encodeHeartbeatResponse(outcome.fencingToken, outcome.commands) };
     case 'redirected':
       return { status: 421, body: encodeRedirect(outcome.node) };
     case 'unavailable':
@@ -69,7 +73,7 @@
   }
 }
 
-/** undefined: not JSON. */
+/** Returns undefined if the text is not JSON. */
 function parseJson(text: string): unknown {
   try {
     return JSON.parse(text) as unknown;
--- a/src/workers/image-cache.ts
+++ b/src/workers/image-cache.ts
@@ -1,18 +1,18 @@
 import { retainKeys } from './retain-keys.js';
 
-/** The images that a machine keeps, as far as the tasks seen on it tell. */
+/** The images that a machine keeps, as far as its tasks show. */
 export class ImageCache {
-  /** GB of each image, most recently used last. */
+  /** Size of each image in GB, most recently used last. */
   private readonly sizesGb = new Map<string, number>();
   /** Attempts whose image has been recorded. */
   private readonly recordedAttempts = new Set<string>();
 
-  /** GB of each image, most recently used last. */
+  /** Size of each image in GB, most recently used last. */
   get images(): ReadonlyMap<string, number> {
     return this.sizesGb;
   }
 
-  /** An image was used here; the least recently used ones make room, as in the machine's own cache. */
+  /** Records that an image was used here; the least recently used ones are evicted, as in the machine's own cache. */
   add(image: string, sizeGb: number, capacityGb: number): void {
     this.sizesGb.delete(image);
     this.sizesGb.set(image, sizeGb);
@@ -25,19 +25,19 @@
     }
   }
 
-  /** Images that another leader knew to be here; their sizes are not known, and take no room. */
+  /** Adds images that another leader knew to be here; their sizes are unknown and count as 0. */
   addKnown(images: Iterable<string>): void {
     for (const image of images) this.sizesGb.set(image, 0);
   }
 
-  /** Each attempt is looked at once for its image. False: it was before. */
+  /** Marks an attempt, so that its image is recorded only once. Returns false if it was marked before. */
   markRecorded(attemptKey: string): boolean {
     if (this.recordedAttempts.has(attemptKey)) return false;
     this.recordedAttempts.add(attemptKey);
     return true;
   }
 
-  /** Forgets attempts that are not on the machine any more. */
+  /** Forgets attempts that are no longer on the machine. */
   retainAttempts(present: ReadonlySet<string>): void {
     retainKeys(this.recordedAttempts, present);
   }
--- a/src/workers/machine-health.ts
+++ b/src/workers/machine-health.ts
@@ -7,21 +7,23 @@
 
 interface JobFailures {
   count: number;
-  /** Steady ms of the last one that counted. */
-  at: number;
-  /** Steady ms until which the job is kept off the machine. */
-  until: number;
+  /** Monotonic ms of the last failure that counted. */
+  lastFailureAt: number;
+  /** Monotonic ms until which the job's tasks avoid the machine. */
+  backoffUntil: number;
 }
 
-/** Failures of tasks on a machine, and how long it takes no new work for them. All times are steady ms. */
+/**
+ * Failures of tasks on a machine, and for how long it takes no new work because of them. All times are monotonic ms.
+ */
 export class MachineHealth {
-  /** Until when no new work comes here after a launch was refused. */
+  /** Until when the machine takes no new work because it refused a launch. */
   backoffUntil = -Infinity;
   private quarantinedUntil = -Infinity;
-  /** Jobs whose tasks failed here in a row without a success in between. */
+  /** Jobs whose tasks have failed here since the last success of any task, by job id. */
   private readonly failures = new Map<string, JobFailures>();
 
-  /** A task of a job ended by itself; a success ends the quarantine. */
+  /** Records that a task ended by itself; a success ends the quarantine. */
   recordExit(jobId: string, ending: 'done' | 'failed', now: number): void {
     if (ending === 'failed') {
       this.recordFailure(jobId, now);
@@ -31,25 +33,31 @@
     this.quarantinedUntil = -Infinity;
   }
 
-  /** Jobs that are to look elsewhere first; of a quarantined machine, all whose failures led to that. */
+  /**
+   * Ids of jobs that should try other machines first; for a quarantined machine, all whose failures led to the
+   * quarantine.
+   */
   failedJobs(now: number): string[] {
     const isQuarantined = this.isQuarantined(now);
-    return [...this.failures].filter(([, { until }]) => isQuarantined || now < until).map(([jobId]) => jobId);
+    return [...this.failures]
+      .filter(([, { backoffUntil }]) => isQuarantined || now < backoffUntil)
+      .map(([jobId]) => jobId);
   }
 
-  /** Does the machine take no new work, since tasks of several jobs failed there? */
+  /** Whether the machine takes no new work because tasks of several jobs failed there. */
   isQuarantined(now: number): boolean {
     return now < this.quarantinedUntil;
   }
 
   private recordFailure(jobId: string, now: number): void {
-    for (const [failedJobId, { at }] of this.failures) if (now - at > QUARANTINE_MS) this.failures.delete(failedJobId);
-    const known = this.failures.get(jobId);
-    // Tasks of one job that fail together count once.
-    if (known !== undefined && now < known.until) return;
-    const count = (known?.count ?? 0) + 1;
-    const until = now + Math.min(FAILED_JOB_BACKOFF_MAX_MS, FAILED_JOB_BACKOFF_BASE_MS * 2 ** (count - 1));
-    this.failures.set(jobId, { count, at: now, until });
+    for (const [failedJobId, { lastFailureAt }] of this.failures)
+      if (now - lastFailureAt > QUARANTINE_MS) this.failures.delete(failedJobId);
+    const previous = this.failures.get(jobId);
+    // Tasks of one job that fail together count as one failure.
+    if (previous !== undefined && now < previous.backoffUntil) return;
+    const count = (previous?.count ?? 0) + 1;
+    const backoffUntil = now + Math.min(FAILED_JOB_BACKOFF_MAX_MS, FAILED_JOB_BACKOFF_BASE_MS * 2 ** (count - 1));
+    this.failures.set(jobId, { count, lastFailureAt: now, backoffUntil });
     if (this.failures.size >= QUARANTINE_ERRORS) this.quarantinedUntil = now + QUARANTINE_MS;
   }
 }
--- a/src/workers/machine-slowness.ts
+++ b/src/workers/machine-slowness.ts
@@ -1,29 +1,32 @@
 import { SLOW_MACHINE_FACTOR, SLOW_MACHINE_MS, SLOW_MACHINE_TASKS } from '../constants/workers.js';
 import { retainKeys } from './retain-keys.js';
 
-/** Tells by the run times of its last tasks whether a machine is slow. Invariant: each attempt counts once. */
+/** Detects from the run times of a machine's last tasks whether it is slow. Invariant: each attempt counts once. */
 export class MachineSlowness {
-  /** How many times longer than their siblings the last tasks ran here. */
+  /** Run times of the last tasks here, as multiples of their siblings' mean. */
   private readonly runTimeRatios: number[] = [];
-  /** Steady ms. */
+  /** Monotonic ms. */
   private slowUntil = -Infinity;
   private readonly countedAttempts = new Set<string>();
   private readonly evictedAttempts = new Set<string>();
 
-  /** A task took, or has taken so far, that many times the mean of its siblings. */
+  /** Records that a task ran, or has run so far, for `ratio` times the mean of its siblings. */
   recordRunTimeRatio(attemptKey: string, ratio: number, now: number): void {
     if (this.countedAttempts.has(attemptKey)) return;
     this.countedAttempts.add(attemptKey);
     this.runTimeRatios.push(ratio);
     if (this.runTimeRatios.length > SLOW_MACHINE_TASKS) this.runTimeRatios.shift();
-    // One task that ran as long as others do speaks for the machine: jobs vary, a slow machine slows all.
+    // A single task that ran no longer than others shows that the machine is not slow: run times vary between jobs, but
+    // a slow machine slows all tasks.
     const areAllSlow =
       this.runTimeRatios.length === SLOW_MACHINE_TASKS &&
       this.runTimeRatios.every((each) => each > SLOW_MACHINE_FACTOR);
     if (areAllSlow) this.slowUntil = now + SLOW_MACHINE_MS;
   }
 
-  /** Slow for a while: then it gets another chance, since nothing else would show that it has recovered. */
+  /**
+   * Whether the machine counts as slow. It does only for a while, since nothing else would show that it has recovered.
+   */
   isSlow(now: number): boolean {
     if (now >= this.slowUntil && this.slowUntil > -Infinity) {
       this.slowUntil = -Infinity;
@@ -32,17 +35,17 @@
     return now < this.slowUntil;
   }
 
-  /** Was the attempt evicted because the machine is slow? */
+  /** Whether the attempt was evicted because the machine is slow. */
   isEvicted(attemptKey: string): boolean {
     return this.evictedAttempts.has(attemptKey);
   }
 
-  /** The attempt is evicted because the machine is slow. */
+  /** Records that the attempt is evicted because the machine is slow. */
   markEvicted(attemptKey: string): void {
     this.evictedAttempts.add(attemptKey);
   }
 
-  /** Forgets attempts that are not on the machine any more. */
+  /** Forgets attempts that are no longer on the machine. */
   retainAttempts(present: ReadonlySet<string>): void {
     retainKeys(this.countedAttempts, present);
     retainKeys(this.evictedAttempts, present);
--- a/src/workers/misrouted-workers.ts
+++ b/src/workers/misrouted-workers.ts
@@ -3,28 +3,28 @@
 import type { WorkerStatus } from './worker-wire-codec.js';
 
 /**
- * Workers that send their heartbeats to this node although another one leads their partition: evidence for the others that they
- * are up, and a sign that they can't reach their leader. All times are steady ms.
+ * Workers that send their heartbeats to this node although another one leads their partition. This is evidence for the
+ * other nodes that the workers are alive, and a sign that they can't reach their leader. All times are monotonic ms.
  */
 export class MisroutedWorkers {
-  /** By machine. */
+  /** By machine id. */
   private readonly lastHeartbeatAt = new Map<string, number>();
-  /** Since when each is taken to be cut off from its leader. */
+  /** Since when each worker is considered cut off from its leader, by machine id. */
   private readonly cutOffSince = new Map<string, number>();
 
-  /** Did the machine's worker send a heartbeat here lately? */
+  /** Whether the machine's worker has recently sent a heartbeat here. */
   has(machineId: string): boolean {
     return this.lastHeartbeatAt.has(machineId);
   }
 
-  /** Each machine, with the time of its last heartbeat here. */
+  /** Each machine id with the time of the last heartbeat here. */
   entries(): IterableIterator<[string, number]> {
     return this.lastHeartbeatAt.entries();
   }
 
   /**
-   * Takes a heartbeat in; `leaderToken` is the present leader's fencing token, if there is one. True: its worker can't get to
-   * its leader, so that the heartbeat is better forwarded.
+   * Records a heartbeat; `leaderToken` is the present leader's fencing token, if there is a leader. Returns whether the
+   * worker can't reach its leader, so that the heartbeat should be forwarded.
    */
   recordHeartbeat(workerStatus: WorkerStatus, leaderToken: number | undefined, now: number): boolean {
     const isCutOff = this.updateCutOff(workerStatus, leaderToken, now);
@@ -32,7 +32,7 @@
     return isCutOff;
   }
 
-  /** Forgets those that have not been here for a while. */
+  /** Forgets workers that have sent no heartbeat here for a while. */
   prune(now: number): void {
     for (const [machineId, at] of this.lastHeartbeatAt) {
       if (now - at <= MISROUTED_HEARTBEAT_VALID_MS) continue;
@@ -42,13 +42,14 @@
   }
 
   /**
-   * A worker that shows the present leader's token has been with it, and is here because it can't get there. Now and then it
-   * is redirected all the same, so that it does not stay once the way is open again.
+   * A worker that reports the present leader's token has been in contact with that leader, and is here because it can't
+   * reach it any more. It is still redirected from time to time, so that it does not stay once the leader is reachable
+   * again.
    */
   private updateCutOff(workerStatus: WorkerStatus, leaderToken: number | undefined, now: number): boolean {
     const { machineId, fencingToken } = workerStatus;
-    const wasServed = fencingToken === leaderToken;
-    if (!wasServed && !this.has(machineId)) return false;
+    const hasLeaderToken = fencingToken === leaderToken;
+    if (!hasLeaderToken && !this.has(machineId)) return false;
     const since = this.cutOffSince.get(machineId) ?? now;
     this.cutOffSince.set(machineId, since);
     if (now - since < REDIRECT_AGAIN_MS) return true;
--- a/src/workers/pending-launches.ts
+++ b/src/workers/pending-launches.ts
@@ -1,9 +1,9 @@
-/** What a worker's newest status shows of the launches sent to it. */
-interface ShownStatus {
-  /** Highest fencing token that the worker has shown. */
+/** The part of a worker's newest status that affects pending launches. */
+interface ReportedStatus {
+  /** Highest fencing token that the worker has reported. */
   fencingToken: number;
   sequence: number;
-  /** It is a heartbeat, not the answer to commands. */
+  /** Whether the status came in a heartbeat, not in a command response. */
   isHeartbeat: boolean;
 }
 
@@ -12,58 +12,62 @@
  * Invariant: while a launch is listed here, the absence of its task from a status proves nothing.
  */
 export class PendingLaunches {
-  /** Steady ms since when a launch of a cancelled task is unanswered; undefined: none is. */
-  cancelledSince: number | undefined;
-  /** Sent directly, without an answer yet, with the fencing token they bore. */
+  /** Monotonic ms since when a launch of a cancelled task is unanswered; undefined if none is. */
+  cancelledUnansweredSince: number | undefined;
+  /** Launches sent directly and without a response yet, with the fencing token of their request. */
   private readonly unanswered = new Map<string, number>();
-  /** Sent in the answer to a heartbeat, with that heartbeat's sequence number. */
-  private readonly inAnswers = new Map<string, number>();
+  /** Launches sent in a heartbeat response, with that heartbeat's sequence number. */
+  private readonly inHeartbeatResponses = new Map<string, number>();
 
-  /** Is any directly sent launch without an answer? */
+  /** Whether any directly sent launch has no response yet. */
   get hasUnanswered(): boolean {
     return this.unanswered.size > 0;
   }
 
-  /** The fencing token of a directly sent launch without an answer; undefined: there is none. */
+  /** The fencing token of a directly sent launch without a response yet; undefined if there is none. */
   unansweredToken(attemptKey: string): number | undefined {
     return this.unanswered.get(attemptKey);
   }
 
-  /** Was a launch of the attempt sent directly, and not answered yet? */
+  /** Whether a launch of the attempt was sent directly and has no response yet. */
   isUnanswered(attemptKey: string): boolean {
     return this.unanswered.has(attemptKey);
   }
 
-  /** May a launch of the attempt still arrive, by whatever way? */
+  /** Whether a launch of the attempt may still arrive, sent directly or in a heartbeat response. */
   has(attemptKey: string): boolean {
-    return this.unanswered.has(attemptKey) || this.inAnswers.has(attemptKey);
+    return this.unanswered.has(attemptKey) || this.inHeartbeatResponses.has(attemptKey);
   }
 
-  /** A launch goes out directly, under this token. */
+  /** Records that a launch is sent directly under this token. */
   recordSent(attemptKey: string, fencingToken: number): void {
     this.unanswered.set(attemptKey, fencingToken);
   }
 
-  /** The commands that bore this token were answered, or never left. */
-  settle(attemptKey: string, fencingToken: number): void {
+  /** Records that the request under this token was answered, or never reached the worker. */
+  markResolved(attemptKey: string, fencingToken: number): void {
     if (this.unanswered.get(attemptKey) === fencingToken) this.unanswered.delete(attemptKey);
   }
 
-  /** A launch goes out in the answer to the heartbeat with this sequence number. */
-  recordInAnswer(attemptKey: string, sequence: number): void {
-    this.inAnswers.set(attemptKey, sequence);
+  /** Records that a launch is sent in the response to the heartbeat with this sequence number. */
+  recordInHeartbeatResponse(attemptKey: string, sequence: number): void {
+    this.inHeartbeatResponses.set(attemptKey, sequence);
   }
 
-  /** A newer status: launches with a lower token are refused from now on, and answers to older heartbeats dropped. */
-  applyStatus({ fencingToken, sequence, isHeartbeat }: ShownStatus): void {
+  /**
+   * Applies a newer status: from now on the worker refuses launches with a lower token, and drops responses to older
+   * heartbeats.
+   */
+  applyStatus({ fencingToken, sequence, isHeartbeat }: ReportedStatus): void {
     for (const [key, sentToken] of this.unanswered) if (sentToken < fencingToken) this.unanswered.delete(key);
     if (!isHeartbeat) return;
-    for (const [key, answeredSequence] of this.inAnswers) if (answeredSequence < sequence) this.inAnswers.delete(key);
+    for (const [key, answeredSequence] of this.inHeartbeatResponses)
+      if (answeredSequence < sequence) this.inHeartbeatResponses.delete(key);
   }
 
-  /** A new agent epoch refuses all that was sent to the former one. */
+  /** Removes all launches when a new agent epoch begins, which refuses everything sent to the former one. */
   clear(): void {
     this.unanswered.clear();
-    this.inAnswers.clear();
+    this.inHeartbeatResponses.clear();
   }
 }
--- a/src/workers/reconciliation.ts
+++ b/src/workers/reconciliation.ts
@@ -1,6 +1,6 @@
 /**
- * Compares what is recorded for a machine with what its worker shows. Pure and level-triggered: the same inputs give the same
- * plan, however often it is made.
+ * Compares the placements recorded for a machine with the status that its worker reports. Pure and level-triggered: the
+ * same inputs give the same plan, however often it is made.
  */
 import type { PlacedTask } from '../records/cluster-state.js';
 import type { TaskEnding } from '../records/placement-mutations.js';
@@ -8,93 +8,95 @@
 import { attemptKeyFrom, attemptKeyOf, taskIdOfPlaced } from './attempt-key.js';
 import type { ReportedTask, WorkerCommand } from './worker-wire-codec.js';
 
-/** A task that is recorded on the machine, and what is to become of it. */
+/** A task that is recorded on the machine, and its desired state. */
 export interface DesiredTask {
   placedTask: PlacedTask;
-  /** The job is cancelled: nothing of it is of use any more. */
+  /** The job is cancelled: the task's results are not needed any more. */
   isCancelled: boolean;
-  /** A member of a gang may come here again under the same attempt. */
+  /** A gang member may be placed here again with the same attempt number. */
   isInGang: boolean;
 }
 
-/** The newest status of a worker, and which launches may still arrive there. */
+/** The newest status of a worker, and the launches that may still arrive there. */
 export interface WorkerView {
   readonly agentEpoch: number;
-  /** Highest fencing token that the worker has shown. */
+  /** Highest fencing token that the worker has reported. */
   readonly fencingToken: number;
   /** By task id. */
   readonly tasks: ReadonlyMap<string, ReportedTask>;
   readonly launches: {
-    /** May a launch of the attempt still arrive, by whatever way? */
+    /** Whether a launch of the attempt may still arrive, sent directly or in a heartbeat response. */
     has(attemptKey: string): boolean;
-    /** Was a launch of the attempt sent directly, and not answered yet? */
+    /** Whether a launch of the attempt was sent directly and has no response yet. */
     isUnanswered(attemptKey: string): boolean;
   };
 }
 
-/** What this node may have the worker do. */
-export interface CommandRights {
+/** Which commands this node may send to the worker now. */
+export interface CommandPermissions {
   fencingToken: number;
-  /** The placements are known up to the takeover, and the store confirmed it just now: launches are allowed. */
+  /** The placements up to the takeover are known and the store has just confirmed them, so launches are allowed. */
   canLaunch: boolean;
-  /** The placements are known up to the takeover: tasks without one are strays. */
+  /** The placements up to the takeover are known, so a task without one does not belong on the machine. */
   knowsAllPlacements: boolean;
-  /** Commands go in the answer to a heartbeat: only there may an exit be forgotten. */
-  isHeartbeatAnswer: boolean;
+  /** The commands go into a heartbeat response: only there may an exit be forgotten. */
+  isHeartbeatResponse: boolean;
 }
 
-/** A placement that can be released, the proof, and how its task ended. */
+/** A placement that can be released, with the proof and how its task ended. */
 export interface PlacementRelease {
   placedTask: PlacedTask;
   proof: ReleaseProof;
   ending: TaskEnding;
-  /** The exited task; undefined: the proof is not its exit. */
+  /** The exited task; undefined if its exit is not the proof. */
   task: ReportedTask | undefined;
 }
 
-/** What a reconciliation asks for. Commands are to be executed in order. */
+/** The actions that a reconciliation requires. Commands must be executed in order. */
 export interface ReconciliationPlan {
   commands: WorkerCommand[];
   releases: PlacementRelease[];
-  /** There are exits that can't be forgotten, or placements that can't be released, before the fencing token is advanced. */
+  /** Some exits can't be forgotten, or placements can't be released, before the fencing token is advanced. */
   needsNewToken: boolean;
 }
 
-/** What one task asks for. */
+/** The action that one task requires. */
 type ReconciliationStep =
   { kind: 'send'; command: WorkerCommand } | { kind: 'release'; release: PlacementRelease } | { kind: 'advance_token' };
 
 const ADVANCE_TOKEN: ReconciliationStep = { kind: 'advance_token' };
 
-/** `desired` holds all tasks that are recorded on the worker's machine, by task id. */
+/** @param desired all tasks that are recorded on the worker's machine, by task id */
 export function reconcile(
   worker: WorkerView,
   desired: ReadonlyMap<string, DesiredTask>,
-  rights: CommandRights,
+  permissions: CommandPermissions,
 ): ReconciliationPlan {
   const plan: ReconciliationPlan = { commands: [], releases: [], needsNewToken: false };
-  // Kills and forgets come before launches: another attempt that is still there would refuse its successor.
+  // Kills and forgets come before launches, because a worker refuses a launch while another attempt of the task is
+  // present.
   for (const [taskId, task] of worker.tasks) {
     const desiredTask = desired.get(taskId);
-    const step = isWanted(worker, task, desiredTask)
-      ? stopIfUnwanted(taskId, task, desiredTask)
-      : removeStray(worker, taskId, task, rights);
+    const step = isRecorded(worker, task, desiredTask)
+      ? stopIfRequested(taskId, task, desiredTask)
+      : removeUnrecordedTask(worker, taskId, task, permissions);
     addStep(plan, step);
   }
   for (const [taskId, desiredTask] of desired) {
-    const release = findProof(worker, desiredTask, rights.fencingToken);
+    const release = findProvenRelease(worker, desiredTask, permissions.fencingToken);
     if (release !== undefined) addStep(plan, { kind: 'release', release });
-    else if (isMissing(worker, taskId, desiredTask)) addStep(plan, launchOrExclude(worker, desiredTask, rights));
+    else if (isMissing(worker, taskId, desiredTask))
+      addStep(plan, launchOrAdvanceToken(worker, desiredTask, permissions));
   }
   return plan;
 }
 
 /**
- * The proof, as far as the worker's own statuses give one, that a placement can be released. It holds only as long as these
- * statuses are the newest: a gang's attempt may be placed on the same machine once more, and then an earlier exit says nothing
- * of it.
+ * Returns the release of a placement if the worker's own statuses prove that its task has ended. The proof holds only
+ * while these statuses are the newest: a gang member may be placed on the same machine again with the same attempt
+ * number, and an earlier exit says nothing about that placement.
  */
-export function findProof(
+export function findProvenRelease(
   worker: WorkerView,
   desiredTask: DesiredTask,
   fencingToken: number,
@@ -113,11 +115,14 @@
   const proof: ReleaseProof = { kind: 'exited', attempt, agentEpoch };
   const task = worker.tasks.get(taskIdOfPlaced(placedTask));
   if (task?.attempt === attempt) {
-    // A status from before the takeover may tell of a member's first end, when it has been placed here once more since.
-    const isOld = desiredTask.isInGang && worker.fencingToken < fencingToken;
-    return task.state !== 'exited' || isOld ? undefined : { placedTask, proof, ending: endingOf(task), task };
+    // A status from before the takeover may report a gang member's first exit although it has been placed here again
+    // since.
+    const mayBePreviousRun = desiredTask.isInGang && worker.fencingToken < fencingToken;
+    return task.state !== 'exited' || mayBePreviousRun
+      ? undefined
+      : { placedTask, proof, ending: endingOf(task), task };
   }
-  if (!isToBeStopped(desiredTask) || !isAbsenceFinal(worker, attemptKeyOf(placedTask), fencingToken)) return undefined;
+  if (!mustStop(desiredTask) || !isLaunchRuledOut(worker, attemptKeyOf(placedTask), fencingToken)) return undefined;
   return { placedTask, proof, ending: 'lost', task: undefined };
 }
 
@@ -136,8 +141,8 @@
   }
 }
 
-/** Is this attempt recorded on the machine, in the worker's present agent epoch? */
-function isWanted(
+/** Whether this attempt is recorded on the machine in the worker's present agent epoch. */
+function isRecorded(
   worker: WorkerView,
   task: ReportedTask,
   desiredTask: DesiredTask | undefined,
@@ -146,16 +151,16 @@
   return placement?.attempt === task.attempt && placement.agentEpoch === worker.agentEpoch;
 }
 
-/** A placement of the worker's present agent epoch, of which its newest status shows nothing. */
+/** Whether the worker's newest status lacks a placement of its present agent epoch. */
 function isMissing(worker: WorkerView, taskId: string, { placedTask: { placement } }: DesiredTask): boolean {
   return placement.agentEpoch === worker.agentEpoch && worker.tasks.get(taskId)?.attempt !== placement.attempt;
 }
 
-const isToBeStopped = ({ placedTask, isCancelled }: DesiredTask): boolean =>
+const mustStop = ({ placedTask, isCancelled }: DesiredTask): boolean =>
   isCancelled || placedTask.placement.gracePeriodS !== null;
 
-/** Is it certain that a launch of this attempt, absent from the newest status, won't come any more? */
-const isAbsenceFinal = (worker: WorkerView, attemptKey: string, fencingToken: number): boolean =>
+/** Whether a launch of this attempt, which is absent from the newest status, can certainly no longer arrive. */
+const isLaunchRuledOut = (worker: WorkerView, attemptKey: string, fencingToken: number): boolean =>
   worker.fencingToken === fencingToken && !worker.launches.has(attemptKey);
 
 function endingOf(task: ReportedTask): TaskEnding {
@@ -163,7 +168,7 @@
   return task.exitReason === 'error' || task.exitReason === 'unknown' ? 'failed' : 'lost';
 }
 
-function stopIfUnwanted(
+function stopIfRequested(
   taskId: string,
   { attempt, state }: ReportedTask,
   { placedTask, isCancelled }: DesiredTask,
@@ -174,35 +179,39 @@
   return { kind: 'send', command: { kind: 'kill', taskId, attempt, gracePeriodS } };
 }
 
-/** The task is not recorded on this machine: it is killed, and its exit forgotten. */
-function removeStray(
+/** Kills a task that is not recorded on this machine; once it has exited, forgets the exit. */
+function removeUnrecordedTask(
   worker: WorkerView,
   taskId: string,
   { attempt, state }: ReportedTask,
-  rights: CommandRights,
+  permissions: CommandPermissions,
 ): ReconciliationStep | undefined {
-  if (!rights.knowsAllPlacements) return undefined;
+  if (!permissions.knowsAllPlacements) return undefined;
   if (state !== 'exited') return { kind: 'send', command: { kind: 'kill', taskId, attempt, gracePeriodS: 0 } };
-  if (!rights.isHeartbeatAnswer) return undefined;
-  // Late copies of a launch restart a forgotten task: first it must be certain that none is left.
+  if (!permissions.isHeartbeatResponse) return undefined;
+  // A late copy of a launch would start a forgotten task again, so it must first be certain that none is in flight.
   if (worker.launches.isUnanswered(attemptKeyFrom(taskId, attempt))) return ADVANCE_TOKEN;
   return { kind: 'send', command: { kind: 'forget', taskId, attempt } };
 }
 
-/** Launches a missing task; one that is to be stopped has its launch shut out, if that may still arrive. */
-function launchOrExclude(
+/**
+ * Launches a missing task. If it is to be stopped, requests a new token where a launch may still arrive, so that it is
+ * refused.
+ */
+function launchOrAdvanceToken(
   worker: WorkerView,
   desiredTask: DesiredTask,
-  { canLaunch }: CommandRights,
+  { canLaunch }: CommandPermissions,
 ): ReconciliationStep | undefined {
   const { placedTask } = desiredTask;
-  if (isToBeStopped(desiredTask)) {
+  if (mustStop(desiredTask)) {
     return worker.launches.isUnanswered(attemptKeyOf(placedTask)) ? ADVANCE_TOKEN : undefined;
   }
-  // Another attempt that is still there refuses this one (`already_present`): it is killed or forgotten first.
+  // The worker refuses this launch (`already_present`) while another attempt is there; that one is killed or forgotten
+  // first.
   const taskId = taskIdOfPlaced(placedTask);
-  const present = worker.tasks.get(taskId);
-  const isClear = present === undefined || present.state === 'exited';
-  if (!canLaunch || !isClear) return undefined;
+  const reportedTask = worker.tasks.get(taskId);
+  const isLaunchPossible = reportedTask === undefined || reportedTask.state === 'exited';
+  if (!canLaunch || !isLaunchPossible) return undefined;
   return { kind: 'send', command: { kind: 'launch', taskId, attempt: placedTask.placement.attempt } };
 }
--- a/src/workers/straggler-detector.ts
+++ b/src/workers/straggler-detector.ts
@@ -10,7 +10,7 @@
 import { attemptKeyOf, taskIdOfPlaced } from './attempt-key.js';
 import type { Worker } from './worker.js';
 
-/** Where run times are read, and evictions recorded. */
+/** The records of jobs and placements, and the transactions that record evictions. */
 export interface StragglerDetectorDependencies {
   leadership: RoleLeadership;
   clusterState: ClusterState;
@@ -19,34 +19,37 @@
   log: Log;
 }
 
-/** Run times of the finished tasks of a job. */
+/** Run times of a job's finished tasks. */
 interface FinishedRunTimes {
   count: number;
   meanMs: number;
 }
 
-/** Tells slow machines by tasks that run far longer than their siblings, and evicts batch tasks from them. */
+/** Detects slow machines by tasks that run far longer than their siblings, and evicts batch tasks from them. */
 export class StragglerDetector {
-  /** How long the finished tasks of a job ran on this node's machines, by job id. */
+  /** Run times of finished tasks on this node's machines, by job id. */
   private readonly finishedRunTimes = new Map<string, FinishedRunTimes>();
 
   constructor(private readonly dependencies: StragglerDetectorDependencies) {}
 
-  /** Compares a finished task, and takes its run time into the mean of its job. */
-  compareWithSiblings(worker: Worker, placedTask: PlacedTask, ranMs: number): void {
-    // A task that goes on from a checkpoint has less left to run, and says nothing about others.
+  /** Compares a finished task with its siblings, and includes its run time in the mean of its job. */
+  compareWithSiblings(worker: Worker, placedTask: PlacedTask, runTimeMs: number): void {
+    // A task that resumes from a checkpoint has less left to run, and its run time can't be compared with others.
     if (placedTask.placement.attempt > 1) return;
     const { jobId } = placedTask;
     const siblings = this.finishedRunTimes.get(jobId) ?? { count: 0, meanMs: 0 };
     if (this.isComparable(jobId, siblings)) {
       const now = this.dependencies.clock.now();
-      worker.slowness.recordRunTimeRatio(attemptKeyOf(placedTask), ranMs / siblings.meanMs, now);
+      worker.slowness.recordRunTimeRatio(attemptKeyOf(placedTask), runTimeMs / siblings.meanMs, now);
     }
     const count = siblings.count + 1;
-    this.finishedRunTimes.set(jobId, { count, meanMs: siblings.meanMs + (ranMs - siblings.meanMs) / count });
+    this.finishedRunTimes.set(jobId, { count, meanMs: siblings.meanMs + (runTimeMs - siblings.meanMs) / count });
   }
 
-  /** Tasks that run far longer than their finished siblings show that their machine is slow, before they end. */
+  /**
+   * Compares running tasks, too: one that runs far longer than its finished siblings shows a slow machine before it
+   * ends.
+   */
   checkRunning(worker: Worker): void {
     const now = this.dependencies.clock.now();
     for (const [attemptKey, startedAt] of worker.runTimes.runningSince) {
@@ -54,13 +57,15 @@
       const siblings = this.finishedRunTimes.get(jobId);
       const isFirstAttempt = attemptKey.endsWith('#1');
       if (siblings === undefined || !isFirstAttempt || !this.isComparable(jobId, siblings)) continue;
-      const ranMs = now - startedAt;
-      if (ranMs <= STRAGGLER_FACTOR * siblings.meanMs) continue;
-      worker.slowness.recordRunTimeRatio(attemptKey, ranMs / siblings.meanMs, now);
+      const runTimeMs = now - startedAt;
+      if (runTimeMs <= STRAGGLER_FACTOR * siblings.meanMs) continue;
+      worker.slowness.recordRunTimeRatio(attemptKey, runTimeMs / siblings.meanMs, now);
     }
   }
 
-  /** Starts anew elsewhere what would take longer to end on a slow machine; services move by their happiness only. */
+  /**
+   * Evicts batch tasks that would end sooner when started anew elsewhere; services are moved only for their happiness.
+   */
   evictFromSlowMachines(workers: Iterable<Worker>, roleOf: (machineId: string) => string): void {
     const { leadership, clusterState, clock } = this.dependencies;
     for (const jobId of this.finishedRunTimes.keys()) {
@@ -73,7 +78,10 @@
     }
   }
 
-  /** The first to finish are the short ones: compared with them alone, the other half would all seem slow. */
+  /**
+   * Whether enough siblings have finished. The first to finish are the short ones: compared with them alone, the other
+   * half would all seem slow.
+   */
   private isComparable(jobId: string, { count }: FinishedRunTimes): boolean {
     if (count < MIN_FINISHED_SIBLINGS) return false;
     const view = this.dependencies.clusterState.jobs.get(jobId);
@@ -89,7 +97,7 @@
     }
   }
 
-  /** Was the task seen to start, and will it end elsewhere sooner than here? */
+  /** Whether the task was seen to start, and would end sooner elsewhere than here. */
   private isWorthEvicting(worker: Worker, placedTask: PlacedTask, spec: JobSpec, now: number): boolean {
     const attemptKey = attemptKeyOf(placedTask);
     const startedAt = worker.runTimes.runningSince.get(attemptKey);
--- a/src/workers/worker-manager-dependencies.ts
+++ b/src/workers/worker-manager-dependencies.ts
@@ -1,4 +1,4 @@
-/** What the manager of a controller's workers needs, asks of its surroundings, and answers. */
+/** The worker manager's dependencies, its events, and the outcomes of heartbeats. */
 import type { Settings } from '../domain/settings.js';
 import type { RoleLeadership } from '../leadership/role-leadership.js';
 import type { Log } from '../logging/log.js';
@@ -11,35 +11,35 @@
 import type { ExitListener } from './exit-recorder.js';
 import type { WireCommand, WorkerStatus } from './worker-wire-codec.js';
 
-/** What a heartbeat is answered. */
+/** How a heartbeat is answered. */
 export type HeartbeatOutcome =
-  /** The answer renews the worker's lease. */
+  /** The response renews the worker's lease. */
   | { kind: 'answered'; fencingToken: number; commands: readonly WireCommand[] }
   /**
-   * Another node leads the worker's partition, if anybody does. `canForward`: the worker seems to be cut off from that node, so
-   * its heartbeat is better forwarded.
+   * Another node leads the worker's partition, or, if `node` is undefined, the machine is terminated. `canForward`: the
+   * worker seems to be cut off from that node, so its heartbeat should be forwarded.
    */
   | { kind: 'redirected'; node: string | undefined; canForward: boolean }
-  /** This node must not renew the lease, and knows of nobody who may. */
+  /** This node must not renew the lease, and knows of no node that may. */
   | { kind: 'unavailable'; error: string };
 
-/** What the manager asks of its surroundings, and where it tells of health checks and exits. */
+/** What the manager queries from other components, and the health checks and exits that it reports to them. */
 export interface WorkerManagerEvents extends ExitListener {
-  /** A worker of the role's partition is being answered. */
+  /** Called when a worker of the role's partition is being answered. */
   workerAnswered(role: string): void;
-  /** A heartbeat came: one health check of each service task on the machine. */
+  /** Called at a heartbeat, which is a health check of each service task on the machine. */
   heartbeatReceived(workerStatus: WorkerStatus): void;
-  /** Has the cloud confirmed that the machine is terminated? */
+  /** Whether the cloud has confirmed that the machine is terminated. */
   isTerminated(machineId: string): boolean;
-  /** Is the status no newer than the newest one that anybody is known to have received of the machine? */
+  /** Whether the status is no newer than the newest one that any node is known to have received from the machine. */
   isLate(workerStatus: WorkerStatus): boolean;
-  /** Images that the former leader of the machine's partition knew to be there. */
+  /** Images on the machine according to the former leader of its partition. */
   knownImages(machineId: string): readonly string[];
-  /** GB of images that a machine of the type keeps. */
+  /** Size in GB of the image cache of a machine of this type. */
   cacheGb(machineType: string): number;
 }
 
-/** The controller's parts that the manager hands on to its own. */
+/** Components of the controller that the manager passes on to its own components. */
 export interface WorkerManagerDependencies {
   settings: Settings;
   leadership: RoleLeadership;
--- a/src/workers/worker-manager.ts
+++ b/src/workers/worker-manager.ts
@@ -15,15 +15,15 @@
 import type { WorkerStatus } from './worker-wire-codec.js';
 
 /**
- * What a controller does for the workers of the partitions that it leads. Only composition and the periodic sweep are here:
- * heartbeats, direct commands, announcements of the token and releases of placements are parts of their own.
+ * Manages the workers of the partitions that this controller leads. This class only composes the components and runs
+ * the periodic sweep; heartbeats, direct commands, token announcements and placement releases are separate components.
  */
 export class WorkerManager {
   /** The workers of the partitions that this node leads. */
   readonly workers: WorkerRegistry;
-  /** Workers of other nodes that send their heartbeats here. */
+  /** Workers that send their heartbeats here although another node leads their partition. */
   readonly misroutedWorkers = new MisroutedWorkers();
-  private readonly stragglers: StragglerDetector;
+  private readonly stragglerDetector: StragglerDetector;
   private readonly releaser: PlacementReleaser;
   private readonly heartbeatHandler: HeartbeatHandler;
   private readonly commandSender: CommandSender;
@@ -33,23 +33,23 @@
     const { settings, leadership, clock, events } = dependencies;
     const timings = settings.cluster.workers;
     const workers = new WorkerRegistry(leadership, timings);
-    const stragglers = new StragglerDetector(dependencies);
-    const exits = new ExitRecorder({ ...dependencies, workers, stragglers });
-    const releaser = new PlacementReleaser({ ...dependencies, workers, exits });
+    const stragglerDetector = new StragglerDetector(dependencies);
+    const exitRecorder = new ExitRecorder({ ...dependencies, workers, stragglerDetector });
+    const releaser = new PlacementReleaser({ ...dependencies, workers, exitRecorder });
     const tokenAdvancer = new FencingTokenAdvancer({ leadership, clock });
-    const cacheGb = (machineType: string) => events.cacheGb(machineType);
-    const reconciler = new WorkerReconciler({ ...dependencies, releaser, tokenAdvancer, cacheGb });
+    const imageCacheGb = (machineType: string) => events.cacheGb(machineType);
+    const reconciler = new WorkerReconciler({ ...dependencies, releaser, tokenAdvancer, imageCacheGb });
     const cancelledLaunchGuard = new CancelledLaunchGuard({ leadership, timings, clock });
     const { misroutedWorkers } = this;
     this.workers = workers;
-    this.stragglers = stragglers;
+    this.stragglerDetector = stragglerDetector;
     this.releaser = releaser;
     this.heartbeatHandler = new HeartbeatHandler({
       ...dependencies,
       workers,
       misroutedWorkers,
       reconciler,
-      stragglers,
+      stragglerDetector,
       cancelledLaunchGuard,
     });
     this.commandSender = new CommandSender({ ...dependencies, timings, workers, reconciler });
@@ -61,27 +61,27 @@
     return machineRole(this.dependencies.leadership, machineId);
   }
 
-  /** Decides the answer to a heartbeat; `forwardedBy` is the node that forwarded it, if one did. */
+  /** Decides the response to a heartbeat; `forwardedBy` is the node that forwarded it, if one did. */
   handleHeartbeat(workerStatus: WorkerStatus, forwardedBy?: string): HeartbeatOutcome {
     return this.heartbeatHandler.handle(workerStatus, forwardedBy);
   }
 
-  /** Sends the commands for a machine's changed placements after `gatherMs`, without waiting for its next heartbeat. */
-  pushCommands(machineId: string, gatherMs?: number): void {
-    this.commandSender.schedule(machineId, gatherMs);
+  /** Sends the commands for a machine's changed placements after `delayMs`, without waiting for its next heartbeat. */
+  pushCommands(machineId: string, delayMs?: number): void {
+    this.commandSender.schedule(machineId, delayMs);
   }
 
-  /** Sends no more commands, and waits for the answers to those that are on their way, for `withinMs` at most. */
-  drain(withinMs: number): Promise<void> {
-    return this.commandSender.drain(withinMs);
+  /** Sends no more commands, and waits up to `timeoutMs` for the responses to those in flight. */
+  drain(timeoutMs: number): Promise<void> {
+    return this.commandSender.drain(timeoutMs);
   }
 
-  /** Tells a worker without contact since the takeover the fencing token. */
+  /** Sends the fencing token to a worker without contact since the takeover. */
   announceToken(target: AnnouncementTarget): Promise<void> {
     return this.tokenSender.send(target);
   }
 
-  /** Sweeps until the signal fires. */
+  /** Sweeps periodically until the signal is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       await this.dependencies.clock.sleep(SWEEP_MS, signal);
@@ -94,11 +94,11 @@
     this.misroutedWorkers.prune(now);
     this.tokenSender.prune(now);
     this.releaser.releaseExpired();
-    this.stragglers.evictFromSlowMachines(this.workers.values(), (machineId) => this.roleOf(machineId));
-    this.forgetSilent(now);
+    this.stragglerDetector.evictFromSlowMachines(this.workers.values(), (machineId) => this.roleOf(machineId));
+    this.forgetSilentWorkers(now);
   }
 
-  private forgetSilent(now: number): void {
+  private forgetSilentWorkers(now: number): void {
     const { settings, clusterState } = this.dependencies;
     const silentMs = WORKER_RETENTION_LEASES * settings.cluster.workers.workerLeaseMs;
     for (const { machineId, lastContactAt } of [...this.workers.values()]) {
--- a/src/workers/worker-reachability.ts
+++ b/src/workers/worker-reachability.ts
@@ -3,82 +3,92 @@
 
 /** A heartbeat that is about to be answered with 200. */
 export interface AnsweredHeartbeat {
-  /** Version and fencing token that the heartbeat shows. */
+  /** Version and fencing token that the heartbeat reports. */
   status: StatusVersion & { fencingToken: number };
-  /** The fencing token in the answer. */
+  /** The fencing token in the response. */
   fencingToken: number;
-  /** The node that forwarded the heartbeat; undefined: it came directly. */
+  /** The node that forwarded the heartbeat; undefined if it came directly. */
   forwardedBy: string | undefined;
-  /** ms after an answer by which the next heartbeat is late. */
-  lateMs: number;
-  /** Steady ms of its receipt. */
+  /** ms after an answered heartbeat by which the next one is late. */
+  lateAfterMs: number;
+  /** Monotonic ms when the heartbeat arrived. */
   now: number;
 }
 
 /**
- * Which heartbeats of a worker were answered, and whether the answers arrive.
- * Invariant: `confirmedAt` never lies after `answeredAt`; both only grow.
+ * Records which heartbeats of a worker were answered, and whether the responses arrive.
+ * Invariant: `confirmedAt` is never later than `answeredAt`; neither ever decreases.
  */
 export class WorkerReachability {
-  /** Steady ms of the receipt of the last heartbeat that was answered with 200. */
+  /** Monotonic ms when the last heartbeat that was answered with 200 arrived. */
   answeredAt = -Infinity;
   /**
-   * Steady ms of its last heartbeat; until it has sent one, of the first contact. Answers to commands don't count: a machine
-   * that can only answer loses its lease, and all that is sent there with it.
+   * Monotonic ms of the last heartbeat; before any heartbeat, of the first contact. Command responses don't count: a
+   * machine that can respond but not send heartbeats loses its lease, and with it all tasks that are sent there.
    */
   lastHeartbeatAt = -Infinity;
-  /** The node that forwarded the last heartbeat; undefined: it came directly. */
+  /** The node that forwarded the last heartbeat; undefined if it came directly. */
   forwardedBy: string | undefined;
-  /** The newest heartbeat; answers to commands may have brought newer statuses. */
-  private answeredHeartbeat: StatusVersion = { agentEpoch: 0, sequence: -1 };
-  /** The fencing token in the first answer to this worker: until it shows it, nothing proves that answers reach it. */
+  /** Version of the newest answered heartbeat; command responses may have brought newer statuses. */
+  private lastAnsweredHeartbeat: StatusVersion = { agentEpoch: 0, sequence: -1 };
+  /**
+   * The fencing token in the first response to this worker: until the worker reports it, nothing proves that responses
+   * arrive.
+   */
   private firstFencingToken: number | undefined;
-  /** Steady ms of the receipt of the last heartbeat whose answer is known to have arrived. */
+  /** Monotonic ms when the last heartbeat arrived whose response is known to have reached the worker. */
   private confirmedAt = -Infinity;
-  /** It waited in vain for the answer to the heartbeat before its last one. */
-  private hasMissedAnswer = false;
+  /** Whether the worker missed the response to the heartbeat before its last one. */
+  private hasMissedResponse = false;
 
-  /** Was this heartbeat, or a newer one, answered before? */
+  /** Whether this heartbeat, or a newer one, was answered before. */
   wasAnswered(status: StatusVersion): boolean {
-    return !isNewerThan(status, this.answeredHeartbeat);
+    return !isNewerThan(status, this.lastAnsweredHeartbeat);
   }
 
   /**
-   * A worker that gets its answers stays with the node and sends its heartbeats in time; one that waits in vain tries other
-   * nodes first. So a machine whose heartbeats arrive, but which no answer reaches, is told from a healthy one by its next
-   * heartbeat at the earliest.
-   * @param knownToken the highest fencing token that the worker has shown before
+   * Records a response, and whether the previous one arrived. A worker that gets its responses stays with the node and
+   * sends its heartbeats in time; one that misses a response tries other nodes first. So a machine whose heartbeats
+   * arrive, but which no response reaches, differs from a healthy one only from its next heartbeat on.
+   * @param previousToken the highest fencing token that the worker has reported before
    */
-  recordAnswer({ status, fencingToken, forwardedBy, lateMs, now }: AnsweredHeartbeat, knownToken: number): void {
-    this.answeredHeartbeat = { agentEpoch: status.agentEpoch, sequence: status.sequence };
+  recordResponse(
+    { status, fencingToken, forwardedBy, lateAfterMs, now }: AnsweredHeartbeat,
+    previousToken: number,
+  ): void {
+    this.lastAnsweredHeartbeat = { agentEpoch: status.agentEpoch, sequence: status.sequence };
     this.lastHeartbeatAt = now;
     this.firstFencingToken ??= fencingToken;
     if (this.confirmedAt === -Infinity) this.confirmedAt = now;
     if (this.answeredAt > -Infinity) {
-      const isInTime = now - this.answeredAt <= lateMs;
-      const showsNewToken = status.fencingToken > knownToken;
-      this.hasMissedAnswer = !showsNewToken && !(isInTime && forwardedBy === this.forwardedBy);
-      if (!this.hasMissedAnswer) this.confirmedAt = this.answeredAt;
+      const isInTime = now - this.answeredAt <= lateAfterMs;
+      const hasNewToken = status.fencingToken > previousToken;
+      this.hasMissedResponse = !hasNewToken && !(isInTime && forwardedBy === this.forwardedBy);
+      if (!this.hasMissedResponse) this.confirmedAt = this.answeredAt;
     }
     this.forwardedBy = forwardedBy;
     this.answeredAt = now;
   }
 
-  /** Commands reached it, by whatever way. */
+  /** Records that commands reached the worker, by whatever path. */
   recordCommandsDelivered(): void {
-    this.hasMissedAnswer = false;
+    this.hasMissedResponse = false;
   }
 
   /**
-   * Do answers reach the worker, as far as its heartbeats show? A late copy of a heartbeat shows no such thing.
-   * @param shownToken the highest fencing token that the worker has shown
+   * Whether responses reach the worker, as far as its heartbeats show. A late copy of a heartbeat is no evidence of
+   * that.
+   * @param reportedToken the highest fencing token that the worker has reported
    */
-  isReached(shownToken: number): boolean {
-    return !this.hasMissedAnswer && this.firstFencingToken !== undefined && shownToken >= this.firstFencingToken;
+  isReached(reportedToken: number): boolean {
+    return !this.hasMissedResponse && this.firstFencingToken !== undefined && reportedToken >= this.firstFencingToken;
   }
 
-  /** It sends heartbeats, but by all it shows no answer has reached it for so long that its lease has expired. */
+  /**
+   * Whether the worker sends heartbeats, but by all they show no response has reached it for so long that its lease has
+   * expired.
+   */
   hasExpiredDespiteHeartbeats(now: number, leaseMs: number): boolean {
-    return this.hasMissedAnswer && now > leaseExpiresAt(this.confirmedAt, leaseMs);
+    return this.hasMissedResponse && now > leaseExpiresAt(this.confirmedAt, leaseMs);
   }
 }
--- a/src/workers/worker-reconciler.ts
+++ b/src/workers/worker-reconciler.ts
@@ -5,65 +5,66 @@
 import { attemptKeyFrom } from './attempt-key.js';
 import type { FencingTokenAdvancer } from './fencing-token-advancer.js';
 import type { PlacementReleaser } from './placement-releaser.js';
-import { type CommandRights, type DesiredTask, reconcile } from './reconciliation.js';
+import { type CommandPermissions, type DesiredTask, reconcile } from './reconciliation.js';
 import type { Worker } from './worker.js';
 import type { WorkerCommand } from './worker-wire-codec.js';
 
-/** What a reconciliation is made for. */
+/** What a reconciliation is based on besides the worker's status: leadership and recorded placements. */
 export interface ReconciliationRequest {
   role: string;
   held: HeldLeadership;
   desired: ReadonlyMap<string, DesiredTask>;
-  /** The commands go into the answer to a heartbeat: only there may an exit be forgotten. */
-  isHeartbeatAnswer: boolean;
+  /** The commands go into a heartbeat response: only there may an exit be forgotten. */
+  isHeartbeatResponse: boolean;
 }
 
-/** What plans are made from, and who carries them out. */
+/** The state that plans are based on, and the components that execute them. */
 export interface WorkerReconcilerDependencies {
   leadership: RoleLeadership;
   replica: Replica;
   clusterState: ClusterState;
   releaser: PlacementReleaser;
   tokenAdvancer: FencingTokenAdvancer;
-  /** GB of images that a machine of the type keeps. */
-  cacheGb: (machineType: string) => number;
+  /** Size in GB of the image cache of a machine of this type. */
+  imageCacheGb: (machineType: string) => number;
 }
 
-/** Reconciles a worker's newest status with the recorded placements, and carries out all of the plan but its commands. */
+/** Reconciles a worker's newest status with the recorded placements, and executes the plan except for its commands. */
 export class WorkerReconciler {
   constructor(private readonly dependencies: WorkerReconcilerDependencies) {}
 
-  /** Records exits, has the fencing token advanced where that is needed, and returns the commands to send. */
+  /** Records exits, advances the fencing token if the plan needs it, and returns the commands to send. */
   reconcile(worker: Worker, request: ReconciliationRequest): WorkerCommand[] {
     const { releaser, tokenAdvancer } = this.dependencies;
-    const plan = reconcile(worker, request.desired, this.rightsOf(request));
+    const plan = reconcile(worker, request.desired, this.permissionsFor(request));
     for (const release of plan.releases) releaser.release(worker.machineId, request.role, release);
     if (plan.needsNewToken) tokenAdvancer.advance(request.role);
     return plan.commands;
   }
 
-  /** Records which images the tasks of the newest status have brought to the machine. */
+  /** Records which images the reported tasks have brought to the machine. */
   recordImages(worker: Worker): void {
-    const { clusterState, cacheGb } = this.dependencies;
+    const { clusterState, imageCacheGb } = this.dependencies;
     for (const [taskId, task] of worker.tasks) {
       if (task.state === 'fetching') continue;
       const jobId = parseTaskId(taskId)?.jobId;
       const spec = jobId === undefined ? undefined : clusterState.jobs.get(jobId)?.record.spec;
       if (spec === undefined || (task.state === 'exited' && task.exitReason !== 'done')) continue;
       if (!worker.imageCache.markRecorded(attemptKeyFrom(taskId, task.attempt))) continue;
-      worker.imageCache.add(spec.image, spec.imageGb, cacheGb(worker.machineType));
+      worker.imageCache.add(spec.image, spec.imageGb, imageCacheGb(worker.machineType));
     }
   }
 
-  private rightsOf({ held, isHeartbeatAnswer }: ReconciliationRequest): CommandRights {
+  private permissionsFor({ held, isHeartbeatResponse }: ReconciliationRequest): CommandPermissions {
     const { leadership, replica } = this.dependencies;
-    // What the former leader released, and its worker has forgotten, starts again unless it is known here.
+    // Until the former leader's last releases are known here, tasks that it released and its worker forgot would be
+    // launched again.
     const knowsAllPlacements = replica.revision >= held.term.startRevision;
     return {
       fencingToken: held.fencingToken,
       canLaunch: knowsAllPlacements && leadership.hasRecentStoreContact,
       knowsAllPlacements,
-      isHeartbeatAnswer,
+      isHeartbeatResponse,
     };
   }
 }
--- a/src/workers/worker-registry.ts
+++ b/src/workers/worker-registry.ts
@@ -10,20 +10,20 @@
 } from '../leadership/role-leadership.js';
 import { Worker } from './worker.js';
 
-/** The workers of one partition, for as long as one term of its leadership lasts. */
+/** The workers of one partition during one term of its leadership. */
 interface PartitionWorkers {
   readonly workers: Map<string, Worker>;
-  /** Steady ms of the last contact with any worker that has been forgotten since the term began. */
-  forgottenContactAt: number;
+  /** Monotonic ms of the last contact with any worker that was forgotten during the term. */
+  lastForgottenContactAt: number;
 }
 
 /**
- * The workers of all partitions that this process leads, and how far back its knowledge of them reaches. Both begin together,
- * with the term of a partition's leadership, and end together: that nothing is known of a worker proves nothing, unless it is
- * also known since when every answer to it would have been recorded here.
+ * The workers of all partitions that this process leads, and since when it has recorded every response to them. Both
+ * begin and end with the term of the partition's leadership: that no contact with a worker is known proves nothing,
+ * unless it is also known since when every response to it would have been recorded here.
  */
 export class WorkerRegistry {
-  /** Ends with the term itself: no other lifetime could get out of step with the time that proofs count from. */
+  /** Keyed by the term, so that the workers are dropped together with the start time that proofs are based on. */
   private readonly partitionsByTerm = new WeakMap<LeadershipTerm, PartitionWorkers>();
 
   constructor(
@@ -31,27 +31,27 @@
     private readonly timings: WorkerTimings,
   ) {}
 
-  /** undefined: there was no contact with it in this term, or its partition is not led here. */
+  /** Returns undefined without contact in this term, or if this node does not lead the partition. */
   get(machineId: string): Worker | undefined {
     return this.partitionOfMachine(machineId)?.workers.get(machineId);
   }
 
-  /** Was there contact with the machine's worker in the present term? */
+  /** Whether there was contact with the machine's worker in the present term. */
   has(machineId: string): boolean {
     return this.get(machineId) !== undefined;
   }
 
-  /** All workers with whom there was contact, one partition after the other. */
+  /** All workers with contact in the present terms, partition by partition. */
   *values(): Generator<Worker> {
     for (let partition = 0; partition < this.leadership.partitionCount; partition++) yield* this.ofPartition(partition);
   }
 
-  /** The workers of one partition; none if it is not led here. */
+  /** The workers of one partition; none if this node does not lead it. */
   ofPartition(partition: number): Iterable<Worker> {
     return this.partitionAt(partition)?.workers.values() ?? [];
   }
 
-  /** How many workers there are in all partitions led here. */
+  /** Number of workers in all partitions that this node leads. */
   get size(): number {
     let size = 0;
     for (let partition = 0; partition < this.leadership.partitionCount; partition++) {
@@ -60,40 +60,49 @@
     return size;
   }
 
-  /** Takes in a worker at the first contact. Without a term of its partition's leadership it is not kept. */
+  /** Adds a worker at the first contact. Without a term of its partition's leadership it is not kept. */
   add(worker: Worker): void {
     this.partitionOfMachine(worker.machineId)?.workers.set(worker.machineId, worker);
   }
 
-  /** The machine is terminated, and nothing on it needs a proof any more. */
+  /** Removes the worker of a terminated machine, whose tasks need no further proof of their end. */
   remove(machineId: string): void {
     this.partitionOfMachine(machineId)?.workers.delete(machineId);
   }
 
-  /** Forgets a worker that has been silent for long; its last contact still bounds the leases of the unknown ones. */
+  /**
+   * Forgets a worker that was silent for long. Its last contact still bounds the leases of workers that are not
+   * registered.
+   */
   forget(machineId: string): void {
     const partition = this.partitionOfMachine(machineId);
     const worker = partition?.workers.get(machineId);
     if (partition === undefined || worker === undefined) return;
     partition.workers.delete(machineId);
-    partition.forgottenContactAt = Math.max(partition.forgottenContactAt, lastAnswerableAt(worker));
+    partition.lastForgottenContactAt = Math.max(partition.lastForgottenContactAt, lastAnswerableAt(worker));
   }
 
-  /** Steady ms after which the lease of a machine's agent epoch has certainly expired, if nobody answers it again. */
+  /**
+   * Monotonic ms after which the lease of a machine's agent epoch has certainly expired, if no node answers the worker
+   * again.
+   */
   leaseExpiresAt(machineId: string, held: HeldLeadership): number {
     const partition = this.partitionInTerm(held.term);
     const worker = partition?.workers.get(machineId);
-    const known = worker === undefined ? (partition?.forgottenContactAt ?? -Infinity) : lastAnswerableAt(worker);
-    // A worker that has shown this token drops what former leaders answer.
+    const latestOwnResponseAt =
+      worker === undefined ? (partition?.lastForgottenContactAt ?? -Infinity) : lastAnswerableAt(worker);
+    // A worker that has reported this token ignores the responses of former leaders.
     const hasSeenToken = worker !== undefined && worker.fencingToken >= held.fencingToken;
-    const last = hasSeenToken ? known : Math.max(known, this.formerLeadersAnsweredUntil(held.term));
-    return leaseExpiresAt(last, this.timings.workerLeaseMs);
+    const latestPossibleResponseAt = hasSeenToken
+      ? latestOwnResponseAt
+      : Math.max(latestOwnResponseAt, this.formerLeadersAnsweredUntil(held.term));
+    return leaseExpiresAt(latestPossibleResponseAt, this.timings.workerLeaseMs);
   }
 
-  /** Steady ms from which on nobody else can have answered a worker that has not shown this node's token yet. */
+  /** Monotonic ms after which no other node can have answered a worker that has not yet reported this node's token. */
   private formerLeadersAnsweredUntil(term: LeadershipTerm): number {
-    // A former leader's replica can have been complete until its store lease ended, even if only its renewals were lost; and
-    // what it was told by this node since then would have shown it the new leadership record.
+    // A former leader's replica may have been complete until its store lease ended, even if only the lease renewals
+    // were lost. Any message from this node after that would have shown it the new leadership record.
     return term.at + Math.max(REPLICA_FRESH_MS, degradedServingMs(this.timings));
   }
 
@@ -107,13 +116,13 @@
 
   private partitionInTerm(term: LeadershipTerm | undefined): PartitionWorkers | undefined {
     if (term === undefined) return undefined;
-    const known = this.partitionsByTerm.get(term);
-    if (known !== undefined) return known;
-    const partition = { workers: new Map<string, Worker>(), forgottenContactAt: -Infinity };
+    const existing = this.partitionsByTerm.get(term);
+    if (existing !== undefined) return existing;
+    const partition = { workers: new Map<string, Worker>(), lastForgottenContactAt: -Infinity };
     this.partitionsByTerm.set(term, partition);
     return partition;
   }
 }
 
-/** Steady ms of the receipt of the last status that this node can have answered. */
+/** Monotonic ms when the last status arrived that this node can have answered. */
 const lastAnswerableAt = (worker: Worker): number => Math.max(worker.reachability.answeredAt, worker.lastContactAt);
--- a/src/workers/worker-wire-codec.ts
+++ b/src/workers/worker-wire-codec.ts
@@ -1,67 +1,67 @@
 /**
- * What workers and controllers send each other: the wire form, read and written here only, and the types that the program
- * works with. Sizes of texts are in characters.
+ * The protocol between workers and controllers: the wire form, which is encoded and decoded only here, and the types
+ * that the rest of the program uses. Lengths of texts are in characters.
  */
 import * as v from 'valibot';
 
 import type { MachineIdentity } from '../domain/machine-state.js';
 
 const MAX_TEXT_CHARACTERS = 200;
-const count = v.pipe(v.number(), v.integer(), v.minValue(0));
-const text = v.pipe(v.string(), v.minLength(1), v.maxLength(MAX_TEXT_CHARACTERS));
+const nonNegativeInteger = v.pipe(v.number(), v.integer(), v.minValue(0));
+const nonEmptyText = v.pipe(v.string(), v.minLength(1), v.maxLength(MAX_TEXT_CHARACTERS));
 
 const WireTaskSchema = v.object({
-  Shard: text,
-  Try: count,
+  Shard: nonEmptyText,
+  Try: nonNegativeInteger,
   Phase: v.string(),
   Cause: v.optional(v.nullable(v.string()), null),
   Saved: v.optional(v.nullable(v.boolean()), null),
 });
 
 const WireStatusSchema = v.object({
-  Host: text,
-  Endpoint: text,
-  Flavor: text,
-  Site: text,
+  Host: nonEmptyText,
+  Endpoint: nonEmptyText,
+  Flavor: nonEmptyText,
+  Site: nonEmptyText,
   Reclaimable: v.optional(v.nullable(v.boolean()), false),
-  Tenure: v.pipe(count, v.minValue(1)),
-  Tick: count,
-  Fence: v.optional(v.nullable(count), 0),
+  Tenure: v.pipe(nonNegativeInteger, v.minValue(1)),
+  Tick: nonNegativeInteger,
+  Fence: v.optional(v.nullable(nonNegativeInteger), 0),
   WarningS: v.optional(v.nullable(v.number()), null),
   Shards: v.optional(v.nullable(v.array(WireTaskSchema)), []),
 });
 
-/** Where an attempt is on its machine. */
+/** State of an attempt on its machine. */
 export type ReportedTaskState = 'fetching' | 'waiting' | 'running' | 'checkpointing' | 'exited';
 
-/** A task as its worker shows it. */
+/** A task as its worker reports it. */
 export interface ReportedTask {
   attempt: number;
   state: ReportedTaskState;
-  /** Of an exited task. Reasons that this program does not know stay as the worker names them. */
+  /** Why the task exited, if it has. Reasons unknown to this program are kept as the worker sends them. */
   exitReason: string | null;
-  /** It wrote a checkpoint when it was stopped. */
+  /** Whether the task wrote a checkpoint when it was stopped. */
   isCheckpointed: boolean;
 }
 
-/** The status of a worker: the body of its heartbeats, and of its answers to commands. */
+/** The status of a worker: the body of its heartbeats and of its responses to commands. */
 export interface WorkerStatus extends MachineIdentity {
   /** Highest fencing token that the worker has seen. */
   fencingToken: number;
-  /** s until the cloud takes the machine away; null: no notice. */
+  /** Seconds until the cloud takes the machine away; null without a spot notice. */
   spotNoticeS: number | null;
   /** By task id. */
   tasks: Map<string, ReportedTask>;
 }
 
-/** What orders the statuses of a worker. */
+/** The fields that order the statuses of a worker. */
 export type StatusVersion = Pick<WorkerStatus, 'agentEpoch' | 'sequence'>;
 
-/** The status with the larger agent epoch and sequence is the newer one. */
+/** Whether status `a` is newer than `b`: agent epochs are compared first, then sequence numbers. */
 export const isNewerThan = (a: StatusVersion, b: StatusVersion): boolean =>
   a.agentEpoch > b.agentEpoch || (a.agentEpoch === b.agentEpoch && a.sequence > b.sequence);
 
-const STATE_OF_PHASE = new Map<string, ReportedTaskState>([
+const TASK_STATE_BY_PHASE = new Map<string, ReportedTaskState>([
   ['fetching', 'fetching'],
   ['waiting', 'waiting'],
   ['running', 'running'],
@@ -69,7 +69,7 @@
   ['exited', 'exited'],
 ]);
 
-const REASON_OF_CAUSE = new Map<string, string>([
+const EXIT_REASON_BY_CAUSE = new Map<string, string>([
   ['peers', 'peer_lost'],
   ['alone', 'gang_incomplete'],
   ['no_room', 'insufficient_resources'],
@@ -77,22 +77,22 @@
 ]);
 
 const decodeExitReason = (cause: string | null): string | null =>
-  cause === null ? null : (REASON_OF_CAUSE.get(cause) ?? cause);
+  cause === null ? null : (EXIT_REASON_BY_CAUSE.get(cause) ?? cause);
 
 function decodeTasks(wireTasks: readonly v.InferOutput<typeof WireTaskSchema>[]): Map<string, ReportedTask> {
   const tasks = new Map<string, ReportedTask>();
   for (const { Shard: taskId, Try: attempt, Phase, Cause, Saved } of wireTasks) {
-    const known = tasks.get(taskId);
-    // Should a worker list two attempts of a task, the one that has not exited counts.
-    if (known !== undefined && known.state !== 'exited') continue;
-    // A state that we don't know still occupies the machine.
-    const state = STATE_OF_PHASE.get(Phase) ?? 'running';
+    const previous = tasks.get(taskId);
+    // If a worker lists two attempts of a task, the one that has not exited is kept.
+    if (previous !== undefined && previous.state !== 'exited') continue;
+    // A task in an unknown state still occupies the machine, so it counts as running.
+    const state = TASK_STATE_BY_PHASE.get(Phase) ?? 'running';
     tasks.set(taskId, { attempt, state, exitReason: decodeExitReason(Cause), isCheckpointed: Saved === true });
   }
   return tasks;
 }
 
-/** undefined: the body is not a worker's status. */
+/** Returns undefined if the body is not a worker status. */
 export function decodeWorkerStatus(body: unknown): WorkerStatus | undefined {
   const result = v.safeParse(WireStatusSchema, body);
   if (!result.success) return undefined;
@@ -111,7 +111,7 @@
   };
 }
 
-/** What a worker is to do. Commands are executed in order. */
+/** A command to a worker. Workers execute commands in order. */
 export type WorkerCommand =
   | { kind: 'launch'; taskId: string; attempt: number }
   | { kind: 'kill'; taskId: string; attempt: number; gracePeriodS: number }
@@ -128,11 +128,11 @@
   ...(command.kind === 'kill' ? { WindDownS: command.gracePeriodS } : {}),
 });
 
-/** Commands sent to a worker directly, not in the answer to a heartbeat. */
+/** Commands sent to a worker directly, not in the response to a heartbeat. */
 export interface DirectCommands {
-  /** They are refused by a worker that has seen a higher one. */
+  /** A worker that has seen a higher token refuses the commands. */
   fencingToken: number;
-  /** They are refused by a worker in another one. */
+  /** A worker in another agent epoch refuses the commands. */
   agentEpoch: number;
   commands: readonly WorkerCommand[];
 }
@@ -144,11 +144,11 @@
   Orders: commands.map(encodeCommand),
 });
 
-/** The answer to a heartbeat: the leader's fencing token and commands. */
-export const encodeHeartbeatAnswer = (fencingToken: number, commands: readonly WireCommand[]): unknown => ({
+/** The response to a heartbeat: the leader's fencing token and commands. */
+export const encodeHeartbeatResponse = (fencingToken: number, commands: readonly WireCommand[]): unknown => ({
   Fence: fencingToken,
   Orders: commands,
 });
 
-/** The answer to a heartbeat that is for another node; undefined: the partition has no known leader. */
+/** The response that redirects a worker to its leader; `node` is undefined for a terminated machine, which has none. */
 export const encodeRedirect = (node: string | undefined): unknown => (node === undefined ? {} : { Steward: node });
--- a/src/workers/worker.ts
+++ b/src/workers/worker.ts
@@ -7,9 +7,9 @@
 import { isNewerThan, type ReportedTask, type StatusVersion, type WorkerStatus } from './worker-wire-codec.js';
 
 /**
- * What the leader of a partition knows of one of its workers: who it is and its newest status, and in a part each what follows
- * from its statuses. Lost with the process; heartbeats bring it back.
- * Invariant: version (`agentEpoch`, `sequence`) and `fencingToken` only grow.
+ * What the leader of a partition knows of one of its workers: its identity, its newest status, and, in one component
+ * each, what follows from its statuses. It is kept in memory only; heartbeats rebuild it.
+ * Invariant: the version (`agentEpoch`, `sequence`) and `fencingToken` never decrease.
  */
 export class Worker {
   tasks = new Map<string, ReportedTask>();
@@ -19,11 +19,11 @@
   isSpot = false;
   agentEpoch = 0;
   sequence = -1;
-  /** Highest fencing token that the worker has shown. */
+  /** Highest fencing token that the worker has reported. */
   fencingToken = 0;
-  /** Steady ms of the last newer status of whatever origin. */
+  /** Monotonic ms when the newest status arrived, in a heartbeat or a command response. */
   lastContactAt = -Infinity;
-  /** Steady ms when the cloud takes the machine away. */
+  /** Monotonic ms when the cloud takes the machine away; null without a spot notice. */
   spotNoticeUntil: number | null = null;
 
   readonly reachability = new WorkerReachability();
@@ -35,12 +35,15 @@
 
   constructor(readonly machineId: string) {}
 
-  /** A copy of a heartbeat that was answered before, or one of an agent epoch that is over. */
+  /** Whether this heartbeat or a newer one was answered before, or its agent epoch is over. */
   isLate(workerStatus: StatusVersion): boolean {
     return workerStatus.agentEpoch < this.agentEpoch || this.reachability.wasAnswered(workerStatus);
   }
 
-  /** Takes a status in, received at `now` (steady ms). False: an older one, which changes nothing. */
+  /**
+   * Applies a status received at `now` (monotonic ms). Returns false, without any change, if it is not newer than the
+   * last one.
+   */
   applyStatus(workerStatus: WorkerStatus, now: number, isHeartbeat: boolean): boolean {
     if (!isNewerThan(workerStatus, this)) return false;
     const isFirstContact = this.sequence < 0;
@@ -56,56 +59,56 @@
     this.spotNoticeUntil = workerStatus.spotNoticeS === null ? null : now + workerStatus.spotNoticeS * 1000;
     this.lastContactAt = now;
     if (isFirstContact) this.reachability.lastHeartbeatAt = now;
-    const present = this.runTimes.update(this.tasks, now, isFirstContact);
-    this.slowness.retainAttempts(present);
-    this.imageCache.retainAttempts(present);
+    const presentAttempts = this.runTimes.update(this.tasks, now, isFirstContact);
+    this.slowness.retainAttempts(presentAttempts);
+    this.imageCache.retainAttempts(presentAttempts);
     this.launches.applyStatus({ fencingToken: this.fencingToken, sequence: this.sequence, isHeartbeat });
     return true;
   }
 
-  /** A heartbeat is about to be answered with 200; its status is applied afterwards. */
-  recordAnswer(answered: AnsweredHeartbeat): void {
-    this.reachability.recordAnswer(answered, this.fencingToken);
+  /** Records that a heartbeat is about to be answered with 200; its status must be applied afterwards. */
+  recordResponse(heartbeat: AnsweredHeartbeat): void {
+    this.reachability.recordResponse(heartbeat, this.fencingToken);
   }
 
-  // What the inventory and the role rebalancer read of a worker.
+  // The rest is read by the inventory and the role rebalancer.
 
-  /** Steady ms of its last heartbeat; until it has sent one, of the first contact. */
+  /** Monotonic ms of the last heartbeat; before any heartbeat, of the first contact. */
   get lastHeartbeatAt(): number {
     return this.reachability.lastHeartbeatAt;
   }
 
-  /** Do answers reach the worker, as far as its heartbeats show? */
+  /** Whether responses reach the worker, as far as its heartbeats show. */
   get isReached(): boolean {
     return this.reachability.isReached(this.fencingToken);
   }
 
-  /** It sends heartbeats, but no answer has reached it for so long that its lease has expired. */
+  /** Whether the worker sends heartbeats, but no response has reached it for so long that its lease has expired. */
   hasExpiredDespiteHeartbeats(now: number, leaseMs: number): boolean {
     return this.reachability.hasExpiredDespiteHeartbeats(now, leaseMs);
   }
 
-  /** Steady ms until which no new work comes here after a launch was refused. */
+  /** Monotonic ms until which the machine takes no new work because it refused a launch. */
   get backoffUntil(): number {
     return this.health.backoffUntil;
   }
 
-  /** Does the machine take no new work, since tasks of several jobs failed there? */
+  /** Whether the machine takes no new work because tasks of several jobs failed there. */
   isQuarantined(now: number): boolean {
     return this.health.isQuarantined(now);
   }
 
-  /** Jobs that are to look elsewhere first. */
+  /** Ids of jobs that should try other machines first, because their tasks failed here. */
   failedJobs(now: number): string[] {
     return this.health.failedJobs(now);
   }
 
-  /** Did the last tasks run far longer here than their siblings elsewhere? */
+  /** Whether the last tasks ran far longer here than their siblings elsewhere. */
   isSlow(now: number): boolean {
     return this.slowness.isSlow(now);
   }
 
-  /** The images that the machine keeps, with their GB, most recently used last. */
+  /** Sizes in GB of the images that the machine keeps, most recently used last. */
   get images(): ReadonlyMap<string, number> {
     return this.imageCache.images;
   }
--- a/test/workers/command-client.test.ts
+++ b/test/workers/command-client.test.ts
@@ -6,7 +6,7 @@
 import { answering } from '../../testing/answering-http-client.js';
 
 describe('the command client', () => {
-  it('tells whether commands were, were not, or may yet be executed', async () => {
+  it('reports whether commands were executed, refused, never sent, or may still be executed', async () => {
     const send = (reply: Reply | NoResponseError) =>
       sendCommands(answering(reply), 'x:1', { fencingToken: 1, agentEpoch: 1, commands: [] });
     assert.equal((await send({ status: 200, body: {} })).kind, 'done');
--- a/test/workers/exit-recorder.test.ts
+++ b/test/workers/exit-recorder.test.ts
@@ -7,7 +7,7 @@
 import type { Mutation } from '../../src/store/transaction-batcher.js';
 import { TransactionDraft } from '../../src/store/transaction-draft.js';
 import { ExitRecorder, type ExitRecorderDependencies } from '../../src/workers/exit-recorder.js';
-import { type DesiredTask, findProof } from '../../src/workers/reconciliation.js';
+import { type DesiredTask, findProvenRelease } from '../../src/workers/reconciliation.js';
 import { Worker } from '../../src/workers/worker.js';
 import { decodeWorkerStatus, type WorkerStatus } from '../../src/workers/worker-wire-codec.js';
 import { FakeClock } from '../../testing/fake-clock.js';
@@ -43,7 +43,7 @@
     Shards: wireTasks,
   })!;
 
-/** Recorded: the gang's first member is placed, and its second one on another machine. */
+/** A draft of records in which the gang's two members are placed on different machines. */
 function draftOfPlacements(): TransactionDraft {
   const rows = new Map<string, unknown>([
     [jobKey(GANG.id), encodeJobRecord({ spec: GANG, state: 'active', submittedAtMs: 0, tasksPerChunk: 2 })],
@@ -60,16 +60,16 @@
   return new TransactionDraft((key) => ({ value: rows.get(key), modRevision: 3 }));
 }
 
-/** Records the exit of the gang's first member; returns the decision that waits for its turn at the store. */
+/** Records the exit of the gang's first member, and returns the mutation that waits to be committed. */
 function recordExit(worker: Worker): Mutation {
-  let decide: Mutation = () => false;
+  let queuedMutation: Mutation = () => false;
   const recorder = new ExitRecorder({
     settings: { cluster: { teams: [], workers: { report_s: 1 } } },
     leadership: { requireLeadership: () => true, termOf: () => undefined },
     clusterState: { jobs: new Map(), batchingHintFor: () => undefined },
     transactions: {
-      commit: (_name: string, _priority: number, decision: Mutation) => {
-        decide = decision;
+      commit: (_name: string, _priority: number, mutation: Mutation) => {
+        queuedMutation = mutation;
         return new Promise(() => undefined);
       },
     },
@@ -82,27 +82,28 @@
   recorder.record(
     MACHINE_ID,
     'part-0',
-    findProof(worker, desired, FENCING_TOKEN)!,
-    () => findProof(worker, desired, FENCING_TOKEN)?.proof,
+    findProvenRelease(worker, desired, FENCING_TOKEN)!,
+    () => findProvenRelease(worker, desired, FENCING_TOKEN)?.proof,
   );
-  return decide;
+  return queuedMutation;
 }
 
-describe('the exit of a gang member that waits for its turn at the store', () => {
+describe('the queued release of an exited gang member', () => {
   const exited = { Shard: `${GANG.id}/0`, Try: 1, Phase: 'exited', Cause: 'no_room' };
 
-  it('releases its placement as long as its worker shows it', () => {
+  it('releases the placement while the worker still reports the exit', () => {
     const worker = new Worker(MACHINE_ID);
     worker.applyStatus(statusOf(1, [exited]), 0, true);
     assert.equal(recordExit(worker)(draftOfPlacements()), true);
   });
 
-  // The store may have applied a first try and lost the answer; the member may be placed there once more since.
-  it('does not release its next placement on the same machine under the same attempt', () => {
+  // The store may have applied the first try although its response was lost, and the member may have been placed there
+  // again since.
+  it('does not release a later placement on the same machine with the same attempt number', () => {
     const worker = new Worker(MACHINE_ID);
     worker.applyStatus(statusOf(1, [exited]), 0, true);
-    const decide = recordExit(worker);
+    const queuedMutation = recordExit(worker);
     worker.applyStatus(statusOf(2, [{ Shard: `${GANG.id}/0`, Try: 1, Phase: 'waiting' }]), 0, true);
-    assert.equal(decide(draftOfPlacements()), false);
+    assert.equal(queuedMutation(draftOfPlacements()), false);
   });
 });
--- a/test/workers/heartbeats.test.ts
+++ b/test/workers/heartbeats.test.ts
@@ -9,7 +9,7 @@
 let cluster: Cluster;
 afterEach(() => assert.deepEqual(cluster.verdict(), []));
 
-async function ready(nodes: number, machines: number): Promise<Cluster> {
+async function startCluster(nodes: number, machines: number): Promise<Cluster> {
   cluster = new Cluster({ nodes });
   for (let index = 0; index < machines; index++) {
     cluster.addWorker({ machineId: `i-00000${index}`, zone: ['a', 'b', 'c'][index % 3]!, runMs: 5000 });
@@ -27,9 +27,9 @@
   return machine !== undefined && cluster.node(node).inventory.isSchedulable(machine);
 };
 
-describe('a machine that no answer reaches', () => {
-  it('gets no new work, and its service comes up elsewhere once its lease has run out', async () => {
-    await ready(3, 4);
+describe('a machine whose heartbeats arrive but which no response reaches', () => {
+  it('takes no new work, and its service task starts elsewhere once its lease has expired', async () => {
+    await startCluster(3, 4);
     await cluster.submit(service);
     const machineId = machineOf('j-svc/0');
     cluster.rememberWorkers();
@@ -45,8 +45,8 @@
     assert.equal(cluster.overlaps('j-svc/0'), 0);
   });
 
-  it('is open again as soon as it is reached', async () => {
-    await ready(3, 2);
+  it('is schedulable again as soon as responses reach it', async () => {
+    await startCluster(3, 2);
     cluster.inboundLoss.add('i-000000');
     await cluster.advance(2000);
     cluster.inboundLoss.delete('i-000000');
@@ -56,20 +56,32 @@
   });
 });
 
-describe('a heartbeat that crosses a newer answer to a command', () => {
-  it('is no late copy, and its worker counts as reached', async () => {
-    await ready(1, 1);
+describe('a heartbeat that is overtaken by a newer command response', () => {
+  it('is not treated as a late copy, and its worker counts as reached', async () => {
+    await startCluster(1, 1);
     const worker = new Worker('i-000000');
     const workerStatus = decodeWorkerStatus(cluster.workers.get('i-000000')!.composeHeartbeat())!;
     worker.applyStatus({ ...workerStatus, sequence: workerStatus.sequence + 5 }, 100, false);
     assert.equal(worker.isLate(workerStatus), false);
-    worker.recordAnswer({ status: workerStatus, fencingToken: 1, forwardedBy: undefined, lateMs: 2250, now: 100 });
+    worker.recordResponse({
+      status: workerStatus,
+      fencingToken: 1,
+      forwardedBy: undefined,
+      lateAfterMs: 2250,
+      now: 100,
+    });
     assert.equal(worker.isLate(workerStatus), true);
     for (let n = 1; n <= 5; n++) {
-      // Every heartbeat crosses a command's answer; the worker is with this node and in time all the same.
+      // Every heartbeat is overtaken by a command response, but the worker stays with this node and is in time.
       const next = { ...workerStatus, sequence: workerStatus.sequence + n, fencingToken: 1 };
       assert.equal(worker.isLate(next), false);
-      worker.recordAnswer({ status: next, fencingToken: 1, forwardedBy: undefined, lateMs: 2250, now: 100 + n * 1000 });
+      worker.recordResponse({
+        status: next,
+        fencingToken: 1,
+        forwardedBy: undefined,
+        lateAfterMs: 2250,
+        now: 100 + n * 1000,
+      });
       worker.applyStatus({ ...next, sequence: next.sequence + 50 }, 100 + n * 1000, false);
       assert.equal(worker.isReached, true);
     }
@@ -77,8 +89,9 @@
 });
 
 describe('a new leader', () => {
-  it('measures no run that it has not seen start: the rest of it would make all later ones seem long', async () => {
-    await ready(1, 1);
+  // The remaining run time alone would make all later run times seem long.
+  it('does not measure the run time of a task that was already running at the first contact', async () => {
+    await startCluster(1, 1);
     const worker = new Worker('i-000000');
     const workerStatus = decodeWorkerStatus(cluster.workers.get('i-000000')!.composeHeartbeat())!;
     const running = (...names: string[]) =>
@@ -92,8 +105,8 @@
 });
 
 describe('a late copy of a heartbeat', () => {
-  it('does not show that the machine is up: it is scaled in as soon as without it', async () => {
-    await ready(3, 4);
+  it('does not count as a sign of life, so its machine is scaled in and the task starts elsewhere', async () => {
+    await startCluster(3, 4);
     await cluster.submit(service);
     const machineId = machineOf('j-svc/0');
     const copy = cluster.workers.get(machineId)!.composeHeartbeat();
@@ -101,7 +114,7 @@
     cluster.rememberWorkers();
     cluster.cut.add(machineId);
     for (let second = 0; second < 12; second++) {
-      // Wherever it comes: at its leader, and at nodes that would take it for a worker cut off from its leader.
+      // The copy arrives at the leader, and at nodes that would take its worker to be cut off from the leader.
       for (const node of [0, 1, 2]) void cluster.node(node).answerHeartbeat(JSON.parse(JSON.stringify(copy)));
       await cluster.advance(1000);
     }
@@ -110,8 +123,8 @@
     assert.equal(cluster.overlaps('j-svc/0'), 0);
   });
 
-  it('does not bring a terminated machine back', async () => {
-    await ready(3, 3);
+  it('does not register a terminated machine again', async () => {
+    await startCluster(3, 3);
     const copy = cluster.workers.get('i-000001')!.composeHeartbeat();
     cluster.cut.add('i-000001');
     await cluster.advance(12_000);
@@ -123,8 +136,8 @@
     }
   });
 
-  it('received first by a node that has just started opens no machine to new work', async () => {
-    await ready(1, 2);
+  it('does not make its machine schedulable if it is the first heartbeat at a restarted node', async () => {
+    await startCluster(1, 2);
     const copy = cluster.workers.get('i-000000')!.composeHeartbeat();
     cluster.cut.add('i-000000');
     cluster.crash(0);
@@ -138,8 +151,8 @@
 });
 
 describe('a node cut off from store and peers, but not from its workers', () => {
-  it('redirects them to the new leader as soon as they show its token, and no task dies', async () => {
-    await ready(3, 6);
+  it('redirects the workers to the new leader as soon as they report its token, and no task ends', async () => {
+    await startCluster(3, 6);
     for (let n = 0; n < 6; n++) await cluster.submit({ ...service, id: `j-svc${n}` });
     cluster.network.fault({ from: 'n0', to: 'store:1', kind: 'lose' });
     for (const pair of ['n0>n1', 'n0>n2', 'n1>n0', 'n2>n0']) cluster.partitioned.add(pair);
@@ -153,14 +166,14 @@
   });
 });
 
-describe('a user in an outage of the store', () => {
-  it('is told at once, not at a deadline, whatever is asked', async () => {
-    await ready(1, 1);
+describe('the job API in an outage of the store', () => {
+  it('responds to submissions, polls and cancellations with 503 at once, not only after a timeout', async () => {
+    await startCluster(1, 1);
     await cluster.submit(service);
     cluster.store.out = true;
     const jobs = cluster.node(0).jobs;
     const spec = jobOf({ ...service, id: 'j-later' });
-    // In the first moments the store's own refusal is passed on, later it is known on arrival.
+    // At first the store's own refusal is passed on; later the outage is already known when a request arrives.
     for (const sinceMs of [0, 5000]) {
       await cluster.advance(sinceMs);
       const asked = [jobs.submit(spec), jobs.poll('j-svc'), jobs.cancel('j-svc')];
@@ -178,8 +191,8 @@
 });
 
 describe('a zone that is cut off', () => {
-  it('keeps its machines, its tasks start elsewhere when the leases expire, and its machines are used again', async () => {
-    await ready(3, 9);
+  it('keeps its machines, its tasks start elsewhere when the leases expire, and the machines become schedulable again', async () => {
+    await startCluster(3, 9);
     const inZone = [...cluster.workers.values()].filter((worker) => worker.options.zone === 'b');
     await cluster.submit({ ...service, taskCount: 4, spreadAcrossZones: true });
     for (const { options } of inZone) cluster.cut.add(options.machineId);
@@ -195,9 +208,9 @@
   });
 });
 
-describe('nodes that do not hear each other', () => {
-  it('place work on the machines of all as long as their leaders keep their leadership', async () => {
-    await ready(3, 6);
+describe('nodes that can not reach each other', () => {
+  it('place tasks on all machines as long as the partition leaders keep their leadership', async () => {
+    await startCluster(3, 6);
     for (const from of [0, 1, 2]) for (const to of [0, 1, 2]) cluster.partitioned.add(`n${from}>n${to}`);
     await cluster.advance(20_000);
     for (const node of [0, 1, 2]) {
--- a/test/workers/reconciliation.test.ts
+++ b/test/workers/reconciliation.test.ts
@@ -3,16 +3,21 @@
 
 import type { ActivePlacement } from '../../src/domain/task.js';
 import { PendingLaunches } from '../../src/workers/pending-launches.js';
-import { type CommandRights, type DesiredTask, reconcile, type WorkerView } from '../../src/workers/reconciliation.js';
+import {
+  type CommandPermissions,
+  type DesiredTask,
+  reconcile,
+  type WorkerView,
+} from '../../src/workers/reconciliation.js';
 import type { ReportedTask } from '../../src/workers/worker-wire-codec.js';
 
 const FENCING_TOKEN = 7;
 const TASK_ID = 'j-000001/0';
-const RIGHTS: CommandRights = {
+const PERMISSIONS: CommandPermissions = {
   fencingToken: FENCING_TOKEN,
   canLaunch: true,
   knowsAllPlacements: true,
-  isHeartbeatAnswer: true,
+  isHeartbeatResponse: true,
 };
 
 function workerWith(task?: Partial<ReportedTask>): WorkerView & { launches: PendingLaunches } {
@@ -35,52 +40,52 @@
 }
 
 describe('the reconciliation of a worker with the recorded placements', () => {
-  it('asks for nothing where both agree', () => {
-    const plan = reconcile(workerWith({}), desiredWith(), RIGHTS);
+  it('plans no action if status and placements match', () => {
+    const plan = reconcile(workerWith({}), desiredWith(), PERMISSIONS);
     assert.deepEqual(plan, { commands: [], releases: [], needsNewToken: false });
   });
 
   it('launches a missing task only while launches are allowed', () => {
     const launch = { kind: 'launch', taskId: TASK_ID, attempt: 1 };
-    assert.deepEqual(reconcile(workerWith(), desiredWith(), RIGHTS).commands, [launch]);
-    assert.deepEqual(reconcile(workerWith(), desiredWith(), { ...RIGHTS, canLaunch: false }).commands, []);
+    assert.deepEqual(reconcile(workerWith(), desiredWith(), PERMISSIONS).commands, [launch]);
+    assert.deepEqual(reconcile(workerWith(), desiredWith(), { ...PERMISSIONS, canLaunch: false }).commands, []);
   });
 
   it('kills another attempt before the recorded one is launched', () => {
-    const { commands } = reconcile(workerWith({ attempt: 1 }), desiredWith({ attempt: 2 }), RIGHTS);
+    const { commands } = reconcile(workerWith({ attempt: 1 }), desiredWith({ attempt: 2 }), PERMISSIONS);
     assert.deepEqual(commands, [{ kind: 'kill', taskId: TASK_ID, attempt: 1, gracePeriodS: 0 }]);
   });
 
-  it('forgets an exit without a placement in answers to heartbeats only, and not while a launch may arrive', () => {
+  it('forgets an exit without a placement only in heartbeat responses, and not while a launch may still arrive', () => {
     const worker = workerWith({ state: 'exited', exitReason: 'done' });
     const forget = { kind: 'forget', taskId: TASK_ID, attempt: 1 };
-    assert.deepEqual(reconcile(worker, new Map(), RIGHTS).commands, [forget]);
-    assert.deepEqual(reconcile(worker, new Map(), { ...RIGHTS, isHeartbeatAnswer: false }).commands, []);
+    assert.deepEqual(reconcile(worker, new Map(), PERMISSIONS).commands, [forget]);
+    assert.deepEqual(reconcile(worker, new Map(), { ...PERMISSIONS, isHeartbeatResponse: false }).commands, []);
     worker.launches.recordSent(`${TASK_ID}#1`, FENCING_TOKEN);
-    assert.deepEqual(reconcile(worker, new Map(), RIGHTS), { commands: [], releases: [], needsNewToken: true });
+    assert.deepEqual(reconcile(worker, new Map(), PERMISSIONS), { commands: [], releases: [], needsNewToken: true });
   });
 
-  it('leaves tasks without a placement alone until all placements are known', () => {
-    const { commands } = reconcile(workerWith({}), new Map(), { ...RIGHTS, knowsAllPlacements: false });
+  it('kills no task without a placement until all placements are known', () => {
+    const { commands } = reconcile(workerWith({}), new Map(), { ...PERMISSIONS, knowsAllPlacements: false });
     assert.deepEqual(commands, []);
   });
 
-  it('releases the placement of a cancelled task once its launch can not arrive any more', () => {
+  it('releases the placement of a cancelled task once its launch can no longer arrive', () => {
     const worker = workerWith();
     worker.launches.recordSent(`${TASK_ID}#1`, FENCING_TOKEN);
-    const before = reconcile(worker, desiredWith({}, true), RIGHTS);
+    const before = reconcile(worker, desiredWith({}, true), PERMISSIONS);
     assert.deepEqual(before, { commands: [], releases: [], needsNewToken: true });
-    worker.launches.settle(`${TASK_ID}#1`, FENCING_TOKEN);
-    const { releases } = reconcile(worker, desiredWith({}, true), RIGHTS);
+    worker.launches.markResolved(`${TASK_ID}#1`, FENCING_TOKEN);
+    const { releases } = reconcile(worker, desiredWith({}, true), PERMISSIONS);
     assert.deepEqual(
       releases.map(({ proof, ending }) => ({ proof, ending })),
       [{ proof: { kind: 'exited', attempt: 1, agentEpoch: 2 }, ending: 'lost' }],
     );
   });
 
-  it('releases a placement of a former agent epoch, and none of a later one', () => {
-    const [release] = reconcile(workerWith(), desiredWith({ agentEpoch: 1 }), RIGHTS).releases;
+  it('releases a placement of an earlier agent epoch, but not one of a later agent epoch', () => {
+    const [release] = reconcile(workerWith(), desiredWith({ agentEpoch: 1 }), PERMISSIONS).releases;
     assert.equal(release?.ending, 'lost');
-    assert.deepEqual(reconcile(workerWith(), desiredWith({ agentEpoch: 3 }), RIGHTS).releases, []);
+    assert.deepEqual(reconcile(workerWith(), desiredWith({ agentEpoch: 3 }), PERMISSIONS).releases, []);
   });
 });
--- a/test/workers/worker-registry.test.ts
+++ b/test/workers/worker-registry.test.ts
@@ -17,8 +17,8 @@
 };
 const MACHINE_ID = 'i-000001';
 
-/** A registry over one partition, whose leadership term tests replace. */
-function registryOver(term: LeadershipTerm) {
+/** A registry for one partition; tests replace its leadership term in `led`. */
+function registryFor(term: LeadershipTerm) {
   const led: { term: LeadershipTerm | undefined } = { term };
   const leadership = { partitionCount: 1, partitionOf: () => 0, termOf: () => led.term } as unknown as RoleLeadership;
   return { led, registry: new WorkerRegistry(leadership, TIMINGS) };
@@ -30,9 +30,9 @@
   return worker;
 }
 
-describe('what is known of the workers of a partition', () => {
-  it('ends with the leadership term, and leases then count from the next one', () => {
-    const { led, registry } = registryOver({ startRevision: 5, at: 1000 });
+describe('the worker registry', () => {
+  it('drops the workers of an ended leadership term, and counts leases from the start of the next one', () => {
+    const { led, registry } = registryFor({ startRevision: 5, at: 1000 });
     registry.add(workerWithContactAt(500_000));
     led.term = { startRevision: 9, at: 600_000 };
     assert.equal(registry.has(MACHINE_ID), false);
@@ -40,25 +40,25 @@
     assert.ok(registry.leaseExpiresAt(MACHINE_ID, { fencingToken: 9, term: led.term }) > 600_000 + LEASE_MS);
   });
 
-  it('outlives an advanced token, which begins no new term', () => {
+  it('keeps the workers when the fencing token is advanced, which starts no new term', () => {
     const term = { startRevision: 5, at: 1000 };
-    const { registry } = registryOver(term);
+    const { registry } = registryFor(term);
     registry.add(workerWithContactAt(500_000));
     const advanced = { fencingToken: 12, term };
     assert.equal(registry.leaseExpiresAt(MACHINE_ID, advanced), leaseExpiresAt(500_000, LEASE_MS));
   });
 
-  it('proves no lease over by having been forgotten', () => {
+  it('does not consider the lease of a worker expired because it was forgotten', () => {
     const term = { startRevision: 5, at: 1000 };
-    const { registry } = registryOver(term);
+    const { registry } = registryFor(term);
     registry.add(workerWithContactAt(500_000));
     registry.forget(MACHINE_ID);
     assert.equal(registry.has(MACHINE_ID), false);
     assert.equal(registry.leaseExpiresAt(MACHINE_ID, { fencingToken: 5, term }), leaseExpiresAt(500_000, LEASE_MS));
   });
 
-  it('keeps no worker of a partition that is not led', () => {
-    const { led, registry } = registryOver({ startRevision: 5, at: 1000 });
+  it('keeps no worker of a partition that this node does not lead', () => {
+    const { led, registry } = registryFor({ startRevision: 5, at: 1000 });
     led.term = undefined;
     registry.add(workerWithContactAt(500_000));
     assert.deepEqual([...registry.values()], []);
