--- a/src/workers/command-sender.ts
+++ b/src/workers/command-sender.ts
@@ -91,8 +91,8 @@
     const { endpoint, agentEpoch } = worker;
     const launches = commands.filter((command) => command.kind === 'launch').map(attemptKeyOfCommand);
     for (const attemptKey of launches) worker.launches.recordSent(attemptKey, fencingToken);
-    const commandNames = commands.map((command) => `${command.kind} ${attemptKeyOfCommand(command)}`);
-    log.debug({ machineId, commands: commandNames }, 'sending commands');
+    const commandSummaries = commands.map((command) => `${command.kind} ${attemptKeyOfCommand(command)}`);
+    log.debug({ machineId, commands: commandSummaries }, 'sending commands');
     const result = await sendCommands(http, endpoint, { fencingToken, agentEpoch, commands });
     this.inFlight.delete(worker);
     const mustSendAgain = this.pendingResends.delete(worker);
--- a/src/workers/exit-recorder.ts
+++ b/src/workers/exit-recorder.ts
@@ -78,7 +78,7 @@
       'release placement',
       exitPriority(spec),
       (draft) => {
-        // The proof does not cover what another leader may have placed here between two terms.
+        // In another term the proof does not cover what another leader has placed here in between.
         if (!leadership.requireLeadership(draft, role) || leadership.termOf(role) !== term) return false;
         // Nor does it cover a later placement on the same machine, after a transaction without a response has released
         // this one.
--- a/src/workers/worker-registry.ts
+++ b/src/workers/worker-registry.ts
@@ -19,8 +19,8 @@
 
 /**
  * The workers of all partitions that this process leads, and since when it has recorded every response to them. Both
- * begin and end with the term of the partition's leadership: that no contact with a worker is known proves nothing,
- * unless it is also known since when every response to it would have been recorded here.
+ * begin and end with the term of the partition's leadership: that a worker is not registered proves nothing, unless it
+ * is also known since when every response to it would have been recorded here.
  */
 export class WorkerRegistry {
   /** Keyed by the term, so that the workers are dropped together with the start time that proofs are based on. */
--- a/test/workers/heartbeats.test.ts
+++ b/test/workers/heartbeats.test.ts
@@ -105,7 +105,7 @@
 });
 
 describe('a late copy of a heartbeat', () => {
-  it('does not count as a sign of life, so its machine is scaled in and the task starts elsewhere', async () => {
+  it('does not count as a sign of life: the machine is scaled in as soon as without the copies', async () => {
     await startCluster(3, 4);
     await cluster.submit(service);
     const machineId = machineOf('j-svc/0');
@@ -191,7 +191,7 @@
 });
 
 describe('a zone that is cut off', () => {
-  it('keeps its machines, its tasks start elsewhere when the leases expire, and the machines become schedulable again', async () => {
+  it('keeps its machines for later use, while its tasks start elsewhere when the leases expire', async () => {
     await startCluster(3, 9);
     const inZone = [...cluster.workers.values()].filter((worker) => worker.options.zone === 'b');
     await cluster.submit({ ...service, taskCount: 4, spreadAcrossZones: true });
@@ -208,7 +208,7 @@
   });
 });
 
-describe('nodes that can not reach each other', () => {
+describe('nodes that cannot reach each other', () => {
   it('place tasks on all machines as long as the partition leaders keep their leadership', async () => {
     await startCluster(3, 6);
     for (const from of [0, 1, 2]) for (const to of [0, 1, 2]) cluster.partitioned.add(`n${from}>n${to}`);
