--- a/src/workers/cancellation-enforcer.ts
+++ b/src/workers/cancellation-enforcer.ts
@@ -58,10 +58,7 @@
     if (endpoint === undefined || this.sentAt.has(machineId) || this.inFlightCount >= MAX_TOKEN_ANNOUNCEMENTS) return;
     this.sentAt.set(machineId, now);
     this.inFlightCount++;
-    log.info(
-      { machineId, taskCount: batch.commands.length },
-      'killing tasks of cancelled jobs on behalf of their partition leader',
-    );
+    log.info({ machineId, taskCount: batch.commands.length }, 'killing tasks of cancelled jobs for their leader');
     void sendCommands(http, endpoint, batch).finally(() => this.inFlightCount--);
   }
 
--- a/src/workers/command-sender.ts
+++ b/src/workers/command-sender.ts
@@ -137,7 +137,7 @@
   private applyResult(worker: Worker, { role, fencingToken, launches }: SentCommands, result: CommandResult): void {
     const { leadership, clusterState, reconciler, clock, log } = this.dependencies;
     if (result.kind === 'unknown') {
-      log.info({ machineId: worker.machineId, launches }, 'no response to commands');
+      log.info({ machineId: worker.machineId, launches }, 'commands unanswered');
       return;
     }
     for (const attemptKey of launches) worker.launches.markResolved(attemptKey, fencingToken);
--- a/src/workers/heartbeat-service.ts
+++ b/src/workers/heartbeat-service.ts
@@ -54,7 +54,7 @@
     const { node, workerManager, log } = this.dependencies;
     const workerStatus = decodeWorkerStatus(parseJson(text));
     if (workerStatus === undefined) {
-      log.warn({ sender }, 'forwarded heartbeat rejected: not a worker status');
+      log.warn({ sender }, 'forwarded heartbeat rejected');
       return undefined;
     }
     const { status, body } = encodeOutcome(workerManager.handleHeartbeat(workerStatus, sender));
