--- a/src/constants/store.ts
+++ b/src/constants/store.ts
@@ -42,10 +42,10 @@
 export const BATCH_GATHER_SHARE = 0.06;
 
 /** Mutations that did not fit, after which a transaction counts as full. */
-export const PACK_MAX_MISSES = 4;
+export const MAX_OVERSIZED_MUTATIONS = 4;
 
 /** Mutations evaluated for one transaction at most: bounds the processor time of one turn. */
-export const PACK_MAX_TRIES = 200;
+export const MAX_EVALUATED_MUTATIONS = 200;
 
 /** Share of the store's rates that one node may use by itself, until a 429 shows that others need them. */
 export const RATE_SHARE = 0.8;
@@ -55,7 +55,7 @@
 export const RATE_INCREASE = 0.2;
 
 /** ms of waiting after which batch work leaves no reserve any more. */
-export const BATCH_PATIENCE_MS = 1000;
+export const BATCH_RESERVE_DECAY_MS = 1000;
 
 /** ms for which batch work pauses after a 429, and the share of it after which urgent work tries again. */
 export const BUSY_PAUSE_MS = 150;
@@ -77,7 +77,7 @@
 export const BATCH_TRANSACTION_SHARE = 0.3;
 
 /** Writes that such a transaction may hold in any case: two jobs with their teams. */
-export const LEAST_BATCH_TRANSACTION_WRITES = 4;
+export const MIN_BATCH_TRANSACTION_WRITES = 4;
 
 /** Conditions that the store takes for each write that a transaction may hold. */
 export const CONDITIONS_PER_WRITE = 4;
--- a/src/logging/log.ts
+++ b/src/logging/log.ts
@@ -1,13 +1,13 @@
-/** The program's log: one JSON line for each event that an operator would ask about. */
+/** The program's log: one JSON line for each event of interest to operators. */
 import { type Logger, pino } from 'pino';
 
-/** What the program's parts log to: fields first, then a short message. */
+/** The logging interface of the program's components: fields first, then a short message. */
 export type Log = Pick<Logger, 'error' | 'warn' | 'info' | 'debug'>;
 
 const LEVELS: readonly string[] = ['error', 'info', 'debug'];
 const DEFAULT_LEVEL = 'info';
 
-/** A log to standard error with the node, but no time, in each line. An unknown level (LOG_LEVEL) counts as `info`. */
+/** Creates a log to standard error, with the node but no time in each line. An unknown level (LOG_LEVEL) counts as `info`. */
 export function createLog(node: string, level: string | undefined): Log {
   const isKnown = level !== undefined && LEVELS.includes(level);
   return pino(
--- a/src/net/address.ts
+++ b/src/net/address.ts
@@ -1,6 +1,6 @@
-/** Network addresses as the settings have them. */
+/** Network addresses in the form used by the settings. */
 
-/** Where a server listens. */
+/** The host and port of a server. */
 export interface HostAndPort {
   host: string;
   port: number;
--- a/src/net/clock.ts
+++ b/src/net/clock.ts
@@ -1,18 +1,18 @@
-/** The clock of the program. */
+/** The clock interface, and its implementation with the system clock. */
 import { performance } from 'node:perf_hooks';
 import { setTimeout as delay } from 'node:timers/promises';
 
-/** Time as the rest of the program sees it; tests put a fake one here. */
+/** The source of time for the whole program; tests use a fake one. */
 export interface Clock {
-  /** Monotonic time in ms, from an arbitrary origin: comparable within one process only. */
+  /** Monotonic time in ms from an arbitrary origin: comparable only within one process. */
   now(): number;
-  /** Time of day in ms since 1970, only for records that people read and for ages across processes. */
+  /** Wall-clock time in ms since 1970: only for records that people read and for ages across processes. */
   wall(): number;
-  /** Waits; ends early, without an error, when the signal fires. */
+  /** Resolves after `ms`, or earlier, without an error, when the signal aborts. */
   sleep(ms: number, signal?: AbortSignal): Promise<void>;
 }
 
-/** The clock of the machine. */
+/** The clock of the operating system. */
 export const systemClock: Clock = {
   now: () => performance.now(),
   wall: () => Date.now(),
--- a/src/net/http-client.ts
+++ b/src/net/http-client.ts
@@ -1,4 +1,4 @@
-/** JSON over HTTP/1.1 as the program needs it: every wait has a limit, and a failure says whether the request may have had an effect. */
+/** A client for JSON over HTTP/1.1: every call has a timeout, and errors tell whether the request may have had an effect. */
 import { Agent, type ClientRequest, type IncomingMessage, request } from 'node:http';
 
 import { parseAddress } from './address.js';
@@ -10,7 +10,7 @@
   body: unknown;
 }
 
-/** No usable response. `wasSent`: the request may have reached the other side, and may yet be carried out. */
+/** There was no usable response. `wasSent`: the request may have reached the server, and may still be carried out. */
 export class NoResponseError extends Error {
   readonly code = 'NO_RESPONSE';
 
@@ -23,33 +23,33 @@
   }
 }
 
-/** Limits of one call. */
+/** Timeouts and cancellation of one call. */
 export interface CallOptions {
-  /** For the whole call. */
+  /** Limit for the whole call. */
   timeoutMs: number;
-  /** For the connection alone; as long as the whole call if left out. */
+  /** Limit for connecting; `timeoutMs` by default. */
   connectMs?: number;
   /** Aborts the call, which then fails with NoResponseError. */
   signal?: AbortSignal;
 }
 
-/** The outside world as the program sees it; tests put a fake network here. */
+/** The interface for all outgoing HTTP calls; tests implement it with a fake network. */
 export interface HttpClient {
-  /** `address` is 'host:port'; `body` is sent as JSON, undefined: no body. Fails with NoResponseError only. */
+  /** `address` is 'host:port'; `body` is sent as JSON, or not at all if undefined. Rejects only with NoResponseError. */
   call(address: string, method: string, path: string, body: unknown, options: CallOptions): Promise<Reply>;
 }
 
-/** Idle connections kept to each address. */
+/** Maximum of idle connections to one address. */
 const MAX_FREE_SOCKETS = 4;
 
-/** Connections to one address at most. */
+/** Maximum of connections to one address. */
 const MAX_SOCKETS_PER_ADDRESS = 64;
 
-/** Calls over Node's `http`, with kept connections and a limit on sockets. */
+/** An HttpClient on Node's `http` module, with keep-alive connections and a limit on sockets. */
 export class NodeHttpClient implements HttpClient {
   private readonly agent: Agent;
 
-  /** `maxSockets`: to all addresses together. */
+  /** `maxSockets`: limit for all addresses together. */
   constructor(maxSockets: number) {
     this.agent = new Agent({
       keepAlive: true,
@@ -64,7 +64,7 @@
     this.agent.destroy();
   }
 
-  // eslint-disable-next-line max-params -- every client and stand-in implements this signature, and each call needs all five
+  // eslint-disable-next-line max-params -- every client and test double implements this signature, and each call needs all five
   call(address: string, method: string, path: string, body: unknown, options: CallOptions): Promise<Reply> {
     const payload = body === undefined ? undefined : JSON.stringify(body);
     const headers = payload === undefined ? {} : jsonHeaders(payload);
@@ -83,7 +83,7 @@
 
 interface PendingCallDependencies {
   request: ClientRequest;
-  /** Names the call in errors. */
+  /** Identifies the call in error messages. */
   description: string;
   options: CallOptions;
   resolve: (reply: Reply) => void;
@@ -100,7 +100,7 @@
   constructor(private readonly dependencies: PendingCallDependencies) {
     const { timeoutMs, connectMs } = dependencies.options;
     this.callTimer = setTimeout(() => this.fail('timeout'), timeoutMs);
-    // A connection attempt that is given up does not complete later, so `wasSent` stays false until connected.
+    // A connection attempt that is aborted never completes later, so `wasSent` stays false until connected.
     this.connectTimer = setTimeout(() => {
       if (!this.wasSent) this.fail('connect timeout');
     }, connectMs ?? timeoutMs);
@@ -114,15 +114,15 @@
     }
     options.signal?.addEventListener('abort', this.onAbort);
     clientRequest.on('socket', (socket) => {
-      if (socket.connecting) socket.once('connect', () => this.markSent());
-      else this.markSent();
+      if (socket.connecting) socket.once('connect', () => this.markAsSent());
+      else this.markAsSent();
     });
     clientRequest.on('error', (error) => this.fail(error.message, error));
     clientRequest.on('response', (response) => this.readResponse(response));
     clientRequest.end(payload);
   }
 
-  private markSent(): void {
+  private markAsSent(): void {
     this.wasSent = true;
   }
 
@@ -151,7 +151,7 @@
     clientRequest.destroy();
   }
 
-  /** Ends whatever would keep the process or the caller's signal busy. */
+  /** Clears the timers, which would keep the process alive, and the listener on the caller's signal. */
   private release(): void {
     clearTimeout(this.callTimer);
     clearTimeout(this.connectTimer);
--- a/src/net/periodic.ts
+++ b/src/net/periodic.ts
@@ -1,16 +1,16 @@
-/** Work that is repeated until it is cancelled. */
+/** Periodic tasks that run until they are aborted. */
 import type { Log } from '../logging/log.js';
 import type { Clock } from './clock.js';
 
-/** What runPeriodically works with. */
+/** Dependencies of `runPeriodically`. */
 export interface PeriodicDependencies {
   clock: Clock;
   log: Log;
-  /** Ends the repetition; work that has begun is completed. */
+  /** Stops the repetition; a run in progress is completed. */
   signal: AbortSignal;
 }
 
-/** Waits `periodMs`, then works, each time; an error in the work is logged, and the next turn comes all the same. */
+/** Runs `work` repeatedly, `periodMs` after the end of the previous run; errors are logged and do not stop the repetition. */
 export async function runPeriodically(
   periodMs: number,
   { clock, log, signal }: PeriodicDependencies,
@@ -21,7 +21,7 @@
     try {
       await work();
     } catch (error) {
-      log.error({ error: (error as Error).stack }, 'duty failed');
+      log.error({ error: (error as Error).stack }, 'periodic task failed');
     }
   }
 }
--- a/src/net/random.ts
+++ b/src/net/random.ts
@@ -1,18 +1,18 @@
-/** Random numbers that a seed repeats. */
+/** Reproducible random numbers from a seed. */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
-/** A seeded generator, injected wherever the program draws: a test repeats a run by its seed. */
+/** A seeded generator, injected wherever random numbers are needed, so that tests can reproduce a run by its seed. */
 export class Random {
   private readonly generator;
 
-  /** `seed`: an integer, of which 32 bits count. */
+  /** `seed`: an integer, of which the low 32 bits are used. */
   constructor(seed: number) {
     this.generator = xoroshiro128plus(seed | 0);
   }
 
-  /** In [0, 1). */
+  /** A number in [0, 1). */
   float(): number {
     return uniformFloat64(this.generator);
   }
@@ -22,17 +22,17 @@
     return uniformInt(this.generator, 0, bound - 1);
   }
 
-  /** `ms`, give or take the share of it. */
+  /** `ms`, randomly longer or shorter by at most the given share of it. */
   jitter(ms: number, share = 0.25): number {
     return ms * (1 - share + 2 * share * this.float());
   }
 
-  /** A sample of at most `count` items, in their order. */
+  /** A random sample of at most `count` items, in their original order. */
   sample<T>(items: readonly T[], count: number): T[] {
     if (items.length <= count) return [...items];
     const candidates = [...items.keys()];
     const selected: number[] = [];
-    for (let drawn = 0; drawn < count; drawn++) {
+    for (let drawCount = 0; drawCount < count; drawCount++) {
       const position = this.below(candidates.length);
       selected.push(candidates[position]!);
       candidates[position] = candidates[candidates.length - 1]!;
--- a/src/net/token-bucket.ts
+++ b/src/net/token-bucket.ts
@@ -1,6 +1,6 @@
-/** A rate limit shared by all callers of one service: tokens, a queue by priority, and a pause after a 429. */
+/** A rate limiter shared by all callers of one service: a token bucket with a priority queue, and a pause after each 429. */
 import {
-  BATCH_PATIENCE_MS,
+  BATCH_RESERVE_DECAY_MS,
   RATE_CHECK_PERIOD_MS,
   RATE_DECREASE,
   RATE_INCREASE,
@@ -10,20 +10,20 @@
 import type { Clock } from './clock.js';
 
 /**
- * Waiters of a lower number go first. `start` is for services and gangs, and what makes room for them; `record` for the
- * exits of batch work, and for reads; `background` for the starts of batch work.
+ * Priorities of requests: lower numbers go first. `start` is for starting services and gangs, and for the evictions that make
+ * room for them; `record` for exits of batch tasks, and for reads; `background` for starts of batch tasks.
  */
 export const Priority = { lease: 0, cancel: 1, accept: 2, start: 3, record: 4, background: 5 } as const;
 /** One of the priorities. */
 export type Priority = (typeof Priority)[keyof typeof Priority];
 
 /**
- * The queue position of a priority. Exits and starts of batch work take turns as they come: while exits went first, a burst of
- * them kept all starts waiting for tens of seconds in a cluster with free resources.
+ * The rank of a priority in the queue. Exits and starts of batch tasks share a rank and are served in order of arrival: if exits
+ * went first, a burst of them could delay all starts for tens of seconds in a cluster with free resources.
  */
 const queueRankOf = (priority: Priority): number => Math.min(priority, Priority.record);
 
-/** Work that may wait: exits and starts of batch tasks, and reads. */
+/** Whether requests of the priority may wait: exits and starts of batch tasks, and reads. */
 export const isBatch = (priority: Priority): boolean => priority >= Priority.record;
 
 interface Waiter {
@@ -35,23 +35,23 @@
   grant: () => void;
 }
 
-/** Grants tokens in the order of priority, at a rate that adapts to the service's 429s. */
+/** Grants tokens in order of priority, at a rate that adapts to the service's 429 responses. */
 export class TokenBucket {
   private tokens: number;
   /** Monotonic ms of the last refill. */
   private refilledAt: number;
-  /** Monotonic ms before which nothing, and before which no batch work, is let through. */
+  /** Monotonic ms before which no request, and no batch request, is granted. */
   private blockedUntil = 0;
   private batchBlockedUntil = 0;
-  /** By rank, and within a rank in the order of arrival. */
+  /** Ordered by rank, and within a rank by arrival. */
   private waiters: Waiter[] = [];
   private isGranting = false;
-  /** Tokens a second at present, between `minRate` and `maxRate`. */
+  /** Current tokens per second, between `minRate` and `maxRate`. */
   private rate: number;
 
   /**
-   * The limit is shared by all nodes, which are rarely all busy: each goes up to `maxRate` by itself, and after a 429 down
-   * towards `minRate`, its even share. Rates in tokens a second, `burst` in tokens.
+   * All nodes share the service's limit but are rarely all busy: each node's rate rises to `maxRate`, and drops after each 429
+   * towards `minRate`, its equal share. Rates are in tokens per second, `burst` is in tokens.
    */
   constructor(
     private readonly clock: Clock,
@@ -65,8 +65,8 @@
   }
 
   /**
-   * The service responded that the limit, which all nodes share, is reached. Batch work then pauses for `ms`, in every node that gets
-   * such a response; urgent work tries again much sooner, and so finds what the others leave.
+   * Call after a 429, by which the service reports that the limit shared by all nodes is reached. Batch requests of every node
+   * that receives a 429 then pause for `ms`; urgent requests retry much sooner, and so get the tokens left by the others.
    */
   backOff(ms: number, priority: Priority): void {
     const now = this.clock.now();
@@ -75,10 +75,10 @@
     this.rate = Math.max(this.minRate, this.rate * RATE_DECREASE);
   }
 
-  /** Resolves when `cost` tokens have been taken. */
+  /** Resolves once `cost` tokens have been taken. */
   take(cost: number, priority: Priority): Promise<void> {
     this.refill();
-    // Urgent work does not wait behind batch work that the bucket has too little for.
+    // Urgent requests do not queue behind batch requests that wait for tokens.
     const rank = queueRankOf(priority);
     const isFirst = this.waiters.length === 0 || queueRankOf(this.waiters[0]!.priority) > rank;
     if (isFirst && this.missingTokens(cost, priority, this.refilledAt) <= 0 && this.blockedMs(priority) <= 0) {
@@ -107,16 +107,16 @@
   }
 
   /**
-   * Batch work leaves some tokens, so that urgent work finds them at once; fewer the longer it has waited, since under steady load the
-   * bucket never fills up, and it would wait for ever.
+   * Batch requests leave a reserve of tokens for urgent requests. The reserve shrinks with their waiting time: under steady load
+   * the bucket never fills up, and they would otherwise wait forever.
    */
   private missingTokens(cost: number, priority: Priority, waitingSince: number): number {
-    const reserveShare = Math.max(0, 1 - (this.refilledAt - waitingSince) / BATCH_PATIENCE_MS);
+    const reserveShare = Math.max(0, 1 - (this.refilledAt - waitingSince) / BATCH_RESERVE_DECAY_MS);
     const reserve = isBatch(priority) ? this.burst * URGENT_RESERVE_SHARE * reserveShare : 0;
     return Math.min(cost + reserve, this.burst) - this.tokens;
   }
 
-  /** ms for which the priority is still blocked; 0 or less: it isn't. */
+  /** ms for which the priority is still blocked; 0 or less if it is not. */
   private blockedMs(priority: Priority): number {
     const until = isBatch(priority) ? Math.max(this.blockedUntil, this.batchBlockedUntil) : this.blockedUntil;
     return until - this.clock.now();
@@ -131,7 +131,7 @@
       const missing = this.missingTokens(next.cost, next.priority, next.waitingSince);
       const waitMs = Math.max(this.blockedMs(next.priority), (missing * 1000) / this.rate);
       if (waitMs > 0) {
-        // More urgent work may arrive in the meantime, and need less.
+        // A more urgent request that needs fewer tokens may arrive in the meantime.
         await this.clock.sleep(Math.min(RATE_CHECK_PERIOD_MS, Math.max(1, Math.ceil(waitMs))));
         continue;
       }
--- a/src/store/batch-packer.ts
+++ b/src/store/batch-packer.ts
@@ -1,50 +1,50 @@
-/** Packs pending mutations of one priority into transactions, as many into each as the store's limits allow. */
-import { PACK_MAX_MISSES, PACK_MAX_TRIES } from '../constants/store.js';
+/** Packs the pending mutations of one priority into transactions, each as full as the store's limits allow. */
+import { MAX_OVERSIZED_MUTATIONS, MAX_EVALUATED_MUTATIONS } from '../constants/store.js';
 import type { PendingMutation } from './pending-mutation.js';
 import type { StoredValue } from './replica.js';
 import { type Resize, TransactionDraft, type TransactionLimits } from './transaction-draft.js';
 
-/** The mutations of one transaction, in queue order, and the draft that holds all their conditions and writes. */
+/** The mutations of one transaction, in queue order, and the draft with all their conditions and writes. */
 export interface PackedBatch {
   mutations: PendingMutation[];
   draft: TransactionDraft;
 }
 
-/** What a transaction is packed against. */
+/** The records, limits and keys in flight that a batch is packed against. */
 export interface PackingContext {
   readonly read: (key: string) => StoredValue;
   readonly resize: Resize;
   readonly limits: TransactionLimits;
-  /** Keys that transactions on their way write. */
+  /** Keys written by transactions in flight. */
   readonly keysInFlight: ReadonlySet<string>;
-  /** Steady ms. */
+  /** Monotonic ms. */
   readonly nowMs: number;
 }
 
 /**
- * Takes as many mutations off the queue as one transaction holds; the others stay in the queue in their order. Mutations that
- * have expired or fallen away are resolved. Undefined: no transaction can be sent at the moment.
+ * Removes as many mutations from the queue as one transaction can hold; the rest stay in the queue in order. Mutations that
+ * have expired or have nothing to change are resolved. Returns undefined if no transaction can be sent at the moment.
  */
 export function packBatch(queue: PendingMutation[], context: PackingContext): PackedBatch | undefined {
-  const packing = new Packing(context);
-  for (const mutation of queue) packing.add(mutation);
-  queue.splice(0, queue.length, ...packing.deferred);
-  const { mutations, draft } = packing;
+  const builder = new BatchBuilder(context);
+  for (const mutation of queue) builder.add(mutation);
+  queue.splice(0, queue.length, ...builder.deferred);
+  const { mutations, draft } = builder;
   return mutations.length === 0 ? undefined : { mutations, draft };
 }
 
-/** One pass over a queue. */
-class Packing {
+/** Builds one batch in a single pass over a queue. */
+class BatchBuilder {
   readonly mutations: PendingMutation[] = [];
   readonly deferred: PendingMutation[] = [];
   readonly draft: TransactionDraft;
-  /** Keys that deferred mutations wait to write: later mutations must not overtake them. */
-  private readonly keysAwaited = new Set<string>();
-  /** The record of all nodes that the batch writes. */
+  /** Keys that deferred mutations will write: later mutations of these keys must not overtake them. */
+  private readonly blockedKeys = new Set<string>();
+  /** The one record written by all nodes that this batch may write; undefined while it writes none. */
   private sharedKey: string | undefined;
-  private triedCount = 0;
-  /** Mutations that did not fit. */
-  private missCount = 0;
+  private evaluatedCount = 0;
+  /** Mutations deferred because they did not fit. */
+  private oversizedCount = 0;
 
   constructor(private readonly context: PackingContext) {
     this.draft = new TransactionDraft(context.read, undefined, context.resize);
@@ -52,15 +52,15 @@
 
   add(mutation: PendingMutation): void {
     if (this.context.nowMs >= mutation.deadlineMs) mutation.resolve({ kind: 'expired' });
-    else if (this.isKeptApart(mutation) || this.isExhausted(mutation)) this.deferred.push(mutation);
+    else if (this.isIncompatible(mutation) || this.isExhausted(mutation)) this.deferred.push(mutation);
     else this.evaluate(mutation);
   }
 
   /**
-   * Each record that all nodes write may make the whole transaction fail, and a refused transaction counts as much against the
-   * rate as another; so a batch writes one such record only.
+   * A record that all nodes write may conflict and make the whole transaction fail, and a failed transaction counts as much
+   * against the rate limit as a successful one; so a batch writes at most one such record.
    */
-  private isKeptApart({ mustBeSentAlone, batchingHint }: PendingMutation): boolean {
+  private isIncompatible({ mustBeSentAlone, batchingHint }: PendingMutation): boolean {
     const first = this.mutations[0];
     if (first !== undefined && (mustBeSentAlone || first.mustBeSentAlone)) return true;
     const shared = batchingHint?.shared;
@@ -68,58 +68,58 @@
   }
 
   /**
-   * A long queue is not evaluated whole for each transaction: that would cost its length squared. But where writes are scarce,
-   * a mutation of a record that is written anyway is added at no cost.
+   * Stops early in a long queue: evaluating all of it for each transaction would take time quadratic in its length. Mutations
+   * of a record that the batch already writes are still added, since they cost no additional write.
    */
   private isExhausted({ batchingHint }: PendingMutation): boolean {
-    if (this.triedCount >= PACK_MAX_TRIES) return true;
-    if (this.missCount < PACK_MAX_MISSES) return false;
+    if (this.evaluatedCount >= MAX_EVALUATED_MUTATIONS) return true;
+    if (this.oversizedCount < MAX_OVERSIZED_MUTATIONS) return false;
     return batchingHint === undefined || !this.draft.writes.has(batchingHint.key);
   }
 
   private evaluate(mutation: PendingMutation): void {
-    this.triedCount++;
-    const trial = this.draft.over();
-    const hasChange = mutation.decide(trial) && trial.writes.size > 0;
+    this.evaluatedCount++;
+    const candidate = this.draft.over();
+    const hasChange = mutation.decide(candidate) && candidate.writes.size > 0;
     if (!hasChange) mutation.resolve({ kind: 'void' });
-    else if (this.isBlocked(trial)) this.deferBlocked(mutation, trial);
-    else if (this.fits(trial)) this.accept(mutation, trial);
-    else this.handleMisfit(mutation);
+    else if (this.isBlocked(candidate)) this.deferBlocked(mutation, candidate);
+    else if (this.fits(candidate)) this.accept(mutation, candidate);
+    else this.handleOversized(mutation);
   }
 
-  /** A key that another transaction in flight writes, or a mutation that waits for one, keeps a mutation waiting. */
-  private isBlocked(trial: TransactionDraft): boolean {
-    for (const key of trial.conditions.keys()) {
-      if (this.context.keysInFlight.has(key) || this.keysAwaited.has(key)) return true;
+  /** Whether the mutation uses a key that a transaction in flight or a deferred mutation writes. */
+  private isBlocked(candidate: TransactionDraft): boolean {
+    for (const key of candidate.conditions.keys()) {
+      if (this.context.keysInFlight.has(key) || this.blockedKeys.has(key)) return true;
     }
     return false;
   }
 
-  private deferBlocked(mutation: PendingMutation, trial: TransactionDraft): void {
-    for (const key of trial.writes.keys()) {
-      if (!this.draft.writes.has(key)) this.keysAwaited.add(key);
+  private deferBlocked(mutation: PendingMutation, candidate: TransactionDraft): void {
+    for (const key of candidate.writes.keys()) {
+      if (!this.draft.writes.has(key)) this.blockedKeys.add(key);
     }
     this.deferred.push(mutation);
   }
 
-  private fits(trial: TransactionDraft): boolean {
+  private fits(candidate: TransactionDraft): boolean {
     const { limits } = this.context;
-    return trial.fits(limits, this.mutations.length === 0 ? limits.writes : limits.batchWrites);
+    return candidate.fits(limits, this.mutations.length === 0 ? limits.writes : limits.batchWrites);
   }
 
-  private accept(mutation: PendingMutation, trial: TransactionDraft): void {
-    this.draft.merge(trial);
+  private accept(mutation: PendingMutation, candidate: TransactionDraft): void {
+    this.draft.merge(candidate);
     this.mutations.push(mutation);
     this.sharedKey ??= mutation.batchingHint?.shared;
   }
 
-  /** What does not fit into an empty transaction fits into none. */
-  private handleMisfit(mutation: PendingMutation): void {
+  /** Defers the mutation, or gives it up if it does not fit even into an empty transaction. */
+  private handleOversized(mutation: PendingMutation): void {
     if (this.mutations.length === 0) {
       mutation.resolve({ kind: 'void' });
       return;
     }
-    this.missCount++;
+    this.oversizedCount++;
     this.deferred.push(mutation);
   }
 }
--- a/src/store/final-record-cache.ts
+++ b/src/store/final-record-cache.ts
@@ -1,19 +1,19 @@
-/** Records outside the replica, which never change once they exist: the final states of jobs. */
+/** A cache of the final states of jobs, which are stored outside the replica and never change once written. */
 import { MAX_CACHED_FINAL_RECORDS } from '../constants/store.js';
 import type { StoredValue } from './replica.js';
 
 const MISSING: StoredValue = { value: undefined, modRevision: 0 };
 
-/** Keeps the newest `MAX_CACHED_FINAL_RECORDS` of them. */
+/** Holds the `MAX_CACHED_FINAL_RECORDS` most recently added records. */
 export class FinalRecordCache {
   private readonly rows = new Map<string, StoredValue>();
 
-  /** A record that is not known here counts as missing: the store's compare-and-swap finds out where it exists. */
+  /** Reports an uncached record as missing: if it does exist, the compare-and-swap in the store fails. */
   get(key: string): StoredValue {
     return this.rows.get(key) ?? MISSING;
   }
 
-  /** A missing record may come to exist, so that is not kept. */
+  /** Ignores missing records, since they may be created later. */
   set(key: string, row: StoredValue): void {
     if (row.value === undefined) return;
     this.rows.delete(key);
--- a/src/store/json-size.ts
+++ b/src/store/json-size.ts
@@ -1,22 +1,22 @@
 /**
- * Bytes that values take as JSON. Values that are measured must never be changed afterwards: a record is measured once, not at
- * every attempt to write it.
+ * Lengths of values as JSON, in bytes, cached so that a record is measured once and not at every attempt to write it. Measured
+ * values must never be modified afterwards.
  */
-const measuredBytes = new WeakMap<object, number>();
+const knownLengths = new WeakMap<object, number>();
 
-const bytesOf = (value: unknown): number => Buffer.byteLength(JSON.stringify(value) ?? '');
+const measureJsonLength = (value: unknown): number => Buffer.byteLength(JSON.stringify(value) ?? '');
 
 /** The length of the value as JSON, in bytes. */
 export function jsonLength(value: unknown): number {
-  if (typeof value !== 'object' || value === null) return bytesOf(value);
-  const known = measuredBytes.get(value);
+  if (typeof value !== 'object' || value === null) return measureJsonLength(value);
+  const known = knownLengths.get(value);
   if (known !== undefined) return known;
-  const length = bytesOf(value);
-  measuredBytes.set(value, length);
+  const length = measureJsonLength(value);
+  knownLengths.set(value, length);
   return length;
 }
 
-/** For callers that derive a value from a measured one, and know by how much its length differs. */
+/** Stores the length of a value whose caller derived it from a measured value and knows by how much the lengths differ. */
 export function noteLength(value: object, length: number): void {
-  measuredBytes.set(value, length);
+  knownLengths.set(value, length);
 }
--- a/src/store/replica.ts
+++ b/src/store/replica.ts
@@ -1,4 +1,4 @@
-/** The local copy of the store's live records, kept up by a watch and by what peers tell of their transactions. */
+/** A local copy of the store's live records, kept up to date by a watch and by changes that peers broadcast. */
 import {
   LOAD_RETRY_MS,
   PAGE_ROWS,
@@ -14,73 +14,73 @@
 
 /** A key's value and the revision of its last change. */
 export interface StoredValue {
-  /** undefined: the key does not exist (a tombstone while older changes may still arrive). */
+  /** undefined: the key does not exist; kept as a tombstone while older changes may still arrive. */
   value: unknown;
   modRevision: number;
 }
 
-/** A change as it is sent to a peer: the value as JSON; null: the key was deleted. */
+/** A change in the form sent to peers: the value as JSON, or null if the key was deleted. */
 export interface SerializedChange {
   key: string;
   value: string | null;
   modRevision: number;
 }
 
-/** A change in the form in which peers are told. */
+/** Converts a change to the form sent to peers. */
 export const serializeChange = ({ key, value, modRevision }: Change): SerializedChange => ({
   key,
   value: value === undefined ? null : JSON.stringify(value),
   modRevision,
 });
 
-/** All or none: throws a `SyntaxError` where a value is no JSON. */
-export const deserializeChanges = (sent: readonly SerializedChange[]): Change[] =>
-  sent.map(({ key, value, modRevision }) => ({
+/** Decodes all changes or none: throws a `SyntaxError` if any value is not valid JSON. */
+export const deserializeChanges = (serialized: readonly SerializedChange[]): Change[] =>
+  serialized.map(({ key, value, modRevision }) => ({
     key,
     value: value === null ? undefined : (JSON.parse(value) as unknown),
     modRevision,
   }));
 
-/** Told of each change that the replica takes in; `before`: undefined where the key was not known. */
-export type ReplicaListener = (key: string, now: StoredValue, before: StoredValue | undefined) => void;
+/** Called for each change that the replica applies; `previous` is undefined if the key was unknown. */
+export type ReplicaListener = (key: string, current: StoredValue, previous: StoredValue | undefined) => void;
 
-/** Bytes of a serialized change beside its key and value, a safe upper bound. */
+/** Upper bound of a serialized change's size in bytes, without its key and value. */
 const CHANGE_ENVELOPE_BYTES = 16;
 
 /** Changes since a revision, oldest first. */
 export interface ChangesSince {
   changes: SerializedChange[];
-  /** The revision to go on after. */
+  /** The revision to continue after. */
   last: number;
-  /** There are no more. */
+  /** Whether these are all changes. */
   isComplete: boolean;
 }
 
 /**
- * A copy of every record under one prefix. It may lag; `freshAt` says as of when it is known to be complete. Decisions made on
- * it are safe all the same, since each transaction names the revisions that it was decided on.
+ * A copy of every record under one prefix. It may lag behind the store; `freshAt` is the time as of which it is known to be
+ * complete. Decisions based on stale records are still safe, since each transaction names the revisions it was based on.
  */
 export class Replica {
   private readonly rows = new Map<string, StoredValue>();
   private readonly listeners: ReplicaListener[] = [];
-  /** Deleted keys, oldest first: what peers' replicas may not know yet. */
+  /** Deleted keys, oldest first, kept for peers whose replicas may not have the deletion yet. */
   private readonly tombstones: { key: string; modRevision: number }[] = [];
-  /** Deletions up to this revision are no longer known here. */
+  /** Deletions up to this revision may be unknown to this replica. */
   private compactedRevision = 0;
-  private refreshing: Promise<boolean> | undefined;
-  /** The replica is complete up to this revision; of later changes it holds some. */
+  private refreshInProgress: Promise<boolean> | undefined;
+  /** The replica is complete up to this revision, and may hold some later changes. */
   revision = 0;
-  /** The number of changes taken in: another number shows that the replica may hold more. */
+  /** The number of changes applied; a different number means that the contents may have changed. */
   version = 0;
   isLoaded = false;
-  /** Steady ms at which the last request was sent whose answer showed the replica to be complete. */
+  /** Monotonic ms at which the latest request was sent whose response brought the replica fully up to date. */
   freshAt = -Infinity;
 
   constructor(
     private readonly client: StoreClient,
     private readonly prefix: string,
     private readonly clock: Clock,
-    /** ms between two watches. */
+    /** Pause between two watches, ms. */
     private readonly watchPauseMs: () => number = () => WATCH_PAUSE_MS,
   ) {}
 
@@ -89,39 +89,42 @@
     this.listeners.push(listener);
   }
 
-  /** A missing key has the revision 0, which as a condition means that it must not exist. */
+  /** A missing key has revision 0; as a condition, that requires the key not to exist. */
   get(key: string): StoredValue {
     const row = this.rows.get(key);
     return row?.value === undefined ? { value: undefined, modRevision: 0 } : row;
   }
 
-  /** Takes in one change unless a newer one is known: late copies of old changes must not bring back old values. */
+  /** Applies a change unless a newer one is known, so that late copies of old changes do not restore old values. */
   apply(change: Change): void {
-    const before = this.rows.get(change.key);
-    if (before !== undefined && before.modRevision >= change.modRevision) return;
-    const now = { value: change.value, modRevision: change.modRevision };
-    this.rows.set(change.key, now);
+    const previous = this.rows.get(change.key);
+    if (previous !== undefined && previous.modRevision >= change.modRevision) return;
+    const current = { value: change.value, modRevision: change.modRevision };
+    this.rows.set(change.key, current);
     this.version++;
     if (change.value === undefined) this.tombstones.push({ key: change.key, modRevision: change.modRevision });
-    for (const listener of this.listeners) listener(change.key, now, before);
+    for (const listener of this.listeners) listener(change.key, current, previous);
   }
 
   /**
-   * Takes in what a peer's transaction has just changed. A change at a revision up to which the replica is complete is old,
-   * perhaps held back by a network partition: a record deleted since would be resurrected by it.
+   * Applies a change committed by a peer. Ignores changes at revisions up to which the replica is already complete: such a
+   * change is old, perhaps delayed by a network partition, and could resurrect a record that has been deleted since.
    */
   applyFromPeer(change: Change): void {
     if (this.isLoaded && change.modRevision > this.revision) this.apply(change);
   }
 
-  /** All changes up to the revision have been taken in, from the store or from a peer's replica that held them. */
+  /** Marks the replica as complete up to the revision: all changes up to it came from the store or from a peer's replica. */
   completeTo(revision: number): void {
     if (revision <= this.revision) return;
     this.revision = revision;
     this.compactTombstones();
   }
 
-  /** Once the replica is complete beyond a deletion, older changes of the key are told by their revision alone. */
+  /**
+   * Drops old tombstones. Once the replica is complete up to a deletion's revision, `applyFromPeer` rejects older changes of the
+   * key by their revision alone.
+   */
   private compactTombstones(): void {
     let count = 0;
     while (this.tombstones.length - count > TOMBSTONES_KEPT && this.tombstones[count]!.modRevision <= this.revision) {
@@ -134,7 +137,7 @@
     if (count > 0) this.tombstones.splice(0, count);
   }
 
-  /** What the replica holds that is newer than the revision `after`, as far as the bytes allow. */
+  /** The changes that the replica holds after the revision `after`, oldest first, up to about `maxBytes`. */
   changesSince(after: number, maxBytes: number): ChangesSince {
     const rows = [...this.rows]
       .filter(([, { modRevision }]) => modRevision > after)
@@ -145,7 +148,7 @@
     for (const [key, { value, modRevision }] of rows) {
       const change = serializeChange({ key, value, modRevision });
       bytes += key.length + (change.value?.length ?? 0) + CHANGE_ENVELOPE_BYTES;
-      // All changes of a revision are sent together.
+      // Changes of the same revision are never split.
       if (bytes > maxBytes && changes.length > 0 && modRevision > last) return { changes, last, isComplete: false };
       changes.push(change);
       last = modRevision;
@@ -153,18 +156,21 @@
     return { changes, last, isComplete: true };
   }
 
-  /** The revision up to which a replica is complete that was so up to `from` and has taken in all that this one holds since. */
+  /**
+   * The revision up to which another replica is complete that was complete up to `from` and has applied all later changes held
+   * here.
+   */
   completeFrom(from: number): number {
-    // It has not been told of deletions that are compacted here.
+    // Deletions after `from` may have been compacted here, so the other replica may lack them.
     return from < this.compactedRevision ? from : Math.max(from, this.revision);
   }
 
-  /** Takes in what a peer's replica holds. */
+  /** Applies changes from a peer's replica. */
   applyAllFromPeer(changes: readonly Change[]): void {
     for (const change of changes) this.applyFromPeer(change);
   }
 
-  /** Reads all records; what is no longer there is dropped here. Throws a `StoreError`. */
+  /** Reads all records from the store, and drops local records that no longer exist there. Throws a `StoreError`. */
   async load(): Promise<void> {
     const sentAtMs = this.clock.now();
     const seenKeys = new Set<string>();
@@ -178,7 +184,7 @@
         this.apply(row);
       }
     }
-    // Later pages may hold later changes, but the whole is complete only up to the first page's revision.
+    // Later pages may contain later changes, but the replica is complete only up to the first page's revision.
     this.completeLoad(seenKeys, firstRevision ?? 0, sentAtMs);
   }
 
@@ -189,21 +195,24 @@
       }
     }
     this.revision = Math.max(this.revision, revision);
-    // Deletions before it have not been seen here.
+    // Deletions up to this revision were not observed.
     this.compactedRevision = Math.max(this.compactedRevision, revision);
     this.isLoaded = true;
     this.freshAt = Math.max(this.freshAt, sentAtMs);
   }
 
-  /** Asks for all changes since, without waiting; one request serves all who ask at once. False: the store did not answer. */
+  /**
+   * Fetches all changes since `revision` without waiting for new ones; concurrent callers share one request. Resolves to false
+   * if the store did not respond, or nothing is loaded yet.
+   */
   refresh(): Promise<boolean> {
-    this.refreshing ??= this.pull(0).finally(() => {
-      this.refreshing = undefined;
+    this.refreshInProgress ??= this.pull(0).finally(() => {
+      this.refreshInProgress = undefined;
     });
-    return this.refreshing;
+    return this.refreshInProgress;
   }
 
-  /** A watch of `waitMs` at most. False: the store did not answer, or nothing is loaded yet. */
+  /** Watches for at most `waitMs`. Resolves to false if the store did not respond, or nothing is loaded yet. */
   private async pull(waitMs: number): Promise<boolean> {
     if (!this.isLoaded) return false;
     const sentAtMs = this.clock.now();
@@ -227,7 +236,7 @@
     }
   }
 
-  /** Keeps the replica up until aborted. */
+  /** Keeps the replica up to date until aborted. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       if (!this.isLoaded) {
--- a/src/store/store-client.ts
+++ b/src/store/store-client.ts
@@ -1,4 +1,4 @@
-/** The store's client. Its limits of requests and of writes a second are kept here, by priority. */
+/** The client of the store, which enforces the store's limits on requests and writes per second, by priority. */
 import { RATE_SHARE, RETRY_JITTER_SHARE, STORE_TIMEOUT_MS } from '../constants/store.js';
 import type { StoreSettings } from '../domain/settings.js';
 import type { Clock } from '../net/clock.js';
@@ -26,21 +26,21 @@
   type Write,
 } from './store-wire-codec.js';
 
-/** ms for which a rate is throttled after a 429, before the jitter; and how much shorter it is for requests that write nothing. */
+/** ms for which writes are throttled after a 429, before jitter; the pause of the request rate is shorter by the divisor. */
 const THROTTLE_PAUSE_MS = 120;
-const REQUEST_PAUSE_DIVISOR = 4;
-/** Writes in one burst at least, however low the rate is. */
-const LEAST_WRITE_BURST = 4;
-/** A page of rows may take longer than other answers. */
-const LIST_TIMEOUTS = 2;
+const REQUEST_THROTTLE_DIVISOR = 4;
+/** Minimum burst of writes, even at the lowest rate. */
+const MIN_WRITE_BURST = 4;
+/** Factor on `STORE_TIMEOUT_MS` for pages of rows, which take longer than other responses. */
+const LIST_TIMEOUT_FACTOR = 2;
 
-/** The store refused a request or did not answer; the message says what was asked of it. */
+/** The store refused a request or did not respond; the message names the operation. */
 export class StoreError extends Error {
   readonly code = 'store_unavailable';
 
   constructor(
     message: string,
-    /** The HTTP status, or 0 for no answer. */
+    /** The HTTP status, or 0 if there was no response. */
     readonly status: number,
     options?: ErrorOptions,
   ) {
@@ -48,25 +48,25 @@
   }
 }
 
-const refusalOf = (operation: string, { status }: Reply): StoreError =>
+const unexpectedStatusError = (operation: string, { status }: Reply): StoreError =>
   new StoreError(`${operation} failed: the store answered ${status}`, status);
 
-/** A request, the priority of its turn, and what it takes of the limits. */
+/** A request, its priority, and the number of writes that it takes from the rate limit. */
 interface Call {
   method: 'GET' | 'POST';
   path: string;
   body?: unknown;
   priority: Priority;
   timeoutMs: number;
-  /** Writes that it asks for; 0 by default. */
+  /** Number of writes; 0 by default. */
   writes?: number;
 }
 
-/** A row as the store has it. */
+/** The stored value of one key. */
 export interface StoreRow {
   value: unknown;
   modRevision: number;
-  /** The store's revision, told where the key does not exist. */
+  /** The store's revision; set only if the key does not exist. */
   revision?: number;
 }
 
@@ -76,13 +76,13 @@
   /** HOST:PORT. */
   address: string;
   settings: StoreSettings;
-  /** Nodes that share the store's limits. */
+  /** Number of nodes that share the store's limits. */
   nodeCount: number;
   clock: Clock;
   random: Random;
 }
 
-/** Client of the store's HTTP protocol, within its rate limits. */
+/** Client of the store's HTTP protocol that keeps within its rate limits. */
 export class StoreClient {
   private readonly requestBucket: TokenBucket;
   private readonly writeBucket: TokenBucket;
@@ -90,7 +90,7 @@
   private readonly address: string;
   private readonly clock: Clock;
   private readonly random: Random;
-  /** Steady ms when the store last answered anything but 503, and when it last refused or did not answer. */
+  /** Monotonic ms of the last response other than 503, and of the last 503 or missing response. */
   lastAnsweredAt = -Infinity;
   lastRefusedAt = -Infinity;
 
@@ -104,11 +104,11 @@
     const requests = requestsPerSecond * RATE_SHARE;
     this.requestBucket = new TokenBucket(clock, requests, requests, Math.min(requests, requestsPerSecond / nodeCount));
     const writes = writesPerSecond * RATE_SHARE;
-    const burst = Math.max(writes, LEAST_WRITE_BURST);
+    const burst = Math.max(writes, MIN_WRITE_BURST);
     this.writeBucket = new TokenBucket(clock, writes, burst, Math.min(writes, writesPerSecond / nodeCount));
   }
 
-  /** Waits for its turn within the limits. Throws what the HTTP client throws. */
+  /** Sends the request once the rate limits allow it. Throws the errors of the HTTP client. */
   private async call({ method, path, body, priority, timeoutMs, writes = 0 }: Call): Promise<Reply> {
     if (writes > 0) await this.writeBucket.take(writes, priority);
     await this.requestBucket.take(1, priority);
@@ -128,7 +128,7 @@
   private backOff(priority: Priority, { hasWrites }: { hasWrites: boolean }): void {
     const pauseMs = this.random.jitter(THROTTLE_PAUSE_MS, RETRY_JITTER_SHARE);
     if (hasWrites) this.writeBucket.backOff(pauseMs, priority);
-    this.requestBucket.backOff(pauseMs / REQUEST_PAUSE_DIVISOR, priority);
+    this.requestBucket.backOff(pauseMs / REQUEST_THROTTLE_DIVISOR, priority);
   }
 
   private async callOrThrow(call: Call): Promise<Reply> {
@@ -148,20 +148,20 @@
   async get(key: string, priority: Priority): Promise<StoreRow> {
     const reply = await this.read(keyPath(key), priority);
     if (reply.status === 404) return { value: undefined, modRevision: 0, revision: decodeMissingKey(reply.body) };
-    if (reply.status !== 200) throw refusalOf(`get ${key}`, reply);
+    if (reply.status !== 200) throw unexpectedStatusError(`get ${key}`, reply);
     return decodeKey(reply.body);
   }
 
-  /** One page of keys; `after`: the key behind which it begins; undefined: the first page. Throws a `StoreError`. */
+  /** Reads the page of keys that follows the key `after`; undefined: the first page. Throws a `StoreError`. */
   async list(prefix: string, after: string | undefined, limit: number, priority: Priority): Promise<Page> {
-    const reply = await this.read(listPath(prefix, after, limit), priority, STORE_TIMEOUT_MS * LIST_TIMEOUTS);
-    if (reply.status !== 200) throw refusalOf(`list ${prefix}`, reply);
+    const reply = await this.read(listPath(prefix, after, limit), priority, STORE_TIMEOUT_MS * LIST_TIMEOUT_FACTOR);
+    if (reply.status !== 200) throw unexpectedStatusError(`list ${prefix}`, reply);
     return decodePage(reply.body);
   }
 
   /**
-   * Waits for changes since a revision, `waitMs` at most. Undefined: the revision is too old, and the keys must be read again.
-   * Throws a `StoreError`.
+   * Waits at most `waitMs` for changes after a revision. Returns undefined if the store has compacted the revision, so that
+   * all keys must be read again. Throws a `StoreError`.
    */
   async watch(
     prefix: string,
@@ -171,11 +171,11 @@
   ): Promise<WatchedChanges | undefined> {
     const reply = await this.read(watchPath(prefix, fromRevision, waitMs), priority, waitMs + STORE_TIMEOUT_MS);
     if (reply.status === 410) return undefined;
-    if (reply.status !== 200) throw refusalOf(`watch ${prefix}`, reply);
+    if (reply.status !== 200) throw unexpectedStatusError(`watch ${prefix}`, reply);
     return decodeWatch(reply.body);
   }
 
-  /** A compare-and-swap transaction: all writes take effect at once, if all conditions hold. Never throws. */
+  /** Sends a compare-and-swap transaction: all writes take effect atomically if all conditions hold. Never throws. */
   async transact(
     conditions: readonly Condition[],
     writes: readonly Write[],
@@ -195,15 +195,15 @@
   /** Creates a store lease and returns its id. Throws a `StoreError`. */
   async createLease(ttlMs: number): Promise<number> {
     const reply = await this.leaseCall(LEASES_PATH, encodeLeaseRequest(ttlMs));
-    if (reply.status !== 200) throw refusalOf(`create lease`, reply);
+    if (reply.status !== 200) throw unexpectedStatusError(`create lease`, reply);
     return decodeLeaseId(reply.body);
   }
 
-  /** False: the lease has expired. Throws a `StoreError`. */
+  /** Returns false if the lease has expired. Throws a `StoreError`. */
   async renewLease(leaseId: number): Promise<boolean> {
     const reply = await this.leaseCall(leaseRenewalPath(leaseId), {});
     if (reply.status === 404) return false;
-    if (reply.status !== 200) throw refusalOf(`renew lease ${leaseId}`, reply);
+    if (reply.status !== 200) throw unexpectedStatusError(`renew lease ${leaseId}`, reply);
     return true;
   }
 
--- a/src/store/store-wire-codec.ts
+++ b/src/store/store-wire-codec.ts
@@ -1,4 +1,4 @@
-/** The store's wire form: its paths, requests and answers, and their translation to the terms of the program. */
+/** The store's wire format: paths, requests and responses, and their conversion to the program's own types. */
 
 /** A key with its value and the revision of its last change. */
 export interface Row {
@@ -10,18 +10,18 @@
 /** A change of a key at a revision. */
 export interface Change {
   key: string;
-  /** undefined: the key is deleted. */
+  /** undefined: the key was deleted. */
   value: unknown;
   modRevision: number;
 }
 
-/** A transaction takes effect only if the key was last changed at this revision; 0: only if it does not exist. */
+/** Requires that the key was last changed at this revision; 0: that the key does not exist. */
 export interface Condition {
   key: string;
   modRevision: number;
 }
 
-/** A put or delete of a transaction. */
+/** A put or delete in a transaction. */
 export interface Write {
   key: string;
   /** undefined deletes the key. */
@@ -41,16 +41,16 @@
 /** The path of one key. */
 export const keyPath = (key: string): string => `/store/${key}`;
 
-/** The answer for a key that exists. */
+/** Decodes the response for an existing key. */
 export const decodeKey = (body: unknown): { value: unknown; modRevision: number } => {
   const { V, Stamp } = body as WireRow;
   return { value: V, modRevision: Stamp };
 };
 
-/** The store's revision, as the answer for a missing key tells it. */
+/** Decodes the store's revision from the response for a missing key. */
 export const decodeMissingKey = (body: unknown): number => (body as { Epoch: number }).Epoch;
 
-/** The path of a page of keys; `after`: the key behind which it begins; undefined: the first page. */
+/** The path of the page of keys that follows the key `after`; undefined: the first page. */
 export function listPath(prefix: string, after: string | undefined, limit: number): string {
   const from = after === undefined ? '' : `&From=${encodeURIComponent(after)}`;
   return `/store?Starts=${encodeURIComponent(prefix)}${from}&Limit=${limit}`;
@@ -64,7 +64,7 @@
   revision: number;
 }
 
-/** The answer to a list of keys. */
+/** Decodes a page of keys. */
 export function decodePage(body: unknown): Page {
   const { Rows, HasNext, Epoch } = body as { Rows: WireRow[]; HasNext: boolean; Epoch: number };
   return { rows: Rows.map(decodeRow), hasMore: HasNext, revision: Epoch };
@@ -74,7 +74,7 @@
 export const watchPath = (prefix: string, fromRevision: number, waitMs: number): string =>
   `/watch?Starts=${encodeURIComponent(prefix)}&From=${fromRevision}&WaitMs=${waitMs}`;
 
-/** All changes up to a revision, since the one that the watch asked for. */
+/** All changes from the revision at which a watch began up to `revision`. */
 export interface WatchedChanges {
   revision: number;
   changes: Change[];
@@ -90,7 +90,7 @@
 const decodeChange = ({ Set: put, Drop: deleted, V: value, Stamp: modRevision }: WireChange): Change =>
   put !== undefined ? { key: put, value, modRevision } : { key: deleted!, value: undefined, modRevision };
 
-/** The answer to a watch; an idle watch ends without changes. */
+/** Decodes the response to a watch; an idle watch ends without changes. */
 export function decodeWatch(body: unknown): WatchedChanges {
   const { Epoch, News } = body as { Epoch: number; News?: WireChange[] };
   return { revision: Epoch, changes: (News ?? []).map(decodeChange) };
@@ -107,36 +107,36 @@
   Apply: writes.map(encodeWrite),
 });
 
-/** How the store answered a transaction. */
+/** The result of a transaction. */
 export type TransactionResult =
   /** Committed at this revision. */
   | { kind: 'done'; revision: number }
-  /** Nothing was changed; `failed`: the keys whose conditions do not hold. */
+  /** Nothing was changed; `failed` lists the keys whose conditions do not hold. */
   | { kind: 'conflict'; failed: string[]; revision: number }
   /** The store lease of a write has expired. */
   | { kind: 'lease_expired' }
-  /** The store takes no transaction of that form or size. */
+  /** The store rejects the form or size of the transaction. */
   | { kind: 'malformed'; reason: string }
   /** Not carried out, and never will be. */
   | { kind: 'refused'; status: number }
-  /** May have been carried out, or may be later, until a revision that it names has changed. */
+  /** May have been carried out, or may still be carried out until one of the revisions in its conditions has changed. */
   | { kind: 'unknown' };
 
-/** The store's error text for a lease that does not exist any more. */
-const LEASE_EXPIRED = 'no such lease';
+/** The store's error text for a lease that no longer exists. */
+const LEASE_NOT_FOUND_ERROR = 'no such lease';
 
-/** Any status that the protocol does not name leaves the outcome unknown. */
+/** A status that the protocol does not define means that the outcome is unknown. */
 export function decodeTransactionResult(status: number, body: unknown): TransactionResult {
-  const answer = body as { Epoch: number; failed: string[]; error?: string };
+  const response = body as { Epoch: number; failed: string[]; error?: string };
   switch (status) {
     case 200:
-      return { kind: 'done', revision: answer.Epoch };
+      return { kind: 'done', revision: response.Epoch };
     case 409:
-      return { kind: 'conflict', failed: answer.failed, revision: answer.Epoch };
+      return { kind: 'conflict', failed: response.failed, revision: response.Epoch };
     case 400:
-      return answer?.error === LEASE_EXPIRED
+      return response?.error === LEASE_NOT_FOUND_ERROR
         ? { kind: 'lease_expired' }
-        : { kind: 'malformed', reason: String(answer?.error) };
+        : { kind: 'malformed', reason: String(response?.error) };
     case 429:
     case 503:
       return { kind: 'refused', status };
@@ -145,7 +145,7 @@
   }
 }
 
-/** Store leases: creation and renewal. */
+/** Paths, requests and responses for creating and renewing store leases. */
 export const LEASES_PATH = '/holds';
 export const leaseRenewalPath = (leaseId: number): string => `/holds/${leaseId}/renew`;
 export const encodeLeaseRequest = (ttlMs: number): unknown => ({ TtlMs: ttlMs });
--- a/src/store/transaction-batcher.ts
+++ b/src/store/transaction-batcher.ts
@@ -1,6 +1,6 @@
 /**
- * Turns mutations of records into few, batched compare-and-swap transactions, and tries again after conflicts, refusals and
- * silence of the store.
+ * Batches mutations of records into few compare-and-swap transactions, and retries them after conflicts, refusals and missing
+ * responses of the store.
  */
 import {
   BUSY_PAUSE_MS,
@@ -30,47 +30,50 @@
 
 export type { BatchingHint, CommitOutcome, Mutation } from './pending-mutation.js';
 
-/** What the batcher commits through. */
+/** Dependencies, limits and callbacks of a `TransactionBatcher`. */
 export interface TransactionBatcherOptions {
   client: StoreClient;
   replica: Replica;
   limits: TransactionLimits;
-  /** Keys below it are read from the replica; others never change once they exist. */
+  /** Keys with this prefix are read from the replica; records under other keys never change once they exist. */
   prefix: string;
   clock: Clock;
   random: Random;
-  /** ms that batch work waits for more of its kind; 0 by default. */
+  /** ms for which mutations of the priority `record` are collected before they are sent; 0 by default. */
   gatherMs?: number;
-  /** A transaction of this node has changed these keys. */
+  /** Called with the changes of each transaction that this node has committed. */
   onCommitted?: (changes: Change[]) => void;
-  /** The store takes no transaction with this mutation in it. */
+  /** Called when the store rejects a mutation that was sent in a transaction of its own. */
   onRejected?: (name: string, reason: string) => void;
-  /** The form in which a record is written; as it is by default. */
+  /** Converts a record to a form that fits the store's limits; unchanged by default. */
   resize?: Resize;
 }
 
-/** Limits of one commit. */
+/** Options of one commit. */
 export interface CommitOptions {
   /** ms after which the mutation is given up; `DEFAULT_COMMIT_TIMEOUT_MS` by default. */
   timeoutMs?: number | undefined;
   batchingHint?: BatchingHint | undefined;
 }
 
-/** The mutations of one priority, and its transactions. */
+/** The pending mutations and in-flight transactions of one priority. */
 interface PriorityQueue {
   readonly priority: Priority;
   readonly pending: PendingMutation[];
   inFlightCount: number;
-  /** Steady ms before which nothing is sent. */
+  /** Monotonic ms before which nothing is sent. */
   pausedUntilMs: number;
 }
 
 const isUserRequest = (priority: Priority): boolean => priority === Priority.cancel || priority === Priority.accept;
 
-/** Mutations that may wait share transactions: each costs a write of the team's record, and the rate of writes is small. */
+/**
+ * Less urgent priorities have only one transaction in flight, so that more mutations share it: each transaction costs a write of
+ * the team's record, and the write rate is low.
+ */
 const maxInFlight = (priority: Priority): number => (priority <= Priority.accept ? MAX_IN_FLIGHT_TRANSACTIONS : 1);
 
-/** Combines mutations into transactions and retries those that lost a race. */
+/** Combines mutations into transactions, and retries those whose conditions failed. */
 export class TransactionBatcher {
   private readonly queues: ReadonlyMap<Priority, PriorityQueue> = new Map(
     Object.values(Priority).map((priority) => [
@@ -91,23 +94,23 @@
     this.resize = options.resize ?? ((_, value) => value);
   }
 
-  /** The number of pending mutations that go before whatever has a higher number. */
+  /** The number of pending mutations with this priority or a more urgent one. */
   backlog(upTo: Priority): number {
     let count = 0;
     for (const { priority, pending } of this.queues.values()) if (priority <= upTo) count += pending.length;
     return count;
   }
 
-  /** Keeps a record outside the replica, which never changes once it exists (a final state). */
+  /** Caches a record outside the replica: a final state, which never changes once it exists. */
   cacheFinalRecord(key: string, row: StoredValue): void {
     this.finalRecords.set(key, row);
   }
 
-  /** The record as this node knows it; a transaction decided on it is safe, since it names the revisions that it read. */
+  /** The record as this node knows it; transactions based on a stale record are safe, since they name the revisions they read. */
   readonly read = (key: string): StoredValue =>
     this.isInReplica(key) ? this.options.replica.get(key) : this.finalRecords.get(key);
 
-  /** Queues a mutation; `name` stands for it in log messages. Never rejects: failures are outcomes. */
+  /** Queues a mutation; `name` identifies it in log messages. Never rejects: failures are reported as outcomes. */
   commit(
     name: string,
     priority: Priority,
@@ -119,13 +122,13 @@
     const deadlineMs = this.options.clock.now() + timeoutMs;
     return new Promise((resolve) => {
       queue.pending.push({ name, priority, decide, deadlineMs, resolve, batchingHint, mustBeSentAlone: false });
-      // Starts take resources that the other nodes can't see until they are recorded, so they do not wait.
+      // Starts are sent at once: other nodes can't see the resources that they take until they are recorded.
       if (priority !== Priority.record) this.scheduleSending();
-      else if (queue.pending.length === 1) this.scheduleGathering(queue);
+      else if (queue.pending.length === 1) this.scheduleBatching(queue);
     });
   }
 
-  /** Moves pending mutations whose hint names a concerned key to a more urgent priority than they were handed in with. */
+  /** Moves pending mutations to a more urgent priority if `isConcerned` accepts the key in their batching hint. */
   promote(isConcerned: (key: string) => boolean, from: Priority, to: Priority): void {
     const { pending } = this.queueOf(from);
     const promoted = pending.filter(({ batchingHint }) => batchingHint !== undefined && isConcerned(batchingHint.key));
@@ -144,8 +147,8 @@
     return this.queues.get(priority)!;
   }
 
-  /** Exits of batch work wait for more of their kind. */
-  private scheduleGathering(queue: PriorityQueue): void {
+  /** Delays sending for `gatherMs`, so that exits of batch tasks share transactions. */
+  private scheduleBatching(queue: PriorityQueue): void {
     const { clock } = this.options;
     const now = clock.now();
     if (now < queue.pausedUntilMs) return;
@@ -163,8 +166,8 @@
   }
 
   /**
-   * Each priority has transactions of its own in flight: batch starts that wait for the write rate must not keep submissions
-   * waiting.
+   * Each priority has its own limit of transactions in flight, so that batch starts that wait for the write rate do not delay
+   * submissions.
    */
   private sendReady(): void {
     for (const queue of this.queues.values()) {
@@ -192,9 +195,9 @@
     const conditions: Condition[] = [...draft.conditions].map(([key, modRevision]) => ({ key, modRevision }));
     const writes: Write[] = [...draft.writes].map(([key, value]) => ({ key, value, leaseId: draft.leases.get(key) }));
     const result = await this.options.client.transact(conditions, writes, queue.priority);
-    // Nothing is awaited after a success: keys are released in the same turn in which the callers are told of it.
-    const reading = this.readBeforeRetry(result);
-    if (reading !== undefined) await reading;
+    // After a success nothing is awaited: the keys are released in the same event loop turn in which the callers are notified.
+    const refresh = this.refreshBeforeRetry(result);
+    if (refresh !== undefined) await refresh;
     this.settle(queue, mutations, writes, result);
     for (const key of keys) this.keysInFlight.delete(key);
     queue.inFlightCount--;
@@ -208,8 +211,8 @@
     this.scheduleSending();
   }
 
-  /** Brings the records up to date that the next attempt is decided on; undefined: nothing is to be read. */
-  private readBeforeRetry(result: TransactionResult): Promise<unknown> | undefined {
+  /** Refreshes the records that the next attempt depends on; undefined: there is nothing to read. */
+  private refreshBeforeRetry(result: TransactionResult): Promise<unknown> | undefined {
     if (result.kind === 'conflict') return this.readChangedRecords(result.failed ?? []);
     return result.kind === 'unknown' ? this.options.replica.refresh() : undefined;
   }
@@ -225,8 +228,8 @@
         this.applyCommitted(writes.map(({ key, value }) => ({ key, value, modRevision: result.revision })));
         resolveAll(mutations, { kind: 'done', revision: result.revision });
         break;
-      // Unknown: it may have been applied, or may be later. The next attempt names the same revisions, so only one can take
-      // effect.
+      // The outcome 'unknown' means that the transaction may have been applied or may be applied later. The next attempt names
+      // the same revisions, so only one of the two can take effect.
       case 'conflict':
       case 'unknown':
         queue.pending.unshift(...mutations);
@@ -245,14 +248,14 @@
   private handleRefusal(queue: PriorityQueue, mutations: PendingMutation[], status: number): void {
     const isBusy = status === 429;
     this.pause(queue, isBusy);
-    // A user is told at once what the store has refused for good, instead of waiting here for a deadline.
+    // Users get a refusal other than 429 at once, instead of waiting for the deadline of the mutation.
     if (!isBusy && isUserRequest(queue.priority)) resolveAll(mutations, { kind: 'expired' });
     else queue.pending.unshift(...mutations);
   }
 
   /**
-   * The store's limits have changed, or a mutation asks for what the store never takes. Each mutation is tried again by itself,
-   * within the limits to come; one that is rejected even so is given up.
+   * Handles a transaction rejected because the store's limits have changed or because a mutation is never acceptable. Each
+   * mutation is retried in a transaction of its own, within the announced limits; one that is rejected again is given up.
    */
   private handleRejection(queue: PriorityQueue, mutations: PendingMutation[], reason: string): void {
     this.limits = { ...this.limits, valueBytes: this.limits.lastingValueBytes };
@@ -280,7 +283,7 @@
     this.options.onCommitted?.(changes);
   }
 
-  /** Reads the records that a conflict has shown to be outdated here. */
+  /** Refreshes the replica, and the records outside it whose conditions failed. */
   private async readChangedRecords(failedKeys: readonly string[]): Promise<void> {
     const keysOutsideReplica = failedKeys.filter((key) => !this.isInReplica(key));
     await Promise.all([this.options.replica.refresh(), ...keysOutsideReplica.map((key) => this.readFinalRecord(key))]);
@@ -290,7 +293,7 @@
     try {
       this.cacheFinalRecord(key, await this.options.client.get(key, Priority.lease));
     } catch {
-      // The next attempt fails the same way and reads again.
+      // The next attempt fails with the same conflict and reads the record again.
     }
   }
 }
--- a/src/store/transaction-draft.ts
+++ b/src/store/transaction-draft.ts
@@ -1,38 +1,38 @@
-/** A compare-and-swap transaction under construction, and the limits of the store for one. */
+/** A compare-and-swap transaction under construction, and the store's limits on one transaction. */
 import {
   BATCH_TRANSACTION_SHARE,
   CONDITIONS_PER_WRITE,
-  LEAST_BATCH_TRANSACTION_WRITES,
+  MIN_BATCH_TRANSACTION_WRITES,
   MAX_TRANSACTION_BYTES,
 } from '../constants/store.js';
 import type { StoreSettings } from '../domain/settings.js';
 import { jsonLength } from './json-size.js';
 import type { StoredValue } from './replica.js';
 
-/** The most that one transaction may hold. */
+/** Upper limits of one transaction. */
 export interface TransactionLimits {
-  /** Writes. */
+  /** Number of writes. */
   writes: number;
-  /** Writes beyond which no other mutation is added to a transaction. */
+  /** Number of writes in a transaction of several mutations. */
   batchWrites: number;
   conditions: number;
   bytes: number;
-  /** Bytes of one value at present. */
+  /** Bytes of one value, as currently limited. */
   valueBytes: number;
-  /** Bytes of one value, now and after an announced change of the limit. */
+  /** Bytes of one value that are allowed both now and after an announced change of the limit. */
   lastingValueBytes: number;
 }
 
 /**
- * Limits that hold after an announced change of the store's limits too; but of one value the present limit, since what is stored
- * already may be larger than the limit to come.
+ * Limits that also hold after an announced change of the store's limits, except that `valueBytes` is the current limit: values
+ * that are already stored may be larger than the announced one.
  */
 export function transactionLimits({ present, lasting }: StoreSettings): TransactionLimits {
   const { transactionWrites, writesPerSecond } = lasting;
-  const batchOps = Math.max(LEAST_BATCH_TRANSACTION_WRITES, Math.floor(writesPerSecond * BATCH_TRANSACTION_SHARE));
+  const maxBatchWrites = Math.max(MIN_BATCH_TRANSACTION_WRITES, Math.floor(writesPerSecond * BATCH_TRANSACTION_SHARE));
   return {
     writes: transactionWrites,
-    batchWrites: Math.min(transactionWrites, batchOps),
+    batchWrites: Math.min(transactionWrites, maxBatchWrites),
     conditions: transactionWrites * CONDITIONS_PER_WRITE,
     bytes: MAX_TRANSACTION_BYTES,
     valueBytes: present.valueBytes,
@@ -40,16 +40,16 @@
   };
 }
 
-/** The form in which a record is written, of a size that the store takes. */
+/** Converts a record to the form in which it is written, so that its size is within the store's limit. */
 export type Resize = (key: string, value: unknown) => unknown;
 
-/** Bytes of the envelope of a write and of a condition, safe upper bounds. */
+/** Upper bounds of the size in bytes of a write and of a condition, without the key and value. */
 const WRITE_ENVELOPE_BYTES = 40;
 const CONDITION_BYTES = 30;
 
 const writeBytes = (key: string, value: unknown): number => key.length + WRITE_ENVELOPE_BYTES + jsonLength(value);
 
-/** What a transaction takes of each limit. */
+/** The size of a transaction in terms of each limit. */
 interface TransactionSize {
   writes: number;
   conditions: number;
@@ -57,18 +57,18 @@
 }
 
 /**
- * A transaction under construction: every record that a mutation reads becomes a condition. A draft over a base draft sees the
- * writes of the base; it is merged into the base if it is kept, so that trying one more mutation costs no more than its own
- * records.
+ * A transaction under construction: the revision of every record that a mutation reads becomes a condition. A draft can have a
+ * base draft, whose writes it sees, and is merged into it once accepted. Evaluating one more mutation thus costs only the
+ * records of that mutation.
  */
 export class TransactionDraft {
-  /** The revisions that the records must still have, by key. */
+  /** The revisions that the records must still have when the transaction is applied, by key. */
   readonly conditions = new Map<string, number>();
-  /** The new values, by key; undefined deletes. */
+  /** The new values, by key; undefined deletes the key. */
   readonly writes = new Map<string, unknown>();
-  /** The store leases that written keys are attached to. */
+  /** The ids of the store leases that written keys are attached to, by key. */
   readonly leases = new Map<string, number>();
-  /** Bytes of each write, as far as `fits` has measured them. */
+  /** Bytes of each write that `fits` has measured, by key. */
   private readonly writeSizes = new Map<string, number>();
   private bytes = 0;
 
@@ -78,17 +78,17 @@
     private readonly resize: Resize = (_, value) => value,
   ) {}
 
-  /** The newest draft, of this one and its bases, that has written the key; undefined: none has. */
+  /** The first draft in the chain from this one through its bases that writes the key; undefined: none does. */
   private findWriter(key: string): TransactionDraft | undefined {
     return this.writes.has(key) ? this : this.base?.findWriter(key);
   }
 
-  /** Does this draft, or a base of it, write the key? */
+  /** Whether this draft or one of its bases writes the key. */
   hasWritten(key: string): boolean {
     return this.findWriter(key) !== undefined;
   }
 
-  /** Reads a record, and makes its revision a condition unless this draft or a base of it has written it. */
+  /** Reads a record, and makes its revision a condition unless this draft or one of its bases writes the record. */
   get(key: string): unknown {
     const writer = this.findWriter(key);
     if (writer !== undefined) return writer.writes.get(key);
@@ -97,13 +97,13 @@
     return row.value;
   }
 
-  /** Reads without making it a condition: only for what can't change any more. */
+  /** Reads a record without adding a condition: only for records that can no longer change. */
   peek(key: string): unknown {
     const writer = this.findWriter(key);
     return writer !== undefined ? writer.writes.get(key) : this.read(key).value;
   }
 
-  /** Writes a record, under the condition that it is as it was read. */
+  /** Writes a record, on the condition that its revision is still the one that was read. */
   set(key: string, value: unknown): void {
     if (!this.conditions.has(key)) this.conditions.set(key, this.read(key).modRevision);
     this.writes.set(key, this.resize(key, value));
@@ -119,17 +119,17 @@
     this.set(key, undefined);
   }
 
-  /** A draft with this one as its base. */
+  /** Creates a draft with this one as its base. */
   over(): TransactionDraft {
     return new TransactionDraft(this.read, this, this.resize);
   }
 
-  /** Would this draft, merged into its base, still be one transaction? `ops`: the most writes. */
-  fits(limits: TransactionLimits, ops = limits.writes): boolean {
+  /** Whether this draft, merged into its base, is within the limits. Also measures the draft for `merge`. */
+  fits(limits: TransactionLimits, maxWrites = limits.writes): boolean {
     if (this.hasValueAbove(limits.valueBytes)) return false;
-    const size = this.measureMerged();
+    const size = this.mergedSize();
     this.bytes = size.bytes;
-    return size.writes <= ops && size.conditions <= limits.conditions && size.bytes <= limits.bytes;
+    return size.writes <= maxWrites && size.conditions <= limits.conditions && size.bytes <= limits.bytes;
   }
 
   private hasValueAbove(valueBytes: number): boolean {
@@ -140,7 +140,7 @@
   }
 
   /** The size of the base with this draft merged into it. */
-  private measureMerged(): TransactionSize {
+  private mergedSize(): TransactionSize {
     const { base } = this;
     const size: TransactionSize = {
       writes: base?.writes.size ?? 0,
@@ -170,14 +170,14 @@
     }
   }
 
-  /** Takes in a draft over this one, which must have been measured by `fits`. */
-  merge(above: TransactionDraft): void {
-    for (const [key, modRevision] of above.conditions) {
+  /** Merges a draft that has this one as its base, and that `fits` has measured. */
+  merge(child: TransactionDraft): void {
+    for (const [key, modRevision] of child.conditions) {
       if (!this.conditions.has(key)) this.conditions.set(key, modRevision);
     }
-    for (const [key, value] of above.writes) this.writes.set(key, value);
-    for (const [key, size] of above.writeSizes) this.writeSizes.set(key, size);
-    this.bytes = above.bytes;
-    for (const [key, leaseId] of above.leases) this.leases.set(key, leaseId);
+    for (const [key, value] of child.writes) this.writes.set(key, value);
+    for (const [key, size] of child.writeSizes) this.writeSizes.set(key, size);
+    this.bytes = child.bytes;
+    for (const [key, leaseId] of child.leases) this.leases.set(key, leaseId);
   }
 }
