--- a/src/config/least-limits.ts
+++ b/src/config/least-limits.ts
@@ -1,48 +1,48 @@
-/** The limits below which a controller can't work: refused at startup rather than found out in an outage. */
+/** Checks the platform's limits against the minimums that a controller needs, so that too small ones are rejected at startup. */
 import {
-  LEAST_CPU_SHARE,
-  LEAST_MEMORY_MB,
-  LEAST_SOCKETS,
-  LEAST_STORE_REQUESTS_PER_NODE,
-  LEAST_STORE_WRITES,
-  LEAST_TRANSACTION_WRITES,
-  LEAST_VALUE_KB,
+  MIN_CPU_SHARE,
+  MIN_MEMORY_MB,
+  MIN_SOCKETS,
+  MIN_STORE_REQUESTS_PER_NODE,
+  MIN_STORE_WRITES,
+  MIN_TRANSACTION_WRITES,
+  MIN_VALUE_KB,
 } from '../constants/platform-minimums.js';
 import type { SettingsFile, StoreSection } from './settings-file-codec.js';
 
-/** A limit of the platform, and the least that is needed. */
+/** A limit set by the platform, and the minimum that a controller needs. */
 interface Limit {
   /** Its path in the settings file. */
   field: string;
   value: number;
-  least: number;
+  minimum: number;
 }
 
-/** `path`: of the section in the settings file. A limit that the section leaves out is not checked. */
+/** `path` is the path of the section in the settings file. Limits that the section omits are not checked. */
 function listStoreLimits(path: string, store: Partial<StoreSection>, nodeCount: number): Limit[] {
-  const leastByName = {
-    rps: LEAST_STORE_REQUESTS_PER_NODE * nodeCount,
-    write_rps: LEAST_STORE_WRITES,
-    value_kb: LEAST_VALUE_KB,
-    txn_ops: LEAST_TRANSACTION_WRITES,
+  const minimumByName = {
+    rps: MIN_STORE_REQUESTS_PER_NODE * nodeCount,
+    write_rps: MIN_STORE_WRITES,
+    value_kb: MIN_VALUE_KB,
+    txn_ops: MIN_TRANSACTION_WRITES,
   };
-  return Object.entries(leastByName).map(([name, least]) => ({
+  return Object.entries(minimumByName).map(([name, minimum]) => ({
     field: `${path}.${name}`,
-    value: store[name as keyof typeof leastByName] ?? Infinity,
-    least,
+    value: store[name as keyof typeof minimumByName] ?? Infinity,
+    minimum,
   }));
 }
 
 const listLimits = ({ cluster }: SettingsFile): Limit[] => [
-  { field: 'cluster.limits.cpu', value: cluster.limits.cpu, least: LEAST_CPU_SHARE },
-  { field: 'cluster.limits.ram_mb', value: cluster.limits.ram_mb, least: LEAST_MEMORY_MB },
-  { field: 'cluster.limits.sockets', value: cluster.limits.sockets, least: LEAST_SOCKETS },
+  { field: 'cluster.limits.cpu', value: cluster.limits.cpu, minimum: MIN_CPU_SHARE },
+  { field: 'cluster.limits.ram_mb', value: cluster.limits.ram_mb, minimum: MIN_MEMORY_MB },
+  { field: 'cluster.limits.sockets', value: cluster.limits.sockets, minimum: MIN_SOCKETS },
   ...listStoreLimits('cluster.state', cluster.state, cluster.size),
   ...listStoreLimits('cluster.state.next', cluster.state.next ?? {}, cluster.size),
 ];
 
-/** Says which limit is too small, the first of them, and what is needed; undefined: none is. */
+/** Describes the first limit that is too small, and its minimum; undefined if all limits suffice. */
 export function findLimitTooSmall(file: SettingsFile): string | undefined {
-  const limit = listLimits(file).find(({ value, least }) => value < least);
-  return limit === undefined ? undefined : `${limit.field}: must be ${limit.least} at least, is ${limit.value}`;
+  const limit = listLimits(file).find(({ value, minimum }) => value < minimum);
+  return limit === undefined ? undefined : `${limit.field}: must be ${limit.minimum} at least, is ${limit.value}`;
 }
--- a/src/config/load-settings.ts
+++ b/src/config/load-settings.ts
@@ -1,4 +1,4 @@
-/** Reads the settings files, and checks them field by field. */
+/** Reads and validates the settings files. */
 import { readFileSync } from 'node:fs';
 
 import { findContradiction } from '@dewlatch/standby';
@@ -19,12 +19,12 @@
 } from './settings-file-codec.js';
 import type { Tuning } from './tuning.js';
 
-/** A settings file that can't be used; the message names the file and the field. */
+/** A settings file is invalid; the message names the file and the field. */
 export class SettingsError extends Error {
   readonly code = 'settings_invalid';
 }
 
-/** Throws a `SettingsError` that names the first field that does not match. */
+/** Validates a value against a schema. Throws a `SettingsError` that names the first invalid field. */
 function check<S extends v.GenericSchema>(schema: S, value: unknown, where: string): v.InferOutput<S> {
   const result = v.safeParse(schema, value);
   if (result.success) return result.output;
@@ -40,8 +40,10 @@
   }
 }
 
-/** The checked content of a settings file, in the file's own names and units. `where` names the file in errors. Throws a
- * `SettingsError`. */
+/**
+ * Parses and validates the platform's settings file, keeping its own field names and units. `where` names the file in errors.
+ * Throws a `SettingsError`.
+ */
 export function parseSettingsFile(json: string, where: string): SettingsFile {
   let raw: unknown;
   try {
@@ -65,10 +67,10 @@
   return check(TuningFileSchema, raw, where);
 }
 
-/** The platform's settings from the content of their file. Throws a `SettingsError`. */
+/** Parses the content of the platform's settings file. Throws a `SettingsError`. */
 export const parseSettings = (json: string, where: string): Settings => decodeSettings(parseSettingsFile(json, where));
 
-/** The operators' settings from the content of their file. Throws a `SettingsError`. */
+/** Parses the content of the operators' settings file. Throws a `SettingsError`. */
 export function parseTuning(toml: string, where: string): Tuning {
   const tuning = decodeTuning(parseTuningFile(toml, where));
   const problem = findContradiction(tuning.standby, {
@@ -79,9 +81,9 @@
   return tuning;
 }
 
-/** Reads the platform's settings. Throws a `SettingsError`. */
+/** Reads the platform's settings file. Throws a `SettingsError`. */
 export const loadSettings = (path: string): Settings => parseSettings(readText(path), path);
 
-/** Reads the operators' settings; without a file the defaults are in force. Throws a `SettingsError`. */
+/** Reads the operators' settings file; without a path, returns the defaults. Throws a `SettingsError`. */
 export const loadTuning = (path: string | undefined): Tuning =>
   path === undefined ? parseTuning('', '(defaults)') : parseTuning(readText(path), path);
--- a/src/config/settings-file-codec.ts
+++ b/src/config/settings-file-codec.ts
@@ -1,6 +1,6 @@
 /**
- * The platform's settings (JSON) and the operators' (TOML) as they stand in the files, and their translation to the names and
- * units of the program.
+ * Schemas of the platform's settings file (JSON) and the operators' settings file (TOML), and the conversion of their fields to
+ * the names and units of the program.
  */
 import { StandbySettingsSchema } from '@dewlatch/standby';
 import * as v from 'valibot';
@@ -34,14 +34,14 @@
   times: v.optional(v.number()),
 });
 
-/** Requests and writes a second, KB of a value, writes of a transaction. */
+/** Requests and writes per second, KB per value, writes per transaction. */
 const StoreLimitsSchema = { rps: positive, write_rps: positive, value_kb: positive, txn_ops: count };
 
-/** The process limits in force where `limits` leaves them out. */
+/** Process limits used where `limits` omits them. */
 const DEFAULT_PROCESS_LIMITS = { cpu: 1, ram_mb: 146, sockets: 500 };
 const DEFAULT_CLOCK_ERROR_MS = 100;
 
-/** The platform's settings file; fields that it does not name are ignored. */
+/** The platform's settings file; unknown fields are ignored. */
 export const SettingsFileSchema = v.object({
   node: text,
   location: v.optional(v.string(), ''),
@@ -77,7 +77,7 @@
 
 const share = v.pipe(v.number(), v.minValue(0), v.maxValue(1));
 
-/** The operators' settings file; a field that it does not name is an error, since it is probably misspelt. */
+/** The operators' settings file; unknown fields are errors, since they are probably misspelled. */
 export const TuningFileSchema = v.strictObject({
   threshold: v.optional(share, DEFAULT_TUNING.threshold),
   window_s: v.optional(positive, DEFAULT_TUNING.window_s),
@@ -87,11 +87,11 @@
   standby: v.optional(StandbySettingsSchema, {}),
 });
 
-/** The settings file as parsed, under its own field names. */
+/** The parsed settings file, with its own field names. */
 export type SettingsFile = v.InferOutput<typeof SettingsFileSchema>;
-/** The section of the settings file about the store. */
+/** The section of the settings file for the store. */
 export type StoreSection = SettingsFile['cluster']['state'];
-/** The tuning file as parsed, under its own field names. */
+/** The parsed tuning file, with its own field names. */
 export type TuningFile = v.InferOutput<typeof TuningFileSchema>;
 
 const decodeTeam = ({ name, cpus, cpus_max, gpus, gpus_max }: SettingsFile['cluster']['teams'][number]): Team => ({
@@ -121,21 +121,21 @@
   transactionWrites: store.txn_ops,
 });
 
-/** Limits that hold before and after an announced change; what is not announced to change stays as it is. */
+/** The limits that hold both before and after an announced change; a limit without an announced change keeps its value. */
 const lastingLimits = (store: StoreSection): StoreLimits => ({
   writesPerSecond: Math.min(store.write_rps, store.next?.write_rps ?? Infinity),
   valueBytes: Math.min(store.value_kb, store.next?.value_kb ?? Infinity) * BYTES_PER_KB,
   transactionWrites: Math.min(store.txn_ops, store.next?.txn_ops ?? Infinity),
 });
 
-/** The store's limits, at present and after an announced change. */
+/** Converts the store's limits, current and announced. */
 export const decodeStoreSettings = (store: StoreSection): StoreSettings => ({
   requestsPerSecond: store.rps,
   present: presentLimits(store),
   lasting: lastingLimits(store),
 });
 
-/** The platform's settings in the names and units of the program. */
+/** Converts the platform's settings to the names and units of the program. */
 export const decodeSettings = (file: SettingsFile): Settings => ({
   node: file.node,
   zone: file.location,
@@ -155,7 +155,7 @@
   },
 });
 
-/** The operators' settings in the names and units of the program. */
+/** Converts the operators' settings to the names and units of the program. */
 export const decodeTuning = (file: TuningFile): Tuning => ({
   happinessThreshold: file.threshold,
   happinessWindowMs: file.window_s * MS_PER_S,
--- a/src/constants/api.ts
+++ b/src/constants/api.ts
@@ -1,41 +1,41 @@
-/** Limits and deadlines of users' requests, and of the HTTP server. */
+/** Limits and deadlines of user requests, and of the HTTP server. */
 
-/** ms after which a submission is refused with 503: users give up after 5 s, and a refusal lets them go elsewhere. */
+/** ms after which a submission is refused with 503: users give up after 5 s, and this leaves them time to try another node. */
 export const SUBMIT_DEADLINE_MS = 1800;
 
-/** ms after which a poll is refused: users wait 2 s for it. */
+/** ms after which a poll is refused: users wait 2 s for a response. */
 export const POLL_DEADLINE_MS = 1500;
 
 /**
- * ms that polls are collected before one comparing transaction answers them all: users wait 2 s, and some hundred of them
- * who poll every 5 s would otherwise take one store request each.
+ * ms for which polls are collected before one transaction of conditions serves them all: users wait 2 s, and about a hundred
+ * users who poll every 5 s would otherwise cost one store request for each poll.
  */
 export const POLL_GATHER_MS = 250;
 
-/** Attempts of a comparing transaction for one poll, after each of which the records that differed are read again. */
+/** Maximum attempts of such a transaction for one poll; after each, the records whose conditions failed are read again. */
 export const POLL_COMPARISONS = 3;
 
-/** Users' requests in progress at once; beyond, a node answers 429 at once, so that memory stays bounded. */
+/** Maximum of user requests in progress: more are refused with 429 at once, which bounds memory. */
 export const MAX_OPEN_REQUESTS = 200;
 
-/** s in `Retry-After` when a request can't be accepted: the protocol's shortest wait. */
+/** Seconds in `Retry-After` when a request can't be accepted: the shortest wait that the protocol allows. */
 export const RETRY_AFTER_S = 1;
 
-/** s in `Retry-After` at most: users follow no longer times. */
+/** Maximum of `Retry-After` in seconds: users ignore longer waits. */
 export const MAX_RETRY_AFTER_S = 30;
 
-/** Bytes of a request body: the protocol's limit. */
+/** Maximum size of a request body in bytes: the protocol's limit. */
 export const MAX_BODY_BYTES = 65_536;
 
-/** ms an idle connection of a user or worker is kept open: several heartbeats or polls. */
+/** ms for which an idle connection of a user or worker is kept open: several heartbeat or poll intervals. */
 export const KEEP_ALIVE_MS = 30_000;
 
-/** ms within which a request must have arrived in full. */
+/** ms within which a request must be received completely. */
 export const REQUEST_TIMEOUT_MS = 5000;
 
 /**
- * Of the sockets that the platform allows, the shares for users and workers, and for calls to the store, the cloud and workers;
- * the rest is for the other controllers.
+ * Shares of the sockets that the platform allows: for connections of users and workers, and for calls to the store, the cloud
+ * and workers. The rest is left for connections with other controllers.
  */
 export const HTTP_SERVER_SOCKET_SHARE = 0.6;
 export const HTTP_CLIENT_SOCKET_SHARE = 0.25;
--- a/src/constants/clocks.ts
+++ b/src/constants/clocks.ts
@@ -1,7 +1,7 @@
-/** Bounds on the difference between clocks, and so between leases, of different machines. */
+/** Bounds on the differences between the clocks of different machines, on which the safety of leases depends. */
 
-/** Relative drift between two steady clocks: each may be off by 0.05 %, taken twice for the pair. */
+/** Maximum relative drift between two monotonic clocks: each may be off by 0.05 %. */
 export const CLOCK_DRIFT = 0.001;
 
-/** ms added to every proof of a lease expiry: timer resolution and scheduling delay of the worker. */
+/** ms added to every proof of a lease expiry, for the worker's timer resolution and scheduling delay. */
 export const LEASE_MARGIN_MS = 300;
--- a/src/constants/workers.ts
+++ b/src/constants/workers.ts
@@ -1,90 +1,91 @@
-/** Heartbeats, commands, and the health of machines. */
+/** Heartbeats, commands, and machine health. */
 
-/** ms that placement changes of one machine are collected before commands are sent to its worker. */
+/** ms for which placement changes of a machine are collected before commands are sent to its worker. */
 export const COMMAND_BATCHING_MS = 5;
 
 /**
  * Share of the heartbeat interval for which launches of batch tasks wait for others on the same machine, or for its next
- * heartbeat: a busy machine sends several in an interval, and the answer carries the launches at no cost.
+ * heartbeat: a busy machine sends several in an interval, and the response carries the launches at no cost.
  */
 export const BATCH_PUSH_GATHER_SHARE = 0.1;
 
-/** Leases for which a worker without tasks is remembered after its last heartbeat: its agent epoch is over long before. */
+/** Number of leases after its last contact until a worker without tasks is forgotten: its agent epoch has ended long before. */
 export const WORKER_RETENTION_LEASES = 10;
 
-/** ms between two sweeps for worker leases that are proved to have expired. */
+/** ms between sweeps for worker leases that have provably expired, for roles to be released, and for cancelled tasks. */
 export const SWEEP_MS = 500;
 
-/** ms after which a worker whose heartbeats are forwarded is redirected to its leader again, to test whether it reaches it. */
+/** ms after which a worker whose heartbeats are forwarded is redirected to its leader again, in case it can reach it by then. */
 export const REDIRECT_AGAIN_MS = 60_000;
 
 /**
- * ms beyond its interval that a heartbeat may be late before its worker counts as one that got no answer: above delays of a
- * few hundred ms, below the second that it waits, after 4 s, before it tries another node.
+ * ms beyond its interval that a heartbeat may be late before its worker is assumed to have got no response: more than delays of
+ * a few hundred ms, no more than the second that a worker waits, after 4 s without a response, before it tries another node.
  */
-export const ANSWER_MISSED_MS = 1000;
+export const LATE_HEARTBEAT_MARGIN_MS = 1000;
 
 /**
- * Workers to which the fencing token is announced at once after a failover, at least, and as a share of those in use: hundreds
- * of connections in one tick would keep heartbeats waiting, but all must have had their turn within a few seconds.
+ * Workers to which the fencing token is announced at the same time after a failover: the larger of this number and this share of
+ * the machines in use. Hundreds of connections in one tick would delay heartbeats, but all workers must be reached within a few
+ * seconds.
  */
 export const MAX_TOKEN_ANNOUNCEMENTS = 24;
 export const TOKEN_ANNOUNCEMENTS_SHARE = 0.05;
 
-/** ms between two announcements of the fencing token to one worker, so that all that send no heartbeat get their turn. */
+/** Minimum ms between announcements of the fencing token to one worker, so that all that send no heartbeat get their turn. */
 export const TOKEN_ANNOUNCE_AGAIN_MS = 5000;
 
-/** ms for a command to a worker: workers answer at once; a hanging machine does not. */
+/** Timeout of a command to a worker, ms: workers respond at once, unless the machine hangs. */
 export const COMMAND_TIMEOUT_MS = 1500;
 
-/** ms to connect to a worker or peer; a machine that is cut off never answers. */
+/** Timeout of connecting to a worker or peer, ms: a machine that is cut off never responds. */
 export const CONNECT_TIMEOUT_MS = 1000;
 
-/** Bytes of an answer to a worker, below the 64 KiB that a line may hold. */
+/** Maximum size of the commands in a response to a worker, bytes: below the 64 KiB that a line may hold. */
 export const MAX_COMMANDS_BYTES = 60_000;
 
-/** Errors of different tasks in a row, without a success, after which a machine is quarantined. */
+/** Number of different jobs with failures on a machine, without a success in between, from which it is quarantined. */
 export const QUARANTINE_ERRORS = 2;
 
-/** ms for which a quarantined machine takes no new work, if it can't be replaced. */
+/** ms for which a quarantined machine gets no new tasks, if it can't be replaced. */
 export const QUARANTINE_MS = 120_000;
 
 /**
- * ms of backoff for which a machine takes no task of a job that has failed there, doubled with each further failure up to the
- * maximum: the fault may be the machine's, and others come first; but a job that has failed on all must not wait for ever.
+ * Backoff for which a machine gets no task of a job that has failed there, ms, doubled with each further failure up to the
+ * maximum: the machine may be at fault, so others are tried first; but a job that has failed on all must not wait forever.
  */
 export const FAILED_JOB_BACKOFF_BASE_MS = 10_000;
 export const FAILED_JOB_BACKOFF_MAX_MS = 60_000;
 
-/** Heartbeats missed in a row after which a machine counts as silent and gets no new work. */
+/** Consecutive missed heartbeats after which a machine counts as silent and gets no new tasks. */
 export const SILENT_HEARTBEATS = 3;
 
 /**
  * ms beyond the heartbeat interval after which a silent machine is scaled in, which releases its tasks at once: a worker that
- * can't reach its leader waits 4 s, then 1 s, before it tries another node, which tells the leader at once.
+ * can't reach its leader waits 4 s, then 1 s, before it tries another node, which informs the leader at once.
  */
-export const ROUND_TRIP_MS = 5400;
+export const NODE_SWITCH_MS = 5400;
 
-/** Tasks in a row that must all have run long before their machine counts as slow. */
+/** Number of consecutive tasks that must all have run too long for their machine to count as slow. */
 export const SLOW_MACHINE_TASKS = 3;
 
 /** ms for which a machine counts as slow. */
 export const SLOW_MACHINE_MS = 60_000;
 
-/** Finished tasks of a job from which their mean run time is trusted. */
+/** Minimum of finished tasks of a job for their mean run time to be used. */
 export const MIN_FINISHED_SIBLINGS = 3;
 
 /**
- * Times the mean of the job's finished tasks from which a running task shows that its machine is slow. The tasks that have
- * finished by then are the shorter half: among runs that differ by 0.4 either way the longest takes 1.9 times their mean.
+ * Multiple of the mean run time of the job's finished tasks beyond which a running task indicates a slow machine. The tasks that
+ * have finished by then are the shorter half: if run times vary by 0.4 either way, the longest is 1.9 times their mean.
  */
 export const STRAGGLER_FACTOR = 2.3;
 
-/** Times the mean after which a task stays on its slow machine: it will end there sooner than started anew. */
+/** Multiple of the mean beyond which a task stays on its slow machine: it will end there sooner than if it were restarted. */
 export const EVICT_STRAGGLER_FACTOR = 3;
 
-/** Times the mean of the same jobs' tasks from which a machine's tasks make it count as slow, for the same reason. */
+/** Multiple of the mean of their jobs' tasks beyond which a machine's last tasks make it count as slow, for the same reason. */
 export const SLOW_MACHINE_FACTOR = 2.3;
 
-/** ms between two checks for workers that have sent no heartbeat since a failover. */
+/** ms between checks for workers that have sent no heartbeat since a failover. */
 export const TOKEN_ANNOUNCE_PERIOD_MS = 700;
--- a/src/domain/job.ts
+++ b/src/domain/job.ts
@@ -1,43 +1,43 @@
 /** Jobs as users submit them. */
 import type { Resources } from './resources.js';
 
-/** `array`: independent tasks; `gang`: tasks that run together or not at all; `service`: tasks that run until cancelled. */
+/** `array`: independent tasks; `gang`: tasks that run all at once or not at all; `service`: tasks that run until cancelled. */
 export type JobKind = 'array' | 'gang' | 'service';
 
-/** A job of higher priority is placed first, and may preempt others. */
+/** Jobs of higher priority are placed first, and may preempt others. */
 export type JobPriority = 'prod' | 'high' | 'normal' | 'low';
 
-/** From the highest to the lowest. */
+/** All priorities, from the highest to the lowest. */
 export const JOB_PRIORITIES: readonly JobPriority[] = ['prod', 'high', 'normal', 'low'];
 
-/** A job as its user submitted it. The resources are those of one task. */
+/** A job as submitted by its user. The resources are those of one task. */
 export interface JobSpec extends Resources {
   id: string;
-  /** Chooses the service-level objectives that apply. */
+  /** Determines the service-level objectives that apply. */
   jobClass: string;
   team: string;
   kind: JobKind;
   priority: JobPriority;
   taskCount: number;
-  /** The image that every task runs. */
+  /** The name of the image that every task runs. */
   image: string;
   imageGb: number;
-  /** Names of the machine types that its tasks may run on; null: any. */
+  /** Names of the machine types on which its tasks may run; null: any. */
   machineTypes: string[] | null;
-  /** The zone that its tasks must run in; null: any. */
+  /** The zone in which its tasks must run; null: any. */
   zone: string | null;
-  /** All tasks in one zone, whichever. */
+  /** Whether all tasks must run in the same zone, no matter which. */
   singleZone: boolean;
-  /** At most half of the tasks, rounded up, in one zone. */
+  /** Whether at most half of the tasks, rounded up, may run in the same zone. */
   spreadAcrossZones: boolean;
   allowsSpot: boolean;
   /** The team's estimate of one task's run time without the image fetch, often wrong by half; 0 for services. */
   estimatedRunS: number;
-  /** Progress between two checkpoints; 0: the tasks make none. */
+  /** Progress between two checkpoints; 0: the tasks make no checkpoints. */
   checkpointIntervalS: number;
-  /** Time that a task needs for a checkpoint when it is stopped. */
+  /** Time that a task needs to save a checkpoint when it is stopped. */
   checkpointS: number;
-  /** From the submission; null: no deadline. */
+  /** Deadline in seconds after the submission; null: none. */
   deadlineS: number | null;
 }
 
--- a/src/domain/machine-state.ts
+++ b/src/domain/machine-state.ts
@@ -1,4 +1,4 @@
-/** What is known of a machine, whichever node states it: shared by heartbeats, gossip and placement. */
+/** What nodes know about a machine; shared by heartbeats, gossip and placement. */
 
 /** How a machine identifies itself in each of its heartbeats. */
 export interface MachineIdentity {
@@ -11,39 +11,39 @@
   isSpot: boolean;
   /** The epoch of the machine's agent: it grows with each lease that expires. */
   agentEpoch: number;
-  /** The sequence number of the newest heartbeat received: those with older numbers are late copies. */
+  /** The sequence number of the newest heartbeat received: heartbeats with lower numbers are late copies. */
   sequence: number;
 }
 
-/** What the leader of a machine's partition states of it. */
+/** The state of a machine as reported by the leader of its partition. */
 export interface MachineState extends MachineIdentity {
   /** Tasks of several jobs have failed on it. */
   isQuarantined: boolean;
-  /** It refused a start, and gets no other one for a while. */
+  /** It refused a start, and gets no others for a while. */
   isBackingOff: boolean;
-  /** Nothing shows that responses reach it. */
+  /** There is no evidence that responses reach it. */
   isUnreached: boolean;
-  /** Its tasks run longer than they do elsewhere. */
+  /** Its tasks run longer than those of other machines. */
   isSlow: boolean;
-  /** Its heartbeats arrive, but responses have not reached it for a lease. */
+  /** Its heartbeats arrive, but responses have not reached it for the duration of a lease. */
   isMute: boolean;
-  /** Images in its cache. */
+  /** Names of the images in its cache. */
   images: string[];
-  /** Ids of the jobs whose tasks have lately failed on it. */
+  /** Ids of the jobs whose tasks have recently failed on it. */
   failedJobs: string[];
-  /** The node that states this, as the leader of the machine's partition. */
+  /** The node that reports this state, as the leader of the machine's partition. */
   partitionLeader: string;
 }
 
-/** A machine as each node may know it: from its own workers' heartbeats or from the leader's gossip. */
+/** A machine as known to a node, either from the heartbeats of its own workers or from the leader's gossip. */
 export interface MachineInfo extends MachineState {
-  /** When its last heartbeat arrived, monotonic ms of this node's clock. */
+  /** Arrival of its last heartbeat, monotonic ms of this node's clock. */
   lastHeartbeatAt: number;
-  /** When the cloud takes the spot machine away, monotonic ms of this node's clock; null: no notice was given. */
+  /** When the cloud terminates the spot machine, monotonic ms of this node's clock; null: no notice was given. */
   spotTerminationAt: number | null;
 }
 
-/** A machine of which its leader has stated no more than the last heartbeat. */
+/** A report of a machine whose state is unchanged except for a newer heartbeat. */
 export interface MachineRefresh {
   machineId: string;
   partitionLeader: string;
--- a/src/domain/machine-type.ts
+++ b/src/domain/machine-type.ts
@@ -1,4 +1,4 @@
-/** The types of machines that the cloud offers. */
+/** The machine types that the cloud offers. */
 import type { JobSpec } from './job.js';
 import { countFittingTasks, type Resources } from './resources.js';
 
@@ -16,17 +16,17 @@
   spotHourlyPrice: number;
   /** Typical boot time: most machines take 0.6 to 1.5 times as long, some several times. */
   bootS: number;
-  /** Where the cloud offers it. */
+  /** The zones in which the cloud offers it. */
   zones: string[];
 }
 
-/** The resources of an empty machine of the type. */
+/** The resources of a machine of this type without tasks. */
 export const resourcesOfMachineType = (machineType: MachineType): Resources => ({
   cpus: machineType.cpus,
   gpus: machineType.gpus,
   memoryGb: machineType.memoryGb,
 });
 
-/** How many tasks of a job fit an empty machine of the type. */
+/** How many tasks of a job fit on a machine of this type without other tasks. */
 export const tasksPerMachine = (machineType: MachineType, spec: JobSpec): number =>
   countFittingTasks(resourcesOfMachineType(machineType), spec);
--- a/src/domain/machine.ts
+++ b/src/domain/machine.ts
@@ -1,6 +1,6 @@
-/** Machines, as far as it matters which tasks may run on them. */
+/** The properties of machines that determine which tasks may run on them. */
 
-/** What the placement rules need to know of a machine. */
+/** A machine as seen by the placement rules. */
 export interface Machine {
   machineId: string;
   /** The name of its type in the cloud's catalogue. */
--- a/src/domain/resources.ts
+++ b/src/domain/resources.ts
@@ -1,6 +1,6 @@
-/** Amounts of what machines have and tasks take. */
+/** Amounts of the resources that machines offer and tasks use. */
 
-/** Decimal amounts, not necessarily whole. */
+/** Amounts of resources, not necessarily integers. */
 export interface Resources {
   cpus: number;
   gpus: number;
@@ -10,7 +10,7 @@
 /** Amounts that differ by less count as equal, since sums of decimal amounts are inexact. */
 const TOLERANCE = 1e-6;
 
-/** Rounds to a millionth: sums of decimal amounts would otherwise drift apart. */
+/** Rounds to a millionth, so that rounding errors of sums of decimal amounts do not accumulate. */
 export const roundAmount = (amount: number): number => Math.round(amount * 1e6) / 1e6;
 
 /** Whether one task fits the free resources. */
@@ -19,25 +19,25 @@
   task.gpus <= free.gpus + TOLERANCE &&
   task.memoryGb <= free.memoryGb + TOLERANCE;
 
-/** Whether no more has been allocated than there was. */
+/** Whether no resource is overallocated. */
 export const isNonNegative = (free: Resources): boolean =>
   free.cpus >= -TOLERANCE && free.gpus >= -TOLERANCE && free.memoryGb >= -TOLERANCE;
 
-/** The resources alone, of whatever has some. */
+/** Extracts the resource fields of an object. */
 export const resourcesOf = (spec: Resources): Resources => ({
   cpus: spec.cpus,
   gpus: spec.gpus,
   memoryGb: spec.memoryGb,
 });
 
-/** Allocates so many tasks from `free`, which is changed; a negative number releases them. */
+/** Subtracts the resources of `taskCount` tasks from `free` in place; a negative count adds them. */
 export function subtractResources(free: Resources, task: Resources, taskCount = 1): void {
   free.cpus -= task.cpus * taskCount;
   free.gpus -= task.gpus * taskCount;
   free.memoryGb -= task.memoryGb * taskCount;
 }
 
-/** How many tasks of one size fit the free resources together. */
+/** How many equal tasks fit the free resources at the same time. */
 export const countFittingTasks = (free: Resources, task: Resources): number => {
   if (!fits(task, free)) return 0;
   let count = free.cpus / task.cpus;
--- a/src/domain/settings.ts
+++ b/src/domain/settings.ts
@@ -1,51 +1,51 @@
-/** The settings of a controller as the program works with them: one unit for each kind of amount, named in the field. */
+/** The settings of a controller in the units of the program; each field name states its unit. */
 import type { Team } from './team.js';
 
-/** A service-level objective: what is expected for the jobs of a class. */
+/** A service-level objective for the jobs of a class. */
 export interface ServiceLevelObjective {
-  /** Which objective it is, as the platform names it. */
+  /** The kind of objective, as named by the platform. */
   kind: string;
-  /** The job class that it is for; left out: any. */
+  /** The job class that it applies to; omitted: all. */
   jobClass?: string;
-  /** Time within which a job is to be complete. */
+  /** Time within which a job must be complete. */
   withinMs?: number;
-  /** Multiple of its own deadline within which a job is to be complete. */
+  /** Multiple of its own deadline within which a job must be complete. */
   deadlineFactor?: number;
 }
 
-/** Intervals and deadlines of the workers, as the platform sets them. */
+/** Intervals and deadlines of the workers, set by the platform. */
 export interface WorkerTimings {
-  /** Between two heartbeats of a worker. */
+  /** Interval between two heartbeats of a worker. */
   heartbeatIntervalMs: number;
-  /** A worker ends its tasks once its last answered heartbeat was sent longer ago. */
+  /** A worker stops its tasks when its last answered heartbeat was sent longer ago than this. */
   workerLeaseMs: number;
-  /** A gang that is not complete by then exits. */
+  /** Time within which a gang must be complete, or its tasks exit. */
   gangStartTimeoutMs: number;
-  /** Within it the tasks of a running gang notice that one is lost, and an orderly stop must have reached all. */
+  /** Time within which the tasks of a running gang notice a lost peer, and within which an orderly stop must have reached all. */
   gangPeerTimeoutMs: number;
-  /** Within it nothing of a cancelled job may be left on any machine. */
+  /** Time within which no task of a cancelled job may be left on any machine. */
   cancelDeadlineMs: number;
 }
 
 /** Limits of the store. */
 export interface StoreLimits {
-  /** Puts and deletes a second, of all controllers together. */
+  /** Puts and deletes per second of all controllers together. */
   writesPerSecond: number;
-  /** Size of one value. */
+  /** Maximum size of one value. */
   valueBytes: number;
-  /** Puts and deletes in one transaction. */
+  /** Maximum of puts and deletes in one transaction. */
   transactionWrites: number;
 }
 
 /** The store's rate limit and write limits. */
 export interface StoreSettings {
-  /** Of all controllers together. */
+  /** For all controllers together. */
   requestsPerSecond: number;
   /** The limits in force when the process starts. */
   present: StoreLimits;
   /**
-   * Limits that hold before and after a change that the platform has announced. It changes over without notice, so whatever is
-   * written is made to fit both.
+   * Limits that hold both before and after a change that the platform has announced. The change takes effect without notice, so
+   * all writes must fit both.
    */
   lasting: StoreLimits;
 }
@@ -60,7 +60,7 @@
   store: StoreSettings;
   /** The cloud's rate limit, for all controllers together. */
   cloud: { requestsPerSecond: number };
-  /** Sockets that the process may have open. */
+  /** Maximum of open sockets of the process. */
   sockets: number;
 }
 
@@ -76,9 +76,9 @@
 export interface Settings {
   node: string;
   zone: string;
-  /** Where it listens for users, workers and health checks. */
+  /** The address at which it listens for users, workers and health checks. */
   apiAddress: string;
-  /** Where it listens for the other controllers. */
+  /** The address at which it listens for other controllers. */
   gossipAddress: string;
   peers: readonly PeerSettings[];
   cloudAddress: string;
@@ -86,16 +86,16 @@
   cluster: ClusterSettings;
 }
 
-/** How services are re-matched, and machines with a cached image preferred. */
+/** Settings of the rescheduling of services, and of the preference for machines with a cached image. */
 export interface ReschedulingSettings {
   /** Happiness (the share of healthy checks in the window) below which a task is unhappy. */
   happinessThreshold: number;
-  /** Heartbeats older than that no longer count. */
+  /** Age beyond which heartbeats no longer count. */
   happinessWindowMs: number;
-  /** Between two checks for unhappy tasks. */
+  /** Interval between two checks for unhappy tasks. */
   checkIntervalMs: number;
-  /** Tasks that one partition moves at most in one round. */
+  /** Maximum of tasks that one partition moves in one round. */
   movesPerRound: number;
-  /** Share of the distance taken off for machines that have the image cached; 1: the image decides alone. */
+  /** Share by which a cached image reduces a machine's distance; 1: the image alone decides. */
   imageBonus: number;
 }
--- a/src/domain/task.ts
+++ b/src/domain/task.ts
@@ -1,16 +1,16 @@
-/** Tasks: their ids, and where they are placed. */
+/** Task ids and placements. */
 
-/** Where one task is. */
+/** The placement of one task. */
 export type TaskPlacement =
-  /** Waits for a machine. */
+  /** Waiting for a machine. */
   | {
       kind: 'queued';
-      /** Distinguishes one start of the task from another. */
+      /** The number of this attempt, which distinguishes starts of the task. */
       attempt: number;
       /** How often the task has failed. */
       failures: number;
     }
-  /** On a machine, from the decision to start it there until its exit is recorded. */
+  /** On a machine, from the decision to start it there until its exit has been recorded. */
   | {
       kind: 'placed';
       attempt: number;
@@ -18,7 +18,7 @@
       machineId: string;
       /** The epoch of the machine's agent that the placement is valid for. */
       agentEpoch: number;
-      /** Of the stop, once the task is to be stopped; null: it is not. */
+      /** The grace period if the task is to be stopped; null: it is not to be stopped. */
       gracePeriodS: number | null;
       zone: string;
     }
@@ -30,7 +30,7 @@
 /** 'jobId/index'. */
 export const taskIdOf = (jobId: string, taskIndex: number): string => `${jobId}/${taskIndex}`;
 
-/** Takes a task id apart at its last slash; undefined: it is no task id. */
+/** Splits a task id at its last slash; undefined if it is not a valid task id. */
 export function parseTaskId(taskId: string): { jobId: string; taskIndex: number } | undefined {
   const slash = taskId.lastIndexOf('/');
   const taskIndex = Number(taskId.slice(slash + 1));
--- a/src/domain/team.ts
+++ b/src/domain/team.ts
@@ -1,21 +1,21 @@
 /** Teams, their quotas and their usage. */
 
-/** Amounts that quotas are set in; what 0 means is said where they are used. */
+/** Amounts of a quota; the meaning of 0 is documented where they are used. */
 export interface QuotaAmounts {
   cpus: number;
   gpus: number;
 }
 
-/** A team, and how much of the cluster it may use. */
+/** A team and its share of the cluster. */
 export interface Team {
   name: string;
-  /** While all unfinished jobs of the team fit in here together, they need not wait for other teams; 0: nothing is guaranteed. */
+  /** While all unfinished jobs of the team together fit, they do not wait for other teams; 0: nothing is guaranteed. */
   guaranteed: QuotaAmounts;
-  /** What the team's tasks use together never exceeds it; 0: no limit. */
+  /** Maximum that the team's tasks use together; 0: no limit. */
   limit: QuotaAmounts;
 }
 
-/** What the tasks of a team use together. */
+/** The resources that the tasks of a team use together. */
 export interface TeamUsage {
   cpus: number;
   gpus: number;
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The program: flags, settings and signals around one controller. */
+/** The entry point: command-line flags, settings and signals of one controller process. */
 import { setMaxListeners } from 'node:events';
 import { startupSnapshot } from 'node:v8';
 
@@ -27,7 +27,7 @@
     .version(VERSION)
     .requiredOption('--config <file>', "the platform's settings, JSON")
     .option('--tuning <file>', "the operators' own settings, TOML (also DEWLATCH_TUNING)")
-    .option('--check', 'check the settings and end')
+    .option('--check', 'check the settings and exit')
     .exitOverride();
   try {
     command.parse();
@@ -38,7 +38,7 @@
   return command.opts<Options>();
 }
 
-function load(options: Options) {
+function loadOrExit(options: Options) {
   try {
     return {
       settings: loadSettings(options.config),
@@ -51,47 +51,47 @@
   }
 }
 
-/** A failed routine must not take the service along: the records are safe, and every duty is tried again. */
-function surviveErrors(log: Log): void {
+/** Logs unhandled errors instead of exiting: the records are safe in the store, and every periodic task runs again. */
+function logUnhandledErrors(log: Log): void {
   process.on('unhandledRejection', (error) =>
-    log.error({ error: (error as Error)?.stack ?? String(error) }, 'unhandled'),
+    log.error({ error: (error as Error)?.stack ?? String(error) }, 'unhandled promise rejection'),
   );
   process.on('uncaughtException', (error) => {
-    log.error({ error: error.stack ?? String(error) }, 'uncaught');
+    log.error({ error: error.stack ?? String(error) }, 'uncaught exception');
     if ((error as NodeJS.ErrnoException).code === 'EADDRINUSE') process.exit(1);
   });
 }
 
-/** Fires when the process has been told to end, and has handed over what it held. */
+/** Returns a signal that aborts once the process has received SIGTERM or SIGINT and handed over its roles. */
 function stopSignal(handOver: () => Promise<void>): AbortSignal {
   const stop = new AbortController();
-  const end = () => void handOver().finally(() => stop.abort());
-  for (const signal of ['SIGTERM', 'SIGINT'] as const) process.once(signal, end);
+  const handOverAndStop = () => void handOver().finally(() => stop.abort());
+  for (const signal of ['SIGTERM', 'SIGINT'] as const) process.once(signal, handOverAndStop);
   setMaxListeners(0, stop.signal);
   return stop.signal;
 }
 
 function main(): void {
   const options = parseOptions();
-  const { settings, tuning } = load(options);
+  const { settings, tuning } = loadOrExit(options);
   if (options.check === true) {
     process.stdout.write('settings are good\n');
     process.exit(0);
   }
   const log = createLog(settings.node, process.env.LOG_LEVEL);
-  surviveErrors(log);
+  logUnhandledErrors(log);
   const http = new NodeHttpClient(Math.floor(settings.cluster.sockets * HTTP_CLIENT_SOCKET_SHARE));
   const controller = new Controller({ settings, tuning, http, clock: systemClock, log });
   const stop = stopSignal(() => controller.handOver());
   controller.run(stop).then(
     () => http.close(),
     (error: unknown) => {
-      log.error({ error: (error as Error)?.stack ?? String(error) }, 'can not go on');
+      log.error({ error: (error as Error)?.stack ?? String(error) }, 'controller failed, exiting');
       process.exit(1);
     },
   );
 }
 
-// All modules are loaded and evaluated once, when the snapshot is built: at 5 % of a core that takes more than a second.
+// Building the snapshot loads and evaluates all modules once: at startup, at 5 % of a core, that would take over a second.
 if (startupSnapshot.isBuildingSnapshot()) startupSnapshot.setDeserializeMainFunction(main);
 else main();
--- a/src/net/http-client.ts
+++ b/src/net/http-client.ts
@@ -114,15 +114,15 @@
     }
     options.signal?.addEventListener('abort', this.onAbort);
     clientRequest.on('socket', (socket) => {
-      if (socket.connecting) socket.once('connect', () => this.markAsSent());
-      else this.markAsSent();
+      if (socket.connecting) socket.once('connect', () => this.markSent());
+      else this.markSent();
     });
     clientRequest.on('error', (error) => this.fail(error.message, error));
     clientRequest.on('response', (response) => this.readResponse(response));
     clientRequest.end(payload);
   }
 
-  private markAsSent(): void {
+  private markSent(): void {
     this.wasSent = true;
   }
 
--- a/src/net/random.ts
+++ b/src/net/random.ts
@@ -32,7 +32,7 @@
     if (items.length <= count) return [...items];
     const candidates = [...items.keys()];
     const selected: number[] = [];
-    for (let drawCount = 0; drawCount < count; drawCount++) {
+    for (let drawn = 0; drawn < count; drawn++) {
       const position = this.below(candidates.length);
       selected.push(candidates[position]!);
       candidates[position] = candidates[candidates.length - 1]!;
--- a/src/net/token-bucket.ts
+++ b/src/net/token-bucket.ts
@@ -2,8 +2,8 @@
 import {
   BATCH_RESERVE_DECAY_MS,
   RATE_CHECK_PERIOD_MS,
-  RATE_DECREASE,
-  RATE_INCREASE,
+  RATE_DECREASE_FACTOR,
+  RATE_RECOVERY_SHARE,
   URGENT_RESERVE_SHARE,
   URGENT_RETRY_SHARE,
 } from '../constants/store.js';
@@ -72,7 +72,7 @@
     const now = this.clock.now();
     if (isBatch(priority)) this.batchBlockedUntil = Math.max(this.batchBlockedUntil, now + ms);
     else this.blockedUntil = Math.max(this.blockedUntil, now + ms * URGENT_RETRY_SHARE);
-    this.rate = Math.max(this.minRate, this.rate * RATE_DECREASE);
+    this.rate = Math.max(this.minRate, this.rate * RATE_DECREASE_FACTOR);
   }
 
   /** Resolves once `cost` tokens have been taken. */
@@ -102,7 +102,7 @@
     const now = this.clock.now();
     const seconds = (now - this.refilledAt) / 1000;
     this.tokens = Math.min(this.burst, this.tokens + seconds * this.rate);
-    this.rate = Math.min(this.maxRate, this.rate + seconds * this.maxRate * RATE_INCREASE);
+    this.rate = Math.min(this.maxRate, this.rate + seconds * this.maxRate * RATE_RECOVERY_SHARE);
     this.refilledAt = now;
   }
 
--- a/src/store/batch-packer.ts
+++ b/src/store/batch-packer.ts
@@ -1,5 +1,5 @@
 /** Packs the pending mutations of one priority into transactions, each as full as the store's limits allow. */
-import { MAX_OVERSIZED_MUTATIONS, MAX_EVALUATED_MUTATIONS } from '../constants/store.js';
+import { MAX_EVALUATED_MUTATIONS, MAX_OVERSIZED_MUTATIONS } from '../constants/store.js';
 import type { PendingMutation } from './pending-mutation.js';
 import type { StoredValue } from './replica.js';
 import { type Resize, TransactionDraft, type TransactionLimits } from './transaction-draft.js';
@@ -79,7 +79,7 @@
 
   private evaluate(mutation: PendingMutation): void {
     this.evaluatedCount++;
-    const candidate = this.draft.over();
+    const candidate = this.draft.createChild();
     const hasChange = mutation.decide(candidate) && candidate.writes.size > 0;
     if (!hasChange) mutation.resolve({ kind: 'void' });
     else if (this.isBlocked(candidate)) this.deferBlocked(mutation, candidate);
--- a/src/store/store-client.ts
+++ b/src/store/store-client.ts
@@ -1,5 +1,5 @@
 /** The client of the store, which enforces the store's limits on requests and writes per second, by priority. */
-import { RATE_SHARE, RETRY_JITTER_SHARE, STORE_TIMEOUT_MS } from '../constants/store.js';
+import { NODE_RATE_SHARE, RETRY_JITTER_SHARE, STORE_TIMEOUT_MS } from '../constants/store.js';
 import type { StoreSettings } from '../domain/settings.js';
 import type { Clock } from '../net/clock.js';
 import { type HttpClient, NoResponseError, type Reply } from '../net/http-client.js';
@@ -101,9 +101,9 @@
     this.random = random;
     const { requestsPerSecond, present } = settings;
     const { writesPerSecond } = present;
-    const requests = requestsPerSecond * RATE_SHARE;
+    const requests = requestsPerSecond * NODE_RATE_SHARE;
     this.requestBucket = new TokenBucket(clock, requests, requests, Math.min(requests, requestsPerSecond / nodeCount));
-    const writes = writesPerSecond * RATE_SHARE;
+    const writes = writesPerSecond * NODE_RATE_SHARE;
     const burst = Math.max(writes, MIN_WRITE_BURST);
     this.writeBucket = new TokenBucket(clock, writes, burst, Math.min(writes, writesPerSecond / nodeCount));
   }
--- a/src/store/transaction-batcher.ts
+++ b/src/store/transaction-batcher.ts
@@ -128,10 +128,10 @@
     });
   }
 
-  /** Moves pending mutations to a more urgent priority if `isConcerned` accepts the key in their batching hint. */
-  promote(isConcerned: (key: string) => boolean, from: Priority, to: Priority): void {
+  /** Moves pending mutations to a more urgent priority if `matchesKey` accepts the key in their batching hint. */
+  promote(matchesKey: (key: string) => boolean, from: Priority, to: Priority): void {
     const { pending } = this.queueOf(from);
-    const promoted = pending.filter(({ batchingHint }) => batchingHint !== undefined && isConcerned(batchingHint.key));
+    const promoted = pending.filter(({ batchingHint }) => batchingHint !== undefined && matchesKey(batchingHint.key));
     if (promoted.length === 0) return;
     pending.splice(0, pending.length, ...pending.filter((mutation) => !promoted.includes(mutation)));
     for (const mutation of promoted) mutation.priority = to;
@@ -147,7 +147,7 @@
     return this.queues.get(priority)!;
   }
 
-  /** Delays sending for `gatherMs`, so that exits of batch tasks share transactions. */
+  /** Delays sending for `batchingMs`, so that exits of batch tasks share transactions. */
   private scheduleBatching(queue: PriorityQueue): void {
     const { clock } = this.options;
     const now = clock.now();
--- a/src/store/transaction-draft.ts
+++ b/src/store/transaction-draft.ts
@@ -2,8 +2,8 @@
 import {
   BATCH_TRANSACTION_SHARE,
   CONDITIONS_PER_WRITE,
-  MIN_BATCH_TRANSACTION_WRITES,
   MAX_TRANSACTION_BYTES,
+  MIN_BATCH_TRANSACTION_WRITES,
 } from '../constants/store.js';
 import type { StoreSettings } from '../domain/settings.js';
 import { jsonLength } from './json-size.js';
@@ -120,7 +120,7 @@
   }
 
   /** Creates a draft with this one as its base. */
-  over(): TransactionDraft {
+  createChild(): TransactionDraft {
     return new TransactionDraft(this.read, this, this.resize);
   }
 
--- a/test/config/load-settings.test.ts
+++ b/test/config/load-settings.test.ts
@@ -3,18 +3,18 @@
 
 import { parseSettings, parseTuning, SettingsError } from '../../src/config/load-settings.js';
 import {
-  LEAST_CPU_SHARE,
-  LEAST_MEMORY_MB,
-  LEAST_SOCKETS,
-  LEAST_STORE_REQUESTS_PER_NODE,
-  LEAST_STORE_WRITES,
-  LEAST_TRANSACTION_WRITES,
-  LEAST_VALUE_KB,
+  MIN_CPU_SHARE,
+  MIN_MEMORY_MB,
+  MIN_SOCKETS,
+  MIN_STORE_REQUESTS_PER_NODE,
+  MIN_STORE_WRITES,
+  MIN_TRANSACTION_WRITES,
+  MIN_VALUE_KB,
 } from '../../src/constants/platform-minimums.js';
 import { settingsFileOf } from '../../testing/fixtures.js';
 
 describe('settings', () => {
-  it('are refused with the name of the field that is invalid', () => {
+  it('with an invalid field are rejected with an error that names the field', () => {
     assert.throws(() => parseSettings('{', 'f.json'), /f\.json: not JSON/);
     assert.throws(
       () => parseSettings('{"node":"n"}', 'f.json'),
@@ -31,17 +31,17 @@
     assert.equal(standby('enabled = true')().standby.enabled, true);
   });
 
-  it('are refused with the name of a limit that is too small, and what is needed', () => {
+  it('with a limit below its minimum are rejected with an error that names the limit and states the minimum', () => {
     const good = settingsFileOf(0, 3);
     const parse = (cluster: object) => parseSettings(JSON.stringify({ ...good, cluster }), 'f.json');
     const tooSmall: [group: 'limits' | 'state', field: string, value: number][] = [
-      ['limits', 'cpu', LEAST_CPU_SHARE / 2],
-      ['limits', 'ram_mb', LEAST_MEMORY_MB - 1],
-      ['limits', 'sockets', LEAST_SOCKETS - 1],
-      ['state', 'rps', LEAST_STORE_REQUESTS_PER_NODE * 3 - 1],
-      ['state', 'write_rps', LEAST_STORE_WRITES / 2],
-      ['state', 'value_kb', LEAST_VALUE_KB / 2],
-      ['state', 'txn_ops', LEAST_TRANSACTION_WRITES - 1],
+      ['limits', 'cpu', MIN_CPU_SHARE / 2],
+      ['limits', 'ram_mb', MIN_MEMORY_MB - 1],
+      ['limits', 'sockets', MIN_SOCKETS - 1],
+      ['state', 'rps', MIN_STORE_REQUESTS_PER_NODE * 3 - 1],
+      ['state', 'write_rps', MIN_STORE_WRITES / 2],
+      ['state', 'value_kb', MIN_VALUE_KB / 2],
+      ['state', 'txn_ops', MIN_TRANSACTION_WRITES - 1],
     ];
     for (const [group, field, value] of tooSmall) {
       const cluster = { ...good.cluster, [group]: { ...good.cluster[group], [field]: value } };
--- a/test/store/store-client.test.ts
+++ b/test/store/store-client.test.ts
@@ -9,7 +9,7 @@
 import { answering } from '../../testing/answering-http-client.js';
 import { FakeClock } from '../../testing/fake-clock.js';
 
-const clientOf = (reply: Reply | NoResponseError) =>
+const clientWithReply = (reply: Reply | NoResponseError) =>
   new StoreClient({
     http: answering(reply),
     address: 'x:1',
@@ -19,10 +19,10 @@
     random: new Random(1),
   });
 const transact = (reply: Reply | NoResponseError) =>
-  clientOf(reply).transact([], [{ key: 'a', value: 1 }], Priority.record);
+  clientWithReply(reply).transact([], [{ key: 'a', value: 1 }], Priority.record);
 
 describe('the store client', () => {
-  it('tells whether a transaction was, was not, or may yet be committed', async () => {
+  it('reports whether a transaction was committed, was not committed, or may still be committed', async () => {
     assert.deepEqual(await transact({ status: 200, body: { Epoch: 5 } }), { kind: 'done', revision: 5 });
     const conflict = await transact({ status: 409, body: { failed: ['a'], Epoch: 5 } });
     assert.deepEqual(conflict, { kind: 'conflict', failed: ['a'], revision: 5 });
@@ -35,9 +35,9 @@
     assert.equal((await transact({ status: 500, body: {} })).kind, 'unknown');
   });
 
-  it('tells that a watch began at a compacted revision, and that a lease has expired', async () => {
-    assert.equal(await clientOf({ status: 410, body: {} }).watch('a', 1, 0, Priority.lease), undefined);
-    assert.equal(await clientOf({ status: 404, body: {} }).renewLease(3), false);
-    await assert.rejects(clientOf({ status: 503, body: {} }).renewLease(3), StoreError);
+  it('reports that a watch began at a compacted revision, and that a lease has expired', async () => {
+    assert.equal(await clientWithReply({ status: 410, body: {} }).watch('a', 1, 0, Priority.lease), undefined);
+    assert.equal(await clientWithReply({ status: 404, body: {} }).renewLease(3), false);
+    await assert.rejects(clientWithReply({ status: 503, body: {} }).renewLease(3), StoreError);
   });
 });
--- a/test/store/transaction-batcher.test.ts
+++ b/test/store/transaction-batcher.test.ts
@@ -12,12 +12,12 @@
 import { anyTransactionLimits } from '../../testing/fixtures.js';
 
 describe('the transaction batcher', () => {
-  it('sends a submission past batch starts that wait for the write rate', async () => {
+  it('sends a submission while batch starts wait for the write rate', async () => {
     const clock = new FakeClock();
-    const asked: string[] = [];
+    const sentKeys: string[] = [];
     const transact = (_: unknown, writes: { key: string }[], priority: number): Promise<TransactionResult> => {
-      asked.push(writes[0]!.key);
-      // Batch starts hang, as they do in the bucket while the rate is used up.
+      sentKeys.push(writes[0]!.key);
+      // Batch starts hang, as they do in the token bucket while the write rate is used up.
       return priority === Priority.background
         ? new Promise(() => undefined)
         : Promise.resolve({ kind: 'done', revision: 1 });
@@ -44,11 +44,11 @@
     }
     const outcome = put('live/job', Priority.accept);
     await clock.advance(10);
-    assert.ok(asked.includes('live/job'));
+    assert.ok(sentKeys.includes('live/job'));
     assert.equal((await outcome).kind, 'done');
   });
 
-  it('retries mutations one by one that the store has rejected together, and reports one that it rejects alone', async () => {
+  it('retries the mutations of a rejected transaction one by one, and reports a mutation that is rejected again', async () => {
     const clock = new FakeClock();
     const sent: string[][] = [];
     const transact = (_: unknown, writes: { key: string }[]): Promise<TransactionResult> => {
@@ -82,17 +82,17 @@
     );
     assert.deepEqual(rejected, ['live/large']);
     assert.deepEqual(sent, [['live/a', 'live/large', 'live/b'], ['live/a'], ['live/large'], ['live/b']]);
-    // From then on nothing is sent that would be too large for the limits to come.
+    // After a rejection, values above the announced limit are no longer sent.
     assert.equal((await put('live/c', { text: 'x'.repeat(3000) })).kind, 'void');
     assert.equal(sent.length, 4);
   });
 
-  it('sends starts of a job that has become urgent before the batch work', async () => {
+  it('sends starts that were promoted to a more urgent priority before other batch starts', async () => {
     const clock = new FakeClock();
     const sent: string[] = [];
     let isHeld = true;
     const transact = async (_: unknown, writes: { key: string }[], priority: number): Promise<TransactionResult> => {
-      // The first batch start hangs, and the others wait behind it.
+      // The first batch start hangs, and the others queue behind it.
       while (isHeld && priority === Priority.background) await clock.sleep(10);
       sent.push(...writes.map(({ key }) => key));
       return { kind: 'done', revision: 1 };
