--- a/src/config/least-limits.ts
+++ b/src/config/least-limits.ts
@@ -1,4 +1,4 @@
-/** Checks the platform's limits against the minimums that a controller needs, so that too small ones are rejected at startup. */
+/** Checks that the platform's limits suffice for a controller, so that small ones are rejected at startup, not found in an outage. */
 import {
   MIN_CPU_SHARE,
   MIN_MEMORY_MB,
--- a/src/config/settings-file-codec.ts
+++ b/src/config/settings-file-codec.ts
@@ -115,14 +115,14 @@
   cancelDeadlineMs: workers.cancel_s * MS_PER_S,
 });
 
-const presentLimits = (store: StoreSection): StoreLimits => ({
+const currentLimits = (store: StoreSection): StoreLimits => ({
   writesPerSecond: store.write_rps,
   valueBytes: store.value_kb * BYTES_PER_KB,
   transactionWrites: store.txn_ops,
 });
 
 /** The limits that hold both before and after an announced change; a limit without an announced change keeps its value. */
-const lastingLimits = (store: StoreSection): StoreLimits => ({
+const strictestLimits = (store: StoreSection): StoreLimits => ({
   writesPerSecond: Math.min(store.write_rps, store.next?.write_rps ?? Infinity),
   valueBytes: Math.min(store.value_kb, store.next?.value_kb ?? Infinity) * BYTES_PER_KB,
   transactionWrites: Math.min(store.txn_ops, store.next?.txn_ops ?? Infinity),
@@ -131,8 +131,8 @@
 /** Converts the store's limits, current and announced. */
 export const decodeStoreSettings = (store: StoreSection): StoreSettings => ({
   requestsPerSecond: store.rps,
-  present: presentLimits(store),
-  lasting: lastingLimits(store),
+  present: currentLimits(store),
+  lasting: strictestLimits(store),
 });
 
 /** Converts the platform's settings to the names and units of the program. */
--- a/src/constants/autoscaling.ts
+++ b/src/constants/autoscaling.ts
@@ -48,7 +48,7 @@
 /** ms between reads of the catalog: prices change often, machine types rarely. */
 export const CATALOG_PERIOD_MS = 30_000;
 
-/** Maximum of machines scaled out by one decision: one request may ask for 50, and demand counts only tasks that really wait. */
+/** Maximum of machines scaled out by one decision: the protocol allows 50 per request, and demand counts only waiting tasks. */
 export const MAX_SCALE_OUT_AT_ONCE = 40;
 
 /** ms between scale-out decisions. */
--- a/src/main.ts
+++ b/src/main.ts
@@ -51,7 +51,7 @@
   }
 }
 
-/** Logs unhandled errors instead of exiting: the records are safe in the store, and every periodic task runs again. */
+/** Logs unhandled errors instead of exiting, unless the address is in use: the records are safe, and periodic tasks run again. */
 function logUnhandledErrors(log: Log): void {
   process.on('unhandledRejection', (error) =>
     log.error({ error: (error as Error)?.stack ?? String(error) }, 'unhandled promise rejection'),
--- a/src/store/transaction-batcher.ts
+++ b/src/store/transaction-batcher.ts
@@ -85,12 +85,12 @@
   private readonly finalRecords = new FinalRecordCache();
   private isSendingScheduled = false;
   private limits: TransactionLimits;
-  private readonly gatherMs: number;
+  private readonly batchingMs: number;
   private readonly resize: Resize;
 
   constructor(private readonly options: TransactionBatcherOptions) {
     this.limits = options.limits;
-    this.gatherMs = options.gatherMs ?? 0;
+    this.batchingMs = options.gatherMs ?? 0;
     this.resize = options.resize ?? ((_, value) => value);
   }
 
@@ -152,8 +152,8 @@
     const { clock } = this.options;
     const now = clock.now();
     if (now < queue.pausedUntilMs) return;
-    queue.pausedUntilMs = now + this.gatherMs;
-    void clock.sleep(this.gatherMs + 1).then(() => this.scheduleSending());
+    queue.pausedUntilMs = now + this.batchingMs;
+    void clock.sleep(this.batchingMs + 1).then(() => this.scheduleSending());
   }
 
   private scheduleSending(): void {
