--- a/src/autoscaling/autoscaler.ts
+++ b/src/autoscaling/autoscaler.ts
@@ -1,4 +1,4 @@
-/** Scales out: for tasks without a placement first, then for the reserve of free resources. */
+/** Scales out, for pending tasks first, then for the reserve of free resources. */
 import type { CloudClient } from '../cloud/cloud-client.js';
 import { MAX_SCALE_OUT_AT_ONCE, REFUSED_RENTAL_KEPT_MS } from '../constants/autoscaling.js';
 import { CLUSTER_LEADER_ROLE } from '../domain/role.js';
@@ -17,17 +17,17 @@
 import { RefusedOffers } from './refused-offers.js';
 import { RentalRecords } from './rental-records.js';
 import { decideReserve } from './reserve-decision.js';
-import { bootLimitMs, decideScaleOut, type MachineOffer, type WantedMachines } from './scale-out-decision.js';
+import { bootTimeoutMs, decideScaleOut, type MachineOffer, type WantedMachines } from './scale-out-decision.js';
 
-/** ms before a request that was not answered, or refused for now, is sent again. */
+/** ms before the retry of a request that got no response or was refused temporarily. */
 const RETRY_PAUSE_MS = 1000;
 
-/** Times the boot limit after which the record of a rental is deleted, whether or not its machines came up. */
-const RENTAL_KEPT_BOOT_LIMITS = 2;
+/** Multiple of the boot timeout after which a rental's record is deleted, whether or not its machines came up. */
+const RENTAL_KEPT_BOOT_TIMEOUTS = 2;
 
 type Machines = ReturnType<MachineInventory['machines']>;
 
-/** What scale out needs of the other parts. */
+/** Dependencies of Autoscaler. */
 export interface AutoscalerDependencies {
   settings: Settings;
   leadership: RoleLeadership;
@@ -42,19 +42,19 @@
 }
 
 /**
- * Asks the cloud for machines. Each request has a rental id that is never used twice and is recorded before it is sent, so
- * that whoever leads next repeats it in place of asking for other machines.
+ * Requests machines from the cloud. Each request has a rental id that is never reused, and is recorded before it is sent,
+ * so that the next leader repeats the same request instead of requesting further machines.
  */
 export class Autoscaler {
   private readonly refusedOffers: RefusedOffers;
   private readonly rentalRecords: RentalRecords;
   /**
-   * Rentals that were refused and deleted, with the steady ms. Their records may come back by a late write of their own; only
-   * under the leadership that wrote them, so this node knows them all.
+   * Rentals that were refused and whose records were deleted: monotonic ms of the refusal by rental id. A delayed write
+   * may restore a deleted record, but only under the leadership that wrote it, so this node knows all such rentals.
    */
-  private readonly refusedAtMs = new Map<string, number>();
+  private readonly rentalRefusedAtMs = new Map<string, number>();
   private sequence = 0;
-  /** Records that one transaction may change, also after an announced change of the store's limits. */
+  /** Maximum records changed by one transaction, valid before and after an announced change of the store's limits. */
   private readonly maxRecordsPerTransaction: number;
 
   constructor(private readonly dependencies: AutoscalerDependencies) {
@@ -63,29 +63,32 @@
     this.rentalRecords = new RentalRecords(dependencies);
   }
 
-  /** Offers that the cloud has recently refused, with the steady ms. */
+  /** Offers that the cloud has recently refused; `at`: refused at, monotonic ms. */
   recentlyRefusedOffers(): Iterable<{ offer: string; at: number }> {
     return this.refusedOffers.recent();
   }
 
-  /** A former leader was refused an offer. */
+  /** Takes over the refusal of an offer from a former leader. */
   restoreRefusal(offer: string, at: number): void {
     this.refusedOffers.restore(offer, at);
   }
 
-  /** True: something was refused or left for another transaction, so that another round may find more. */
+  /**
+   * Runs one round of scale-out. True: requests were repeated, not granted in full, or left for another transaction, so
+   * that another round may request more.
+   */
   async round(): Promise<boolean> {
     const { clusterState, inventory, clock } = this.dependencies;
     const rentals = [...clusterState.rentals.values()];
     const wallMs = clock.wall();
     const machines = inventory.machines();
-    // First the requests of a former leader, or with a lost answer: the same rental id gets the same machines.
+    // Repeats requests of a former leader or with a lost response first: the same rental id gets the same machines.
     const unanswered = rentals.filter((rental) => rental.machineIds === null);
     if (unanswered.length > 0) {
       await this.repeatRequests(unanswered);
       return true;
     }
-    this.forgetOldRefusals();
+    this.pruneRefusedRentals();
     const finished = rentals
       .filter((rental) => this.isFinished(rental, machines, wallMs))
       .slice(0, this.maxRecordsPerTransaction);
@@ -95,29 +98,29 @@
 
   private async repeatRequests(unanswered: readonly RentalRecord[]): Promise<void> {
     const refused = unanswered
-      .filter(({ rentalId }) => this.refusedAtMs.has(rentalId))
+      .filter(({ rentalId }) => this.rentalRefusedAtMs.has(rentalId))
       .slice(0, this.maxRecordsPerTransaction);
     if (refused.length > 0) await this.rentalRecords.delete(refused);
     await Promise.all(
       unanswered
-        .filter(({ rentalId }) => !this.refusedAtMs.has(rentalId))
+        .filter(({ rentalId }) => !this.rentalRefusedAtMs.has(rentalId))
         .map((rental) => this.requestMachines(rental)),
     );
   }
 
-  private forgetOldRefusals(): void {
+  private pruneRefusedRentals(): void {
     const nowMs = this.dependencies.clock.now();
-    for (const [rentalId, atMs] of this.refusedAtMs)
-      if (nowMs - atMs > REFUSED_RENTAL_KEPT_MS) this.refusedAtMs.delete(rentalId);
+    for (const [rentalId, atMs] of this.rentalRefusedAtMs)
+      if (nowMs - atMs > REFUSED_RENTAL_KEPT_MS) this.rentalRefusedAtMs.delete(rentalId);
   }
 
-  /** Has each machine come up or been terminated, or is the rental too old to wait for them? */
+  /** Whether all machines have come up or been terminated, or the rental is too old to wait for them. */
   private isFinished({ machineIds, machineType, requestedAtMs }: RentalRecord, machines: Machines, wallMs: number) {
     const { inventory } = this.dependencies;
     if (machineIds === null) return false;
     return (
       machineIds.every((machineId) => machines.has(machineId) || inventory.terminated.has(machineId)) ||
-      wallMs - requestedAtMs > RENTAL_KEPT_BOOT_LIMITS * bootLimitMs(inventory.catalog.get(machineType))
+      wallMs - requestedAtMs > RENTAL_KEPT_BOOT_TIMEOUTS * bootTimeoutMs(inventory.catalog.get(machineType))
     );
   }
 
@@ -127,55 +130,57 @@
       rentals,
       listedMachines: machineList.machines.values(),
       catalog: inventory.catalog,
-      isSettled: (machineId) => machines.has(machineId) || inventory.terminated.has(machineId),
+      isUpOrTerminated: (machineId) => machines.has(machineId) || inventory.terminated.has(machineId),
       wallMs,
     });
   }
 
-  /** The reserve is looked at only when nothing waits for a machine. */
+  /** The reserve is considered only when no machines are to be requested for pending tasks. */
   private decide(booting: readonly MachineOffer[]): WantedMachines[] {
     const offers = this.availableOffers();
     const wanted = decideScaleOut(findCapacityNeeds(this.dependencies), offers, booting, MAX_SCALE_OUT_AT_ONCE);
     if (wanted.length > 0) return wanted;
-    const reserve = decideReserve({ openMachines: this.openMachines(), booting, offers });
+    const reserve = decideReserve({ schedulableMachines: this.schedulableMachines(), booting, offers });
     return reserve === undefined ? [] : [reserve];
   }
 
-  private openMachines() {
+  private schedulableMachines() {
     const { inventory, planner } = this.dependencies;
-    const open = inventory.schedulableMachines();
-    const freeResources = planner.freeResources(open);
-    return open.map(({ machineId, machineType, zone }) => ({
+    const schedulable = inventory.schedulableMachines();
+    const freeResources = planner.freeResources(schedulable);
+    return schedulable.map(({ machineId, machineType, zone }) => ({
       machineType: inventory.catalog.get(machineType)!,
       zone,
       freeCpus: freeResources.get(machineId)?.cpus ?? 0,
     }));
   }
 
-  /** All that the cloud offers and has not refused recently. */
+  /** All of the cloud's offers except those that it has recently refused. */
   private availableOffers(): MachineOffer[] {
     const offers: MachineOffer[] = [];
     for (const machineType of this.dependencies.inventory.catalog.values()) {
       const variants = machineType.spotHourlyPrice > 0 ? [false, true] : [false];
       for (const zone of machineType.zones) {
-        const ofZone = variants.map((isSpot) => ({ machineType, zone, isSpot }));
+        const zoneOffers = variants.map((isSpot) => ({ machineType, zone, isSpot }));
         offers.push(
-          ...ofZone.filter(({ isSpot }) => !this.refusedOffers.has({ machineType: machineType.name, zone, isSpot })),
+          ...zoneOffers.filter(
+            ({ isSpot }) => !this.refusedOffers.has({ machineType: machineType.name, zone, isSpot }),
+          ),
         );
       }
     }
     return offers;
   }
 
-  /** Returns the same as a round. */
+  /** Records the requests, then sends them. Returns the result of the round. */
   private async scaleOut(wanted: readonly WantedMachines[], wallMs: number): Promise<boolean> {
-    const held = this.dependencies.leadership.leadershipOf(CLUSTER_LEADER_ROLE);
-    if (held === undefined || wanted.length === 0) return false;
+    const heldLeadership = this.dependencies.leadership.leadershipOf(CLUSTER_LEADER_ROLE);
+    if (heldLeadership === undefined || wanted.length === 0) return false;
     const records = wanted
       .slice(0, this.maxRecordsPerTransaction)
       .map(({ machineType, zone, isSpot, count }): RentalRecord => ({
-        // The leader's fencing token is unique in the store, so no other node or incarnation ever makes this id.
-        rentalId: `r-${held.fencingToken}-${++this.sequence}`,
+        // The leader's fencing token is unique in the store, so no other node or incarnation ever generates this id.
+        rentalId: `r-${heldLeadership.fencingToken}-${++this.sequence}`,
         machineType: machineType.name,
         zone,
         isSpot,
@@ -183,14 +188,14 @@
         requestedAtMs: wallMs,
         machineIds: null,
       }));
-    // All wanted at one moment share one transaction.
+    // One transaction records all requests of the round.
     const isRecorded = await this.rentalRecords.put(records);
     if (!isRecorded) return false;
-    const areFull = await Promise.all(records.map((record) => this.requestMachines(record)));
-    return areFull.includes(false) || wanted.length > this.maxRecordsPerTransaction;
+    const areGrantedInFull = await Promise.all(records.map((record) => this.requestMachines(record)));
+    return areGrantedInFull.includes(false) || wanted.length > this.maxRecordsPerTransaction;
   }
 
-  /** True: granted in full. */
+  /** True: the request was granted in full. */
   private async requestMachines(record: RentalRecord): Promise<boolean> {
     const { cloud, clock, log } = this.dependencies;
     const { rentalId, machineType, zone, count } = record;
@@ -199,25 +204,25 @@
     switch (result.kind) {
       case 'rented': {
         const { machineIds } = result;
-        if (machineIds.length < count) this.noteRefusedOffer(record);
+        if (machineIds.length < count) this.addRefusedOffer(record);
         await this.rentalRecords.put([{ ...record, machineIds }]);
         return machineIds.length === count;
       }
       case 'no_capacity':
       case 'malformed':
-        this.noteRefusedOffer(record);
-        this.refusedAtMs.set(rentalId, clock.now());
+        this.addRefusedOffer(record);
+        this.rentalRefusedAtMs.set(rentalId, clock.now());
         await this.rentalRecords.delete([record]);
         return false;
       case 'refused':
       case 'unknown':
-        // The same rental id is sent again, so nothing is added twice.
+        // The retry carries the same rental id, so no machines are added twice.
         await clock.sleep(RETRY_PAUSE_MS);
         return false;
     }
   }
 
-  private noteRefusedOffer(record: RentalRecord): void {
+  private addRefusedOffer(record: RentalRecord): void {
     if (this.dependencies.inventory.catalog.has(record.machineType)) this.refusedOffers.add(record);
   }
 }
--- a/src/autoscaling/booting-machines.ts
+++ b/src/autoscaling/booting-machines.ts
@@ -1,20 +1,20 @@
-/** Which machines have been asked for and are expected to come up. */
+/** Finds the machines that were requested and are expected to come up. */
 import type { ListedMachine } from '../cloud/cloud-wire-codec.js';
 import type { MachineType } from '../domain/machine-type.js';
 import type { RentalRecord } from '../records/records.js';
 import type { MachineOffer } from './scale-out-decision.js';
 
-/** Times its boot time after which a machine is not counted on any more; it is kept a while in case it comes. */
-const EXPECTED_BOOT_TIMES = 2;
+/** Multiple of the boot time after which a machine no longer counts; it is kept a while in case it still comes up. */
+const EXPECTED_BOOT_TIME_FACTOR = 2;
 
-/** The snapshot that booting machines are found in. */
+/** The snapshot that booting machines are derived from. */
 export interface BootingMachinesInput {
   rentals: readonly RentalRecord[];
   listedMachines: Iterable<ListedMachine>;
   catalog: ReadonlyMap<string, MachineType>;
-  /** Has the machine come up, or is it terminated? */
-  isSettled: (machineId: string) => boolean;
-  /** Time of day. */
+  /** Whether the machine has come up or been terminated. */
+  isUpOrTerminated: (machineId: string) => boolean;
+  /** Current wall-clock time. */
   wallMs: number;
 }
 
@@ -23,20 +23,20 @@
   machineType: string;
   zone: string;
   isSpot: boolean;
-  /** ms since it was asked for. */
+  /** ms since its request. */
   ageMs: number;
 }
 
-/** Each machine counts once, though both its rental and the cloud's list may show it. */
+/** Counts each machine once, although both its rental and the cloud's list may contain it. */
 export function findBootingMachines(input: BootingMachinesInput): MachineOffer[] {
-  const { catalog, isSettled } = input;
+  const { catalog, isUpOrTerminated } = input;
   const booting: MachineOffer[] = [];
-  const counted = new Set<string>();
+  const countedMachineIds = new Set<string>();
   for (const { machineId, machineType: name, zone, isSpot, ageMs } of expectedMachines(input)) {
     const machineType = catalog.get(name);
-    if (machineType === undefined || counted.has(machineId) || isSettled(machineId)) continue;
-    if (ageMs > machineType.bootS * 1000 * EXPECTED_BOOT_TIMES) continue;
-    counted.add(machineId);
+    if (machineType === undefined || countedMachineIds.has(machineId) || isUpOrTerminated(machineId)) continue;
+    if (ageMs > machineType.bootS * 1000 * EXPECTED_BOOT_TIME_FACTOR) continue;
+    countedMachineIds.add(machineId);
     booting.push({ machineType, zone, isSpot });
   }
   return booting;
--- a/src/autoscaling/capacity-needs.ts
+++ b/src/autoscaling/capacity-needs.ts
@@ -1,4 +1,4 @@
-/** What capacity the tasks without a placement need, by job. */
+/** Finds the capacity that pending tasks need, by job. */
 import { FAILURES_WORTH_SCALING_OUT } from '../constants/autoscaling.js';
 import type { JobSpec } from '../domain/job.js';
 import type { MachineInventory } from '../inventory/machine-inventory.js';
@@ -8,14 +8,14 @@
 import type { PendingTask } from '../scheduling/task-placer.js';
 import type { CapacityNeed } from './scale-out-decision.js';
 
-/** Where pending tasks, their jobs and the machines are read from. */
+/** Sources of pending tasks, their jobs and the machines. */
 export interface CapacityNeedsDependencies {
   clusterState: ClusterState;
   inventory: MachineInventory;
   planner: PlacementPlanner;
 }
 
-/** Pending tasks by job, in the planner's order, with the zones that their job leaves open. */
+/** One need per job with pending tasks, in the planner's order, with the zones that the job's placement rules allow. */
 export function findCapacityNeeds({ clusterState, inventory, planner }: CapacityNeedsDependencies): CapacityNeed[] {
   const zones = [...new Set([...inventory.catalog.values()].flatMap((machineType) => machineType.zones))];
   const needs: CapacityNeed[] = [];
@@ -23,35 +23,35 @@
     const view = clusterState.jobs.get(jobId);
     if (view === undefined) continue;
     const { spec } = view.record;
-    const taskCount = tasksToScaleOutFor(spec, pendingTasks, inventory);
+    const taskCount = countTasksToScaleOutFor(spec, pendingTasks, inventory);
     if (taskCount === 0) continue;
     const { tasksPerZone } = view;
-    const allowed = zones.filter((zone) => isZoneAllowed(spec, tasksPerZone, zone));
-    needs.push({ spec, taskCount, zones: allowed.length === zones.length ? [] : allowed });
+    const allowedZones = zones.filter((zone) => isZoneAllowed(spec, tasksPerZone, zone));
+    needs.push({ spec, taskCount, zones: allowedZones.length === zones.length ? [] : allowedZones });
   }
   return needs;
 }
 
 function groupByJob(pendingTasks: Iterable<PendingTask>): Map<string, PendingTask[]> {
   const byJob = new Map<string, PendingTask[]>();
-  for (const each of pendingTasks) {
-    const ofJob = byJob.get(each.view.jobId);
-    if (ofJob === undefined) byJob.set(each.view.jobId, [each]);
-    else ofJob.push(each);
+  for (const task of pendingTasks) {
+    const jobTasks = byJob.get(task.view.jobId);
+    if (jobTasks === undefined) byJob.set(task.view.jobId, [task]);
+    else jobTasks.push(task);
   }
   return byJob;
 }
 
 /**
- * A job whose tasks fail again and again is worth no more than one machine to try on, but must have that. A gang has to be
- * whole, and the machines added for it serve its next attempts as well.
+ * A job whose tasks fail repeatedly is not worth more than one machine to retry on, but must have one that it may use. A
+ * gang needs machines for all its tasks, and its next attempts use the added machines as well.
  */
-function tasksToScaleOutFor(
+function countTasksToScaleOutFor(
   spec: JobSpec,
   pendingTasks: readonly PendingTask[],
   inventory: Pick<MachineInventory, 'schedulableMachines'>,
 ): number {
-  const isFailing = pendingTasks.some((each) => each.placement.failures > FAILURES_WORTH_SCALING_OUT);
+  const isFailing = pendingTasks.some((task) => task.placement.failures > FAILURES_WORTH_SCALING_OUT);
   if (!isFailing || spec.kind === 'gang') return pendingTasks.length;
   return inventory.schedulableMachines().some((machine) => isAllowedOn(spec, machine)) ? 0 : 1;
 }
--- a/src/autoscaling/cluster-leader.ts
+++ b/src/autoscaling/cluster-leader.ts
@@ -1,4 +1,4 @@
-/** The duties of the cluster's leader: catalogue, scale out and in, preemption, and evictions before spot notices end. */
+/** The duties of the cluster leader: catalog, scale-out, scale-in, preemption, and evictions before spot notices end. */
 import { LIST_PERIOD_MS, SCALE_OUT_PERIOD_MS, SCALE_OUT_ROUNDS, STATUS_PERIOD_MS } from '../constants/autoscaling.js';
 import { PREEMPT_PERIOD_MS } from '../constants/scheduling.js';
 import type { PeerDirectory } from '../gossip/peer-directory.js';
@@ -16,13 +16,13 @@
 import { UnresponsiveMachineDetector } from './unresponsive-machine-detector.js';
 import { UnusableMachineDetector } from './unusable-machine-detector.js';
 
-/** What the leader's duties need together of the other parts. */
+/** Dependencies of all the leader's duties. */
 export interface ClusterLeaderDependencies extends Omit<AutoscalerDependencies, 'machineList'> {
   accounting: TeamAccounting;
   peerDirectory: PeerDirectory;
 }
 
-/** Joins the duties and repeats each while this node is the leader; a follower's instance only keeps its memory. */
+/** Runs each duty periodically while this node is the leader; on a follower it only holds the advisory state. */
 export class ClusterLeader {
   private readonly evictionMarker: EvictionMarker;
   private readonly preemptor: Preemptor;
@@ -50,7 +50,7 @@
     this.autoscaler = new Autoscaler({ ...dependencies, machineList: this.machineList });
   }
 
-  /** What the leader remembers beside the records: for whichever node becomes the next leader. */
+  /** The advisory state that the leader keeps besides the records, for the next leader to take over. */
   get memory(): LeaderMemory {
     return {
       recentEvictions: () => this.evictionMarker.recentEvictions(),
@@ -62,7 +62,7 @@
     };
   }
 
-  /** Where a machine listens that has not reported to this node; undefined: neither a peer nor the cloud tells. */
+  /** Endpoint of a machine that has sent this node no heartbeat; undefined: unknown to peers and to the cloud's list. */
   endpointOf(machineId: string): string | undefined {
     const { inventory } = this.dependencies;
     return inventory.peerStateOf(machineId)?.endpoint ?? this.machineList.machines.get(machineId)?.endpoint;
@@ -80,7 +80,7 @@
     ]);
   }
 
-  /** One duty's failure is logged and stops neither it nor another. */
+  /** A failed run is logged; the duty is run again after the period, and other duties are not affected. */
   private async repeatWhileLeading(
     periodMs: number,
     signal: AbortSignal,
@@ -97,7 +97,7 @@
     }
   }
 
-  /** What is refused in one place is asked for in the next at once: a machine takes long enough to boot. */
+  /** After a refusal, other offers are requested at once, since a machine takes long enough to boot. */
   private async scaleOut(): Promise<void> {
     for (let round = 0; round < SCALE_OUT_ROUNDS; round++) {
       const mayFindMore = await this.autoscaler.round();
@@ -105,7 +105,7 @@
     }
   }
 
-  /** Scales in machines that are unresponsive, unusable or idle, and evicts tasks from those under a spot notice. */
+  /** Scales in machines that are unresponsive, unusable or idle, and evicts tasks from machines with a spot notice. */
   private async maintainMachines(): Promise<void> {
     const machines = this.dependencies.inventory.machines();
     const candidates = new Set([
--- a/src/autoscaling/idle-machine-detector.ts
+++ b/src/autoscaling/idle-machine-detector.ts
@@ -7,7 +7,7 @@
 import type { PlacementPlanner } from '../scheduling/placement-planner.js';
 import { isBelowReserve } from './scale-out-decision.js';
 
-/** Where tasks, machines and free resources are read from. */
+/** Sources of tasks, machines and free resources. */
 export interface IdleMachineDetectorDependencies {
   clusterState: ClusterState;
   inventory: MachineInventory;
@@ -15,14 +15,14 @@
   clock: Clock;
 }
 
-/** Remembers since when each machine is idle; the memory passes to the next leader. */
+/** Tracks since when each machine has been idle; the next leader takes over this state. */
 export class IdleMachineDetector {
   private readonly idleSinceMs = new Map<string, number>();
   private nextCheckAtMs = -Infinity;
 
   constructor(private readonly dependencies: IdleMachineDetectorDependencies) {}
 
-  /** Ids of machines to be scaled in; none between two checks, since idle machines are kept for minutes anyway. */
+  /** Ids of the machines to scale in; empty between two checks, since idle machines are kept for minutes anyway. */
   find(): string[] {
     const nowMs = this.dependencies.clock.now();
     if (nowMs < this.nextCheckAtMs) return [];
@@ -30,22 +30,22 @@
     return this.check(nowMs);
   }
 
-  /** Machines that were idle at the last check, with the steady ms since when. */
+  /** Machines that were idle at the last check; `at`: idle since, monotonic ms. */
   recentlyIdle(): Iterable<{ machineId: string; at: number }> {
     return [...this.idleSinceMs].map(([machineId, at]) => ({ machineId, at }));
   }
 
-  /** Takes over from a former leader. An entry stands only as long as the machine is seen idle: the next check drops it otherwise. */
+  /** Restores an entry of a former leader. The next check drops the entry if tasks are placed on the machine. */
   restore(machineId: string, atMs: number): void {
     this.idleSinceMs.set(machineId, Math.min(atMs, this.idleSinceMs.get(machineId) ?? Infinity));
   }
 
   private check(nowMs: number): string[] {
     const { clusterState, inventory } = this.dependencies;
-    const open = inventory.schedulableMachines();
-    let { freeCpus, totalCpus } = this.cpusOf(open);
-    const found: string[] = [];
-    for (const { machineId, machineType } of open) {
+    const schedulable = inventory.schedulableMachines();
+    let { freeCpus, totalCpus } = this.cpusOf(schedulable);
+    const idleMachineIds: string[] = [];
+    for (const { machineId, machineType } of schedulable) {
       if (clusterState.taskCountOn(machineId) > 0) {
         this.idleSinceMs.delete(machineId);
         continue;
@@ -53,13 +53,13 @@
       const sinceMs = this.idleSinceMs.get(machineId) ?? nowMs;
       this.idleSinceMs.set(machineId, sinceMs);
       const { cpus } = inventory.catalog.get(machineType)!;
-      // Hysteresis: scaled out below one reserve, scaled in only above twice as much.
+      // Hysteresis: machines are added below one reserve, and removed only above twice the reserve.
       if (nowMs - sinceMs < IDLE_SCALE_IN_MS || isBelowReserve((freeCpus - cpus) / 2, totalCpus - cpus)) continue;
       freeCpus -= cpus;
       totalCpus -= cpus;
-      found.push(machineId);
+      idleMachineIds.push(machineId);
     }
-    return found;
+    return idleMachineIds;
   }
 
   private cpusOf(machines: readonly MachineInfo[]): { freeCpus: number; totalCpus: number } {
--- a/src/autoscaling/machine-list-reader.ts
+++ b/src/autoscaling/machine-list-reader.ts
@@ -1,8 +1,8 @@
-/** The cloud's list of this cluster's machines, as last read. */
+/** The cloud's list of this cluster's machines, as of the last successful read. */
 import type { CloudClient } from '../cloud/cloud-client.js';
 import type { ListedMachine } from '../cloud/cloud-wire-codec.js';
 
-/** Reads the list and keeps the last one that was readable. The list lags behind what the cloud has done. */
+/** Reads the list and keeps the last one read successfully. The list lags behind the cloud's actual state. */
 export class MachineListReader {
   private listed = new Map<string, ListedMachine>();
 
@@ -13,14 +13,14 @@
     return this.listed;
   }
 
-  /** Replaces the list; a read that failed leaves it as it is. */
+  /** Reads the list; after a failed read, the previous list is kept. */
   async read(): Promise<void> {
     const list = await this.cloud.list();
     if (list === undefined) return;
     this.listed = new Map(list.map((machine) => [machine.machineId, machine]));
   }
 
-  /** Removes a machine that is known to be terminated before the list shows it. */
+  /** Removes a terminated machine, which the list may still contain for a while. */
   remove(machineId: string): void {
     this.listed.delete(machineId);
   }
--- a/src/autoscaling/machine-scale-in.ts
+++ b/src/autoscaling/machine-scale-in.ts
@@ -1,4 +1,4 @@
-/** Returns machines to the cloud, and releases the placements on machines that are proved terminated. */
+/** Returns machines to the cloud, and releases the placements on machines that are confirmed terminated. */
 import type { CloudClient } from '../cloud/cloud-client.js';
 import { CLUSTER_LEADER_ROLE } from '../domain/role.js';
 import type { MachineInventory } from '../inventory/machine-inventory.js';
@@ -13,10 +13,10 @@
 import type { TransactionDraft } from '../store/transaction-draft.js';
 import type { MachineListReader } from './machine-list-reader.js';
 
-/** Machines of one scale-in request. */
+/** Maximum number of machines in one scale-in request. */
 const MAX_SCALE_IN_AT_ONCE = 50;
 
-/** What scale in needs of the other parts. */
+/** Dependencies of MachineScaleIn. */
 export interface MachineScaleInDependencies {
   leadership: RoleLeadership;
   clusterState: ClusterState;
@@ -29,14 +29,14 @@
   log: Log;
 }
 
-/** Scales in what it is given. A machine gets no new work from the request on, and again if the request fails. */
+/** Scales in machines. A machine takes no new tasks from the request on; if the request fails, it takes them again. */
 export class MachineScaleIn {
-  /** Machines with a request to the cloud in flight. */
+  /** Ids of machines with an in-flight request to the cloud. */
   private readonly inFlight = new Set<string>();
 
   constructor(private readonly dependencies: MachineScaleInDependencies) {}
 
-  /** Scales in as many of the machines as one request holds; the others are found again by the next round. */
+  /** Scales in as many of the candidates as one request may hold; the next round finds the others again. */
   async scaleIn(candidates: ReadonlySet<string>): Promise<void> {
     const { inventory, cloud, clock, log } = this.dependencies;
     const machineIds = [...candidates]
@@ -65,14 +65,14 @@
     this.releasePlacementsOn(machineId);
   }
 
-  /** Releases placements on terminated machines, also those that were committed since from an old view of the inventory. */
+  /** Releases placements on terminated machines, also those committed later, based on an outdated inventory. */
   private releaseTerminated(): void {
     const { clusterState, inventory } = this.dependencies;
     for (const machineId of clusterState.usedMachines())
       if (inventory.terminated.has(machineId)) this.releasePlacementsOn(machineId);
   }
 
-  /** The cloud's 200 proves that the machine and everything on it have ended. */
+  /** The cloud's 200 response proves that the machine and all tasks on it have ended. */
   private releasePlacementsOn(machineId: string): void {
     const { clusterState, transactions } = this.dependencies;
     for (const placedTask of [...clusterState.tasksOn(machineId)]) {
--- a/src/autoscaling/machine-type-reader.ts
+++ b/src/autoscaling/machine-type-reader.ts
@@ -1,4 +1,4 @@
-/** Keeps the stored catalogue of machine types in step with the cloud's. */
+/** Keeps the stored catalog of machine types up to date with the cloud's. */
 import type { CloudClient } from '../cloud/cloud-client.js';
 import { decodeMachineType, type StoredMachineType } from '../cloud/cloud-wire-codec.js';
 import { CATALOG_PERIOD_MS } from '../constants/autoscaling.js';
@@ -11,7 +11,7 @@
 import type { TransactionBatcher } from '../store/transaction-batcher.js';
 import type { TransactionDraft } from '../store/transaction-draft.js';
 
-/** What the reader needs of the other parts. */
+/** Dependencies of MachineTypeReader. */
 export interface MachineTypeReaderDependencies {
   leadership: RoleLeadership;
   transactions: TransactionBatcher;
@@ -25,7 +25,7 @@
 
   constructor(private readonly dependencies: MachineTypeReaderDependencies) {}
 
-  /** Does nothing while the last successful read is recent; a read that failed is repeated at the next call. */
+  /** Does nothing while the last successful read is recent; a failed read is retried at the next call. */
   async read(): Promise<void> {
     const { clock, cloud, transactions } = this.dependencies;
     const nowMs = clock.now();
@@ -33,7 +33,7 @@
     const machineTypes = await cloud.machineTypes();
     if (machineTypes === undefined) return;
     this.lastReadAtMs = nowMs;
-    // One mutation for each type: all together may be more than one transaction holds.
+    // One mutation per type, since all types together may exceed what one transaction can hold.
     await Promise.all(
       machineTypes.map((machineType) =>
         transactions.commit('catalog', Priority.record, (draft) => this.storeIfChanged(draft, machineType)),
@@ -46,14 +46,14 @@
     const current = decodeMachineType(stored)!;
     const key = machineTypeKey(current.name);
     const previous = decodeMachineType(draft.get(key));
-    if (previous !== undefined && isSameApartFromPrices(previous, current)) return false;
+    if (previous !== undefined && isEqualExceptPrices(previous, current)) return false;
     draft.set(key, stored);
     return true;
   }
 }
 
-/** Prices move all the time; only what decides about bin packing is worth a write. */
-function isSameApartFromPrices(a: MachineType, b: MachineType): boolean {
+/** Prices change all the time; only a change that matters for bin packing is worth a write. */
+function isEqualExceptPrices(a: MachineType, b: MachineType): boolean {
   const withoutPrices = (each: MachineType) => JSON.stringify({ ...each, hourlyPrice: 0, spotHourlyPrice: 0 });
   return withoutPrices(a) === withoutPrices(b);
 }
--- a/src/autoscaling/refused-offers.ts
+++ b/src/autoscaling/refused-offers.ts
@@ -1,4 +1,4 @@
-/** Offers that the cloud has refused for lack of capacity: they are not asked for again for a while. */
+/** Offers that the cloud has refused, for lack of capacity or as invalid; they are not requested again for a while. */
 import { NO_CAPACITY_MS } from '../constants/autoscaling.js';
 import type { Clock } from '../net/clock.js';
 
@@ -9,32 +9,32 @@
   isSpot: boolean;
 }
 
-/** The form in which leaders tell each other of an offer. */
-const offerName = ({ machineType, zone, isSpot }: OfferId): string => `${machineType} ${zone} ${isSpot}`;
+/** Identifies an offer here and in the advisory state that leaders exchange. */
+const offerKey = ({ machineType, zone, isSpot }: OfferId): string => `${machineType} ${zone} ${isSpot}`;
 
-/** Remembers refusals by offer; the memory passes to the next leader. */
+/** Tracks refusals by offer; the next leader takes over this state. */
 export class RefusedOffers {
-  /** Steady ms, by the offer's name. */
+  /** Monotonic ms by offer key. */
   private readonly refusedUntilMs = new Map<string, number>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** The cloud has just refused the offer, or granted less than was asked for. */
+  /** Records that the cloud has just refused the offer, or granted fewer machines than requested. */
   add(offer: OfferId): void {
-    this.refusedUntilMs.set(offerName(offer), this.clock.now() + NO_CAPACITY_MS);
+    this.refusedUntilMs.set(offerKey(offer), this.clock.now() + NO_CAPACITY_MS);
   }
 
   has(offer: OfferId): boolean {
-    return (this.refusedUntilMs.get(offerName(offer)) ?? -Infinity) > this.clock.now();
+    return (this.refusedUntilMs.get(offerKey(offer)) ?? -Infinity) > this.clock.now();
   }
 
-  /** The refusals that still count, with the steady ms of each. */
+  /** The refusals that still count; `at`: refused at, monotonic ms. */
   *recent(): Iterable<{ offer: string; at: number }> {
     for (const [offer, untilMs] of this.refusedUntilMs)
       if (untilMs > this.clock.now()) yield { offer, at: untilMs - NO_CAPACITY_MS };
   }
 
-  /** Takes over a refusal that a former leader met; a later one that is known here stands. */
+  /** Takes over a refusal from a former leader; a later refusal known here is kept. */
   restore(offer: string, atMs: number): void {
     const untilMs = Math.min(atMs, this.clock.now()) + NO_CAPACITY_MS;
     this.refusedUntilMs.set(offer, Math.max(untilMs, this.refusedUntilMs.get(offer) ?? -Infinity));
--- a/src/autoscaling/rental-records.ts
+++ b/src/autoscaling/rental-records.ts
@@ -1,4 +1,4 @@
-/** Writes the records of rentals to the store, under the leader's fencing token. */
+/** Writes the records of rentals to the store, conditional on the leader's fencing token. */
 import { CLUSTER_LEADER_ROLE } from '../domain/role.js';
 import type { RoleLeadership } from '../leadership/role-leadership.js';
 import { Priority } from '../net/token-bucket.js';
@@ -8,24 +8,24 @@
 import type { TransactionBatcher } from '../store/transaction-batcher.js';
 import type { TransactionDraft } from '../store/transaction-draft.js';
 
-/** What writing rentals needs of the other parts. */
+/** Dependencies of RentalRecords. */
 export interface RentalRecordsDependencies {
   leadership: RoleLeadership;
   transactions: TransactionBatcher;
 }
 
-/** One record for each rental, so that none outgrows what the store keeps under a key. */
+/** Keeps one record per rental, so that no record exceeds the store's size limit for a value. */
 export class RentalRecords {
   constructor(private readonly dependencies: RentalRecordsDependencies) {}
 
-  /** Writes all in one transaction. False: none was written, or it is not known whether. */
+  /** Writes all in one transaction. False: none was written, or the outcome is unknown. */
   put(rentals: readonly RentalRecord[]): Promise<boolean> {
     return this.commit((draft) => {
       for (const rental of rentals) draft.set(rentalKey(rental.rentalId), encodeRentalRecord(rental));
     });
   }
 
-  /** Deletes all in one transaction. False: none was deleted, or it is not known whether. */
+  /** Deletes all in one transaction. False: none was deleted, or the outcome is unknown. */
   delete(rentals: readonly RentalRecord[]): Promise<boolean> {
     return this.commit((draft) => {
       for (const rental of rentals) draft.delete(rentalKey(rental.rentalId));
--- a/src/autoscaling/reserve-decision.ts
+++ b/src/autoscaling/reserve-decision.ts
@@ -3,21 +3,21 @@
 import type { MachineType } from '../domain/machine-type.js';
 import { isBelowReserve, type MachineOffer, type WantedMachines } from './scale-out-decision.js';
 
-/** A machine that takes new work. */
+/** A machine that takes new tasks. */
 export interface ReserveMachine {
   machineType: MachineType;
   zone: string;
   freeCpus: number;
 }
 
-/** The snapshot that is decided on. */
+/** The snapshot that the decision is based on. */
 export interface ReserveDecisionInput {
-  openMachines: readonly ReserveMachine[];
+  schedulableMachines: readonly ReserveMachine[];
   booting: readonly MachineOffer[];
   offers: readonly MachineOffer[];
 }
 
-/** Machines with GPUs have a reserve of their own: tasks for them fit nowhere else. */
+/** Machines with GPUs have a separate reserve, since GPU tasks fit on no other machines. */
 type MachineClass = 'cpu' | 'gpu';
 
 interface ClassCapacity {
@@ -29,7 +29,7 @@
 
 const pricePerCpu = ({ hourlyPrice, cpus }: MachineType): number => hourlyPrice / cpus;
 
-/** The machines for the first class that lacks a reserve; undefined: none does, or nothing is on offer. */
+/** The machines to add for the first class below its reserve that has an offer; undefined: there is no such class. */
 export function decideReserve(input: ReserveDecisionInput): WantedMachines | undefined {
   for (const [machineClass, { freeCpus, totalCpus }] of capacityByClass(input)) {
     if (!isBelowReserve(freeCpus, totalCpus)) continue;
@@ -41,10 +41,10 @@
   return undefined;
 }
 
-/** Only classes that have a machine up count: no reserve is kept of what nobody has used. */
-function capacityByClass({ openMachines, booting }: ReserveDecisionInput): Map<MachineClass, ClassCapacity> {
+/** Covers only classes with a schedulable machine: no reserve is kept of a class that nobody uses. */
+function capacityByClass({ schedulableMachines, booting }: ReserveDecisionInput): Map<MachineClass, ClassCapacity> {
   const classes = new Map<MachineClass, ClassCapacity>();
-  for (const { machineType, freeCpus } of openMachines) {
+  for (const { machineType, freeCpus } of schedulableMachines) {
     const capacity = classes.get(classOf(machineType)) ?? { freeCpus: 0, totalCpus: 0 };
     capacity.freeCpus += Math.max(0, freeCpus);
     capacity.totalCpus += machineType.cpus;
@@ -58,11 +58,14 @@
 }
 
 /** The cheapest on-demand offer, in the zone with the fewest machines; else any spot offer. */
-function bestOffer(machineClass: MachineClass, { offers, openMachines }: ReserveDecisionInput) {
-  const ofClass = offers.filter(({ machineType }) => classOf(machineType) === machineClass);
-  const machinesIn = (zone: string) => openMachines.filter((machine) => machine.zone === zone).length;
-  const [cheapest] = ofClass
+function bestOffer(machineClass: MachineClass, { offers, schedulableMachines }: ReserveDecisionInput) {
+  const classOffers = offers.filter(({ machineType }) => classOf(machineType) === machineClass);
+  const machineCountIn = (zone: string) => schedulableMachines.filter((machine) => machine.zone === zone).length;
+  const [cheapest] = classOffers
     .filter(({ isSpot }) => !isSpot)
-    .sort((a, b) => pricePerCpu(a.machineType) - pricePerCpu(b.machineType) || machinesIn(a.zone) - machinesIn(b.zone));
-  return cheapest ?? ofClass.find(({ isSpot }) => isSpot);
+    .sort(
+      (a, b) =>
+        pricePerCpu(a.machineType) - pricePerCpu(b.machineType) || machineCountIn(a.zone) - machineCountIn(b.zone),
+    );
+  return cheapest ?? classOffers.find(({ isSpot }) => isSpot);
 }
--- a/src/autoscaling/scale-out-decision.ts
+++ b/src/autoscaling/scale-out-decision.ts
@@ -1,52 +1,52 @@
-/** Decides which machines to add for tasks without a placement. */
+/** Decides which machines to add for pending tasks. */
 import { BOOT_PATIENCE, RESERVE_SHARE } from '../constants/autoscaling.js';
 import type { JobSpec } from '../domain/job.js';
 import { type MachineType, resourcesOfMachineType, tasksPerMachine } from '../domain/machine-type.js';
 import { fits, type Resources, subtractResources } from '../domain/resources.js';
 import { isAllowedOn } from '../records/placement-rules.js';
 
-/** Tasks of one job without a placement. */
+/** The pending tasks of one job. */
 export interface CapacityNeed {
   spec: JobSpec;
   taskCount: number;
-  /** Zones that could take the tasks; empty: any. */
+  /** Zones that the tasks may be placed in; empty: any. */
   zones: string[];
 }
 
-/** A kind of machine that the cloud may be asked for. */
+/** A kind of machine that can be requested from the cloud. */
 export interface MachineOffer {
   machineType: MachineType;
   zone: string;
   isSpot: boolean;
 }
 
-/** An offer, and how many of it to ask for. */
+/** An offer with the number of machines to request. */
 export interface WantedMachines extends MachineOffer {
   count: number;
 }
 
-/** A machine that is booting or wanted, with what earlier needs have left of it. */
+/** A machine that is booting or to be requested, with the resources that earlier needs have left free. */
 interface PlannedMachine {
   offer: MachineOffer;
   free: Resources;
 }
 
-/** Prices that differ by less, relatively, count as equal. */
+/** Prices up to this multiple of the lowest count as equal to it. */
 const EQUAL_PRICE_FACTOR = 1.001;
 
 const DEFAULT_BOOT_S = 60;
 
-/** ms after which a machine that was asked for and never heard counts as one that will not come up. */
-export const bootLimitMs = (machineType: MachineType | undefined): number =>
+/** ms after its request from which on a machine without a heartbeat counts as failed to boot. */
+export const bootTimeoutMs = (machineType: MachineType | undefined): number =>
   (machineType?.bootS ?? DEFAULT_BOOT_S) * 1000 * BOOT_PATIENCE;
 
-/** Are the free CPUs of a class of machines below the reserve that bursts need? */
+/** Whether the free CPUs of a group of machines are below the reserve for bursts. */
 export const isBelowReserve = (freeCpus: number, totalCpus: number): boolean =>
   totalCpus > 0 && freeCpus < totalCpus * RESERVE_SHARE;
 
 /**
- * What to ask for, `maxMachines` at most, after what `booting` machines will hold. Needs are served in their order. Offers
- * that were refused recently are left out by the caller, so that another zone or type is tried.
+ * Decides what to request, `maxMachines` at most, for the tasks that don't fit on the `booting` machines. Needs are
+ * served in the given order. The caller leaves out recently refused offers, so that another zone or type is tried.
  */
 export function decideScaleOut(
   needs: readonly CapacityNeed[],
@@ -59,7 +59,7 @@
   return plan.wanted;
 }
 
-/** The state of one decision. */
+/** The working state of one scale-out decision. */
 class ScaleOutPlan {
   readonly wanted: WantedMachines[] = [];
   private readonly planned: PlannedMachine[];
@@ -77,12 +77,12 @@
     if (unplacedTasks > 0) this.addMachines(need, unplacedTasks);
   }
 
-  /** Returns how many tasks the machines planned so far don't hold. */
+  /** Assigns tasks to the machines planned so far; returns how many don't fit. */
   private usePlannedMachines(need: CapacityNeed): number {
     let unplacedTasks = need.taskCount;
     for (const { offer, free } of this.planned) {
       if (unplacedTasks === 0) break;
-      if (isSuitable(offer, need)) unplacedTasks = pack(need.spec, free, unplacedTasks);
+      if (isSuitable(offer, need)) unplacedTasks = packTasks(need.spec, free, unplacedTasks);
     }
     return unplacedTasks;
   }
@@ -92,23 +92,23 @@
     if (cheapest.length === 0) return;
     let unplacedTasks = taskCount;
     while (unplacedTasks > 0 && this.remainingMachines > 0) {
-      // Ties between zones go to the one that has got the fewest, so that a zone's loss costs less.
-      const offer = cheapest.reduce((a, b) => (this.countOf(b) < this.countOf(a) ? b : a));
+      // Of equally cheap offers, the one wanted least so far is taken, so that the loss of a zone costs less.
+      const offer = cheapest.reduce((a, b) => (this.wantedCountOf(b) < this.wantedCountOf(a) ? b : a));
       const machine = planMachine(offer);
-      this.want(offer);
-      unplacedTasks = pack(need.spec, machine.free, unplacedTasks);
+      this.addWanted(offer);
+      unplacedTasks = packTasks(need.spec, machine.free, unplacedTasks);
       this.planned.push(machine);
     }
   }
 
-  private want(offer: MachineOffer): void {
+  private addWanted(offer: MachineOffer): void {
     const existing = this.wanted.find((each) => isSameOffer(each, offer));
     if (existing === undefined) this.wanted.push({ ...offer, count: 1 });
     else existing.count++;
     this.remainingMachines--;
   }
 
-  private countOf(offer: MachineOffer): number {
+  private wantedCountOf(offer: MachineOffer): number {
     return this.wanted.find((each) => isSameOffer(each, offer))?.count ?? 0;
   }
 }
@@ -118,8 +118,8 @@
   free: resourcesOfMachineType(offer.machineType),
 });
 
-/** Takes as many of the tasks off the free resources as fit; returns how many remain. */
-function pack(spec: JobSpec, free: Resources, taskCount: number): number {
+/** Subtracts as many of the tasks from `free` as fit; returns how many don't. */
+function packTasks(spec: JobSpec, free: Resources, taskCount: number): number {
   let remainingTasks = taskCount;
   while (remainingTasks > 0 && fits(spec, free)) {
     subtractResources(free, spec);
@@ -133,7 +133,7 @@
   (zones.length === 0 || zones.includes(offer.zone)) &&
   tasksPerMachine(offer.machineType, spec) > 0;
 
-/** The suitable offers with the lowest price for each task, cheapest first. */
+/** The suitable offers with the lowest price per task, cheapest first. */
 function cheapestOffers(offers: readonly MachineOffer[], need: CapacityNeed): MachineOffer[] {
   const { spec } = need;
   const ranked = offers
@@ -144,7 +144,7 @@
   return ranked.filter((offer) => pricePerTask(offer, spec) <= limit);
 }
 
-/** Hourly price of one task's share of such a machine. */
+/** Hourly price of the offered machine per task that fits on it. */
 const pricePerTask = ({ machineType, isSpot }: MachineOffer, spec: JobSpec): number =>
   (isSpot ? machineType.spotHourlyPrice : machineType.hourlyPrice) / tasksPerMachine(machineType, spec);
 
--- a/src/autoscaling/spot-notice-evictor.ts
+++ b/src/autoscaling/spot-notice-evictor.ts
@@ -1,22 +1,22 @@
-/** Evicts tasks from spot machines before the cloud takes these away. */
+/** Evicts tasks from spot machines before the cloud terminates the machines. */
 import type { JobSpec } from '../domain/job.js';
 import type { MachineInfo } from '../domain/machine-state.js';
 import type { Clock } from '../net/clock.js';
 import type { ClusterState } from '../records/cluster-state.js';
 import type { EvictionMarker } from '../scheduling/eviction-marker.js';
 
-/** What evictions need of the other parts. */
+/** Dependencies of SpotNoticeEvictor. */
 export interface SpotNoticeEvictorDependencies {
   clusterState: ClusterState;
   evictionMarker: EvictionMarker;
   clock: Clock;
 }
 
-/** Stops tasks that can write a checkpoint, in time, on machines under a spot notice. */
+/** Evicts tasks from machines with a spot notice early enough for those with checkpoints to write one. */
 export class SpotNoticeEvictor {
   constructor(private readonly dependencies: SpotNoticeEvictorDependencies) {}
 
-  /** Marks each task for eviction that gains by it; the grace period is the time of its checkpoint, if that is left. */
+  /** Marks the tasks for eviction that benefit from it. The grace period is the checkpoint time, or 0 if less is left. */
   evict(machines: ReadonlyMap<string, MachineInfo>): void {
     const nowMs = this.dependencies.clock.now();
     for (const { machineId, spotTerminationAt } of machines.values()) {
@@ -28,12 +28,12 @@
     const { clusterState, evictionMarker } = this.dependencies;
     for (const placedTask of [...clusterState.tasksOn(machineId)]) {
       const spec = clusterState.jobs.get(placedTask.jobId)?.record.spec;
-      if (spec === undefined || evictionMarker.isBeingEvicted(placedTask) || !gainsByEviction(spec)) continue;
+      if (spec === undefined || evictionMarker.isBeingEvicted(placedTask) || !benefitsFromEviction(spec)) continue;
       const gracePeriodS = remainingS > spec.checkpointS ? spec.checkpointS : 0;
       evictionMarker.evict(placedTask, spec, gracePeriodS, 'notice');
     }
   }
 }
 
-/** A task of an array without checkpoints would lose its work either way, and may yet end in time. */
-const gainsByEviction = (spec: JobSpec): boolean => spec.kind !== 'array' || spec.checkpointIntervalS !== 0;
+/** An array task without checkpoints loses its work either way, and may still finish in time if left running. */
+const benefitsFromEviction = (spec: JobSpec): boolean => spec.kind !== 'array' || spec.checkpointIntervalS !== 0;
--- a/src/autoscaling/unresponsive-machine-detector.ts
+++ b/src/autoscaling/unresponsive-machine-detector.ts
@@ -1,4 +1,4 @@
-/** Finds machines that have stopped responding, from what the partition leaders report of their heartbeats. */
+/** Finds machines that have stopped responding, based on the partition leaders' reports of their heartbeats. */
 import { UNSEEN_SILENCE_LIMITS, ZONE_HEAL_MS } from '../constants/autoscaling.js';
 import type { MachineInfo } from '../domain/machine-state.js';
 import { partitionRole } from '../domain/role.js';
@@ -9,9 +9,9 @@
 import type { RoleLeadership } from '../leadership/role-leadership.js';
 import type { Clock } from '../net/clock.js';
 import type { ClusterState } from '../records/cluster-state.js';
-import { findCutZones, findMachinesToReplace, type WatchedMachine } from './unresponsive-machines.js';
+import { findIsolatedZones, findMachinesToReplace, type MonitoredMachine } from './unresponsive-machines.js';
 
-/** Where heartbeats, leaders and placements are read from. */
+/** Sources of heartbeats, leaders and placements. */
 export interface UnresponsiveMachineDetectorDependencies {
   settings: Settings;
   leadership: RoleLeadership;
@@ -21,45 +21,46 @@
   clock: Clock;
 }
 
-/** Watches heartbeats over time; remembers which zones were cut off and since when each role has its present leader. */
+/** Monitors heartbeats; tracks which zones were recently isolated and when each role got its current leader. */
 export class UnresponsiveMachineDetector {
-  /** When each role was first seen under its present leader, by role. */
+  /** By role: when its current leader was first seen. */
   private readonly leaderSince = new Map<string, { leaseId: number; atMs: number }>();
-  /** When each zone was last seen cut off. */
-  private readonly zoneCutAtMs = new Map<string, number>();
+  /** By zone: when it was last seen isolated. */
+  private readonly zoneIsolatedAtMs = new Map<string, number>();
 
   constructor(private readonly dependencies: UnresponsiveMachineDetectorDependencies) {}
 
-  /** Ids of unresponsive machines to be scaled in, unless so many are affected that the fault is not theirs. */
+  /** Ids of the unresponsive machines to scale in, unless so many are affected that the machines are not at fault. */
   find(machines: ReadonlyMap<string, MachineInfo>): string[] {
     const nowMs = this.dependencies.clock.now();
-    const watched = [...this.watchReported(machines, nowMs), ...this.watchNeverHeard(machines, nowMs)];
-    for (const zone of findCutZones(watched)) this.zoneCutAtMs.set(zone, nowMs);
-    for (const [zone, atMs] of this.zoneCutAtMs) if (nowMs - atMs > ZONE_HEAL_MS) this.zoneCutAtMs.delete(zone);
-    return findMachinesToReplace(watched, new Set(this.zoneCutAtMs.keys()));
+    const monitored = [...this.collectReported(machines, nowMs), ...this.collectUnreported(machines, nowMs)];
+    for (const zone of findIsolatedZones(monitored)) this.zoneIsolatedAtMs.set(zone, nowMs);
+    for (const [zone, atMs] of this.zoneIsolatedAtMs)
+      if (nowMs - atMs > ZONE_HEAL_MS) this.zoneIsolatedAtMs.delete(zone);
+    return findMachinesToReplace(monitored, new Set(this.zoneIsolatedAtMs.keys()));
   }
 
-  private watchReported(machines: ReadonlyMap<string, MachineInfo>, nowMs: number): WatchedMachine[] {
-    const watched: WatchedMachine[] = [];
+  private collectReported(machines: ReadonlyMap<string, MachineInfo>, nowMs: number): MonitoredMachine[] {
+    const monitored: MonitoredMachine[] = [];
     for (const machine of machines.values()) {
-      if (this.isReportedByItsLeader(machine)) watched.push(this.watch(machine, nowMs));
+      if (this.isReportedByItsLeader(machine)) monitored.push(this.describeReported(machine, nowMs));
     }
-    return watched;
+    return monitored;
   }
 
-  /** Only the report of the present leader counts: a former one, cut off, would call all its machines unresponsive. */
+  /** Only the current leader's report counts: a former, cut-off leader would report all its machines as unresponsive. */
   private isReportedByItsLeader({ machineId, partitionLeader }: MachineInfo): boolean {
     const { leadership, inventory } = this.dependencies;
     const leader = leadership.leaderOf(partitionRole(leadership.partitionOf(machineId)));
     return partitionLeader === leader && !inventory.terminated.has(machineId) && inventory.isCurrent(machineId);
   }
 
-  private watch(machine: MachineInfo, nowMs: number): WatchedMachine {
+  private describeReported(machine: MachineInfo, nowMs: number): MonitoredMachine {
     const { settings, leadership, peerDirectory } = this.dependencies;
     const { machineId, zone, lastHeartbeatAt } = machine;
     const { workers } = settings.cluster;
     const ageMs = nowMs - lastHeartbeatAt;
-    // The lease of a mute machine has expired, so nothing runs there any more; only its termination proves that at once.
+    // A mute machine's lease has expired, so nothing runs on it any more, but only its termination proves that at once.
     const isUnresponsive =
       machine.isMute ||
       (ageMs > unresponsiveAfterMs(workers) && !peerDirectory.hasMisroutedHeartbeatSince(machineId, lastHeartbeatAt));
@@ -73,31 +74,31 @@
   }
 
   /**
-   * Machines with tasks that have not been heard since the present leaders of their partitions took over: of a machine that
-   * failed while all controllers were down no former leader reports, and its tasks would else wait until its lease has
-   * provably expired.
+   * Machines with tasks that have sent no heartbeat since the current leaders of their partitions took over. If a machine
+   * failed while all controllers were down, no former leader reports it, and its tasks would otherwise wait until its
+   * lease has provably expired.
    */
-  private watchNeverHeard(machines: ReadonlyMap<string, MachineInfo>, nowMs: number): WatchedMachine[] {
+  private collectUnreported(machines: ReadonlyMap<string, MachineInfo>, nowMs: number): MonitoredMachine[] {
     const { clusterState, inventory } = this.dependencies;
-    this.noteLeaders(nowMs);
-    const watched: WatchedMachine[] = [];
+    this.trackLeaderChanges(nowMs);
+    const monitored: MonitoredMachine[] = [];
     for (const machineId of clusterState.usedMachines()) {
       if (machines.has(machineId) || inventory.terminated.has(machineId)) continue;
-      const machine = this.watchUnheard(machineId, nowMs);
-      if (machine !== undefined) watched.push(machine);
+      const machine = this.describeUnreported(machineId, nowMs);
+      if (machine !== undefined) monitored.push(machine);
     }
-    return watched;
+    return monitored;
   }
 
-  private noteLeaders(nowMs: number): void {
+  private trackLeaderChanges(nowMs: number): void {
     for (const [role, { record }] of this.dependencies.clusterState.leadershipRecords) {
       const since = this.leaderSince.get(role);
       if (since?.leaseId !== record.leaseId) this.leaderSince.set(role, { leaseId: record.leaseId, atMs: nowMs });
     }
   }
 
-  /** undefined: the partition's leader is out of reach, or the machine holds no task. */
-  private watchUnheard(machineId: string, nowMs: number): WatchedMachine | undefined {
+  /** undefined: the partition's leader is unreachable, or the machine holds no task. */
+  private describeUnreported(machineId: string, nowMs: number): MonitoredMachine | undefined {
     const { settings, leadership, clusterState, peerDirectory } = this.dependencies;
     const { workers } = settings.cluster;
     const partition = leadership.partitionOf(machineId);
--- a/src/autoscaling/unresponsive-machines.ts
+++ b/src/autoscaling/unresponsive-machines.ts
@@ -1,15 +1,15 @@
-/** Decides which unresponsive machines are to be replaced, and which are spared because the fault is not theirs. */
+/** Decides which unresponsive machines to replace, and which to keep because the machines are not at fault. */
 import { ZONE_CUT_SHARE, ZONE_PATIENCE_MS } from '../constants/autoscaling.js';
 import { SELF_SUSPECT_SHARE } from '../constants/leadership.js';
 
-/** What the leader of a machine's partition reports of it, as far as its replacement goes. */
-export interface WatchedMachine {
+/** How responsive a machine is, as far as known from the leader of its partition. */
+export interface MonitoredMachine {
   machineId: string;
   partition: number;
   zone: string;
-  /** ms for which nothing has shown that it is up and can be reached; 0: it is and can. */
+  /** ms without any sign that the machine is up and reachable; 0: it counts as responsive. */
   unresponsiveMs: number;
-  /** Its heartbeat is late, or worse. */
+  /** Whether its next heartbeat is late, or it is unresponsive. */
   isLate: boolean;
 }
 
@@ -19,8 +19,8 @@
 }
 
 const countLateBy = <K>(
-  machines: readonly WatchedMachine[],
-  keyOf: (machine: WatchedMachine) => K,
+  machines: readonly MonitoredMachine[],
+  keyOf: (machine: MonitoredMachine) => K,
 ): Map<K, HeartbeatCounts> => {
   const groups = new Map<K, HeartbeatCounts>();
   for (const machine of machines) {
@@ -33,31 +33,32 @@
   return groups;
 };
 
-/** Two late machines are no sign of a common fault, whatever the total. */
+/** Up to two late machines never indicate a common fault, whatever the total. */
 const isMinority = ({ late, total }: HeartbeatCounts, share: number): boolean => late <= Math.max(2, total * share);
 
-/** Zones that count as cut off, since most of their machines are late. */
-export function findCutZones(machines: readonly WatchedMachine[]): string[] {
+/** Zones that count as isolated from the network, since most of their machines are late. */
+export function findIsolatedZones(machines: readonly MonitoredMachine[]): string[] {
   const zones = countLateBy(machines, (machine) => machine.zone);
   return [...zones].filter(([, zone]) => !isMinority(zone, ZONE_CUT_SHARE)).map(([zone]) => zone);
 }
 
 /**
- * Ids of the unresponsive machines that are to be scaled in. Where most of a partition are late, its leader is the one that
- * can't be reached. Where most of a zone are, the zone is cut off: its machines come back with their images when the
- * partition of the network ends, new ones could not be reached either, and what ran there is free when the leases have
- * expired. Since heartbeats come at different times, the first machine to count as unresponsive is judged by how many others
- * are late already; and since they come back at different times, a zone is spared for a while after.
+ * Ids of the unresponsive machines to scale in. If a large share of a partition's machines is late, the leader of the
+ * partition is the unreachable one. If most of a zone's machines are late, the zone is isolated from the network: when it
+ * reconnects, its machines return with their cached images; new machines there could not be reached either; and the tasks
+ * there may start elsewhere once the leases have expired. Heartbeats arrive at different times, so the first machine to
+ * count as unresponsive is judged by how many others are already late. They also resume at different times, so a zone's
+ * machines are kept for a while after it was last seen isolated.
  */
 export function findMachinesToReplace(
-  machines: readonly WatchedMachine[],
-  zonesCutLately: ReadonlySet<string>,
+  machines: readonly MonitoredMachine[],
+  recentlyIsolatedZones: ReadonlySet<string>,
 ): string[] {
   const partitions = countLateBy(machines, (machine) => machine.partition);
   return machines
     .filter(({ partition, zone, unresponsiveMs }) => {
       if (unresponsiveMs <= 0 || !isMinority(partitions.get(partition)!, SELF_SUSPECT_SHARE)) return false;
-      return !zonesCutLately.has(zone) || unresponsiveMs > ZONE_PATIENCE_MS;
+      return !recentlyIsolatedZones.has(zone) || unresponsiveMs > ZONE_PATIENCE_MS;
     })
     .map(({ machineId }) => machineId);
 }
--- a/src/autoscaling/unusable-machine-detector.ts
+++ b/src/autoscaling/unusable-machine-detector.ts
@@ -1,4 +1,4 @@
-/** Finds machines that can't be used: failed, never booted, or quarantined for long. */
+/** Finds unusable machines: those that failed, didn't boot, or have been quarantined for long. */
 import type { ListedMachine } from '../cloud/cloud-wire-codec.js';
 import { QUARANTINE_PATIENCE_MS } from '../constants/autoscaling.js';
 import type { MachineInfo } from '../domain/machine-state.js';
@@ -6,9 +6,9 @@
 import type { Clock } from '../net/clock.js';
 import type { ClusterState } from '../records/cluster-state.js';
 import type { MachineListReader } from './machine-list-reader.js';
-import { bootLimitMs } from './scale-out-decision.js';
+import { bootTimeoutMs } from './scale-out-decision.js';
 
-/** Where machines and their tasks are read from. */
+/** Sources of machines and their tasks. */
 export interface UnusableMachineDetectorDependencies {
   clusterState: ClusterState;
   inventory: MachineInventory;
@@ -16,13 +16,13 @@
   clock: Clock;
 }
 
-/** Joins the cloud's list with what is known of machines in use; remembers since when each machine is quarantined. */
+/** Combines the cloud's list with the inventory, and tracks since when each machine has been quarantined. */
 export class UnusableMachineDetector {
   private readonly quarantinedSinceMs = new Map<string, number>();
 
   constructor(private readonly dependencies: UnusableMachineDetectorDependencies) {}
 
-  /** Ids of machines that failed, never came up, or fail all their tasks and hold none now. */
+  /** Ids of machines that failed, didn't boot in time, or have been quarantined for long and hold no task now. */
   find(machines: ReadonlyMap<string, MachineInfo>): string[] {
     return [...this.findFailed(machines), ...this.findQuarantined(machines)];
   }
@@ -37,7 +37,7 @@
 
   private hasNeverBooted(machine: ListedMachine, machines: ReadonlyMap<string, MachineInfo>): boolean {
     if (machine.state !== 'starting' || machines.has(machine.machineId)) return false;
-    return machine.ageS * 1000 > bootLimitMs(this.dependencies.inventory.catalog.get(machine.machineType));
+    return machine.ageS * 1000 > bootTimeoutMs(this.dependencies.inventory.catalog.get(machine.machineType));
   }
 
   private findQuarantined(machines: ReadonlyMap<string, MachineInfo>): string[] {
--- a/src/cloud/cloud-client.ts
+++ b/src/cloud/cloud-client.ts
@@ -1,4 +1,4 @@
-/** Calls to the cloud: its catalogue, its list of machines, scale out and scale in. */
+/** Client of the cloud's API: catalog, list of machines, scale-out and scale-in. */
 import { CLOUD_BUSY_PAUSE_MS, CLOUD_TIMEOUT_MS } from '../constants/autoscaling.js';
 import type { Clock } from '../net/clock.js';
 import type { HttpClient, Reply } from '../net/http-client.js';
@@ -16,22 +16,22 @@
   type StoredMachineType,
 } from './cloud-wire-codec.js';
 
-/** What the cloud has answered to a request for machines. */
+/** The outcome of a request for machines. */
 export type ScaleOutResult =
-  /** `machineIds`: as many as were asked for, or fewer. */
+  /** `machineIds`: as many as were requested, or fewer. */
   | { kind: 'rented'; machineIds: string[] }
   | { kind: 'no_capacity' }
-  /** Refused for now (429, outage, no longer the leader): the same request may be sent again. */
+  /** Refused temporarily (429, outage, no longer the leader): the same request may be retried. */
   | { kind: 'refused' }
-  /** The cloud calls the request wrong: it is of no use to send it again. */
+  /** The cloud rejects the request as invalid: a retry is pointless. */
   | { kind: 'malformed' }
-  /** No response: the request may have been carried out, and the same one may be sent again. */
+  /** No response: the request may have been carried out, and the same request may be retried. */
   | { kind: 'unknown' };
 
-/** Calls that change something, under the names by which a standby withholds them. */
+/** Calls with side effects, by the names that the standby package uses to decide whether to withhold them. */
 export type CloudChange = 'cloud_rent' | 'cloud_return';
 
-/** How to reach the cloud, and when. */
+/** How to reach the cloud, and when a call may be sent. */
 export interface CloudClientOptions {
   http: HttpClient;
   /** Host and port. */
@@ -40,25 +40,25 @@
   requestsPerSecond: number;
   clock: Clock;
   /**
-   * May the call go out at this very moment? The cloud knows no fencing token: what a leader decided before it was paused must
-   * not be sent after another node has become leader.
+   * Whether the call may be sent right now. The cloud checks no fencing token: a call that a leader decided on before it
+   * was paused must not be sent after another node has become leader.
    */
   maySend?: (call: CloudChange) => boolean;
 }
 
 type ChangeOutcome =
   | { kind: 'answered'; reply: Reply }
-  /** It did not go out. */
+  /** The call was not sent. */
   | { kind: 'withheld' }
   | { kind: 'no_response' };
 
-/** The cloud's own maximum. */
-const LIST_PAGE_MACHINES = 500;
+/** Machines per page; the cloud's maximum. */
+const LIST_PAGE_SIZE = 500;
 
-/** Mostly one node, the leader, calls; the rest is left for a new leader and the one before it. */
+/** Mostly the leader alone calls; the rest of the limit is for the time when a former and a new leader overlap. */
 const RATE_SHARE = 0.7;
 
-/** Keeps the cloud's rate limit, and distinguishes responses from their absence; no method rejects. */
+/** Keeps within the cloud's rate limit. A missing response is part of the result; no method rejects because of it. */
 export class CloudClient {
   private readonly bucket: TokenBucket;
 
@@ -67,14 +67,14 @@
     this.bucket = new TokenBucket(clock, requestsPerSecond * RATE_SHARE, Math.max(1, requestsPerSecond));
   }
 
-  /** The machine types, each in the form in which it is stored; undefined: no readable response. */
+  /** The machine types, each in its stored form; undefined: no readable response. */
   async machineTypes(): Promise<StoredMachineType[] | undefined> {
     const reply = await this.read('/machine_types');
     const isReadable = reply?.status === 200 && decodeCatalog(reply.body) !== undefined;
     return isReadable ? machineTypesOf(reply.body) : undefined;
   }
 
-  /** Asks for machines; idempotent by the request's rental id. */
+  /** Requests machines; idempotent by the request's rental id. */
   async scaleOut(request: ScaleOutRequest): Promise<ScaleOutResult> {
     const outcome = await this.change('cloud_rent', '/rentals', encodeScaleOutRequest(request), Priority.accept);
     switch (outcome.kind) {
@@ -87,26 +87,26 @@
     }
   }
 
-  /** True: the machines and everything on them have ended. False: this is not known. */
+  /** True: the machines and all tasks on them have ended. False: the outcome is unknown. */
   async scaleIn(machineIds: readonly string[]): Promise<boolean> {
     const body = encodeScaleInRequest(machineIds);
     const outcome = await this.change('cloud_return', '/rentals/return', body, Priority.cancel);
     return outcome.kind === 'answered' && outcome.reply.status === 200;
   }
 
-  /** The whole list, or undefined. It may be older than one seen before. */
+  /** The whole list; undefined: a page could not be read. The list may be older than one read before. */
   async list(): Promise<ListedMachine[] | undefined> {
     const machines: ListedMachine[] = [];
-    let from = '';
+    let afterMachineId = '';
     for (;;) {
-      const after = from === '' ? '' : `From=${encodeURIComponent(from)}&`;
-      const reply = await this.read(`/rentals?${after}Limit=${LIST_PAGE_MACHINES}`);
+      const fromParameter = afterMachineId === '' ? '' : `From=${encodeURIComponent(afterMachineId)}&`;
+      const reply = await this.read(`/rentals?${fromParameter}Limit=${LIST_PAGE_SIZE}`);
       if (reply?.status !== 200) return undefined;
       const page = decodeMachineList(reply.body);
       machines.push(...page.machines);
-      const last = page.machines.at(-1);
-      if (!page.hasMore || last === undefined) return machines;
-      from = last.machineId;
+      const lastMachine = page.machines.at(-1);
+      if (!page.hasMore || lastMachine === undefined) return machines;
+      afterMachineId = lastMachine.machineId;
     }
   }
 
@@ -115,7 +115,7 @@
     return this.send('GET', path, undefined, Priority.start);
   }
 
-  /** A call that changes something. It is withheld if it may not go out any more when its turn has come. */
+  /** Sends a call with side effects, unless it may no longer be sent once the rate limit admits it. */
   private async change(call: CloudChange, path: string, body: unknown, priority: Priority): Promise<ChangeOutcome> {
     await this.bucket.take(1, priority);
     const { maySend } = this.options;
@@ -124,7 +124,7 @@
     return reply === undefined ? { kind: 'no_response' } : { kind: 'answered', reply };
   }
 
-  /** undefined: no response, for whatever reason. */
+  /** undefined: there was no response, whatever the reason. */
   private async send(method: string, path: string, body: unknown, priority: Priority): Promise<Reply | undefined> {
     const { http, address } = this.options;
     try {
--- a/src/cloud/cloud-wire-codec.ts
+++ b/src/cloud/cloud-wire-codec.ts
@@ -1,9 +1,9 @@
-/** The cloud's wire form of machine types, rentals and the list of machines, and its translation. */
+/** Encodes and decodes the cloud's wire format of machine types, rentals and the list of machines. */
 import * as v from 'valibot';
 
 import { MachineType } from '../domain/machine-type.js';
 
-/** A machine as the cloud's list shows it, which lags behind what the cloud has done. */
+/** A machine in the cloud's list, which lags behind the cloud's actual state. */
 export interface ListedMachine {
   machineId: string;
   endpoint: string;
@@ -11,13 +11,13 @@
   zone: string;
   isSpot: boolean;
   state: 'starting' | 'running' | 'failed';
-  /** s since the rental request, at the time that the list describes. */
+  /** s between the rental request and the time that the list describes. */
   ageS: number;
 }
 
-/** A request for machines, repeated under the same id until it is answered. The cloud answers a repetition as the first. */
+/** A request for machines, retried with the same id until it is answered; the cloud answers all retries alike. */
 export interface ScaleOutRequest {
-  /** Idempotency key: nobody may ever use it for another request. */
+  /** Idempotency key: never reused for a different request. */
   rentalId: string;
   machineType: string;
   zone: string;
@@ -25,7 +25,7 @@
   count: number;
 }
 
-/** A machine type in the cloud's own form, which is also the form in which it is stored. */
+/** A machine type in the cloud's wire format, in which it is also stored. */
 export type StoredMachineType = Readonly<Record<string, unknown>>;
 
 const DEFAULT_FETCH_GB_PER_S = 1;
@@ -45,7 +45,7 @@
 });
 const WireCatalogSchema = v.object({ Flavors: v.array(WireMachineTypeSchema) });
 
-/** The catalogue by the types' names; undefined: unreadable. */
+/** The catalog by machine type name; undefined: the body is unreadable. */
 export function decodeCatalog(body: unknown): Map<string, MachineType> | undefined {
   const result = v.safeParse(WireCatalogSchema, body);
   if (!result.success) return undefined;
@@ -67,13 +67,13 @@
   return catalog;
 }
 
-/** One machine type as its record in the store holds it: the cloud's own form. undefined: unreadable. */
+/** Decodes a machine type from its record in the store, which is in the cloud's wire format; undefined: unreadable. */
 export const decodeMachineType = (wire: unknown): MachineType | undefined => {
   const [machineType] = decodeCatalog({ Flavors: [wire] })?.values() ?? [];
   return machineType;
 };
 
-/** The machine types of a readable catalogue, each in the form in which it is stored. */
+/** The machine types of a readable catalog, each in its stored form. */
 export const machineTypesOf = (body: unknown): StoredMachineType[] =>
   (body as { Flavors: StoredMachineType[] }).Flavors;
 
@@ -89,13 +89,13 @@
 /** The body of a request to return machines. */
 export const encodeScaleInRequest = (machineIds: readonly string[]): unknown => ({ Hosts: machineIds });
 
-/** Ids of the machines that a request was granted. */
+/** Ids of the machines granted to a scale-out request. */
 export const decodeRentedMachines = (body: unknown): string[] =>
   (body as { Hosts?: string[] } | undefined)?.Hosts ?? [];
 
 const NO_CAPACITY = 'no capacity';
 
-/** Does a 503 say that the offer has no capacity, rather than that the cloud is in trouble? */
+/** Whether the body of a 503 states a lack of capacity for the offer, rather than trouble of the cloud itself. */
 export const isNoCapacity = (body: unknown): boolean => (body as { error?: string } | undefined)?.error === NO_CAPACITY;
 
 interface WireMachineList {
