--- a/src/autoscaling/autoscaler.ts
+++ b/src/autoscaling/autoscaler.ts
@@ -82,7 +82,7 @@
     const rentals = [...clusterState.rentals.values()];
     const wallMs = clock.wall();
     const machines = inventory.machines();
-    // Repeats requests of a former leader or with a lost response first: the same rental id gets the same machines.
+    // Requests of a former leader or without a response are repeated first: the same rental id gets the same machines.
     const unanswered = rentals.filter((rental) => rental.machineIds === null);
     if (unanswered.length > 0) {
       await this.repeatRequests(unanswered);
--- a/src/autoscaling/cluster-leader.ts
+++ b/src/autoscaling/cluster-leader.ts
@@ -1,4 +1,4 @@
-/** The duties of the cluster leader: catalog, scale-out, scale-in, preemption, and evictions before spot notices end. */
+/** The duties of the cluster leader: catalog, scale-out, scale-in, preemption, and evictions before spot terminations. */
 import { LIST_PERIOD_MS, SCALE_OUT_PERIOD_MS, SCALE_OUT_ROUNDS, STATUS_PERIOD_MS } from '../constants/autoscaling.js';
 import { PREEMPT_PERIOD_MS } from '../constants/scheduling.js';
 import type { PeerDirectory } from '../gossip/peer-directory.js';
--- a/src/autoscaling/scale-out-decision.ts
+++ b/src/autoscaling/scale-out-decision.ts
@@ -36,7 +36,7 @@
 
 const DEFAULT_BOOT_S = 60;
 
-/** ms after its request from which on a machine without a heartbeat counts as failed to boot. */
+/** ms after its request at which a machine without a heartbeat counts as failed to boot. */
 export const bootTimeoutMs = (machineType: MachineType | undefined): number =>
   (machineType?.bootS ?? DEFAULT_BOOT_S) * 1000 * BOOT_PATIENCE;
 
--- a/src/cloud/cloud-client.ts
+++ b/src/cloud/cloud-client.ts
@@ -55,10 +55,10 @@
 /** Machines per page; the cloud's maximum. */
 const LIST_PAGE_SIZE = 500;
 
-/** Mostly the leader alone calls; the rest of the limit is for the time when a former and a new leader overlap. */
+/** Usually only the leader calls; the rest of the limit is left for the overlap of a former and a new leader. */
 const RATE_SHARE = 0.7;
 
-/** Keeps within the cloud's rate limit. A missing response is part of the result; no method rejects because of it. */
+/** Keeps within the cloud's rate limit, and reports a missing response as a result: no method rejects because of it. */
 export class CloudClient {
   private readonly bucket: TokenBucket;
 
--- a/src/cloud/cloud-wire-codec.ts
+++ b/src/cloud/cloud-wire-codec.ts
@@ -95,7 +95,7 @@
 
 const NO_CAPACITY = 'no capacity';
 
-/** Whether the body of a 503 states a lack of capacity for the offer, rather than trouble of the cloud itself. */
+/** Whether the body of a 503 states a lack of capacity for the offer, rather than another failure of the cloud. */
 export const isNoCapacity = (body: unknown): boolean => (body as { error?: string } | undefined)?.error === NO_CAPACITY;
 
 interface WireMachineList {
