--- a/src/gossip/frames.ts
+++ b/src/gossip/frames.ts
@@ -1,8 +1,8 @@
-/** Framing of messages on a byte stream: each is preceded by its length, an unsigned 32-bit integer in big-endian order. */
+/** Frames messages on a byte stream: each is preceded by its length as an unsigned 32-bit big-endian integer. */
 
 const LENGTH_BYTES = 4;
 
-/** A frame announces more bytes than the receiver takes; the connection can't be used further. */
+/** A frame announces more bytes than the receiver allows; the connection can't be used any further. */
 export class FrameTooLargeError extends Error {
   readonly code = 'FRAME_TOO_LARGE';
 
@@ -15,15 +15,15 @@
   }
 }
 
-/** Cuts a byte stream into messages. */
+/** Splits a byte stream into messages. */
 export class FrameDecoder {
   private chunks: Buffer[] = [];
   private bufferedBytes = 0;
 
-  /** `maxBytes` bounds one message, its length prefix not counted. */
+  /** `maxBytes` limits the length of one message, excluding its length prefix. */
   constructor(private readonly maxBytes: number) {}
 
-  /** Returns the messages that the chunk completes; throws FrameTooLargeError when one is longer than allowed. */
+  /** Returns the messages that the chunk completes; throws FrameTooLargeError if one is longer than allowed. */
   push(chunk: Buffer): Buffer[] {
     this.chunks.push(chunk);
     this.bufferedBytes += chunk.length;
@@ -43,7 +43,7 @@
   }
 }
 
-/** Puts the length before a message. */
+/** Prefixes a message with its length. */
 export function encodeFrame(message: Buffer): Buffer {
   const prefix = Buffer.alloc(LENGTH_BYTES);
   prefix.writeUInt32BE(message.length, 0);
--- a/src/gossip/gossip-exchange.ts
+++ b/src/gossip/gossip-exchange.ts
@@ -1,4 +1,4 @@
-/** Composes this node's periodic gossip to each peer, and applies the peers' gossip to this node's parts. */
+/** Composes this node's periodic gossip to each peer, and applies the gossip received from peers. */
 import { GOSSIP_VIEW_MS } from '../constants/gossip.js';
 import type { MachineInfo, MachineRefresh } from '../domain/machine-state.js';
 import { partitionRole } from '../domain/role.js';
@@ -11,41 +11,43 @@
 import type { PeerDirectory } from './peer-directory.js';
 import { ReceivedMachineUpdates } from './received-machine-updates.js';
 import type { ReplicaFreshness } from './replica-freshness.js';
-import { describeOwnMachines, type OwnMachines, type SentMachineUpdates } from './sent-machine-updates.js';
+import { describeOwnMachines, type OwnMachineSummaries, type SentMachineUpdates } from './sent-machine-updates.js';
 
-/** Stands for the age of a replica that the store has never confirmed, ms: gossip has no infinity. */
+/** Age in ms sent for a replica that the store has never confirmed, in place of infinity. */
 const MAX_REPLICA_AGE_MS = 1e12;
 
-/** What gossip needs to know of this node's roles. */
+/** The queries about this node's roles that gossip uses. */
 export interface GossipedRoles {
-  /** Roles that this node does not want for now. */
+  /** Roles that this node currently does not want to lead. */
   avoidedRoles(): string[];
   ledPartitions(): number[];
   partitionOf(machineId: string): number;
-  /** undefined: this node must not answer the workers of the role's partition. */
+  /** Returns undefined if this node must not answer the workers of the role's partition. */
   servingLeadershipOf(role: string): object | undefined;
 }
 
-/** Workers that sent a heartbeat to this node although another one leads their partition. */
+/** Workers that sent a heartbeat to this node although another node leads their partition. */
 export interface MisroutedWorkerTimes {
-  /** The machine ids with the monotonic ms of the last such heartbeat. */
+  /** The machine ids, each with the time of the last such heartbeat in monotonic ms. */
   entries(): Iterable<[string, number]>;
 }
 
-/** The machines that this node knows; all times in monotonic ms of this node. */
+/** The machines known to this node. All times are monotonic ms of this node. */
 export interface GossipedMachines {
-  /** Those of the partitions led here. */
+  /** The machines of the partitions that this node leads. */
   ownMachines(): MachineInfo[];
-  /** What peers have lately stated of machines whose leader the predicate accepts. */
-  recentPeerStates(isWanted: (partitionLeader: string) => boolean): Iterable<{ machine: MachineInfo; knownAt: number }>;
+  /** The peers' recent reports about machines whose leader the predicate accepts. */
+  recentPeerReports(
+    isWanted: (partitionLeader: string) => boolean,
+  ): Iterable<{ machine: MachineInfo; reportedAt: number }>;
   recentlyTerminated(): string[];
   markTerminated(machineId: string): void;
-  applyPeerState(machine: MachineInfo, knownAt: number): void;
-  /** False: what the leader stated of the machine before is not known here. */
-  refreshPeerState(refresh: MachineRefresh, now: number): boolean;
+  applyPeerReport(machine: MachineInfo, reportedAt: number): void;
+  /** Returns false if the full state of the machine has to be applied instead. */
+  refreshPeerReport(refresh: MachineRefresh, now: number): boolean;
 }
 
-/** What GossipExchange works with. */
+/** Dependencies of GossipExchange. */
 export interface GossipExchangeDependencies {
   settings: Settings;
   clock: Clock;
@@ -56,27 +58,27 @@
   leadership: GossipedRoles;
   misroutedWorkers: MisroutedWorkerTimes;
   inventory: GossipedMachines;
-  /** What each peer has been sent of this node's machines. */
+  /** The machine updates that each peer has been sent. */
   sentUpdates: SentMachineUpdates;
-  /** The store refuses this node's requests, or doesn't answer them. */
+  /** Whether the store rejects this node's requests or doesn't answer them. */
   isWithoutStore: () => boolean;
-  /** Sends gossip before the next period. */
+  /** Sends gossip without waiting for the next period. */
   sendSoon: () => void;
 }
 
-/** This node's side of the periodic gossip. */
+/** Composes this node's gossip and receives its peers' gossip. */
 export class GossipExchange {
   private readonly receivedUpdates = new ReceivedMachineUpdates();
-  /** Peers that are asked for a snapshot. */
+  /** Peers whose messages have a gap, and from which a snapshot is requested. */
   private readonly peersWithGap = new Set<string>();
-  /** Monotonic ms when the store had first been read; undefined: not yet. */
+  /** When the replica was first found loaded, in monotonic ms; undefined until then. */
   private loadedAt: number | undefined;
-  private cachedOwnMachines: OwnMachines = { at: -Infinity, machines: [] };
+  private cachedOwnMachines: OwnMachineSummaries = { describedAt: -Infinity, machines: [] };
 
   constructor(private readonly dependencies: GossipExchangeDependencies) {}
 
-  /** The gossip to one peer. Each message counts as sent: the next one builds on it. */
-  compose(to: string): Gossip {
+  /** Returns the gossip for one peer, which counts as sent: the next message builds on it. */
+  compose(peer: string): Gossip {
     const { settings, clock, replica, peerDirectory, replicaFreshness, leadership, inventory, sentUpdates } =
       this.dependencies;
     const now = clock.now();
@@ -87,28 +89,28 @@
       replicaAgeMs: Math.min(now - replica.freshAt, MAX_REPLICA_AGE_MS),
       isWithoutStore: this.dependencies.isWithoutStore(),
       reachablePeers: peerDirectory.reachablePeers(),
-      ...replicaFreshness.describe(to),
-      ...sentUpdates.compose(to, this.ownMachines(now), this.relayedMachines(now, to), now),
-      wantsSnapshot: this.peersWithGap.has(to),
-      misroutedHeartbeats: this.misroutedHeartbeats(now, to),
+      ...replicaFreshness.gossipFieldsFor(peer),
+      ...sentUpdates.compose(peer, this.ownMachines(now), this.relayedMachines(now, peer), now),
+      wantsSnapshot: this.peersWithGap.has(peer),
+      misroutedHeartbeats: this.misroutedHeartbeats(now, peer),
       avoidedRoles: leadership.avoidedRoles(),
       terminatedMachines: inventory.recentlyTerminated(),
     };
   }
 
-  private misroutedHeartbeats(now: number, to: string): MisroutedHeartbeat[] {
+  private misroutedHeartbeats(now: number, peer: string): MisroutedHeartbeat[] {
     const { misroutedWorkers, peerDirectory } = this.dependencies;
     const own = [...misroutedWorkers.entries()].map(([machineId, at]) => ({ machineId, ageMs: now - at }));
-    // After a restart there are hundreds: what the peer receives itself is not relayed to it.
-    if (this.unreachableFrom(to).size === 0) return own;
+    // After a restart there are hundreds, so they are not relayed to a peer that receives the other nodes' gossip itself.
+    if (this.nodesUnreachableFrom(peer).size === 0) return own;
     return [...own, ...peerDirectory.recentMisroutedHeartbeats()];
   }
 
-  /** The machines of the partitions led here, described once for all peers. */
-  private ownMachines(now: number): OwnMachines {
-    if (now - this.cachedOwnMachines.at < GOSSIP_VIEW_MS) return this.cachedOwnMachines;
+  /** The machines of the partitions that this node leads, described once for all peers. */
+  private ownMachines(now: number): OwnMachineSummaries {
+    if (now - this.cachedOwnMachines.describedAt < GOSSIP_VIEW_MS) return this.cachedOwnMachines;
     const { leadership, inventory } = this.dependencies;
-    // A node that must not answer its workers knows nothing of them either.
+    // A node that must not answer a partition's workers does not report their machines either.
     const partitions = leadership
       .ledPartitions()
       .filter((partition) => leadership.servingLeadershipOf(partitionRole(partition)) !== undefined);
@@ -122,22 +124,21 @@
     return this.cachedOwnMachines;
   }
 
-  /** The other nodes whose gossip does not arrive at the peer. */
-  private unreachableFrom(peer: string): Set<string> {
+  /** The other nodes from which the peer does not report receiving gossip. */
+  private nodesUnreachableFrom(peer: string): Set<string> {
     const { settings, peerDirectory } = this.dependencies;
     const nodes = settings.peers.map(({ node }) => node);
     return new Set(nodes.filter((node) => node !== peer && !peerDirectory.isReachableFrom(peer, node)));
   }
 
-  /** Other nodes' machines, only where the peer gets no gossip of the node: all to everybody would grow with machines times nodes. */
-  private relayedMachines(now: number, to: string): MachineUpdate[] {
-    const unreachable = this.unreachableFrom(to);
+  /** Machines of nodes whose gossip doesn't reach the peer; relaying all would cost bytes in proportion to machines times nodes. */
+  private relayedMachines(now: number, peer: string): MachineUpdate[] {
+    const unreachable = this.nodesUnreachableFrom(peer);
     if (unreachable.size === 0) return [];
-    const reports = this.dependencies.inventory.recentPeerStates((leader) => unreachable.has(leader));
-    return [...reports].map(({ machine, knownAt }) => toMachineUpdate(machine, now, knownAt));
+    const reports = this.dependencies.inventory.recentPeerReports((leader) => unreachable.has(leader));
+    return [...reports].map(({ machine, reportedAt }) => toMachineUpdate(machine, now, reportedAt));
   }
 
-  /** Applies a peer's gossip. */
   receive(gossip: Gossip): void {
     const { clock, peerDirectory, replicaFreshness, inventory, sentUpdates } = this.dependencies;
     peerDirectory.applyGossip(gossip);
@@ -153,18 +154,18 @@
     if (hasGap) this.requestSnapshot(gossip.node);
     if (gossip.isSnapshot) this.peersWithGap.delete(gossip.node);
     for (const machine of machines) {
-      inventory.applyPeerState(fromMachineUpdate(machine, now), now - machine.stateAgeMs);
+      inventory.applyPeerReport(fromMachineUpdate(machine, now), now - machine.stateAgeMs);
     }
     for (const { machine, heartbeatAgeMs, sequence } of unchanged) {
       const { machineId } = machine;
       const refresh = { machineId, partitionLeader: gossip.node, lastHeartbeatAt: now - heartbeatAgeMs, sequence };
-      if (inventory.refreshPeerState(refresh, now)) continue;
+      if (inventory.refreshPeerReport(refresh, now)) continue;
       const current = { ...machine, heartbeatAgeMs, sequence, spotNoticeMs: null };
-      inventory.applyPeerState(fromMachineUpdate(current, now), now);
+      inventory.applyPeerReport(fromMachineUpdate(current, now), now);
     }
   }
 
-  /** A message builds on one that did not arrive: the next gossip to the peer asks for a snapshot. */
+  /** Makes the next gossip to a peer request a snapshot, since the peer's message builds on one that did not arrive. */
   private requestSnapshot(peer: string): void {
     if (this.peersWithGap.has(peer)) return;
     this.peersWithGap.add(peer);
--- a/src/gossip/gossip-sender.ts
+++ b/src/gossip/gossip-sender.ts
@@ -1,24 +1,24 @@
-/** Sends this node's gossip to all peers outside its regular period. */
+/** Sends this node's gossip to all peers between the periodic messages. */
 import { GOSSIP_SOON_MS } from '../constants/gossip.js';
 import type { Clock } from '../net/clock.js';
 import type { Gossip, Message } from './messages.js';
 
-/** What GossipSender works with. */
+/** Dependencies of GossipSender. */
 export interface GossipSenderDependencies {
   peers: readonly string[];
   clock: Clock;
-  /** The gossip for one peer. */
+  /** Composes the gossip for one peer. */
   compose: (node: string) => Gossip;
   send: (node: string, message: Message) => void;
 }
 
-/** Sends gossip on demand, at once or after a short delay. */
+/** Sends gossip on demand, immediately or after a short delay. */
 export class GossipSender {
   private isScheduled = false;
 
   constructor(private readonly dependencies: GossipSenderDependencies) {}
 
-  /** Sends after GOSSIP_SOON_MS, so that several causes share one message. */
+  /** Sends after GOSSIP_SOON_MS, so that several calls share one message. */
   sendSoon(): void {
     if (this.isScheduled) return;
     this.isScheduled = true;
@@ -28,7 +28,7 @@
     });
   }
 
-  /** Sends at once, whether or not a message is scheduled. */
+  /** Sends immediately; a scheduled message is sent as well. */
   sendNow(): void {
     const { peers, compose, send } = this.dependencies;
     for (const node of peers) send(node, { kind: 'gossip', payload: compose(node) });
--- a/src/gossip/heartbeat-forwarder.ts
+++ b/src/gossip/heartbeat-forwarder.ts
@@ -1,26 +1,26 @@
 /**
- * Forwards heartbeats to the leader of the worker's partition. A network partition between two zones leaves workers that can't reach
- * their leader, while a third node reaches both: the leader's own answer, with its fencing token, keeps the workers' leases alive.
+ * Forwards heartbeats to the leader of the worker's partition. During a network partition between two zones, workers may be unable to
+ * reach their leader while a third node reaches both. The leader's own answer, with its fencing token, renews the workers' leases.
  */
 import { FORWARD_TIMEOUT_MS } from '../constants/gossip.js';
 import type { Clock } from '../net/clock.js';
 import type { ForwardedHeartbeat, ForwardedHeartbeatAnswer, Message } from './messages.js';
 
-/** What HeartbeatForwarder works with. */
+/** Dependencies of HeartbeatForwarder. */
 export interface HeartbeatForwarderDependencies {
   /** This node. */
   node: string;
   /**
-   * Must differ in each incarnation of the node: the answer to an earlier incarnation's request, delayed by a network partition,
-   * would otherwise answer another worker's heartbeat, and make it launch what runs elsewhere.
+   * Must differ in each incarnation of the node. Otherwise an answer to an earlier incarnation's request, delayed by a network
+   * partition, could be returned to another worker, which would launch a task that runs elsewhere.
    */
   firstRequestId: number;
   clock: Clock;
-  /** False: there is no connection to the node. */
+  /** Returns false if the message could not be sent. */
   send: (node: string, message: Message) => boolean;
 }
 
-/** Sends heartbeats to other nodes and pairs their answers with them. */
+/** Sends heartbeats to other nodes and matches the answers to the requests. */
 export class HeartbeatForwarder {
   private readonly pendingRequests = new Map<number, (answer: ForwardedHeartbeatAnswer | undefined) => void>();
   private nextRequestId: number;
@@ -29,7 +29,7 @@
     this.nextRequestId = dependencies.firstRequestId;
   }
 
-  /** The leader's answer; undefined when it can't be reached or doesn't answer in time. */
+  /** Returns the leader's answer, or undefined if it can't be reached or doesn't answer within FORWARD_TIMEOUT_MS. */
   async forward(partitionLeader: string, heartbeat: unknown): Promise<ForwardedHeartbeatAnswer | undefined> {
     const { node, clock, send } = this.dependencies;
     const id = this.nextRequestId++;
@@ -49,7 +49,7 @@
     return answer;
   }
 
-  /** Completes the request that the answer belongs to; an answer that came too late is ignored. */
+  /** Completes the request that the answer belongs to; an answer after the timeout is ignored. */
   completeRequest(answer: ForwardedHeartbeatAnswer): void {
     this.pendingRequests.get(answer.id)?.(answer);
   }
--- a/src/gossip/machine-update-content.ts
+++ b/src/gossip/machine-update-content.ts
@@ -1,8 +1,8 @@
-/** What of a machine update is compared and counted before it is sent. */
+/** Derives from a machine update the text that is compared before sending, and an upper bound of its size. */
 import { MACHINE_UPDATE_BYTES } from '../constants/gossip.js';
 import type { MachineUpdate } from './messages.js';
 
-/** All that a machine update states besides what every heartbeat changes; equal texts mean that nothing needs to be sent again. */
+/** The content of a machine update without the fields that every heartbeat changes. The update is not resent while it stays equal. */
 export function stableContentOf(machine: MachineUpdate): string {
   const { endpoint, machineType, zone, agentEpoch, partitionLeader, images, failedJobs } = machine;
   const { isSpot, isQuarantined, isBackingOff, isUnreached, isSlow, isMute } = machine;
@@ -11,6 +11,6 @@
   return fields.join(' ');
 }
 
-/** A safe upper bound of the bytes that a machine takes in a message. */
+/** A safe upper bound for the encoded size of a machine update. */
 export const maxBytesOf = ({ machineId, images, failedJobs }: MachineUpdate, stableContent: string): number =>
   MACHINE_UPDATE_BYTES + Buffer.byteLength(stableContent) + machineId.length + images.length + failedJobs.length;
--- a/src/gossip/machine-update-conversion.ts
+++ b/src/gossip/machine-update-conversion.ts
@@ -1,24 +1,24 @@
-/** Converts between a machine as a node knows it and as gossip states it: instants become ages, since no two nodes share a clock. */
+/** Converts machines between their local form with timestamps and their gossip form with ages, since nodes don't share a clock. */
 import type { MachineInfo } from '../domain/machine-state.js';
 import type { MachineUpdate } from './messages.js';
 
-/** Stands for no number: the sender does not refer to the machine in later messages. */
+/** The `number` of a machine that the sender does not identify by a number in later messages. */
 const UNNUMBERED = -1;
 
-/** `now`, and `knownAt` as of when the partition's leader stated this, in monotonic ms of this node. */
+/** `now`, and `reportedAt` when the partition's leader described the machine, are monotonic ms of this node. */
 export const toMachineUpdate = (
   { lastHeartbeatAt, spotTerminationAt, ...state }: MachineInfo,
   now: number,
-  knownAt: number,
+  reportedAt: number,
 ): MachineUpdate => ({
   ...state,
   number: UNNUMBERED,
   heartbeatAgeMs: now - lastHeartbeatAt,
-  stateAgeMs: now - knownAt,
+  stateAgeMs: now - reportedAt,
   spotNoticeMs: spotTerminationAt === null ? null : spotTerminationAt - now,
 });
 
-/** `now` in monotonic ms of this node. */
+/** `now` is in monotonic ms of this node. */
 export const fromMachineUpdate = (
   { heartbeatAgeMs, spotNoticeMs, ...state }: MachineUpdate,
   now: number,
--- a/src/gossip/message-codec.ts
+++ b/src/gossip/message-codec.ts
@@ -1,7 +1,7 @@
 /**
- * The encoding of messages between controllers: an Avro envelope with one optional field for each kind. Controllers of two versions
- * run side by side during a deployment, so these bytes must not change: Avro's binary form depends on the order and types of the
- * fields, not on their names.
+ * Encodes messages between controllers as an Avro envelope with one optional field for each kind. Controllers of two versions run
+ * side by side during a deployment, so the encoding must not change: it depends on the order and types of the fields, not on their
+ * names.
  */
 import avro from 'avsc';
 
@@ -76,11 +76,11 @@
   lastRevision: 'long',
   isComplete: 'boolean',
   completeRevision: 'long',
-  // Avro defines a named type once: the record delta, which comes first in the envelope, does so.
+  // Referenced by name: Avro allows one definition of a named type, and `news`, which precedes this field in the envelope, contains it.
   changes: arrayOf('RecordChange'),
 });
 
-/** The envelope's fields in the order of the wire; exactly one of them is set. */
+/** The envelope's fields in encoding order; exactly one of them is not null. */
 interface Envelope {
   gossip: Gossip | null;
   relay: ForwardedHeartbeat | null;
@@ -106,7 +106,7 @@
   fields: Object.entries(envelopeSchemas).map(([name, schema]) => ({ name, type: nullable(schema), default: null })),
 });
 
-/** Fields left out are null by default. */
+/** Omitted fields are encoded as null. */
 function toEnvelope(message: Exclude<Message, { kind: 'standby_stream' }>): Partial<Envelope> {
   switch (message.kind) {
     case 'gossip':
@@ -134,10 +134,10 @@
   throw new MessageDecodeError('peer message', 'its envelope is empty');
 }
 
-/** A message that goes to several peers is encoded once. */
+/** Encoded messages, so that a message to several peers is encoded once. */
 const encodedMessages = new WeakMap<Message, Buffer>();
 
-/** Encodes a message, which must not change afterwards: its bytes are kept for the next peer. */
+/** Encodes a message. It must not be modified afterwards, since its bytes are cached for the next peer. */
 export function encodeMessage(message: Message): Buffer {
   const known = encodedMessages.get(message);
   if (known !== undefined) return known;
@@ -147,7 +147,7 @@
   return bytes;
 }
 
-/** Decodes a message; throws when the bytes are none. */
+/** Decodes a message; throws if the bytes are not a valid message. */
 export function decodeMessage(bytes: Buffer): Message {
   if (isStreamMessage(bytes)) return { kind: 'standby_stream', payload: decodeStreamMessage(bytes) };
   return fromEnvelope(envelopeType.fromBuffer(bytes) as Envelope);
--- a/src/gossip/message-decode-error.ts
+++ b/src/gossip/message-decode-error.ts
@@ -1,12 +1,11 @@
-/** The failure of a codec in this folder. */
+/** The error type of the message codecs. */
 
-/** Bytes that are no message between controllers. */
+/** The bytes are not a valid message between controllers. */
 export class MessageDecodeError extends Error {
   readonly code = 'MESSAGE_DECODE_FAILED';
 
-  /** `what` names the kind of message that was being decoded, `why` what was wrong with it. */
-  constructor(what: string, why: string) {
-    super(`decoding a ${what}: ${why}`);
+  constructor(messageKind: string, reason: string) {
+    super(`decoding a ${messageKind}: ${reason}`);
     this.name = 'MessageDecodeError';
   }
 }
--- a/src/gossip/messages.ts
+++ b/src/gossip/messages.ts
@@ -1,6 +1,6 @@
 /**
- * The messages that controllers send each other. Plain types: how they are encoded is the message codec's concern. Instants never
- * travel, since the clocks of two nodes are unrelated: the messages carry ages in ms, which each side converts.
+ * The messages that controllers send each other; the message codec encodes them. Since the clocks of two nodes are unrelated, times
+ * are sent as ages in ms, which each node converts from and to its own clock.
  */
 import type { StreamMessage } from '@dewlatch/standby';
 
@@ -11,78 +11,78 @@
 export interface Gossip {
   /** The sender. */
   node: string;
-  /** ms since the sender first read the store; 0: not yet. */
+  /** ms since the sender's process first read the store; 0 if it has not. */
   uptimeMs: number;
-  /** ms since the store last confirmed the sender's replica, on the sender's clock. */
+  /** ms since the store last confirmed the sender's replica, measured by the sender's clock. */
   replicaAgeMs: number;
-  /** The store refuses the sender's requests, or doesn't answer them. */
+  /** The store rejects the sender's requests or doesn't answer them. */
   isWithoutStore: boolean;
   /** The sender's monotonic clock, ms. */
   clockMs: number;
-  /** The receiver's monotonic clock as the sender last received it, ms, with the incarnation that it came from; null: never. */
+  /** The receiver's `clockMs` and incarnation as the sender last received them; null if it never has. */
   echo: { incarnation: number; clockMs: number } | null;
   /** The sender's process has read the store. */
   isLoaded: boolean;
-  /** How many changes the sender's replica has applied. */
+  /** The number of changes that the sender's replica has applied. */
   version: number;
-  /** Peers that the sender currently receives gossip from: their machines need not be relayed to it. */
+  /** Peers from which the sender currently receives gossip; their machines need not be relayed to it. */
   reachablePeers: string[];
-  /** Distinguishes the sender's process from its earlier incarnations. */
+  /** Distinguishes the sender's process from earlier processes of the node. */
   incarnation: number;
-  /** Counts the messages of this incarnation to this receiver. */
+  /** Sequence number of the message among those of this incarnation to this receiver. */
   messageNumber: number;
-  /** The machine updates are complete: no earlier message is needed to understand them. */
+  /** The machine updates do not build on an earlier message. */
   isSnapshot: boolean;
-  /** The sender has missed a message of the receiver's, and asks for a snapshot. */
+  /** The sender has missed a message from the receiver and requests a snapshot. */
   wantsSnapshot: boolean;
-  /** Machines whose state has changed since the last message. */
+  /** Full updates of the sender's machines that have changed, and of machines relayed from other nodes. */
   machines: MachineUpdate[];
-  /** The sender's machines that have sent heartbeats but are otherwise unchanged: three columns of one length. */
+  /** The sender's machines of which only the last heartbeat may have changed. */
   unchanged: UnchangedMachineColumns;
-  /** Heartbeats received, here or at a node whose gossip was received, by nodes that do not lead the worker's partition. */
+  /** Heartbeats received by a node that does not lead the worker's partition: the sender, or a node whose gossip it relays. */
   misroutedHeartbeats: MisroutedHeartbeat[];
-  /** Roles that the sender does not want for now, since their workers can't reach it. */
+  /** Roles that the sender currently does not want to lead, since their workers can't reach it. */
   avoidedRoles: string[];
-  /** Machines that the cloud has lately confirmed terminated. */
+  /** Machines that the cloud has recently confirmed terminated. */
   terminatedMachines: string[];
 }
 
-/** What a partition's leader knows of one of its machines. */
+/** The full state of a machine as its partition's leader reports it. */
 export interface MachineUpdate extends MachineState {
-  /** The short number by which the sender refers to the machine in later messages; -1: it does not. */
+  /** The number that identifies the machine in the sender's later messages; -1 if it has none. */
   number: number;
   /** ms since the machine's last heartbeat. */
   heartbeatAgeMs: number;
-  /** ms since the partition's leader stated this; 0 from the leader itself. */
+  /** ms since the partition's leader described the machine. */
   stateAgeMs: number;
-  /** ms until the cloud takes the spot machine away; null: no notice was given. */
+  /** ms until the cloud reclaims the spot machine; null without a spot notice. */
   spotNoticeMs: number | null;
 }
 
-/** Column by column: the same index in each array is the same machine. */
+/** Three arrays of equal length; the same index in each refers to the same machine. */
 export interface UnchangedMachineColumns {
-  /** As the sender assigned them in the machine's last full update. */
+  /** The number that the sender assigned in each machine's last full update. */
   numbers: number[];
   /** ms since each machine's last heartbeat, rounded. */
   heartbeatAgesMs: number[];
-  /** Of each machine's last heartbeat. */
+  /** The sequence number of each machine's last heartbeat. */
   sequences: number[];
 }
 
-/** A worker that sent its heartbeat to a node which does not lead its partition. */
+/** A heartbeat that a worker sent to a node that does not lead its partition. */
 export interface MisroutedHeartbeat {
   machineId: string;
   /** ms since the heartbeat. */
   ageMs: number;
 }
 
-/** A worker's heartbeat passed on to the leader of its partition, on behalf of a worker that can't reach the leader itself. */
+/** A heartbeat forwarded to the leader of the worker's partition, since the worker can't reach the leader itself. */
 export interface ForwardedHeartbeat {
-  /** The node that forwards it, and gets the answer. */
+  /** The node that forwards the heartbeat and receives the answer. */
   node: string;
-  /** Pairs the answer with the request. */
+  /** Matches the answer to the request. */
   id: number;
-  /** The heartbeat, JSON as the worker sent it. */
+  /** The heartbeat as JSON, in the worker's format. */
   status: string;
 }
 
@@ -90,27 +90,27 @@
 export interface ForwardedHeartbeatAnswer {
   node: string;
   id: number;
-  /** HTTP status for the worker. */
+  /** HTTP status of the response to the worker. */
   status: number;
-  /** JSON for the worker. */
+  /** JSON body of the response to the worker. */
   body: string;
 }
 
-/** Records as a transaction of the sender's has just left them in the store: they arrive sooner than by a watch. */
+/** Records that the sender's transactions have just changed; peers receive them sooner than through their watches. */
 export interface RecordDelta {
   changes: SerializedChange[];
 }
 
-/** Asks for every change since the sender's replica was complete, when the store can't be asked. */
+/** Requests all changes after the revision up to which the sender's replica is complete, while the store can't be read. */
 export interface DeltaRequest {
   node: string;
   /** The revision up to which the sender's replica is complete. */
   fromRevision: number;
-  /** The revision up to which it already has the receiver's changes since: one answer may need several messages. */
+  /** The revision up to which the sender already has the receiver's later changes, since an answer may take several messages. */
   afterRevision: number;
 }
 
-/** What the sender's replica holds since the revision that was asked for. */
+/** The changes in the sender's replica after the requested revision, as many as fit in one message. */
 export interface ReplicaDelta {
   node: string;
   incarnation: number;
@@ -119,14 +119,14 @@
   afterRevision: number;
   /** The revision of the last change. */
   lastRevision: number;
-  /** False: there are more changes after `last`. */
+  /** False if there are more changes after `lastRevision`. */
   isComplete: boolean;
-  /** With all the changes, a replica that was complete up to `from` is complete up to here. */
+  /** A replica complete up to `fromRevision` is complete up to this revision once it has applied all the changes. */
   completeRevision: number;
   changes: SerializedChange[];
 }
 
-/** Every message between controllers, distinguished by its kind. */
+/** Any message between controllers, discriminated by `kind`. */
 export type Message =
   | { kind: 'gossip'; payload: Gossip }
   | { kind: 'forwarded_heartbeat'; payload: ForwardedHeartbeat }
@@ -134,5 +134,5 @@
   | { kind: 'record_delta'; payload: RecordDelta }
   | { kind: 'delta_request'; payload: DeltaRequest }
   | { kind: 'replica_delta'; payload: ReplicaDelta }
-  /** Only to peers whose record in the store says that they understand it. */
+  /** Sent only to peers whose record in the store announces support for it. */
   | { kind: 'standby_stream'; payload: StreamMessage };
--- a/src/gossip/misrouted-heartbeats.ts
+++ b/src/gossip/misrouted-heartbeats.ts
@@ -1,25 +1,25 @@
-/** Workers that lately sent a heartbeat to a node which does not lead their partition, as the peers' gossip states it. */
+/** Stores which workers recently sent a heartbeat to a node that does not lead their partition, as reported by the peers' gossip. */
 import { MISROUTED_HEARTBEAT_VALID_MS } from '../constants/gossip.js';
 import type { MisroutedHeartbeat } from './messages.js';
 
-/** All times are monotonic ms of this node's clock. */
+/** The last misrouted heartbeat of each worker. All times are monotonic ms of this node's clock. */
 export class MisroutedHeartbeats {
-  /** When each worker last sent one. */
+  /** When each worker last sent a misrouted heartbeat, by machine id. */
   private readonly lastSentAt = new Map<string, number>();
 
-  /** Keeps the later of what is known and what is stated. */
+  /** Stores the reported heartbeats that are newer than the stored ones. */
   apply(heartbeats: readonly MisroutedHeartbeat[], now: number): void {
     for (const { machineId, ageMs } of heartbeats) {
       this.lastSentAt.set(machineId, Math.max(this.lastSentAtOf(machineId), now - ageMs));
     }
   }
 
-  /** -Infinity: none is known. */
+  /** Returns -Infinity if no misrouted heartbeat of the worker is known. */
   lastSentAtOf(machineId: string): number {
     return this.lastSentAt.get(machineId) ?? -Infinity;
   }
 
-  /** Those recent enough to count as evidence, to be relayed; the others are forgotten on the way. */
+  /** The heartbeats recent enough to show that the worker is alive. Older ones are deleted during the iteration. */
   *recent(now: number): Iterable<MisroutedHeartbeat> {
     for (const [machineId, sentAt] of this.lastSentAt) {
       if (now - sentAt < MISROUTED_HEARTBEAT_VALID_MS) yield { machineId, ageMs: now - sentAt };
--- a/src/gossip/peer-connection.ts
+++ b/src/gossip/peer-connection.ts
@@ -1,4 +1,4 @@
-/** The outgoing connection to one peer: opened again whenever it is lost, with gossip sent on it every period. */
+/** The outgoing connection to one peer. Reconnects whenever the connection is lost, and sends gossip every period. */
 import { connect, type Socket } from 'node:net';
 
 import { GOSSIP_PERIOD_MS, MAX_GOSSIP_BYTES } from '../constants/gossip.js';
@@ -9,31 +9,31 @@
 import { encodeMessage } from './message-codec.js';
 import type { Gossip, Message } from './messages.js';
 
-/** ms between two looks whether a connection attempt has succeeded. */
+/** ms between two checks whether a connection attempt has succeeded. */
 const CONNECT_CHECK_MS = GOSSIP_PERIOD_MS / 10;
 
 /** ms between the loss of a connection and the next attempt. */
 const RECONNECT_DELAY_MS = GOSSIP_PERIOD_MS / 2;
 
-/** What PeerConnection works with. */
+/** Dependencies of PeerConnection. */
 export interface PeerConnectionDependencies {
   /** The peer's 'host:port'. */
   address: string;
   clock: Clock;
-  /** The gossip for this peer. */
+  /** Composes the gossip for this peer. */
   compose: () => Gossip;
-  /** A new connection is open: what was sent on the previous one may not have arrived. */
+  /** Called when a new connection is open: messages sent on the previous one may be lost. */
   onConnected: () => void;
 }
 
-/** Sends to one peer; the peer's messages arrive by its own connection. */
+/** Sends messages to one peer; the peer's messages arrive on its own connection. */
 export class PeerConnection {
-  /** Set while the connection is open. */
+  /** Defined while the connection is open. */
   private socket: Socket | undefined;
 
   constructor(private readonly dependencies: PeerConnectionDependencies) {}
 
-  /** Keeps the connection open until the signal fires. */
+  /** Maintains the connection until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       await this.connectOnce(signal);
@@ -41,7 +41,7 @@
     }
   }
 
-  /** False: the connection is not open, or too much waits on it to be sent. */
+  /** Returns false if the connection is not open, or has more than MAX_GOSSIP_BYTES waiting to be sent. */
   send(message: Message): boolean {
     const { socket } = this;
     if (socket === undefined || socket.destroyed || socket.writableLength > MAX_GOSSIP_BYTES) return false;
@@ -49,7 +49,7 @@
     return true;
   }
 
-  /** One connection, until it is lost or the signal fires. */
+  /** Opens one connection, and returns when it is lost or the signal aborts. */
   private async connectOnce(signal: AbortSignal): Promise<void> {
     const closed = new AbortController();
     const socket = connect(parseAddress(this.dependencies.address));
@@ -71,7 +71,7 @@
   private async sendGossip(socket: Socket, signal: AbortSignal): Promise<void> {
     const { clock, compose } = this.dependencies;
     while (!signal.aborted) {
-      // During a network partition the bytes pile up: it is better to connect again than to deliver outdated messages later.
+      // Unsent bytes accumulate during a network partition. Reconnecting avoids delivering outdated messages afterwards.
       if (socket.writableLength > 0 && !socket.connecting) return;
       if (!socket.connecting) socket.write(encodeFrame(encodeMessage({ kind: 'gossip', payload: compose() })));
       await clock.sleep(socket.connecting ? CONNECT_CHECK_MS : GOSSIP_PERIOD_MS, signal);
--- a/src/gossip/peer-directory.ts
+++ b/src/gossip/peer-directory.ts
@@ -1,4 +1,4 @@
-/** The other controllers' last gossip, and what follows from it. All times are monotonic ms of this node's clock. */
+/** The last gossip of each other controller, and the state derived from it. All times are monotonic ms of this node's clock. */
 import { GOSSIP_SOON_MS, MISROUTED_HEARTBEAT_VALID_MS, PEER_LAG_MS, PEER_STATE_VALID_MS } from '../constants/gossip.js';
 import { REPLICA_FRESH_MS } from '../constants/leadership.js';
 import type { Clock } from '../net/clock.js';
@@ -7,24 +7,24 @@
 
 interface PeerState {
   receivedAt: number;
-  /** As of when the peer's replica was confirmed by the store. */
+  /** The time as of which the store last confirmed the peer's replica. */
   replicaFreshAt: number;
   gossip: Gossip;
 }
 
-/** Answers questions about the peers. Gossip older than PEER_STATE_VALID_MS counts as none: its sender is not reachable. */
+/** Answers queries about the peers. A peer without gossip for PEER_STATE_VALID_MS is treated as unreachable. */
 export class PeerDirectory {
   private readonly states = new Map<string, PeerState>();
   private readonly misroutedHeartbeats = new MisroutedHeartbeats();
 
-  /** `nodes`: the other controllers. `ownFreshAt`: as of when this node's own replica was confirmed by the store. */
+  /** `nodes` are the other controllers; `ownReplicaFreshAt` returns the time as of which the store last confirmed the own replica. */
   constructor(
     private readonly nodes: readonly string[],
     private readonly clock: Clock,
-    private readonly ownFreshAt: () => number,
+    private readonly ownReplicaFreshAt: () => number,
   ) {}
 
-  /** Stores a peer's gossip; that of an unknown node is ignored. */
+  /** Stores a peer's gossip; gossip of an unknown node is ignored. */
   applyGossip(gossip: Gossip): void {
     if (!this.nodes.includes(gossip.node)) return;
     const now = this.clock.now();
@@ -37,79 +37,79 @@
     return state !== undefined && this.clock.now() - state.receivedAt < PEER_STATE_VALID_MS ? state : undefined;
   }
 
-  /** The peers whose gossip arrives. */
+  /** The peers whose gossip arrives at this node. */
   reachablePeers(): string[] {
     return this.nodes.filter((node) => this.validStateOf(node) !== undefined);
   }
 
-  /** Gossip of all peers arrives. */
+  /** Whether the gossip of all peers arrives at this node. */
   get reachesAllPeers(): boolean {
     return this.reachablePeers().length === this.nodes.length;
   }
 
-  /** Whether the peer states that gossip of the other node arrives at it. */
+  /** Whether the peer reports that it receives the other node's gossip. */
   isReachableFrom(peer: string, other: string): boolean {
     return this.validStateOf(peer)?.gossip.reachablePeers.includes(other) === true;
   }
 
-  /** Whether the peer has lately read the store. */
+  /** Whether the peer is reachable and the store has recently confirmed its replica. */
   reachesStore(node: string): boolean {
     const state = this.validStateOf(node);
     return state !== undefined && this.clock.now() - state.replicaFreshAt < REPLICA_FRESH_MS * 2;
   }
 
-  /** Distinguishes the peer's process from its earlier ones; undefined: the peer is not reachable. */
+  /** The incarnation of the peer's process, or undefined if the peer is not reachable. */
   incarnationOf(node: string): number | undefined {
     return this.validStateOf(node)?.gossip.incarnation;
   }
 
-  /** When the peer's last gossip arrived; -Infinity: never. */
+  /** When the peer's last gossip arrived, or -Infinity if none has. */
   lastGossipAt(node: string): number {
     return this.states.get(node)?.receivedAt ?? -Infinity;
   }
 
-  /** ms since the peer first read the store; 0 if it is not reachable. */
+  /** ms since the peer's process first read the store, or 0 if the peer is not reachable. */
   uptimeMs(node: string): number {
     return this.validStateOf(node)?.gossip.uptimeMs ?? 0;
   }
 
   /**
-   * Whether the worker lately sent a heartbeat to a node that does not lead its partition, after its leader last got one at `leaderHeardAt`:
-   * then it is alive. A misrouted heartbeat that was forwarded is no evidence beyond the heartbeat that the leader got by it, hence the
-   * margin.
+   * Whether the worker is alive because it recently sent a heartbeat to a node that does not lead its partition, after the last
+   * heartbeat that its leader received, at `leaderContactAt`. The margin excludes a misrouted heartbeat that was forwarded to the
+   * leader, since it is the one that the leader received.
    */
-  hasMisroutedHeartbeatSince(machineId: string, leaderHeardAt: number): boolean {
+  hasMisroutedHeartbeatSince(machineId: string, leaderContactAt: number): boolean {
     const sentAt = this.misroutedHeartbeats.lastSentAtOf(machineId);
-    return this.clock.now() - sentAt < MISROUTED_HEARTBEAT_VALID_MS && sentAt > leaderHeardAt + GOSSIP_SOON_MS;
+    return this.clock.now() - sentAt < MISROUTED_HEARTBEAT_VALID_MS && sentAt > leaderContactAt + GOSSIP_SOON_MS;
   }
 
-  /** The misrouted heartbeats that peers have stated, to be relayed. */
+  /** The recent misrouted heartbeats that peers have reported, to be relayed to other peers. */
   recentMisroutedHeartbeats(): Iterable<MisroutedHeartbeat> {
     return this.misroutedHeartbeats.recent(this.clock.now());
   }
 
   /**
-   * Whether a peer reads the store while this node does not. In an outage of the store all nodes lose it within a heartbeat of each
-   * other, so a smaller lead proves nothing.
+   * Whether a peer reaches the store while this node does not. In a store outage, all nodes lose the store within one lease renewal
+   * period of each other, so a peer's replica that is fresher by less than PEER_LAG_MS proves nothing.
    */
   isAnyPeerWithStore(): boolean {
-    const ownFreshAt = this.ownFreshAt();
+    const ownFreshAt = this.ownReplicaFreshAt();
     return this.nodes.some(
       (node) => this.reachesStore(node) && this.validStateOf(node)!.replicaFreshAt > ownFreshAt + PEER_LAG_MS,
     );
   }
 
-  /** Whether the peer is reachable and does not want the role. */
+  /** Whether the peer is reachable and currently does not want to lead the role. */
   avoidsRole(node: string, role: string): boolean {
     return this.validStateOf(node)?.gossip.avoidedRoles.includes(role) === true;
   }
 
-  /** Whether the peer is reachable and states that the store refuses it or doesn't answer it. */
+  /** Whether the peer is reachable and reports that the store rejects its requests or doesn't answer them. */
   isWithoutStore(node: string): boolean {
     return this.validStateOf(node)?.gossip.isWithoutStore === true;
   }
 
-  /** Whether any peer is without the store, or there are no peers to ask. */
+  /** Whether any peer reports that it can't use the store, or there are no peers. */
   isAnyWithoutStore(): boolean {
     return this.nodes.length === 0 || this.nodes.some((node) => this.isWithoutStore(node));
   }
--- a/src/gossip/peer-links.ts
+++ b/src/gossip/peer-links.ts
@@ -1,4 +1,4 @@
-/** The connections between controllers: each node connects to each peer and sends there; answers come by the peer's own connection. */
+/** The connections between controllers. Each node connects to each peer to send; the peer's messages arrive on its own connection. */
 import type { Settings } from '../domain/settings.js';
 import type { Log } from '../logging/log.js';
 import type { Clock } from '../net/clock.js';
@@ -6,15 +6,15 @@
 import { PeerConnection } from './peer-connection.js';
 import { PeerServer } from './peer-server.js';
 
-/** What PeerLinks works with. */
+/** Dependencies of PeerLinks. */
 export interface PeerLinksDependencies {
   settings: Settings;
   clock: Clock;
   log: Log;
-  /** The gossip for one peer. */
+  /** Composes the gossip for one peer. */
   compose: (node: string) => Gossip;
   receive: (message: Message) => void;
-  /** A new connection to the node is open: what was sent on the previous one may not have arrived. */
+  /** Called when a new connection to the node is open: messages sent on the previous one may be lost. */
   onConnected: (node: string) => void;
 }
 
@@ -37,13 +37,13 @@
     }
   }
 
-  /** Listens and keeps the connections to all peers open until the signal fires. */
+  /** Listens, and maintains the connections to all peers, until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     this.server.listen(signal);
     await Promise.all([...this.connections.values()].map((connection) => connection.run(signal)));
   }
 
-  /** False: there is no open connection to the node. */
+  /** Returns false if the connection to the node is not open, or has too many bytes waiting to be sent. */
   send(node: string, message: Message): boolean {
     return this.connections.get(node)?.send(message) ?? false;
   }
--- a/src/gossip/peer-server.ts
+++ b/src/gossip/peer-server.ts
@@ -1,4 +1,4 @@
-/** Listens for the connections of the other controllers, and decodes what they send. */
+/** Accepts the connections of the other controllers and decodes their messages. */
 import { createServer, type Socket } from 'node:net';
 
 import { MAX_GOSSIP_BYTES, PEER_LINK_IDLE_MS } from '../constants/gossip.js';
@@ -9,12 +9,12 @@
 import type { Message } from './messages.js';
 import { isStreamMessage } from './stream-codec.js';
 
-/** Connections that the server accepts for each peer: old ones may not be closed yet when a peer connects again. */
+/** Connections accepted for each peer: old ones may still be open when a peer reconnects. */
 const CONNECTIONS_PER_PEER = 4;
 
-/** What PeerServer works with. */
+/** Dependencies of PeerServer. */
 export interface PeerServerDependencies {
-  /** 'host:port' to listen on. */
+  /** The 'host:port' to listen on. */
   address: string;
   peerCount: number;
   log: Log;
@@ -27,7 +27,7 @@
 
   constructor(private readonly dependencies: PeerServerDependencies) {}
 
-  /** Listens until the signal fires, which also closes all connections. */
+  /** Listens until the signal aborts; then closes all connections too. */
   listen(signal: AbortSignal): void {
     const { address, peerCount, log } = this.dependencies;
     const server = createServer((socket) => this.accept(socket));
@@ -50,7 +50,7 @@
     socket.on('data', (chunk) => this.readChunk(socket, frames, chunk));
   }
 
-  /** A message that can't be decoded ends the connection: what follows it on the stream may be misread as well. */
+  /** A message that can't be decoded closes the connection, since the bytes after it may be misread as well. */
   private readChunk(socket: Socket, frames: FrameDecoder, chunk: Buffer): void {
     try {
       for (const bytes of frames.push(chunk)) this.receiveBytes(bytes);
@@ -60,7 +60,7 @@
     }
   }
 
-  /** A message of the standby's stream that can't be decoded is skipped: its receiver finds the gap and asks for it again. */
+  /** A stream message of the standby that can't be decoded is skipped: its receiver detects the gap and requests it again. */
   private receiveBytes(bytes: Buffer): void {
     const { log, receive } = this.dependencies;
     if (!isStreamMessage(bytes)) {
--- a/src/gossip/received-machine-updates.ts
+++ b/src/gossip/received-machine-updates.ts
@@ -1,45 +1,45 @@
-/** What the peers have sent of their machines so far, by which the short form of their later messages is understood. */
+/** Stores the machine updates received from each peer, to resolve the machine numbers in its later messages. */
 import type { Gossip, MachineUpdate, UnchangedMachineColumns } from './messages.js';
 
-/** A machine of which nothing has changed since its last full update but these. */
+/** A machine of which only these fields have changed since its last full update. */
 export interface UnchangedMachine {
-  /** As of its last full update. */
+  /** The last full update. */
   machine: MachineUpdate;
   heartbeatAgeMs: number;
   sequence: number;
 }
 
-/** The machines of one message. */
+/** The machine updates of one message. */
 export interface AppliedMachineUpdates {
-  /** Those stated in full. */
+  /** Full updates. */
   machines: MachineUpdate[];
   unchanged: UnchangedMachine[];
-  /** The message builds on one that was not received. */
+  /** The message builds on an earlier one that was not received. */
   hasGap: boolean;
 }
 
 interface ReceivedFromPeer {
   incarnation: number;
   messageNumber: number;
-  /** By the number that the peer has assigned. */
+  /** The last full updates by the number that the peer has assigned to the machine. */
   machines: Map<number, MachineUpdate>;
 }
 
-/** Resolves the machine updates of each message by those before it. */
+/** Resolves the machine updates of each message with the help of the earlier messages. */
 export class ReceivedMachineUpdates {
-  private readonly peers = new Map<string, ReceivedFromPeer>();
+  private readonly receivedByPeer = new Map<string, ReceivedFromPeer>();
 
   /**
-   * The machines of a message. After a gap, nothing is known by number until the next full update of a machine: an unchanged machine
-   * whose full update was missed must not be believed to be as it was before.
+   * Returns the machine updates of a message. After a gap, a number is unknown until the machine's next full update: the missed
+   * message may have contained a full update, so the state stored before must not be taken for unchanged.
    */
   apply(gossip: Gossip): AppliedMachineUpdates {
-    const known = this.peers.get(gossip.node);
-    // A message that a newer one of the same incarnation has overtaken states nothing that is not known better.
+    const known = this.receivedByPeer.get(gossip.node);
+    // A message older than the last one of the same incarnation contains only outdated state.
     if (known?.incarnation === gossip.incarnation && gossip.messageNumber <= known.messageNumber)
       return { machines: [], unchanged: [], hasGap: false };
     const hasGap = !gossip.isSnapshot && !isNext(gossip, known);
-    const peer = known === undefined || gossip.isSnapshot || hasGap ? this.startAnew(gossip) : known;
+    const peer = known === undefined || gossip.isSnapshot || hasGap ? this.resetPeer(gossip) : known;
     peer.messageNumber = gossip.messageNumber;
     for (const machine of gossip.machines) {
       if (machine.number >= 0) peer.machines.set(machine.number, machine);
@@ -47,9 +47,9 @@
     return { machines: gossip.machines, unchanged: resolveUnchanged(gossip.unchanged, peer.machines), hasGap };
   }
 
-  private startAnew({ node, incarnation, messageNumber }: Gossip): ReceivedFromPeer {
+  private resetPeer({ node, incarnation, messageNumber }: Gossip): ReceivedFromPeer {
     const peer: ReceivedFromPeer = { incarnation, messageNumber, machines: new Map() };
-    this.peers.set(node, peer);
+    this.receivedByPeer.set(node, peer);
     return peer;
   }
 }
--- a/src/gossip/record-broadcast.ts
+++ b/src/gossip/record-broadcast.ts
@@ -1,4 +1,4 @@
-/** Sends the peers the records that this node's transactions have changed, and applies those of the peers' transactions. */
+/** Sends the records that this node's transactions have changed to the peers, and applies the changes received from peers. */
 import { DELTA_GATHER_MS } from '../constants/gossip.js';
 import type { Log } from '../logging/log.js';
 import type { Clock } from '../net/clock.js';
@@ -9,7 +9,7 @@
 import type { TransactionBatcher } from '../store/transaction-batcher.js';
 import type { Message, RecordDelta } from './messages.js';
 
-/** What RecordBroadcast works with. */
+/** Dependencies of RecordBroadcast. */
 export interface RecordBroadcastDependencies {
   peers: readonly string[];
   replica: Replica;
@@ -19,7 +19,7 @@
   send: (node: string, message: Message) => void;
 }
 
-/** Spreads committed changes between the controllers sooner than their watches of the store would. */
+/** Distributes committed changes between the controllers sooner than their store watches would. */
 export class RecordBroadcast {
   /** Changes that have not been sent yet. */
   private readonly pendingChanges: Change[] = [];
@@ -27,8 +27,8 @@
   constructor(private readonly dependencies: RecordBroadcastDependencies) {}
 
   /**
-   * Sends committed changes, collected for DELTA_GATHER_MS. A cancellation goes out at once, before its user gets an answer: until
-   * the partition's leader has it, a task that was placed just before may still be launched.
+   * Sends committed changes, collected for DELTA_GATHER_MS. A cancellation is sent immediately, before its user gets an answer:
+   * until the partition's leader has received it, the leader may still launch a task that was placed just before.
    */
   announce(changes: readonly Change[]): void {
     const { peers, clock } = this.dependencies;
@@ -41,14 +41,14 @@
 
   private flush(): void {
     const { peers, send } = this.dependencies;
-    // The scheduled flush finds nothing when a cancellation has taken the collected changes along.
+    // Empty in a scheduled flush if a cancellation has flushed the collected changes already.
     if (this.pendingChanges.length === 0) return;
     const changes = this.pendingChanges.splice(0).map(serializeChange);
     const message: Message = { kind: 'record_delta', payload: { changes } };
     for (const peer of peers) send(peer, message);
   }
 
-  /** Applies what a peer's transaction has changed; all of it or, if any of it can't be decoded, nothing. */
+  /** Applies the changes of a peer's transactions. If any of them can't be decoded, none is applied and the replica reads the store. */
   receive({ changes: serialized }: RecordDelta): void {
     const { replica, transactions } = this.dependencies;
     const changes = this.decode(serialized);
--- a/src/gossip/replica-freshness.ts
+++ b/src/gossip/replica-freshness.ts
@@ -1,13 +1,13 @@
 /**
- * As of when this node's replica is known to hold every record that any node's replica holds.
+ * Tracks the time as of which this node's replica is known to contain every record that any node's replica contains.
  *
- * The store shows it while it answers. Without the store the replicas are brought up to date from each other: whatever a peer has
- * confirmed to a user, its own replica held first. So once this replica holds everything that the peer's holds, only what the peer
- * confirms later can be unknown here.
+ * While the store answers, its responses prove this. Without the store, the replicas are updated from each other. A peer confirms a
+ * change to a user only after its own replica contains it. So once this replica contains everything that the peer's contains, only
+ * changes that the peer confirms later can be missing here.
  *
- * A peer's statement counts from the instant of this node's own clock that it echoes, since a network partition may delay a message
- * for minutes. A process that has not read the store proves nothing: its earlier incarnation may have confirmed what no other
- * replica holds.
+ * A peer's gossip is valid as of the time of this node's own clock that it echoes, since a network partition may delay a message for
+ * minutes. A process that has not read the store proves nothing: its earlier incarnation may have confirmed changes that no other
+ * replica contains.
  */
 import { CLOCK_DRIFT } from '../constants/clocks.js';
 import { DELTA_BYTES } from '../constants/gossip.js';
@@ -16,25 +16,25 @@
 import { deserializeChanges, type Replica } from '../store/replica.js';
 import type { DeltaRequest, Gossip, Message, ReplicaDelta } from './messages.js';
 
-/** One state of a peer's replica: the process that holds it, and how many changes it had applied. */
+/** One state of a peer's replica: the incarnation of the peer, and the number of changes applied. */
 interface ReplicaVersion {
   incarnation: number;
   version: number;
 }
 
-/** A delta that arrives in several messages, all of one version of the peer's replica. */
+/** A partly received delta; all of its messages must have the same version of the peer's replica. */
 interface PendingDelta extends ReplicaVersion {
   /** The revision of the last change received. */
   afterRevision: number;
 }
 
-/** What ReplicaFreshness works with. */
+/** Dependencies of ReplicaFreshness. */
 export interface ReplicaFreshnessDependencies {
   /** This node. */
   node: string;
   /** The other nodes. */
   peers: readonly string[];
-  /** Distinguishes this process from its earlier incarnations. */
+  /** Distinguishes this process from earlier processes of the node. */
   incarnation: number;
   replica: Replica;
   clock: Clock;
@@ -43,22 +43,22 @@
 
 /** Tracks how complete this node's replica is, and requests deltas from peers while the store can't be read. */
 export class ReplicaFreshness {
-  /** The clocks of the peers as last received, to be echoed. */
+  /** The last received clock of each peer, which is echoed to it. */
   private readonly peerClocks = new Map<string, { incarnation: number; clockMs: number }>();
-  /** The version of each peer's replica that this replica contains completely. */
-  private readonly merged = new Map<string, ReplicaVersion>();
+  /** For each peer, the version of its replica that was completely merged into this one. */
+  private readonly mergedVersions = new Map<string, ReplicaVersion>();
   private readonly pendingDeltas = new Map<string, PendingDelta>();
-  /** Monotonic ms as of which this replica held everything that the peer's held. */
-  private readonly coveredAt: Map<string, number>;
-  /** Monotonic ms as of which some peer had a complete replica from the store, all of which this one holds. */
-  private copiedAt = -Infinity;
+  /** For each peer, the time in monotonic ms as of which this replica contained everything that the peer's replica contained. */
+  private readonly mergedAsOf: Map<string, number>;
+  /** Time in monotonic ms as of which some peer's replica, merged into this one, was complete according to the store. */
+  private freshAsOfFromPeers = -Infinity;
 
   constructor(private readonly dependencies: ReplicaFreshnessDependencies) {
-    this.coveredAt = new Map(dependencies.peers.map((peer) => [peer, -Infinity]));
+    this.mergedAsOf = new Map(dependencies.peers.map((peer) => [peer, -Infinity]));
   }
 
-  /** The fields of the gossip to a peer that concern this node's replica. */
-  describe(peer: string): Pick<Gossip, 'clockMs' | 'echo' | 'isLoaded' | 'version'> {
+  /** The gossip fields about this node's replica, for one peer. */
+  gossipFieldsFor(peer: string): Pick<Gossip, 'clockMs' | 'echo' | 'isLoaded' | 'version'> {
     const { clock, replica } = this.dependencies;
     return {
       clockMs: clock.now(),
@@ -68,22 +68,23 @@
     };
   }
 
-  /** Applies a peer's gossip; requests a delta if the peer's replica holds something unknown and the store doesn't answer. */
+  /** Applies a peer's gossip; requests a delta if the peer's replica may contain unknown changes and the store doesn't answer. */
   applyGossip({ node, incarnation, version, isLoaded, clockMs, echo, replicaAgeMs }: Gossip): void {
-    if (!this.coveredAt.has(node)) return;
+    if (!this.mergedAsOf.has(node)) return;
     this.peerClocks.set(node, { incarnation, clockMs });
     if (!isLoaded) return;
     const { replica, clock } = this.dependencies;
-    const merged = this.merged.get(node);
-    if (merged?.incarnation === incarnation && merged.version === version) this.confirm(node, echo, replicaAgeMs);
+    const merged = this.mergedVersions.get(node);
+    if (merged?.incarnation === incarnation && merged.version === version)
+      this.advanceFreshness(node, echo, replicaAgeMs);
     else if (replica.isLoaded && clock.now() - replica.freshAt >= REPLICA_FRESH_MS) this.requestDelta(node);
   }
 
-  /** This replica holds all that the peer's held when it sent the echo, which was no earlier than the echoed instant. */
-  private confirm(node: string, echo: Gossip['echo'], replicaAgeMs: number): void {
+  /** This replica contains all that the peer's contained when it sent the echo, which was not before the echoed time. */
+  private advanceFreshness(node: string, echo: Gossip['echo'], replicaAgeMs: number): void {
     if (echo?.incarnation !== this.dependencies.incarnation) return;
-    this.coveredAt.set(node, Math.max(this.coveredAt.get(node)!, echo.clockMs));
-    this.copiedAt = Math.max(this.copiedAt, echo.clockMs - replicaAgeMs * (1 + CLOCK_DRIFT));
+    this.mergedAsOf.set(node, Math.max(this.mergedAsOf.get(node)!, echo.clockMs));
+    this.freshAsOfFromPeers = Math.max(this.freshAsOfFromPeers, echo.clockMs - replicaAgeMs * (1 + CLOCK_DRIFT));
   }
 
   private requestDelta(node: string): void {
@@ -97,7 +98,7 @@
     send(to, { kind: 'delta_request', payload: { node, fromRevision, afterRevision } });
   }
 
-  /** Sends a peer what this replica holds since the peer's was complete, as much as fits one message. */
+  /** Sends a peer the changes after the revision that it requests, as many as fit in one message. */
   answerDeltaRequest({ node: requester, fromRevision, afterRevision }: DeltaRequest): void {
     const { node, incarnation, replica, send } = this.dependencies;
     if (!replica.isLoaded) return;
@@ -115,15 +116,15 @@
     });
   }
 
-  /** Applies a peer's delta, and requests the rest if there is more. */
+  /** Applies a delta message from a peer, and requests the next one if there are more changes. */
   applyDelta(delta: ReplicaDelta): void {
     const { replica } = this.dependencies;
-    if (!this.coveredAt.has(delta.node) || !replica.isLoaded || delta.fromRevision > replica.revision) return;
+    if (!this.mergedAsOf.has(delta.node) || !replica.isLoaded || delta.fromRevision > replica.revision) return;
     replica.applyAllFromPeer(deserializeChanges(delta.changes));
     if (this.continuesDelta(delta)) this.advanceDelta(delta);
   }
 
-  /** Several messages make a complete delta only if they are of one and the same version of the peer's replica. */
+  /** Several messages form a complete delta only if all have the same version of the peer's replica. */
   private continuesDelta({ node, incarnation, version, fromRevision, afterRevision }: ReplicaDelta): boolean {
     if (afterRevision === fromRevision) return true;
     const pending = this.pendingDeltas.get(node);
@@ -138,15 +139,15 @@
     if (delta.isComplete) {
       this.pendingDeltas.delete(node);
       this.dependencies.replica.completeTo(delta.completeRevision);
-      this.merged.set(node, { incarnation, version });
+      this.mergedVersions.set(node, { incarnation, version });
     } else if (lastRevision > afterRevision) {
       this.pendingDeltas.set(node, { incarnation, version, afterRevision: lastRevision });
       this.sendDeltaRequest(node, fromRevision, lastRevision);
     }
   }
 
-  /** Monotonic ms: no node can have confirmed anything before it that this node's replica does not hold. */
+  /** Time in monotonic ms. Every change that any node confirmed before it is contained in this node's replica. */
   completeAsOf(): number {
-    return Math.max(this.dependencies.replica.freshAt, this.copiedAt, Math.min(...this.coveredAt.values()));
+    return Math.max(this.dependencies.replica.freshAt, this.freshAsOfFromPeers, Math.min(...this.mergedAsOf.values()));
   }
 }
--- a/src/gossip/sent-machine-updates.ts
+++ b/src/gossip/sent-machine-updates.ts
@@ -1,6 +1,7 @@
 /**
- * What each peer has been sent of this node's own machines. Sent in full every second, that would grow with machines times nodes; so a
- * peer gets in full only what has changed, and of the other machines only the last heartbeat, under a short number.
+ * Composes the machine updates for each peer from what it has been sent before. Sending every machine in full every second would
+ * cost bytes in proportion to machines times nodes; so only changed machines are sent in full, and the others as a short number with
+ * the last heartbeat.
  */
 import { FORWARDED_MACHINES_STEP, MACHINES_IN_GOSSIP_BYTES } from '../constants/gossip.js';
 import { maxBytesOf, stableContentOf } from './machine-update-content.js';
@@ -12,72 +13,72 @@
   'incarnation' | 'messageNumber' | 'isSnapshot' | 'machines' | 'unchanged'
 >;
 
-/** One of the sender's own machines, with the part of it that is compared with what a peer has been sent. */
-interface OwnMachine {
+/** One of the sender's own machines, with the text that is compared with the one last sent to a peer. */
+interface OwnMachineSummary {
   update: MachineUpdate;
   stableContent: string;
 }
 
-/** The sender's own machines as they were at one instant, shared by the messages to all peers shortly after. */
-export interface OwnMachines {
+/** The sender's own machines at one point in time, shared by the messages to all peers shortly afterwards. */
+export interface OwnMachineSummaries {
   /** Monotonic ms. */
-  at: number;
-  machines: readonly OwnMachine[];
+  describedAt: number;
+  machines: readonly OwnMachineSummary[];
 }
 
-/** Prepares the sender's own machines for comparison, once for all peers; `at` in monotonic ms. */
-export const describeOwnMachines = (at: number, machines: readonly MachineUpdate[]): OwnMachines => ({
-  at,
+/** Prepares the sender's own machines for comparison, once for all peers. `describedAt` is in monotonic ms. */
+export const describeOwnMachines = (describedAt: number, machines: readonly MachineUpdate[]): OwnMachineSummaries => ({
+  describedAt,
   machines: machines.map((update) => ({ update, stableContent: stableContentOf(update) })),
 });
 
 /** What one peer has been sent so far. */
 interface SentToPeer {
   messageNumber: number;
-  /** By machine id, the stable content last sent. */
-  contents: Map<string, string>;
+  /** The stable content last sent, by machine id. */
+  stableContents: Map<string, string>;
 }
 
 /** The part of a message that is being composed. */
-interface Draft {
+interface MachineUpdateDraft {
   changed: MachineUpdate[];
   unchanged: UnchangedMachineColumns;
   bytesLeft: number;
 }
 
-/** Numbers without a machine are given up beyond this many, and twice the machines. */
-const SPARE_NUMBERS = 100;
+/** All numbers are discarded when they exceed twice the count of machines by more than this. */
+const MAX_SPARE_NUMBERS = 100;
 
 /** Composes the machine updates of the gossip to each peer. */
 export class SentMachineUpdates {
-  private readonly numbers = new Map<string, number>();
+  private readonly machineNumbers = new Map<string, number>();
   private nextNumber = 0;
-  private readonly peers = new Map<string, SentToPeer>();
+  private readonly sentByPeer = new Map<string, SentToPeer>();
 
-  /** `incarnation` distinguishes this process from its earlier ones. */
+  /** `incarnation` distinguishes this process from earlier processes of the node. */
   constructor(private readonly incarnation: number) {}
 
-  /** The peer has missed a message, or may have: the next one to it is a snapshot. */
+  /** Makes the next message to a peer a snapshot, because the peer has or may have missed a message. */
   requireSnapshot(peer: string): void {
-    this.peers.get(peer)?.contents.clear();
+    this.sentByPeer.get(peer)?.stableContents.clear();
   }
 
   /**
-   * The machine updates of the next message to a peer: this node's own machines, then as many of other nodes' (`relayed`) as there is
-   * room for. `now` in monotonic ms.
+   * Returns the machine updates of the next message to a peer: this node's own machines, then as many machines of other nodes
+   * (`relayed`) as fit. `now` is in monotonic ms.
    */
-  compose(peer: string, own: OwnMachines, relayed: readonly MachineUpdate[], now: number): MachineUpdateFields {
-    this.discardNumbersOfFormerMachines(own.machines.length);
+  compose(peer: string, own: OwnMachineSummaries, relayed: readonly MachineUpdate[], now: number): MachineUpdateFields {
+    this.discardUnusedNumbers(own.machines.length);
     const sent = this.sentTo(peer);
-    const isSnapshot = sent.contents.size === 0;
-    const draft: Draft = {
+    const isSnapshot = sent.stableContents.size === 0;
+    const draft: MachineUpdateDraft = {
       changed: [],
       unchanged: { numbers: [], heartbeatAgesMs: [], sequences: [] },
-      // What doesn't fit is sent next time: a peer closes the connection on a message that is larger than it takes.
+      // Updates that don't fit are sent in the next message: a peer closes the connection on a message over its size limit.
       bytesLeft: MACHINES_IN_GOSSIP_BYTES,
     };
-    const ageMs = now - own.at;
-    for (const machine of own.machines) this.add(draft, machine, sent, ageMs);
+    const ageMs = now - own.describedAt;
+    for (const machine of own.machines) this.addOwnMachine(draft, machine, sent, ageMs);
     sent.messageNumber++;
     draft.changed.push(...selectRelayed(relayed, draft.bytesLeft, sent.messageNumber));
     return {
@@ -89,13 +90,18 @@
     };
   }
 
-  /** `ageMs`: how long ago the machine was described. */
-  private add(draft: Draft, { update, stableContent }: OwnMachine, sent: SentToPeer, ageMs: number): void {
+  /** `ageMs` is the time since the machine was described. */
+  private addOwnMachine(
+    draft: MachineUpdateDraft,
+    { update, stableContent }: OwnMachineSummary,
+    sent: SentToPeer,
+    ageMs: number,
+  ): void {
     const { machineId, spotNoticeMs } = update;
     const number = this.numberOf(machineId);
     const heartbeatAgeMs = update.heartbeatAgeMs + ageMs;
-    // The time left of a spot notice changes all the time.
-    if (sent.contents.get(machineId) === stableContent && spotNoticeMs === null) {
+    // The remaining time of a spot notice changes constantly, so such a machine is always sent in full.
+    if (sent.stableContents.get(machineId) === stableContent && spotNoticeMs === null) {
       draft.unchanged.numbers.push(number);
       draft.unchanged.heartbeatAgesMs.push(Math.round(heartbeatAgeMs));
       draft.unchanged.sequences.push(update.sequence);
@@ -103,7 +109,7 @@
     }
     draft.bytesLeft -= maxBytesOf(update, stableContent);
     if (draft.bytesLeft < 0) return;
-    sent.contents.set(machineId, stableContent);
+    sent.stableContents.set(machineId, stableContent);
     draft.changed.push({
       ...update,
       number,
@@ -113,37 +119,37 @@
     });
   }
 
-  /** Machine ids are never used again, so the numbers of terminated machines would otherwise pile up. */
-  private discardNumbersOfFormerMachines(machineCount: number): void {
-    if (this.numbers.size <= 2 * machineCount + SPARE_NUMBERS) return;
-    this.numbers.clear();
-    for (const { contents } of this.peers.values()) contents.clear();
+  /** Machine ids are never reused, so the numbers of terminated machines would otherwise accumulate. */
+  private discardUnusedNumbers(machineCount: number): void {
+    if (this.machineNumbers.size <= 2 * machineCount + MAX_SPARE_NUMBERS) return;
+    this.machineNumbers.clear();
+    for (const { stableContents } of this.sentByPeer.values()) stableContents.clear();
   }
 
   private numberOf(machineId: string): number {
-    const known = this.numbers.get(machineId);
+    const known = this.machineNumbers.get(machineId);
     if (known !== undefined) return known;
     const number = this.nextNumber++;
-    this.numbers.set(machineId, number);
+    this.machineNumbers.set(machineId, number);
     return number;
   }
 
   private sentTo(peer: string): SentToPeer {
-    const known = this.peers.get(peer);
+    const known = this.sentByPeer.get(peer);
     if (known !== undefined) return known;
-    const sent: SentToPeer = { messageNumber: 0, contents: new Map() };
-    this.peers.set(peer, sent);
+    const sent: SentToPeer = { messageNumber: 0, stableContents: new Map() };
+    this.sentByPeer.set(peer, sent);
     return sent;
   }
 }
 
 /**
- * As many machines of other nodes as fit. They come and go, and have no numbers: each message states them in full, and begins at
- * another machine so that all get their turn.
+ * Selects as many machines of other nodes as fit. Which machines are relayed changes often, so they have no numbers: each message
+ * contains them in full, and starts at a different machine so that each machine is sent eventually.
  */
-function selectRelayed(relayed: readonly MachineUpdate[], maxBytes: number, turn: number): MachineUpdate[] {
+function selectRelayed(relayed: readonly MachineUpdate[], maxBytes: number, messageNumber: number): MachineUpdate[] {
   const selected: MachineUpdate[] = [];
-  const start = relayed.length === 0 ? 0 : (turn * FORWARDED_MACHINES_STEP) % relayed.length;
+  const start = relayed.length === 0 ? 0 : (messageNumber * FORWARDED_MACHINES_STEP) % relayed.length;
   let bytesLeft = maxBytes;
   for (const update of [...relayed.slice(start), ...relayed.slice(0, start)]) {
     bytesLeft -= maxBytesOf(update, stableContentOf(update));
--- a/src/gossip/stream-codec.ts
+++ b/src/gossip/stream-codec.ts
@@ -1,6 +1,6 @@
 /**
- * The encoding of the warm standby's stream. Its messages begin with a byte that no other message between controllers begins
- * with, so the other messages keep the bytes that earlier versions of the program read.
+ * Encodes the messages of the warm standby's stream. Each starts with a byte that no other message between controllers starts with,
+ * so the encoding of the other messages stays readable by earlier versions of the program.
  */
 import { ADVISORY_KINDS, type FollowRequest, type StreamBatch, type StreamMessage } from '@dewlatch/standby';
 import avro from 'avsc';
@@ -8,11 +8,11 @@
 import { arrayOf, nullable, record } from './avro-record.js';
 import { MessageDecodeError } from './message-decode-error.js';
 
-/** The first byte of every stream message. Other messages begin with 0 or 2, the branches of the envelope's first field. */
+/** The first byte of every stream message. Other messages start with 0 or 2, the encoded union branch of the envelope's first field. */
 const STREAM_PREFIX_BYTE = 0xff;
 const STREAM_PREFIX = Buffer.from([STREAM_PREFIX_BYTE]);
 
-const follow = record('Follow', {
+const followSchema = record('Follow', {
   node: 'string',
   incarnation: 'long',
   clock: 'double',
@@ -20,7 +20,7 @@
   upTo: 'long',
 });
 
-const entry = record('Entry', {
+const entrySchema = record('Entry', {
   kind: { type: 'enum', name: 'Kind', symbols: [...ADVISORY_KINDS] },
   name: 'string',
   ageMs: 'long',
@@ -29,7 +29,7 @@
   isRemoved: 'boolean',
 });
 
-const batch = record('Batch', {
+const batchSchema = record('Batch', {
   node: 'string',
   incarnation: 'long',
   after: 'long',
@@ -38,7 +38,7 @@
   part: 'int',
   parts: 'int',
   echo: record('StreamEcho', { incarnation: 'long', clock: 'double' }),
-  entries: arrayOf(entry),
+  entries: arrayOf(entrySchema),
 });
 
 const envelopeType = avro.Type.forSchema({
@@ -46,21 +46,21 @@
   name: 'StreamEnvelope',
   namespace: 'dewlatch.stream.v1',
   fields: [
-    { name: 'follow', type: nullable(follow) },
-    { name: 'batch', type: nullable(batch) },
+    { name: 'follow', type: nullable(followSchema) },
+    { name: 'batch', type: nullable(batchSchema) },
   ],
 });
 
-/** Whether the bytes are a message of the stream, by their first byte alone. */
+/** Whether the bytes are a stream message, judged only by the first byte. */
 export const isStreamMessage = (bytes: Buffer): boolean => bytes[0] === STREAM_PREFIX_BYTE;
 
-/** Encodes a message of the stream, its prefix included. */
+/** Encodes a stream message, including its prefix. */
 export function encodeStreamMessage(message: StreamMessage): Buffer {
   const envelope = 'follow' in message ? { ...message, batch: null } : { follow: null, ...message };
   return Buffer.concat([STREAM_PREFIX, envelopeType.toBuffer(envelope)]);
 }
 
-/** Decodes a message of the stream, its prefix included; throws when the bytes are none. */
+/** Decodes a stream message, including its prefix; throws if the bytes are not a valid stream message. */
 export function decodeStreamMessage(bytes: Buffer): StreamMessage {
   const envelope = envelopeType.fromBuffer(bytes.subarray(STREAM_PREFIX.length)) as {
     follow: FollowRequest | null;
--- a/src/inventory/faulty-jobs.ts
+++ b/src/inventory/faulty-jobs.ts
@@ -4,16 +4,16 @@
 import type { MachineInfo } from '../domain/machine-state.js';
 
 /**
- * Ends, in the given view, the quarantine of machines that only faulty jobs have failed on. A job that fails on many machines was
- * submitted with a mistake, and its failures say nothing of the machines.
+ * Clears `isQuarantined`, in the given map, of machines with too few failed jobs other than faulty ones. A job that fails on many
+ * machines was submitted with an error, so its failures are no evidence against the machines.
  */
 export function clearQuarantineOfFaultyJobs(machines: Map<string, MachineInfo>): void {
-  const machinesFailedOn = countMachinesByFailedJob(machines.values());
-  const faultyFrom = Math.max(FAULTY_JOB_LEAST, Math.ceil(machines.size * FAULTY_JOB_SHARE));
+  const failedMachineCounts = countMachinesByFailedJob(machines.values());
+  const minFaultyMachines = Math.max(FAULTY_JOB_LEAST, Math.ceil(machines.size * FAULTY_JOB_SHARE));
   for (const [machineId, machine] of machines) {
     if (!machine.isQuarantined) continue;
-    const failuresThatCount = machine.failedJobs.filter((jobId) => machinesFailedOn.get(jobId)! < faultyFrom);
-    if (failuresThatCount.length < QUARANTINE_ERRORS) machines.set(machineId, { ...machine, isQuarantined: false });
+    const relevantFailures = machine.failedJobs.filter((jobId) => failedMachineCounts.get(jobId)! < minFaultyMachines);
+    if (relevantFailures.length < QUARANTINE_ERRORS) machines.set(machineId, { ...machine, isQuarantined: false });
   }
 }
 
--- a/src/inventory/machine-inventory.ts
+++ b/src/inventory/machine-inventory.ts
@@ -1,4 +1,4 @@
-/** All machines that are known to be up, from their workers' heartbeats and from the peers' gossip. */
+/** All known machines, from their workers' heartbeats and from the peers' gossip. */
 import { GOSSIP_STALE_MS } from '../constants/gossip.js';
 import { INVENTORY_VIEW_MS } from '../constants/inventory.js';
 import type { MachineInfo, MachineRefresh } from '../domain/machine-state.js';
@@ -16,22 +16,22 @@
 import { PeerMachineReports } from './peer-machine-reports.js';
 import { TerminatedMachines } from './terminated-machines.js';
 
-/** The machines as they were at one instant. */
+/** The known machines at one point in time. */
 interface InventoryView {
   /** Monotonic ms. */
-  at: number;
-  /** How many workers and peer reports it was made from: a machine that came or went makes it outdated at once. */
+  createdAt: number;
+  /** The numbers of workers and peer reports that it was built from: an added or removed machine invalidates it at once. */
   workerCount: number;
-  reportCount: number;
-  all: Map<string, MachineInfo>;
-  open: MachineInfo[];
+  peerReportCount: number;
+  machines: Map<string, MachineInfo>;
+  schedulable: MachineInfo[];
 }
 
-/** This node's knowledge of machines and machine types. All times are monotonic ms of this node. */
+/** The machines and machine types known to this node. All times are monotonic ms of this node. */
 export class MachineInventory {
-  /** The machine types by name, as the records have them. */
+  /** The machine types by name, as stored in the records. */
   readonly catalog = new Map<string, MachineType>();
-  /** Machines that are being returned to the cloud: no new tasks. */
+  /** Machines that are being returned to the cloud and get no new tasks. */
   readonly scalingIn = new Set<string>();
   /** Machines that the cloud has confirmed terminated. */
   readonly terminated = new TerminatedMachines();
@@ -39,7 +39,13 @@
   private readonly lateHeartbeats = new LateHeartbeats();
   private readonly own: OwnMachines;
   private readonly availability: MachineAvailability;
-  private cachedView: InventoryView = { at: -Infinity, workerCount: 0, reportCount: 0, all: new Map(), open: [] };
+  private cachedView: InventoryView = {
+    createdAt: -Infinity,
+    workerCount: 0,
+    peerReportCount: 0,
+    machines: new Map(),
+    schedulable: [],
+  };
 
   constructor(
     settings: Settings,
@@ -52,38 +58,38 @@
     this.availability = new MachineAvailability({ settings, leadership, peerReports, catalog, scalingIn, clock });
   }
 
-  /** Whether the leader of the machine's partition, this node or one whose gossip arrives, has lately stated what it knows of it. */
+  /** Whether this node leads the machine's partition or has a report about the machine newer than GOSSIP_STALE_MS. */
   isCurrent(machineId: string): boolean {
     if (ownLeadershipOver(this.leadership, machineId) !== undefined) return true;
-    return this.clock.now() - this.peerReports.statedAtOf(machineId) < GOSSIP_STALE_MS;
+    return this.clock.now() - this.peerReports.reportedAtOf(machineId) < GOSSIP_STALE_MS;
   }
 
-  /** Stores what a peer states of a machine, as its partition's leader or relayed, as of `knownAt`. */
-  applyPeerState(machine: MachineInfo, knownAt: number): void {
-    if (!this.terminated.has(machine.machineId)) this.peerReports.apply(machine, knownAt);
+  /** Stores a report that the leader of the machine's partition made at `reportedAt`, received from it or relayed. */
+  applyPeerReport(machine: MachineInfo, reportedAt: number): void {
+    if (!this.terminated.has(machine.machineId)) this.peerReports.apply(machine, reportedAt);
   }
 
-  /** Stores a newer heartbeat of an otherwise unchanged machine. False: what its leader stated before is not known here. */
-  refreshPeerState(refresh: MachineRefresh, now: number): boolean {
+  /** Stores a newer heartbeat of an otherwise unchanged machine. Returns false if its full state has to be applied instead. */
+  refreshPeerReport(refresh: MachineRefresh, now: number): boolean {
     return this.terminated.has(refresh.machineId) || this.peerReports.refresh(refresh, now);
   }
 
-  /** What peers have lately stated, to be relayed: the third node is the way round a network partition between two. */
-  *recentPeerStates(
+  /** Recent reports to be relayed to other nodes: a third node bypasses a network partition between two nodes. */
+  *recentPeerReports(
     isWanted: (partitionLeader: string) => boolean,
-  ): Iterable<{ machine: MachineInfo; knownAt: number }> {
+  ): Iterable<{ machine: MachineInfo; reportedAt: number }> {
     for (const report of this.peerReports.recent(this.clock.now())) {
       const { machineId, partitionLeader } = report.machine;
       if (isWanted(partitionLeader) && !this.workerManager.workers.has(machineId)) yield report;
     }
   }
 
-  /** What peers have stated of the machine. */
+  /** The machine as last reported by a peer. */
   peerStateOf(machineId: string): MachineInfo | undefined {
     return this.peerReports.machines.get(machineId);
   }
 
-  /** The machines of the partitions led here. */
+  /** The machines of the partitions that this node leads. */
   ownMachines(): MachineInfo[] {
     return this.own.list();
   }
@@ -92,35 +98,37 @@
     return (this.workerManager.workers.get(machineId) ?? this.peerStateOf(machineId))?.agentEpoch;
   }
 
-  /** One machine, as of this instant. */
+  /** One machine in its current state, not from the cached view. */
   get(machineId: string): MachineInfo | undefined {
     return this.own.get(machineId) ?? this.peerStateOf(machineId);
   }
 
-  /** Every machine, this node's own view first; the same for all callers within INVENTORY_VIEW_MS. */
+  /** Every machine, from heartbeats received here or else from peers' reports. Callers within INVENTORY_VIEW_MS share one view. */
   machines(): ReadonlyMap<string, MachineInfo> {
-    return this.view().all;
+    return this.currentView().machines;
   }
 
-  /** The machines that new tasks may be placed on. */
+  /** The machines on which new tasks may be placed. */
   schedulableMachines(): MachineInfo[] {
-    const { open } = this.view();
-    return this.scalingIn.size === 0 ? [...open] : open.filter(({ machineId }) => !this.scalingIn.has(machineId));
+    const { schedulable } = this.currentView();
+    return this.scalingIn.size === 0
+      ? [...schedulable]
+      : schedulable.filter(({ machineId }) => !this.scalingIn.has(machineId));
   }
 
-  /** Describing hundreds of machines for each caller would cost more than what the callers do with them. */
-  private view(): InventoryView {
+  /** Cached, since describing hundreds of machines for each caller would cost more than the callers' own work. */
+  private currentView(): InventoryView {
     const now = this.clock.now();
     const workerCount = this.workerManager.workers.size;
-    const reportCount = this.peerReports.machines.size;
+    const peerReportCount = this.peerReports.machines.size;
     const last = this.cachedView;
-    const isSameCount = last.workerCount === workerCount && last.reportCount === reportCount;
-    if (now - last.at < INVENTORY_VIEW_MS && isSameCount) return last;
-    const all = new Map(this.peerReports.machines);
-    for (const machine of this.ownMachines()) all.set(machine.machineId, machine);
-    clearQuarantineOfFaultyJobs(all);
-    const open = [...all.values()].filter((machine) => this.isSchedulable(machine));
-    this.cachedView = { at: now, workerCount, reportCount, all, open };
+    const isSameCount = last.workerCount === workerCount && last.peerReportCount === peerReportCount;
+    if (now - last.createdAt < INVENTORY_VIEW_MS && isSameCount) return last;
+    const machines = new Map(this.peerReports.machines);
+    for (const machine of this.ownMachines()) machines.set(machine.machineId, machine);
+    clearQuarantineOfFaultyJobs(machines);
+    const schedulable = [...machines.values()].filter((machine) => this.isSchedulable(machine));
+    this.cachedView = { createdAt: now, workerCount, peerReportCount, machines, schedulable };
     return this.cachedView;
   }
 
@@ -129,27 +137,27 @@
     return this.unavailableReasonOf(machine) === undefined;
   }
 
-  /** Why no new tasks may be placed on the machine; undefined: they may. */
+  /** Why no new tasks may be placed on the machine, or undefined if they may. */
   unavailableReasonOf(machine: MachineInfo): UnavailableReason | undefined {
     return this.availability.unavailableReasonOf(machine);
   }
 
-  /** Whether heartbeats of the machine are missing that should have been known here by now. */
+  /** Whether the machine's last known heartbeat is older than allowed. */
   isSilent(machine: MachineInfo): boolean {
     return this.availability.isSilent(machine);
   }
 
-  /** Whether a heartbeat that came to this node, although another one leads the partition, is a late copy. */
+  /** Whether a heartbeat received here, although another node leads the worker's partition, is a delayed copy. */
   isLate(workerStatus: WorkerStatus): boolean {
     return this.lateHeartbeats.isLate(workerStatus, this.peerStateOf(workerStatus.machineId));
   }
 
-  /** Forgets machines that no peer has stated anything of for long. */
+  /** Removes peers' reports about machines that no leader has reported for long. */
   prune(): void {
     this.peerReports.prune(this.clock.now());
   }
 
-  /** The cloud has confirmed the machine terminated: forgets it for good. */
+  /** Removes a machine that the cloud has confirmed terminated, and ignores later reports about it. */
   markTerminated(machineId: string): void {
     if (this.terminated.has(machineId)) return;
     this.terminated.add(machineId, this.clock.now());
@@ -157,7 +165,7 @@
     this.workerManager.workers.remove(machineId);
   }
 
-  /** Terminated machines that other nodes may not have learned of yet. */
+  /** Terminated machines that other nodes may not know yet. */
   recentlyTerminated(): string[] {
     return this.terminated.recent(this.clock.now());
   }
--- a/src/inventory/own-machines.ts
+++ b/src/inventory/own-machines.ts
@@ -7,7 +7,7 @@
 import { ownLeadershipOver, type PartitionLeadership } from './machine-leadership.js';
 import type { PeerMachineReports } from './peer-machine-reports.js';
 
-/** What OwnMachines works with. */
+/** Dependencies of OwnMachines. */
 export interface OwnMachinesDependencies {
   settings: Settings;
   leadership: PartitionLeadership;
@@ -16,21 +16,21 @@
   clock: Clock;
 }
 
-/** Describes the machines led here, from their workers' heartbeats or, until those arrive, from the former leader's gossip. */
+/** Describes these machines from their workers' heartbeats or, until a heartbeat arrives, from the former leader's gossip. */
 export class OwnMachines {
   constructor(private readonly dependencies: OwnMachinesDependencies) {}
 
-  /** The machine by its worker's heartbeats; undefined: none has arrived here. */
+  /** The machine as its worker's heartbeats describe it, or undefined if none has arrived here. */
   get(machineId: string): MachineInfo | undefined {
     const worker = this.dependencies.workers.get(machineId);
     return worker === undefined ? undefined : this.describe(worker);
   }
 
-  /** All of them, those with heartbeats first. */
+  /** All machines; those with heartbeats received here come first. */
   list(): MachineInfo[] {
     const { settings, leadership, workers, peerReports } = this.dependencies;
     const machines = [...workers.values()].map((worker) => this.describe(worker));
-    // A machine without a heartbeat since this node became leader counts as if it had sent one then.
+    // A machine without a heartbeat since this node became leader is treated as if it had sent one at that time.
     for (const machine of peerReports.machines.values()) {
       const ownLeadership = ownLeadershipOver(leadership, machine.machineId);
       if (ownLeadership === undefined || workers.has(machine.machineId)) continue;
--- a/src/inventory/peer-machine-reports.ts
+++ b/src/inventory/peer-machine-reports.ts
@@ -1,60 +1,59 @@
-/** What the peers' gossip states of the machines in their partitions. All times are monotonic ms of this node. */
+/** Reports about machines from the peers' gossip. All times are monotonic ms of this node. */
 import { GOSSIP_STALE_MS } from '../constants/gossip.js';
 import { FORGET_MACHINE_MS } from '../constants/inventory.js';
 import type { MachineInfo, MachineRefresh } from '../domain/machine-state.js';
 
-/** The newest statement of each machine, by the leader itself or relayed. */
+/** Stores the newest report about each machine, received from its partition's leader or relayed by another node. */
 export class PeerMachineReports {
-  // Two maps with the same keys, since every view of the inventory copies the first.
-  private readonly byMachine = new Map<string, MachineInfo>();
-  /** As of when the leader of the machine's partition stated it. */
-  private readonly statedAt = new Map<string, number>();
+  // Two maps with the same keys, since every inventory view copies the first one.
+  private readonly reports = new Map<string, MachineInfo>();
+  /** When the leader of the machine's partition made the report. */
+  private readonly reportTimes = new Map<string, number>();
 
-  /** In the order in which the machines were first reported. */
+  /** By machine id, in the order in which the machines were first reported. */
   get machines(): ReadonlyMap<string, MachineInfo> {
-    return this.byMachine;
+    return this.reports;
   }
 
-  /** -Infinity: nothing was ever stated of the machine. */
-  statedAtOf(machineId: string): number {
-    return this.statedAt.get(machineId) ?? -Infinity;
+  /** Returns -Infinity if there is no report about the machine. */
+  reportedAtOf(machineId: string): number {
+    return this.reportTimes.get(machineId) ?? -Infinity;
   }
 
-  /** Stores a statement, unless a newer one is known. */
-  apply(machine: MachineInfo, statedAt: number): void {
-    if (this.statedAtOf(machine.machineId) >= statedAt) return;
-    this.statedAt.set(machine.machineId, statedAt);
-    this.byMachine.set(machine.machineId, machine);
+  /** Stores a report unless the stored one is as new or newer. */
+  apply(machine: MachineInfo, reportedAt: number): void {
+    if (this.reportedAtOf(machine.machineId) >= reportedAt) return;
+    this.reportTimes.set(machine.machineId, reportedAt);
+    this.reports.set(machine.machineId, machine);
   }
 
-  /** Updates the last heartbeat alone. False: what the leader stated of the machine before is not known here. */
+  /** Updates only the last heartbeat. Returns false unless the stored report is from the same leader and without a spot notice. */
   refresh({ machineId, partitionLeader, lastHeartbeatAt, sequence }: MachineRefresh, now: number): boolean {
-    const machine = this.byMachine.get(machineId);
+    const machine = this.reports.get(machineId);
     if (machine?.partitionLeader !== partitionLeader || machine.spotTerminationAt !== null) return false;
     machine.lastHeartbeatAt = lastHeartbeatAt;
     machine.sequence = sequence;
-    this.statedAt.set(machineId, now);
+    this.reportTimes.set(machineId, now);
     return true;
   }
 
-  /** The statements that are not stale. */
-  *recent(now: number): Iterable<{ machine: MachineInfo; knownAt: number }> {
-    for (const [machineId, machine] of this.byMachine) {
-      const knownAt = this.statedAt.get(machineId)!;
-      if (now - knownAt < GOSSIP_STALE_MS) yield { machine, knownAt };
+  /** The reports newer than GOSSIP_STALE_MS. */
+  *recent(now: number): Iterable<{ machine: MachineInfo; reportedAt: number }> {
+    for (const [machineId, machine] of this.reports) {
+      const reportedAt = this.reportTimes.get(machineId)!;
+      if (now - reportedAt < GOSSIP_STALE_MS) yield { machine, reportedAt };
     }
   }
 
-  /** Forgets one machine. */
   remove(machineId: string): void {
-    this.byMachine.delete(machineId);
-    this.statedAt.delete(machineId);
+    this.reports.delete(machineId);
+    this.reportTimes.delete(machineId);
   }
 
-  /** Forgets the machines that no peer has stated anything of for FORGET_MACHINE_MS. */
+  /** Removes the machines without a report for FORGET_MACHINE_MS. */
   prune(now: number): void {
-    for (const [machineId, statedAt] of this.statedAt) {
-      if (now - statedAt >= FORGET_MACHINE_MS) this.remove(machineId);
+    for (const [machineId, reportedAt] of this.reportTimes) {
+      if (now - reportedAt >= FORGET_MACHINE_MS) this.remove(machineId);
     }
   }
 }
--- a/src/inventory/terminated-machines.ts
+++ b/src/inventory/terminated-machines.ts
@@ -1,7 +1,7 @@
-/** Machines that the cloud has confirmed terminated. Machine ids are never used again, so nothing stated of them later counts. */
+/** Machines that the cloud has confirmed terminated. Machine ids are never reused, so later reports about them are ignored. */
 import { FORGET_MACHINE_MS, TERMINATED_MACHINES_KEPT } from '../constants/inventory.js';
 
-/** Keeps the newest TERMINATED_MACHINES_KEPT ids; times in monotonic ms of this node. */
+/** Stores the TERMINATED_MACHINES_KEPT ids added last. Times are monotonic ms of this node. */
 export class TerminatedMachines {
   private readonly terminatedAt = new Map<string, number>();
 
@@ -9,7 +9,7 @@
     return this.terminatedAt.has(machineId);
   }
 
-  /** `now`: when this node learned of the termination. */
+  /** `now` is the time at which this node learned of the termination. */
   add(machineId: string, now: number): void {
     this.terminatedAt.set(machineId, now);
     if (this.terminatedAt.size <= TERMINATED_MACHINES_KEPT) return;
@@ -17,7 +17,7 @@
     this.terminatedAt.delete(oldest!);
   }
 
-  /** The ids that other nodes may not have learned of yet. */
+  /** The ids added within FORGET_MACHINE_MS, which other nodes may not know yet. */
   recent(now: number): string[] {
     return [...this.terminatedAt].filter(([, at]) => now - at < FORGET_MACHINE_MS).map(([machineId]) => machineId);
   }
--- a/test/gossip/message-codec.test.ts
+++ b/test/gossip/message-codec.test.ts
@@ -1,6 +1,6 @@
 /**
- * Pins the bytes of every message between controllers, with each field set to a distinct value. Controllers of two versions run side by
- * side during a deployment: renaming a field in the program must not change these bytes.
+ * Pins the encoding of every kind of message between controllers, mostly with distinct values in each field. Controllers of two
+ * versions run side by side during a deployment, so renaming a field in the program must not change the encoding.
  */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
@@ -8,7 +8,7 @@
 import { decodeMessage, encodeMessage } from '../../src/gossip/message-codec.js';
 import type { Gossip, MachineUpdate, Message } from '../../src/gossip/messages.js';
 
-const FLAGGED: MachineUpdate = {
+const MACHINE_WITH_ALL_FLAGS: MachineUpdate = {
   machineId: 'i-000001',
   number: 300,
   endpoint: 'i-000001:9000',
@@ -30,8 +30,8 @@
   partitionLeader: 'n2',
 };
 
-const PLAIN: MachineUpdate = {
-  ...FLAGGED,
+const MACHINE_WITHOUT_FLAGS: MachineUpdate = {
+  ...MACHINE_WITH_ALL_FLAGS,
   number: -1,
   isSpot: false,
   spotNoticeMs: null,
@@ -44,7 +44,7 @@
   failedJobs: [],
 };
 
-const FULL: Gossip = {
+const FULL_GOSSIP: Gossip = {
   node: 'n0',
   uptimeMs: 60_000,
   replicaAgeMs: 150.5,
@@ -58,22 +58,22 @@
   messageNumber: 17,
   isSnapshot: true,
   wantsSnapshot: true,
-  machines: [FLAGGED],
+  machines: [MACHINE_WITH_ALL_FLAGS],
   unchanged: { numbers: [1, 2], heartbeatAgesMs: [30, 40], sequences: [500, 600] },
   misroutedHeartbeats: [{ machineId: 'i-000003', ageMs: 75 }],
   avoidedRoles: ['part-1'],
   terminatedMachines: ['i-000004'],
 };
 
-const QUIET: Gossip = {
-  ...FULL,
+const MINIMAL_GOSSIP: Gossip = {
+  ...FULL_GOSSIP,
   isWithoutStore: false,
   echo: null,
   isLoaded: false,
   reachablePeers: [],
   isSnapshot: false,
   wantsSnapshot: false,
-  machines: [PLAIN],
+  machines: [MACHINE_WITHOUT_FLAGS],
   unchanged: { numbers: [], heartbeatAgesMs: [], sequences: [] },
   misroutedHeartbeats: [],
   avoidedRoles: [],
@@ -83,62 +83,62 @@
 const ENCODED: readonly [name: string, message: Message, hex: string][] = [
   [
     'gossip with every field set',
-    { kind: 'gossip', payload: FULL },
+    { kind: 'gossip', payload: FULL_GOSSIP },
     '02046e3000000000004ced400000000000d06240010000000000c9ed4002d0e6c3b5c69c0d00000000808aed40015404046e31046e320096c5f88cd58d062201010210692d303030303031d8041a692d3030303030313a393030300463380c7a6f6e652d610106e0c50800000000000029400000000000406f4002000000000052dc400101010101040a696d672d310a696d672d320002106a2d30303030303100046e320004020400043c500004e807b009000210692d3030303030330000000000c0524000020c706172742d31000210692d303030303034000000000000',
   ],
   [
-    'gossip with every optional field empty',
-    { kind: 'gossip', payload: QUIET },
+    'gossip with null, false or an empty list wherever a field allows it',
+    { kind: 'gossip', payload: MINIMAL_GOSSIP },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610006e0c50800000000000029400000000000406f400000000000000000046e32000000000000000000000000',
   ],
   [
-    'gossip of a machine that is only quarantined',
-    { kind: 'gossip', payload: { ...QUIET, machines: [{ ...PLAIN, isQuarantined: true }] } },
+    'gossip of a machine with only the flag isQuarantined',
+    { kind: 'gossip', payload: { ...MINIMAL_GOSSIP, machines: [{ ...MACHINE_WITHOUT_FLAGS, isQuarantined: true }] } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610006e0c50800000000000029400000000000406f400001000000000000046e32000000000000000000000000',
   ],
   [
-    'gossip of a machine that is only backing off',
-    { kind: 'gossip', payload: { ...QUIET, machines: [{ ...PLAIN, isBackingOff: true }] } },
+    'gossip of a machine with only the flag isBackingOff',
+    { kind: 'gossip', payload: { ...MINIMAL_GOSSIP, machines: [{ ...MACHINE_WITHOUT_FLAGS, isBackingOff: true }] } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610006e0c50800000000000029400000000000406f400000010000000000046e32000000000000000000000000',
   ],
   [
-    'gossip of a machine that is only unreached',
-    { kind: 'gossip', payload: { ...QUIET, machines: [{ ...PLAIN, isUnreached: true }] } },
+    'gossip of a machine with only the flag isUnreached',
+    { kind: 'gossip', payload: { ...MINIMAL_GOSSIP, machines: [{ ...MACHINE_WITHOUT_FLAGS, isUnreached: true }] } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610006e0c50800000000000029400000000000406f400000000100000000046e32000000000000000000000000',
   ],
   [
-    'gossip of a machine that is only slow',
-    { kind: 'gossip', payload: { ...QUIET, machines: [{ ...PLAIN, isSlow: true }] } },
+    'gossip of a machine with only the flag isSlow',
+    { kind: 'gossip', payload: { ...MINIMAL_GOSSIP, machines: [{ ...MACHINE_WITHOUT_FLAGS, isSlow: true }] } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610006e0c50800000000000029400000000000406f400000000001000000046e32000000000000000000000000',
   ],
   [
-    'gossip of a machine that is only mute',
-    { kind: 'gossip', payload: { ...QUIET, machines: [{ ...PLAIN, isMute: true }] } },
+    'gossip of a machine with only the flag isMute',
+    { kind: 'gossip', payload: { ...MINIMAL_GOSSIP, machines: [{ ...MACHINE_WITHOUT_FLAGS, isMute: true }] } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610006e0c50800000000000029400000000000406f400000000000010000046e32000000000000000000000000',
   ],
   [
-    'gossip of a machine that is only spot',
-    { kind: 'gossip', payload: { ...QUIET, machines: [{ ...PLAIN, isSpot: true }] } },
+    'gossip of a machine with only the flag isSpot',
+    { kind: 'gossip', payload: { ...MINIMAL_GOSSIP, machines: [{ ...MACHINE_WITHOUT_FLAGS, isSpot: true }] } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d062200000210692d303030303031011a692d3030303030313a393030300463380c7a6f6e652d610106e0c50800000000000029400000000000406f400000000000000000046e32000000000000000000000000',
   ],
   [
     'gossip with only the flag isWithoutStore',
-    { kind: 'gossip', payload: { ...QUIET, machines: [], isWithoutStore: true } },
+    { kind: 'gossip', payload: { ...MINIMAL_GOSSIP, machines: [], isWithoutStore: true } },
     '02046e3000000000004ced400000000000d06240010000000000c9ed400000540096c5f88cd58d06220000000000000000000000000000',
   ],
   [
     'gossip with only the flag isLoaded',
-    { kind: 'gossip', payload: { ...QUIET, machines: [], isLoaded: true } },
+    { kind: 'gossip', payload: { ...MINIMAL_GOSSIP, machines: [], isLoaded: true } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400001540096c5f88cd58d06220000000000000000000000000000',
   ],
   [
     'gossip with only the flag isSnapshot',
-    { kind: 'gossip', payload: { ...QUIET, machines: [], isSnapshot: true } },
+    { kind: 'gossip', payload: { ...MINIMAL_GOSSIP, machines: [], isSnapshot: true } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d06220100000000000000000000000000',
   ],
   [
     'gossip with only the flag wantsSnapshot',
-    { kind: 'gossip', payload: { ...QUIET, machines: [], wantsSnapshot: true } },
+    { kind: 'gossip', payload: { ...MINIMAL_GOSSIP, machines: [], wantsSnapshot: true } },
     '02046e3000000000004ced400000000000d06240000000000000c9ed400000540096c5f88cd58d06220001000000000000000000000000',
   ],
   [
@@ -225,7 +225,7 @@
     'ff02046e3196c5f88cd58d060000000010c9ed40d0e6c3b5c69c0d9a0100',
   ],
   [
-    'snapshot batch of the standby stream, with every kind of entry',
+    'snapshot batch of the standby stream with every kind of entry',
     {
       kind: 'standby_stream',
       payload: {
@@ -272,9 +272,9 @@
   ],
 ];
 
-describe('message codec, for each kind of message', () => {
+describe('message codec with pinned bytes for each kind of message', () => {
   for (const [name, message, hex] of ENCODED) {
-    it(`encodes and decodes the pinned bytes: ${name}`, () => {
+    it(`encodes to and decodes from the pinned bytes: ${name}`, () => {
       assert.equal(encodeMessage(message).toString('hex'), hex);
       const decoded = decodeMessage(Buffer.from(hex, 'hex'));
       assert.deepEqual(JSON.parse(JSON.stringify(decoded)), message);
--- a/test/gossip/message-encoding.test.ts
+++ b/test/gossip/message-encoding.test.ts
@@ -47,7 +47,7 @@
   terminatedMachines: ['i-3'],
 };
 
-/** Controllers of two versions run side by side during a deployment: renaming a field must not change a byte. */
+/** Controllers of two versions run side by side during a deployment, so renaming a field must not change the encoding. */
 const ENCODED: [name: string, message: Message, hex: string][] = [
   [
     'gossip',
@@ -102,9 +102,9 @@
   ],
 ];
 
-describe('message codec', () => {
+describe('message codec with pinned bytes for small messages', () => {
   for (const [name, message, hex] of ENCODED) {
-    it(`keeps the encoding: ${name}`, () => {
+    it(`encodes to and decodes from the pinned bytes: ${name}`, () => {
       assert.equal(encodeMessage(message).toString('hex'), hex);
       assert.deepEqual(JSON.parse(JSON.stringify(decodeMessage(Buffer.from(hex, 'hex')))), message);
     });
