--- a/src/api/api-server.ts
+++ b/src/api/api-server.ts
@@ -1,4 +1,4 @@
-/** The HTTP side of a node: users, workers and health checks on one address. */
+/** The HTTP server of a node, which serves users, workers and health checks on one address. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { Duplex } from 'node:stream';
 
@@ -13,14 +13,14 @@
 const BUSY: HttpAnswer = { status: 429, body: { error: 'busy' }, retryAfter: RETRY_AFTER_S };
 const NOT_JSON: HttpAnswer = { status: 400, body: { error: 'not JSON' } };
 const TOO_LARGE: HttpAnswer = { status: 400, body: { error: 'body over 64 KiB' } };
-const FAILED: HttpAnswer = { status: 503, body: { error: 'internal' }, retryAfter: RETRY_AFTER_S };
+const INTERNAL_ERROR: HttpAnswer = { status: 503, body: { error: 'internal' }, retryAfter: RETRY_AFTER_S };
 
-/** Routes requests to their handlers. Users' requests are bounded in number, so that memory stays bounded. */
+/** Routes requests to their handlers. Limits the number of open users' requests, so that memory use is bounded. */
 export class ApiServer {
   private readonly server: Server;
   private readonly routes: Routes;
   /** Users' requests that are being read or handled. */
-  private openRequests = 0;
+  private openUserRequests = 0;
 
   constructor(
     handlers: Handlers,
@@ -32,7 +32,7 @@
       { requestTimeout: REQUEST_TIMEOUT_MS, headersTimeout: REQUEST_TIMEOUT_MS },
       (request, response) => this.serve(request, response),
     );
-    // One inactivity timer for each connection, in place of one that is set and cleared at each request.
+    // Uses one inactivity timer for each connection, instead of one that is set and cleared at each request.
     this.server.keepAliveTimeout = 0;
     this.server.timeout = KEEP_ALIVE_MS;
     this.server.maxConnections = maxSockets;
@@ -42,7 +42,7 @@
     });
   }
 
-  /** Resolves once the server listens. The signal closes it and all its connections. */
+  /** Resolves once the server listens. Aborting the signal closes the server and all its connections. */
   listen(host: string, port: number, signal: AbortSignal): Promise<void> {
     return new Promise((resolve, reject) => {
       this.server.once('error', reject);
@@ -54,7 +54,7 @@
     });
   }
 
-  /** Serves a connection that did not come in by the listening socket. */
+  /** Serves a connection that did not arrive through the listening socket. */
   accept(connection: Duplex): void {
     this.server.emit('connection', connection);
   }
@@ -70,8 +70,8 @@
       sendWithoutReading(request, response, refusal);
       return;
     }
-    const release = route.isBounded ? this.countOpen(request) : undefined;
-    if (!route.takesBody) {
+    const release = route.isConcurrencyLimited ? this.trackOpenRequest(request) : undefined;
+    if (!route.readsBody) {
       request.resume();
       this.handle(route, undefined, response, release);
       return;
@@ -89,15 +89,15 @@
 
   private refusalFor(route: Route, method: string | undefined): HttpAnswer | undefined {
     if (route.method !== method) return WRONG_METHOD;
-    return route.isBounded && this.openRequests >= MAX_OPEN_REQUESTS ? BUSY : undefined;
+    return route.isConcurrencyLimited && this.openUserRequests >= MAX_OPEN_REQUESTS ? BUSY : undefined;
   }
 
-  /** Counts a request as open until it is released, or its sender disconnects before it has been read. */
-  private countOpen(request: IncomingMessage): () => void {
+  /** Counts a request as open until the returned function is called, or its sender disconnects before it has been read. */
+  private trackOpenRequest(request: IncomingMessage): () => void {
     let isOpen = true;
-    this.openRequests++;
+    this.openUserRequests++;
     const release = () => {
-      if (isOpen) this.openRequests--;
+      if (isOpen) this.openUserRequests--;
       isOpen = false;
     };
     request.on('close', () => {
@@ -128,17 +128,17 @@
 
   private logFailure(error: unknown): HttpAnswer {
     this.log.error({ error: (error as Error).stack ?? String(error) }, 'request failed');
-    return FAILED;
+    return INTERNAL_ERROR;
   }
 }
 
-/** Answers without reading the body. */
-function sendWithoutReading(request: IncomingMessage, response: ServerResponse, refusal: HttpAnswer): void {
+/** Responds without reading the body. */
+function sendWithoutReading(request: IncomingMessage, response: ServerResponse, answer: HttpAnswer): void {
   request.resume();
-  send(response, refusal);
+  send(response, answer);
 }
 
-/** `onSent`: the connection is to be closed after this answer; called when the answer has been handed to the socket. */
+/** `onSent`: called when the response has been handed to the socket; if given, the connection is closed afterwards. */
 function send(response: ServerResponse, answer: HttpAnswer, onSent?: () => void): void {
   const body = JSON.stringify(answer.body);
   const { status } = answer;
@@ -146,7 +146,7 @@
   if (status === 405) headers.push('Allow', 'GET, POST');
   if (status === 429 || status === 503) headers.push('Retry-After', String(answer.retryAfter ?? RETRY_AFTER_S));
   if (onSent !== undefined) headers.push('Connection', 'close');
-  // No client reads the date, and Node.js keeps it up to date with a timer.
+  // No client reads the Date header, and Node.js updates its value with a timer.
   response.sendDate = false;
   response.writeHead(status, headers);
   if (onSent === undefined) response.end(body);
--- a/src/api/job-acceptance.ts
+++ b/src/api/job-acceptance.ts
@@ -1,4 +1,4 @@
-/** Records an admitted job in the store, once however often it is submitted. */
+/** Records an admitted job in the store exactly once, however often it is submitted. */
 import { SUBMIT_DEADLINE_MS } from '../constants/api.js';
 import type { JobSpec } from '../domain/job.js';
 import type { Settings } from '../domain/settings.js';
@@ -13,7 +13,7 @@
 import type { TransactionDraft } from '../store/transaction-draft.js';
 import { tasksPerChunkFor } from './record-size-check.js';
 
-/** What acceptance needs of the other parts. */
+/** What acceptance needs from the other parts. */
 export interface JobAcceptanceDependencies {
   settings: Settings;
   transactions: TransactionBatcher;
@@ -22,13 +22,13 @@
   log: Log;
 }
 
-/** What became of an attempt to accept a job. */
+/** The result of an attempt to accept a job. */
 export type AcceptanceOutcome =
-  /** The job is recorded; it may be cancelled from the start, with a job that it depends on. */
+  /** The job is recorded; it is `cancelled` from the start if a job that it depends on is cancelled. */
   | { kind: 'accepted'; state: JobRecord['state'] }
   /** The store has a record of the job: it was submitted before. */
   | { kind: 'known' }
-  /** Not recorded in time, or it is not known whether. */
+  /** The job was not recorded in time, or it is unknown whether it was. */
   | { kind: 'unavailable' };
 
 /** Writes the first record of a job. */
@@ -39,7 +39,7 @@
     this.tasksPerChunk = tasksPerChunkFor(dependencies.settings.cluster.store.lasting.valueBytes);
   }
 
-  /** Gives up after the deadline of a submission. */
+  /** Gives up after the deadline for submissions. */
   async accept(spec: JobSpec, dependencies: readonly string[]): Promise<AcceptanceOutcome> {
     let state: JobRecord['state'] = 'active';
     const decide = (draft: TransactionDraft): boolean => {
@@ -58,14 +58,14 @@
   }
 
   /**
-   * What is known of its dependencies needs no condition: that one is done or cancelled is final, and while one is open the
-   * job waits, which is evaluated again as soon as its record is seen.
+   * The states of the dependencies need no conditions: `done` and `cancelled` are final, and while one is open the job is
+   * recorded as waiting, and is evaluated again as soon as its record is seen.
    */
   private writeRecord(draft: TransactionDraft, spec: JobSpec, dependencies: readonly string[]): JobRecord['state'] {
     const { states, clock } = this.dependencies;
     const submittedAtMs = Math.round(clock.wall());
     const job: JobRecord = { spec, state: 'active', submittedAtMs, tasksPerChunk: this.tasksPerChunk };
-    if (dependencies.length > 0 && states.ancestryOf(dependencies).isCancelled) {
+    if (dependencies.length > 0 && states.transitiveDependenciesOf(dependencies).isAnyCancelled) {
       draft.set(finalJobKey(spec.id), encodeFinalJobRecord({ state: 'cancelled', taskCount: spec.taskCount }));
       return 'cancelled';
     }
--- a/src/api/job-admission.ts
+++ b/src/api/job-admission.ts
@@ -11,17 +11,17 @@
 import type { Replica } from '../store/replica.js';
 import type { TransactionBatcher } from '../store/transaction-batcher.js';
 import type { TransactionLimits } from '../store/transaction-draft.js';
-import { rejectForever, retryLater, storeUnavailable } from './job-answers.js';
+import { rejectPermanently, retryLater, storeUnavailable } from './job-answers.js';
 import type { JobLookup } from './job-lookup.js';
-import { whyTooLarge } from './record-size-check.js';
-import { whyNeverRunnable } from './runnable-check.js';
+import { checkRecordSize } from './record-size-check.js';
+import { checkRunnable } from './runnable-check.js';
 
 /** The cloud's machine types, as far as they are known. */
 export interface MachineTypeCatalog {
   readonly catalog: ReadonlyMap<string, MachineType>;
 }
 
-/** What admission needs of the other parts. */
+/** What admission needs from the other parts. */
 export interface JobAdmissionDependencies {
   settings: Settings;
   replica: Replica;
@@ -35,18 +35,18 @@
 
 /** Why a submission is not admitted. */
 export type Rejection =
-  /** The node can't take any submission now, so that it does not look up the job either. */
+  /** The node can't accept any submission now, and does not look up the job either. */
   | { kind: 'node_unavailable'; answer: HttpAnswer }
-  /** The submission is not taken, unless the job is already known: then its status is told. */
+  /** The submission is rejected unless the job is already known; then the response is the job's status. */
   | { kind: 'rejected'; answer: HttpAnswer };
 
 const nodeUnavailable = (answer: HttpAnswer): Rejection => ({ kind: 'node_unavailable', answer });
 const rejected = (answer: HttpAnswer): Rejection => ({ kind: 'rejected', answer });
 
-/** Checks the state of the node first, then the job by itself, then the jobs that it depends on. */
+/** Checks the state of the node, then the job by itself, then the write backlog, then the jobs that it depends on. */
 export class JobAdmission {
   private readonly teams: ReadonlyMap<string, Team>;
-  /** Bytes of a record at most, also after an announced change of the store's limits. */
+  /** Maximum size of a record in bytes, also after an announced change of the store's limits. */
   private readonly maxRecordBytes: number;
 
   constructor(private readonly dependencies: JobAdmissionDependencies) {
@@ -55,7 +55,7 @@
     this.maxRecordBytes = store.lasting.valueBytes;
   }
 
-  /** undefined: admitted. */
+  /** Returns undefined if the submission is admitted. */
   async check(spec: JobSpec, dependencies: readonly string[]): Promise<Rejection | undefined> {
     return (
       this.checkReadiness() ??
@@ -76,12 +76,12 @@
   private checkJob(spec: JobSpec, dependencies: readonly string[]): Rejection | undefined {
     const { inventory, limits } = this.dependencies;
     const reason =
-      whyNeverRunnable(spec, this.teams.get(spec.team), inventory.catalog.values()) ??
-      whyTooLarge(spec, dependencies, { transaction: limits, maxRecordBytes: this.maxRecordBytes });
-    return reason === undefined ? undefined : rejected(rejectForever(reason));
+      checkRunnable(spec, this.teams.get(spec.team), inventory.catalog.values()) ??
+      checkRecordSize(spec, dependencies, { transaction: limits, maxRecordBytes: this.maxRecordBytes });
+    return reason === undefined ? undefined : rejected(rejectPermanently(reason));
   }
 
-  /** Over the store's write budget: told at once, with the time until the writes queued before this one are through. */
+  /** Rejects at once if the writes queued ahead of this one take over 1 s; `Retry-After` is the time that they take. */
   private checkBacklog(): Rejection | undefined {
     const { settings, transactions } = this.dependencies;
     const backlogS = transactions.backlog(Priority.accept) / settings.cluster.store.present.writesPerSecond;
@@ -90,18 +90,20 @@
     return nodeUnavailable({ status: 429, body: { error: 'busy' }, retryAfter });
   }
 
-  /** Dependencies must have been accepted, by whichever node, and must be able to end. */
+  /** Each dependency must have been accepted by some node, and must not be a service, which never ends. */
   private async checkDependencies(spec: JobSpec, dependencies: readonly string[]): Promise<Rejection | undefined> {
     const { lookup, states, clusterState } = this.dependencies;
-    if (dependencies.includes(spec.id)) return rejected(rejectForever('a job can not wait for itself'));
-    const unknown = dependencies.filter((each) => states.stateOf(each) === 'unknown');
-    const results = await Promise.all(unknown.map((each) => lookup.findUnbatched(each)));
+    if (dependencies.includes(spec.id)) return rejected(rejectPermanently('a job can not wait for itself'));
+    const unknown = dependencies.filter((dependency) => states.stateOf(dependency) === 'unknown');
+    const results = await Promise.all(unknown.map((dependency) => lookup.findUnbatched(dependency)));
     const missing = unknown.find((_, index) => results[index]!.kind === 'not_found');
-    if (missing !== undefined) return rejected(rejectForever(`${missing} was never accepted`));
-    const isUndecided = results.some(({ kind }) => kind === 'unavailable') || !lookup.knowsCancellations;
-    if (isUndecided) return rejected(storeUnavailable());
-    const service = dependencies.find((each) => clusterState.jobs.get(each)?.record.spec.kind === 'service');
-    if (service !== undefined) return rejected(rejectForever(`${service} is a service, which never ends`));
+    if (missing !== undefined) return rejected(rejectPermanently(`${missing} was never accepted`));
+    const isUnconfirmed = results.some(({ kind }) => kind === 'unavailable') || !lookup.hasCurrentCancellations;
+    if (isUnconfirmed) return rejected(storeUnavailable());
+    const service = dependencies.find(
+      (dependency) => clusterState.jobs.get(dependency)?.record.spec.kind === 'service',
+    );
+    if (service !== undefined) return rejected(rejectPermanently(`${service} is a service, which never ends`));
     return undefined;
   }
 }
--- a/src/api/job-answers.ts
+++ b/src/api/job-answers.ts
@@ -1,25 +1,25 @@
-/** The answers to users that several requests about jobs share. */
+/** Responses that several kinds of users' requests about jobs share. */
 import { RETRY_AFTER_S } from '../constants/api.js';
 import type { HttpAnswer } from '../net/http-answer.js';
 import { encodeJobState, encodeJobStatus, type JobStatus } from './job-wire-codec.js';
 
-/** A request that may succeed later. */
+/** The response to a request that may succeed later. */
 export const retryLater = (error: string): HttpAnswer => ({ status: 503, body: { error }, retryAfter: RETRY_AFTER_S });
 
-/** A submission that can never succeed. */
-export const rejectForever = (error: string): HttpAnswer => ({ status: 422, body: { error } });
+/** The response to a submission that can never succeed. */
+export const rejectPermanently = (error: string): HttpAnswer => ({ status: 422, body: { error } });
 
-/** The store does not respond, so that nothing certain can be told or recorded. */
+/** The response while the store is unavailable, so that nothing can be confirmed or recorded. */
 export const storeUnavailable = (): HttpAnswer => retryLater('the state service does not answer');
 
-/** There never was such a job. */
+/** The response if no job with this id was ever accepted. */
 export const noSuchJob = (): HttpAnswer => ({ status: 404, body: { error: 'no such job' } });
 
-/** A known job with its status. */
-export const statusAnswer = (status: JobStatus): HttpAnswer => ({ status: 200, body: encodeJobStatus(status) });
+/** The status of a known job. */
+export const statusResponse = (status: JobStatus): HttpAnswer => ({ status: 200, body: encodeJobStatus(status) });
 
-/** A known job with its state alone: the answer to a cancellation. */
-export const stateAnswer = (job: Pick<JobStatus, 'jobId' | 'state'>): HttpAnswer => ({
+/** Only the state of a known job: the response to a cancellation. */
+export const stateResponse = (job: Pick<JobStatus, 'jobId' | 'state'>): HttpAnswer => ({
   status: 200,
   body: encodeJobState(job),
 });
--- a/src/api/job-cancellation.ts
+++ b/src/api/job-cancellation.ts
@@ -10,7 +10,7 @@
 import type { JobLookup } from './job-lookup.js';
 import type { JobStatus } from './job-wire-codec.js';
 
-/** What cancellation needs of the other parts. */
+/** What cancellation needs from the other parts. */
 export interface JobCancellationDependencies {
   lookup: JobLookup;
   clock: Clock;
@@ -18,19 +18,19 @@
   log: Log;
 }
 
-/** What became of an attempt to cancel a job. */
+/** The result of an attempt to cancel a job. */
 export type CancellationOutcome =
-  /** The job's state is final, or will be: cancelled now or before, or done. */
+  /** The job's state is final or will become final: done, or cancelled by this or an earlier request. */
   | { kind: 'ended'; job: Pick<JobStatus, 'jobId' | 'state'> }
   | { kind: 'not_found' }
-  /** Not recorded in time, or it is not known whether. */
+  /** The cancellation was not recorded in time, or it is unknown whether it was. */
   | { kind: 'unavailable' };
 
-/** Cancels jobs; idempotent, since a job that has ended stays as it is. */
+/** Cancels jobs. Idempotent, since a job that has ended is not changed. */
 export class JobCancellation {
   constructor(private readonly dependencies: JobCancellationDependencies) {}
 
-  /** Gives up after the deadline of a submission. */
+  /** Gives up after the deadline for submissions. */
   async cancel(jobId: string): Promise<CancellationOutcome> {
     const { lookup, clock, transactions, log } = this.dependencies;
     const final = lookup.finalStatus(jobId);
@@ -47,7 +47,7 @@
         return { kind: 'ended', job: { jobId, state: 'cancelled' } };
       }
       if (outcome.kind !== 'void') break;
-      // This node's replica has no such active job; the store may know better.
+      // This node's replica holds no such active job, but it may lag behind the store.
       const result = await lookup.find(jobId);
       if (result.kind !== 'found') return result;
       if (isEnded(result.status)) return { kind: 'ended', job: result.status };
@@ -58,7 +58,7 @@
 
 const isEnded = ({ state }: JobStatus): boolean => state === 'cancelled' || state === 'done';
 
-/** False: there is no live record of the job, or it is cancelled already. */
+/** Returns false if there is no live record of the job, or if the job is already cancelled. */
 function writeCancellation(draft: TransactionDraft, jobId: string): boolean {
   const value = draft.get(jobKey(jobId));
   if (value === undefined || decodeJobRecord(value).state === 'cancelled') return false;
--- a/src/api/job-lookup.ts
+++ b/src/api/job-lookup.ts
@@ -1,4 +1,4 @@
-/** Looks up the status of jobs: final states from memory, the others as recent as the store's own. */
+/** Looks up the status of jobs: final states are taken from memory, all others are confirmed by the store. */
 import { POLL_COMPARISONS, POLL_DEADLINE_MS, POLL_GATHER_MS } from '../constants/api.js';
 import { REPLICA_FRESH_MS } from '../constants/leadership.js';
 import { QUEUED_FRESH_SHARE } from '../constants/records.js';
@@ -13,14 +13,14 @@
 import type { Condition } from '../store/store-wire-codec.js';
 import type { TransactionBatcher } from '../store/transaction-batcher.js';
 import type { TransactionLimits } from '../store/transaction-draft.js';
-import { JOB_ID, type JobStatus } from './job-wire-codec.js';
+import { JOB_ID_PATTERN, type JobStatus } from './job-wire-codec.js';
 
-/** What a lookup has found out. */
+/** The result of a lookup. */
 export type LookupResult =
   | { kind: 'found'; status: JobStatus }
-  /** The store has just confirmed that there never was such a job. */
+  /** The store has just confirmed that there never was such a job, or the id is malformed. */
   | { kind: 'not_found' }
-  /** It can't be told now: the store does not respond in time, or this node lacks something that the status depends on. */
+  /** The status is uncertain now: the store does not respond in time, or this node lacks a record that it depends on. */
   | { kind: 'unavailable' };
 
 const NOT_FOUND: LookupResult = { kind: 'not_found' };
@@ -30,12 +30,12 @@
 
 interface PendingLookup {
   jobId: string;
-  /** Steady ms. */
+  /** Monotonic ms. */
   deadlineMs: number;
   resolve: (result: LookupResult) => void;
 }
 
-/** What lookups need of the other parts. */
+/** What lookups need from the other parts. */
 export interface JobLookupDependencies {
   client: StoreClient;
   replica: Replica;
@@ -44,107 +44,112 @@
   states: DependencyStates;
   limits: TransactionLimits;
   clock: Clock;
-  /** Time within which a cancellation must have taken effect. */
+  /** ms within which a cancellation must have taken effect. */
   cancelDeadlineMs: number;
 }
 
 /**
- * What is told of a job is confirmed by the store: a transaction without operations compares the records that this node has
- * with the store's own. Lookups of a moment share one comparison.
+ * Reports the status of a job only once the store has confirmed it: a transaction without writes compares this node's records
+ * with the store's. Lookups that arrive at about the same time share one comparison.
  */
 export class JobLookup {
   private pending: PendingLookup[] = [];
-  private isBatchScheduled = false;
+  private isResolutionScheduled = false;
 
   constructor(private readonly dependencies: JobLookupDependencies) {}
 
-  /** Known without a request: the store has refused this node, or not responded, for a while, and has not responded since. */
+  /** Known without a request: the store has refused or not answered this node for a while, and has not answered since. */
   get isStoreUnavailable(): boolean {
     const { client, replica, clock } = this.dependencies;
     return client.lastRefusedAt > client.lastAnsweredAt && clock.now() - replica.freshAt > REPLICA_FRESH_MS;
   }
 
-  /** Does the replica hold each cancellation that must by now have reached the jobs that depend on the cancelled one? */
-  get knowsCancellations(): boolean {
+  /** Whether the replica holds every cancellation that must by now have taken effect on the dependents of the cancelled job. */
+  get hasCurrentCancellations(): boolean {
     const { replica, clock, cancelDeadlineMs } = this.dependencies;
     return clock.now() - replica.freshAt < cancelDeadlineMs * QUEUED_FRESH_SHARE;
   }
 
-  /** A final status from memory, if this node knows it: it never changes. */
+  /** The final status of the job, which never changes, if this node has it in memory. */
   finalStatus(jobId: string): JobStatus | undefined {
     const row = this.dependencies.transactions.read(finalJobKey(jobId));
     if (row.value === undefined) return undefined;
-    const ended = decodeFinalJobRecord(row.value);
-    return { jobId, state: ended.state, done: ended.state === 'done' ? ended.taskCount : 0, running: 0 };
+    const finalRecord = decodeFinalJobRecord(row.value);
+    return {
+      jobId,
+      state: finalRecord.state,
+      done: finalRecord.state === 'done' ? finalRecord.taskCount : 0,
+      running: 0,
+    };
   }
 
-  /** The status as recent as the store's own; lookups of a moment are resolved by one comparison. */
+  /** The status as confirmed by the store; waits briefly to share one comparison with other lookups. */
   find(jobId: string): Promise<LookupResult> {
     return this.startUnlessFinal(jobId, (lookup) => {
       this.pending.push(lookup);
-      void this.resolveNextBatch();
+      void this.resolvePendingAfterDelay();
     });
   }
 
-  /** The same for a caller who can't wait for others' lookups. */
+  /** Like `find`, but without waiting for other lookups. */
   findUnbatched(jobId: string): Promise<LookupResult> {
-    return this.startUnlessFinal(jobId, (lookup) => void this.resolve([lookup]));
+    return this.startUnlessFinal(jobId, (lookup) => void this.resolveBatch([lookup]));
   }
 
-  private startUnlessFinal(jobId: string, start: (lookup: PendingLookup) => void): Promise<LookupResult> {
+  private startUnlessFinal(jobId: string, startLookup: (lookup: PendingLookup) => void): Promise<LookupResult> {
     const final = this.finalStatus(jobId);
     if (final !== undefined) return Promise.resolve(foundJob(final));
-    if (!JOB_ID.test(jobId)) return Promise.resolve(NOT_FOUND);
+    if (!JOB_ID_PATTERN.test(jobId)) return Promise.resolve(NOT_FOUND);
     if (this.isStoreUnavailable) return Promise.resolve(UNAVAILABLE);
     const deadlineMs = this.dependencies.clock.now() + POLL_DEADLINE_MS;
-    return new Promise((resolve) => start({ jobId, deadlineMs, resolve }));
+    return new Promise((resolve) => startLookup({ jobId, deadlineMs, resolve }));
   }
 
-  private async resolveNextBatch(): Promise<void> {
-    if (this.isBatchScheduled) return;
-    this.isBatchScheduled = true;
+  private async resolvePendingAfterDelay(): Promise<void> {
+    if (this.isResolutionScheduled) return;
+    this.isResolutionScheduled = true;
     await this.dependencies.clock.sleep(POLL_GATHER_MS);
-    this.isBatchScheduled = false;
+    this.isResolutionScheduled = false;
     const maxLookups = Math.floor(this.dependencies.limits.conditions / 2);
-    while (this.pending.length > 0) void this.resolve(this.pending.splice(0, maxLookups));
+    while (this.pending.length > 0) void this.resolveBatch(this.pending.splice(0, maxLookups));
   }
 
-  private async resolve(batch: readonly PendingLookup[]): Promise<void> {
+  private async resolveBatch(batch: readonly PendingLookup[]): Promise<void> {
     const { client, clock, states } = this.dependencies;
-    let open = batch;
-    for (let round = 0; round < POLL_COMPARISONS && open.length > 0; round++) {
-      await states.learn(open.flatMap(({ jobId }) => this.unresolvedAncestors(jobId)));
+    let unresolved = batch;
+    for (let attempt = 0; attempt < POLL_COMPARISONS && unresolved.length > 0; attempt++) {
+      await states.loadFinalStates(unresolved.flatMap(({ jobId }) => this.dependenciesInUnknownState(jobId)));
       const nowMs = clock.now();
-      for (const each of open) if (nowMs > each.deadlineMs) each.resolve(UNAVAILABLE);
-      open = open.filter((each) => nowMs <= each.deadlineMs);
-      // The results are taken before the comparison: what it confirms is what is told.
-      const results = new Map(open.map(({ jobId }) => [jobId, this.currentResult(jobId)]));
-      const result = await client.transact(this.conditionsFor(open), [], Priority.record);
+      for (const lookup of unresolved) if (nowMs > lookup.deadlineMs) lookup.resolve(UNAVAILABLE);
+      unresolved = unresolved.filter((lookup) => nowMs <= lookup.deadlineMs);
+      // The results are determined before the comparison, so that it confirms exactly what is reported.
+      const results = new Map(unresolved.map(({ jobId }) => [jobId, this.unconfirmedResult(jobId)]));
+      const result = await client.transact(this.conditionsFor(unresolved), [], Priority.record);
       if (result.kind === 'done') {
-        for (const each of open) each.resolve(results.get(each.jobId)!);
+        for (const lookup of unresolved) lookup.resolve(results.get(lookup.jobId)!);
         return;
       }
       if (result.kind !== 'conflict') break;
       await Promise.all(result.failed.map((key) => this.refreshRecord(key)));
     }
-    for (const each of open) each.resolve(UNAVAILABLE);
+    for (const lookup of unresolved) lookup.resolve(UNAVAILABLE);
   }
 
-  /** Conditions that each job's records, live and final, are as this node has them. */
+  /** Conditions that the live and final records of each job are the same in the store as on this node. */
   private conditionsFor(lookups: readonly PendingLookup[]): Condition[] {
     const { transactions } = this.dependencies;
     const keys = new Set(lookups.flatMap(({ jobId }) => [jobKey(jobId), finalJobKey(jobId)]));
     return [...keys].map((key) => ({ key, modRevision: transactions.read(key).modRevision }));
   }
 
-  /** Direct and indirect dependencies of a job of which it is not known how they have ended. */
-  private unresolvedAncestors(jobId: string): string[] {
+  /** The direct and indirect dependencies of a job that are in state `unknown`. */
+  private dependenciesInUnknownState(jobId: string): string[] {
     const { clusterState, states } = this.dependencies;
-    return states.ancestryOf(clusterState.dependencies.dependenciesOf(jobId)).unknown;
+    return states.transitiveDependenciesOf(clusterState.dependencies.dependenciesOf(jobId)).unknown;
   }
 
-  /** What this node has, as yet unconfirmed. */
-  private currentResult(jobId: string): LookupResult {
+  /** The result according to this node's records, before the store has confirmed them. */
+  private unconfirmedResult(jobId: string): LookupResult {
     const final = this.finalStatus(jobId);
     return final === undefined ? this.liveResult(jobId) : foundJob(final);
   }
@@ -152,7 +157,7 @@
   private liveResult(jobId: string): LookupResult {
     const { clusterState, replica } = this.dependencies;
     const view = clusterState.jobs.get(jobId);
-    // A record that can't be read is no reason to call an accepted job unknown.
+    // A live record that can't be decoded still proves that the job was accepted.
     if (view === undefined) return replica.get(jobKey(jobId)).value === undefined ? NOT_FOUND : UNAVAILABLE;
     const { done, placed: running } = view;
     if (view.record.state === 'waiting') return this.waitingResult(view);
@@ -160,16 +165,18 @@
     return foundJob({ jobId, state: running > 0 ? 'running' : 'queued', done, running });
   }
 
-  /** A waiting job is cancelled with any job that it depends on, from when that one's cancellation is known. */
+  /** A waiting job counts as cancelled as soon as this node knows that any job it depends on is cancelled. */
   private waitingResult({ jobId }: JobView): LookupResult {
     const { clusterState, states } = this.dependencies;
-    const { isCancelled, unknown } = states.ancestryOf(clusterState.dependencies.dependenciesOf(jobId));
-    if (isCancelled) return foundJob({ jobId, state: 'cancelled', done: 0, running: 0 });
-    if (unknown.length > 0 || !this.knowsCancellations) return UNAVAILABLE;
+    const { isAnyCancelled, unknown } = states.transitiveDependenciesOf(
+      clusterState.dependencies.dependenciesOf(jobId),
+    );
+    if (isAnyCancelled) return foundJob({ jobId, state: 'cancelled', done: 0, running: 0 });
+    if (unknown.length > 0 || !this.hasCurrentCancellations) return UNAVAILABLE;
     return foundJob({ jobId, state: 'queued', done: 0, running: 0 });
   }
 
-  /** Reads a record that differs from the store's own. */
+  /** Reads a record again that differs from the store's. */
   private async refreshRecord(key: string): Promise<void> {
     const { client, transactions, replica } = this.dependencies;
     try {
@@ -178,7 +185,7 @@
       else if (row.value !== undefined) replica.apply({ key, ...row });
       else if (row.revision !== undefined) replica.apply({ key, value: undefined, modRevision: row.revision });
     } catch {
-      // The next comparison fails again, and the user is told to retry.
+      // The next comparison fails again, and the response tells the user to retry.
     }
   }
 }
--- a/src/api/job-service.ts
+++ b/src/api/job-service.ts
@@ -1,16 +1,16 @@
-/** Users' requests about jobs, each answered in the wire form: submission, status, cancellation. */
+/** Handles users' requests about jobs (submission, status, cancellation) and encodes the responses. */
 import type { JobSpec } from '../domain/job.js';
 import type { HttpAnswer } from '../net/http-answer.js';
 import { JobAcceptance, type JobAcceptanceDependencies } from './job-acceptance.js';
 import { JobAdmission, type JobAdmissionDependencies } from './job-admission.js';
-import { noSuchJob, stateAnswer, statusAnswer, storeUnavailable } from './job-answers.js';
+import { noSuchJob, stateResponse, statusResponse, storeUnavailable } from './job-answers.js';
 import { JobCancellation, type JobCancellationDependencies } from './job-cancellation.js';
 import { encodeJobState, type ParsedSubmission, parseSubmission } from './job-wire-codec.js';
 
-/** What the parts of the service need together. */
+/** The combined dependencies of the service's parts. */
 export type JobServiceDependencies = JobAdmissionDependencies & JobAcceptanceDependencies & JobCancellationDependencies;
 
-/** A job that was once accepted is known for ever: whatever else is wrong with a repeated submission, it gets the status. */
+/** An accepted job is known for ever: a repeated submission gets its status, whatever else is wrong with the submission. */
 export class JobService {
   private readonly admission: JobAdmission;
   private readonly acceptance: JobAcceptance;
@@ -22,16 +22,16 @@
     this.cancellation = new JobCancellation(dependencies);
   }
 
-  /** 201 for a new job, 200 for one that is known, else why not; idempotent. */
+  /** 201 for a new job, 200 for a known one, otherwise the reason for the rejection. Idempotent. */
   async submit(body: unknown): Promise<HttpAnswer> {
     const parsed = parseSubmission(body);
-    if (!parsed.ok) return this.answerMalformed(parsed);
+    if (!parsed.ok) return this.rejectMalformed(parsed);
     const { spec, dependencies } = parsed;
-    const known = this.dependencies.lookup.finalStatus(spec.id);
-    if (known !== undefined) return statusAnswer(known);
+    const finalStatus = this.dependencies.lookup.finalStatus(spec.id);
+    if (finalStatus !== undefined) return statusResponse(finalStatus);
     const rejection = await this.admission.check(spec, dependencies);
     if (rejection?.kind === 'node_unavailable') return rejection.answer;
-    if (rejection?.kind === 'rejected') return this.statusOr(spec.id, rejection.answer);
+    if (rejection?.kind === 'rejected') return this.statusOrElse(spec.id, rejection.answer);
     return this.accept(spec, dependencies);
   }
 
@@ -43,7 +43,7 @@
         return { status: 201, body: encodeJobState({ jobId: spec.id, state }) };
       }
       case 'known':
-        return this.statusOr(spec.id, storeUnavailable());
+        return this.statusOrElse(spec.id, storeUnavailable());
       case 'unavailable':
         return storeUnavailable();
     }
@@ -51,15 +51,15 @@
 
   /** The status of a job. */
   async poll(jobId: string): Promise<HttpAnswer> {
-    return this.statusOr(jobId, noSuchJob());
+    return this.statusOrElse(jobId, noSuchJob());
   }
 
-  /** 200 with the state that the job has ended in, or will; idempotent. */
+  /** 200 with the state in which the job has ended or will end. Idempotent. */
   async cancel(jobId: string): Promise<HttpAnswer> {
     const outcome = await this.cancellation.cancel(jobId);
     switch (outcome.kind) {
       case 'ended':
-        return stateAnswer(outcome.job);
+        return stateResponse(outcome.job);
       case 'not_found':
         return noSuchJob();
       case 'unavailable':
@@ -67,22 +67,22 @@
     }
   }
 
-  private answerMalformed({
+  private rejectMalformed({
     error,
     jobId,
   }: Extract<ParsedSubmission, { ok: false }>): Promise<HttpAnswer> | HttpAnswer {
     const malformed: HttpAnswer = { status: 400, body: { error } };
-    return jobId === undefined ? malformed : this.statusOr(jobId, malformed);
+    return jobId === undefined ? malformed : this.statusOrElse(jobId, malformed);
   }
 
-  /** The status of a job that is known, else the other answer. */
-  private async statusOr(jobId: string, otherwise: HttpAnswer): Promise<HttpAnswer> {
+  /** The status of the job if it is known, otherwise `fallback`. */
+  private async statusOrElse(jobId: string, fallback: HttpAnswer): Promise<HttpAnswer> {
     const result = await this.dependencies.lookup.find(jobId);
     switch (result.kind) {
       case 'found':
-        return statusAnswer(result.status);
+        return statusResponse(result.status);
       case 'not_found':
-        return otherwise;
+        return fallback;
       case 'unavailable':
         return storeUnavailable();
     }
--- a/src/api/job-wire-codec.ts
+++ b/src/api/job-wire-codec.ts
@@ -1,57 +1,57 @@
-/** The wire form of what users send and are told about jobs, and its translation. */
+/** The wire format of submissions and job states, and its decoding and encoding. */
 import * as v from 'valibot';
 
 import { JOB_PRIORITIES, type JobSpec } from '../domain/job.js';
 import { decodeJobSpec } from '../records/job-spec-codec.js';
 
-const amount = v.pipe(v.number(), v.finite(), v.minValue(0));
-const positive = v.pipe(v.number(), v.finite(), v.gtValue(0));
-const text = v.pipe(v.string(), v.minLength(1), v.maxLength(200));
-const orNull = <T extends v.GenericSchema>(schema: T) => v.optional(v.nullable(schema), null);
+const nonNegativeNumber = v.pipe(v.number(), v.finite(), v.minValue(0));
+const positiveNumber = v.pipe(v.number(), v.finite(), v.gtValue(0));
+const shortText = v.pipe(v.string(), v.minLength(1), v.maxLength(200));
+const nullish = <T extends v.GenericSchema>(schema: T) => v.optional(v.nullable(schema), null);
 
 const MAX_TASKS = 100_000;
 const MAX_MACHINE_TYPES = 100;
 const MAX_ERROR_CHARACTERS = 300;
 
-/** What a job's id must look like. */
-export const JOB_ID = /^j-[A-Za-z0-9._-]{1,100}$/;
+/** The syntax of job ids. */
+export const JOB_ID_PATTERN = /^j-[A-Za-z0-9._-]{1,100}$/;
 
 /** The order of the fields is the order in which they are stored. */
 const JobSchema = v.object({
-  Ref: v.pipe(v.string(), v.regex(JOB_ID, 'must look like j-000412')),
+  Ref: v.pipe(v.string(), v.regex(JOB_ID_PATTERN, 'must look like j-000412')),
   Jobclass: v.pipe(v.string(), v.maxLength(200)),
-  Owner: text,
+  Owner: shortText,
   Shape: v.picklist(['array', 'ensemble', 'service']),
   Rank: v.picklist(JOB_PRIORITIES),
   Shards: v.pipe(v.number(), v.integer(), v.minValue(1), v.maxValue(MAX_TASKS)),
-  Cpus: positive,
-  Cards: amount,
-  MemGb: amount,
-  Bundle: text,
-  SizeGb: amount,
-  Flavors: orNull(v.pipe(v.array(text), v.maxLength(MAX_MACHINE_TYPES))),
-  Site: orNull(text),
+  Cpus: positiveNumber,
+  Cards: nonNegativeNumber,
+  MemGb: nonNegativeNumber,
+  Bundle: shortText,
+  SizeGb: nonNegativeNumber,
+  Flavors: nullish(v.pipe(v.array(shortText), v.maxLength(MAX_MACHINE_TYPES))),
+  Site: nullish(shortText),
   OneZone: v.boolean(),
   Spread: v.boolean(),
   Reclaimable: v.boolean(),
-  GuessS: amount,
-  SnapshotEveryS: amount,
-  SnapshotS: amount,
-  DueS: orNull(amount),
+  GuessS: nonNegativeNumber,
+  SnapshotEveryS: nonNegativeNumber,
+  SnapshotS: nonNegativeNumber,
+  DueS: nullish(nonNegativeNumber),
 });
 
-/** The jobs that have to be done before; repeated ids count once. */
+/** The jobs that must be done before this one starts; repeated ids count once. */
 const DependenciesSchema = v.object({
-  Awaits: orNull(v.array(v.pipe(v.string(), v.regex(JOB_ID, 'must name jobs')))),
+  Awaits: nullish(v.array(v.pipe(v.string(), v.regex(JOB_ID_PATTERN, 'must name jobs')))),
 });
 
-/** A submission that was read, or what is wrong with it. */
+/** A decoded submission, or the first error in it. */
 export type ParsedSubmission =
   | { ok: true; spec: JobSpec; dependencies: string[] }
-  /** `jobId`: the job that it names, if that is readable: should that job be known, nothing else about the submission matters. */
+  /** `jobId`: the job's id, if that is valid: if the job is already known, the other errors do not matter. */
   | { ok: false; error: string; jobId: string | undefined };
 
-/** Reads a submission; unknown fields are ignored. */
+/** Decodes a submission; unknown fields are ignored. */
 export function parseSubmission(body: unknown): ParsedSubmission {
   if (typeof body !== 'object' || body === null || Array.isArray(body)) {
     return { ok: false, error: 'not an object', jobId: undefined };
@@ -66,15 +66,15 @@
   return {
     ok: false,
     error: `${v.getDotPath(issue) ?? 'body'}: ${issue.message}`.slice(0, MAX_ERROR_CHARACTERS),
-    jobId: typeof id === 'string' && JOB_ID.test(id) ? id : undefined,
+    jobId: typeof id === 'string' && JOB_ID_PATTERN.test(id) ? id : undefined,
   };
 }
 
-/** What a user is told of a job. */
+/** The status of a job as reported to users. */
 export interface JobStatus {
   jobId: string;
   state: 'queued' | 'running' | 'done' | 'cancelled';
-  /** Tasks that are done, and tasks that are on a machine; for display. */
+  /** Number of tasks that are done, and of tasks that are placed on a machine; for display only. */
   done: number;
   running: number;
 }
@@ -86,7 +86,7 @@
   cancelled: 'withdrawn',
 };
 
-/** The answer to a poll, or to a submission of a known job. */
+/** The response to a poll, or to the submission of a known job. */
 export const encodeJobStatus = ({ jobId, state, done, running }: JobStatus): unknown => ({
   Ref: jobId,
   Phase: PHASE_OF_STATE[state],
@@ -94,7 +94,7 @@
   running,
 });
 
-/** The answer to a submission or a cancellation: the state alone. */
+/** The response to the submission of a new job, or to a cancellation: only the state. */
 export const encodeJobState = ({ jobId, state }: Pick<JobStatus, 'jobId' | 'state'>): unknown => ({
   Ref: jobId,
   Phase: PHASE_OF_STATE[state],
--- a/src/api/request-body.ts
+++ b/src/api/request-body.ts
@@ -3,38 +3,38 @@
 
 import { MAX_BODY_BYTES } from '../constants/api.js';
 
-/** A body that was read, or why it can't be. */
+/** The parsed body, or the reason why there is none. */
 export type RequestBody = { kind: 'json'; value: unknown } | { kind: 'malformed' } | { kind: 'too_large' };
 
 const TOO_LARGE: RequestBody = { kind: 'too_large' };
 
 /**
- * Calls `done` once, with the whole body; never, if the sender disconnects before. Callbacks in place of promises, and no
- * listener that is not needed, since this runs for each heartbeat of each worker.
+ * Calls `onBody` once, with the whole body, or never if the sender disconnects first. Uses callbacks instead of promises and as
+ * few listeners as possible, since it runs for every heartbeat of every worker.
  */
-export function readBody(request: IncomingMessage, done: (body: RequestBody) => void): void {
+export function readBody(request: IncomingMessage, onBody: (body: RequestBody) => void): void {
   if (Number(request.headers['content-length'] ?? 0) > MAX_BODY_BYTES) {
-    done(TOO_LARGE);
+    onBody(TOO_LARGE);
     return;
   }
-  const parts: Buffer[] = [];
+  const chunks: Buffer[] = [];
   let sizeBytes = 0;
-  request.on('data', (part: Buffer) => {
+  request.on('data', (chunk: Buffer) => {
     const wasTooLarge = sizeBytes > MAX_BODY_BYTES;
-    sizeBytes += part.length;
-    if (sizeBytes <= MAX_BODY_BYTES) parts.push(part);
-    else if (!wasTooLarge) done(TOO_LARGE);
+    sizeBytes += chunk.length;
+    if (sizeBytes <= MAX_BODY_BYTES) chunks.push(chunk);
+    else if (!wasTooLarge) onBody(TOO_LARGE);
   });
   request.on('end', () => {
-    if (sizeBytes <= MAX_BODY_BYTES) done(parse(parts));
+    if (sizeBytes <= MAX_BODY_BYTES) onBody(parseJson(chunks));
   });
 }
 
-/** The parts are joined only if there are several: a heartbeat mostly comes in one. */
-function parse(parts: readonly Buffer[]): RequestBody {
-  const whole = parts.length === 1 ? parts[0]! : Buffer.concat(parts);
+/** Concatenates the chunks only if there are several: most heartbeats arrive in one. */
+function parseJson(chunks: readonly Buffer[]): RequestBody {
+  const body = chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks);
   try {
-    return { kind: 'json', value: JSON.parse(whole.toString('utf8')) };
+    return { kind: 'json', value: JSON.parse(body.toString('utf8')) };
   } catch {
     return { kind: 'malformed' };
   }
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -1,4 +1,4 @@
-/** One controller: builds its parts, joins them, and starts and stops their routines. No rule and no decision is taken here. */
+/** One controller: builds its parts, connects them, and starts and stops their loops. It holds no rules and decides nothing. */
 import { randomInt } from 'node:crypto';
 
 import { ApiServer } from '../api/api-server.js';
@@ -25,10 +25,10 @@
 import type { PlacementPlanner } from '../scheduling/placement-planner.js';
 import type { Replica } from '../store/replica.js';
 import type { WorkerManager } from '../workers/worker-manager.js';
-import { runDuties } from './duties.js';
+import { runBackgroundLoops } from './duties.js';
 import type { Environment } from './environment.js';
 import { createGossipParts, type GossipParts } from './gossip-parts.js';
-import { createJobDuties, type JobDuties } from './job-duties.js';
+import { createJobParts, type JobParts } from './job-duties.js';
 import { createLeadershipParts, type LeadershipParts } from './leadership-parts.js';
 import { PeerMessageRouter } from './peer-message-router.js';
 import { createRecordParts, type RecordParts } from './record-parts.js';
@@ -36,36 +36,36 @@
 import { createHandover, createStandby } from './standby-parts.js';
 import { createWorkerParts, type WorkerParts } from './worker-parts.js';
 
-/** Seeds and incarnations are drawn below these bounds; the second is what a double holds exactly, with room to count on. */
+/** Exclusive bounds; the second leaves room to count up from an incarnation within the integers that a double holds exactly. */
 const SEED_BOUND = 2 ** 31 - 1;
 const INCARNATION_BOUND = 2 ** 47;
 
-/** What a controller is given: settings and the outside world. */
+/** The settings of a controller, and interfaces to the outside world. */
 export interface ControllerOptions {
   settings: Settings;
   tuning: Tuning;
   http: HttpClient;
   clock: Clock;
   log: Log;
-  /** Of all random draws; by chance if left out. */
+  /** Seed of the controller's random draws; chosen at random by default. */
   seed?: number;
 }
 
-/** One controller process: its parts, the answers it gives and its duties. */
+/** One controller process: its parts, its request handlers and its background loops. */
 export class Controller {
-  /** Sends a message to another controller. Set by whoever links the controllers: `run`, or a test. */
+  /** Sends a message to another controller. Set by `run`, or by a test that connects controllers itself. */
   send: (node: string, message: Message) => boolean = () => false;
   private readonly environment: Environment;
-  private readonly records: RecordParts;
+  private readonly recordParts: RecordParts;
   private readonly leadershipParts: LeadershipParts;
-  private readonly workers: WorkerParts;
-  private readonly scheduling: SchedulingParts;
-  private readonly gossip: GossipParts;
-  private readonly jobDuties: JobDuties;
+  private readonly workerParts: WorkerParts;
+  private readonly schedulingParts: SchedulingParts;
+  private readonly gossipParts: GossipParts;
+  private readonly jobParts: JobParts;
   private readonly standby: Standby | undefined;
   private readonly handover: Handover;
   private readonly roleRebalancer: RoleRebalancer;
-  private readonly messages: PeerMessageRouter;
+  private readonly messageRouter: PeerMessageRouter;
 
   constructor({ settings, tuning, http, clock, log, seed = randomInt(SEED_BOUND) }: ControllerOptions) {
     this.environment = {
@@ -74,43 +74,43 @@
       incarnation: randomInt(INCARNATION_BOUND),
       send: (node, message) => this.send(node, message),
     };
-    this.records = this.createRecords();
-    this.leadershipParts = createLeadershipParts(this.environment, this.records);
-    this.workers = createWorkerParts(this.environment, this.records, this.leadership, {
+    this.recordParts = this.buildRecordParts();
+    this.leadershipParts = createLeadershipParts(this.environment, this.recordParts);
+    this.workerParts = createWorkerParts(this.environment, this.recordParts, this.leadership, {
       planner: () => this.planner,
       workerAnswered: (role) => this.standby?.workerAnswered(role),
-      onMisrouted: () => this.gossip.sender.sendSoon(),
+      onMisrouted: () => this.gossipParts.sender.sendSoon(),
     });
-    this.scheduling = createSchedulingParts(this.environment, this.records, this.leadership, this.workers);
+    this.schedulingParts = createSchedulingParts(this.environment, this.recordParts, this.leadership, this.workerParts);
     this.standby = createStandby(this.environment, {
-      ...this.records,
+      ...this.recordParts,
       leadership: this.leadership,
       happiness: this.happiness,
       leader: this.leader,
     });
-    this.jobDuties = this.createJobs();
-    this.gossip = createGossipParts(this.environment, this.records, this.leadershipParts, this.workers);
-    this.handover = createHandover(this.environment, this.leadership, this.workers, this.gossip);
+    this.jobParts = this.buildJobParts();
+    this.gossipParts = createGossipParts(this.environment, this.recordParts, this.leadershipParts, this.workerParts);
+    this.handover = createHandover(this.environment, this.leadership, this.workerParts, this.gossipParts);
     this.roleRebalancer = new RoleRebalancer({
       ...{ settings, clock },
       leadership: this.leadership,
-      peerDirectory: this.records.peerDirectory,
+      peerDirectory: this.recordParts.peerDirectory,
       workers: this.workerManager.workers,
     });
-    this.messages = new PeerMessageRouter({
-      ...this.records,
-      ...this.workers,
-      exchange: this.gossip.exchange,
+    this.messageRouter = new PeerMessageRouter({
+      ...this.recordParts,
+      ...this.workerParts,
+      exchange: this.gossipParts.exchange,
       standby: this.standby,
       send: this.environment.send,
     });
   }
 
-  private createRecords(): RecordParts {
+  private buildRecordParts(): RecordParts {
     const { log } = this.environment;
     const listener = {
       jobChanged: (jobId: string, taskIndexes?: readonly number[]) =>
-        this.jobDuties.reactions.jobChanged(jobId, taskIndexes),
+        this.jobParts.changeHandler.jobChanged(jobId, taskIndexes),
       urgencyChanged: (jobId: string) => this.planner.priorityChanged(jobId),
       leadershipChanged: () => this.leadershipChanged(),
       recordUnreadable: (key: string, error: unknown) => log.error({ key, error: String(error) }, 'record unreadable'),
@@ -118,11 +118,11 @@
     return createRecordParts(this.environment, listener, () => this.leadershipParts.formatUpgrade.isComplete);
   }
 
-  private createJobs(): JobDuties {
-    const { limits } = this.records;
-    return createJobDuties({
+  private buildJobParts(): JobParts {
+    const { limits } = this.recordParts;
+    return createJobParts({
       ...this.environment,
-      ...this.records,
+      ...this.recordParts,
       leadership: this.leadership,
       workerManager: this.workerManager,
       planner: this.planner,
@@ -133,11 +133,11 @@
   }
 
   get replica(): Replica {
-    return this.records.replica;
+    return this.recordParts.replica;
   }
 
   get clusterState(): ClusterState {
-    return this.records.clusterState;
+    return this.recordParts.clusterState;
   }
 
   get leadership(): RoleLeadership {
@@ -145,30 +145,30 @@
   }
 
   get workerManager(): WorkerManager {
-    return this.workers.workerManager;
+    return this.workerParts.workerManager;
   }
 
   get inventory(): MachineInventory {
-    return this.workers.inventory;
+    return this.workerParts.inventory;
   }
 
   get happiness(): Happiness {
-    return this.workers.happiness;
+    return this.workerParts.happiness;
   }
 
   get planner(): PlacementPlanner {
-    return this.scheduling.planner;
+    return this.schedulingParts.planner;
   }
 
   get leader(): ClusterLeader {
-    return this.scheduling.leader;
+    return this.schedulingParts.leader;
   }
 
   get jobs(): JobService {
-    return this.jobDuties.jobs;
+    return this.jobParts.jobs;
   }
 
-  /** Listens for users, workers and the other controllers, and runs until the signal fires. */
+  /** Serves users, workers and the other controllers until the signal is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     const { settings, log } = this.environment;
     const maxSockets = Math.floor(settings.cluster.sockets * HTTP_SERVER_SOCKET_SHARE);
@@ -187,7 +187,7 @@
       poll: (jobId) => this.jobs.poll(jobId),
       cancel: (jobId) => this.jobs.cancel(jobId),
       answerHeartbeat: (body) => this.answerHeartbeat(body),
-      up: () => this.up(),
+      answerHealthCheck: () => this.up(),
     };
   }
 
@@ -197,20 +197,20 @@
       ...{ settings, clock, log },
       compose: (node) => this.composeGossip(node),
       receive: (message) => this.receive(message),
-      onConnected: (node) => this.gossip.sentUpdates.requireSnapshot(node),
+      onConnected: (node) => this.gossipParts.sentUpdates.requireSnapshot(node),
     });
   }
 
-  /** The long-lived routines, without the sockets. */
+  /** Runs the background loops, without opening sockets. */
   async runDuties(signal: AbortSignal): Promise<void> {
-    await runDuties(
+    await runBackgroundLoops(
       {
         ...this.environment,
-        ...this.records,
+        ...this.recordParts,
         ...this.leadershipParts,
-        ...this.workers,
-        ...this.scheduling,
-        ...this.jobDuties,
+        ...this.workerParts,
+        ...this.schedulingParts,
+        ...this.jobParts,
         standby: this.standby,
         roleRebalancer: this.roleRebalancer,
       },
@@ -218,12 +218,12 @@
     );
   }
 
-  /** Hands all roles to the other controllers, if the warm standby is on; else they expire with the store lease. */
+  /** Hands all roles over to other controllers if the warm standby is enabled; otherwise they expire with the store lease. */
   async handOver(): Promise<void> {
     if (this.standby !== undefined) await this.handover.run();
   }
 
-  /** The answer to a health check of the load balancer. */
+  /** The response to a health check of the load balancer. */
   up(): HttpAnswer {
     const isServing = !this.handover.isUnderway && this.leadershipParts.health.isServing;
     return { status: isServing ? 200 : 503, body: { up: isServing } };
@@ -231,17 +231,17 @@
 
   /** Answers a worker's heartbeat. */
   answerHeartbeat(body: unknown): HttpAnswer | Promise<HttpAnswer> {
-    return this.workers.heartbeats.answer(body);
+    return this.workerParts.heartbeats.answer(body);
   }
 
-  /** What this node has to tell one peer. */
+  /** Composes the gossip message for one peer. */
   composeGossip(to: string): Gossip {
-    return this.gossip.exchange.compose(to);
+    return this.gossipParts.exchange.compose(to);
   }
 
-  /** Takes in a message of another controller. */
+  /** Processes a message from another controller. */
   receive(message: Message): void {
-    this.messages.receive(message);
+    this.messageRouter.receive(message);
   }
 
   private leadershipChanged(): void {
--- a/src/controller/duties.ts
+++ b/src/controller/duties.ts
@@ -1,4 +1,4 @@
-/** The long-lived routines of a controller: all run until one signal fires. */
+/** The background loops of a controller, which all run until one signal is aborted. */
 import type { ClusterLeader } from '../autoscaling/cluster-leader.js';
 import {
   DEPENDENCY_SWEEP_MS,
@@ -27,8 +27,8 @@
 import { TokenAnnouncer } from '../workers/token-announcer.js';
 import type { WorkerManager } from '../workers/worker-manager.js';
 
-/** All that the long-running duties of a controller act on. */
-export interface DutiesDependencies {
+/** The parts that the background loops run. */
+export interface BackgroundLoopsDependencies {
   clock: Clock;
   log: Log;
   replica: Replica;
@@ -44,22 +44,25 @@
   rescheduler: Rescheduler;
   teamSettlement: TeamSettlement;
   completion: JobCompletion;
-  dependencyProgress: DependencyProgress;
+  waitingJobAdvancer: DependencyProgress;
   roleRebalancer: RoleRebalancer;
-  /** Without the warm standby there is none. */
+  /** undefined: the warm standby is switched off. */
   standby: Standby | undefined;
 }
 
-/** Ends jobs that are over, and forgets what no longer matters. */
-function cleanUp({ leadership, completion, happiness, inventory, clock }: DutiesDependencies): void {
+/** Records the end of finished jobs, and removes outdated entries from memory. */
+function cleanUp({ leadership, completion, happiness, inventory, clock }: BackgroundLoopsDependencies): void {
   if (!leadership.hasRecentStoreContact) return;
   completion.completeAll();
   happiness.prune(clock.now());
   inventory.prune();
 }
 
-/** Runs every duty until the signal is aborted. */
-export async function runDuties(dependencies: DutiesDependencies, signal: AbortSignal): Promise<void> {
+/** Runs all loops until the signal is aborted. */
+export async function runBackgroundLoops(
+  dependencies: BackgroundLoopsDependencies,
+  signal: AbortSignal,
+): Promise<void> {
   const { clock, log, leader } = dependencies;
   const announcer = new TokenAnnouncer({ ...dependencies, endpoints: leader });
   const repeat = (periodMs: number, work: () => Promise<void> | void): Promise<void> =>
@@ -76,7 +79,7 @@
     repeat(SWEEP_MS, () => dependencies.roleRebalancer.rebalance()),
     repeat(SWEEP_MS, () => dependencies.cancellationEnforcer.sweep()),
     repeat(TOKEN_ANNOUNCE_PERIOD_MS, () => announcer.announce()),
-    repeat(DEPENDENCY_SWEEP_MS, () => dependencies.dependencyProgress.sweep()),
+    repeat(DEPENDENCY_SWEEP_MS, () => dependencies.waitingJobAdvancer.sweep()),
     repeat(TEAM_SETTLEMENT_PERIOD_MS, () => dependencies.teamSettlement.settleQuietTeams()),
     repeat(FORMAT_CHECK_PERIOD_MS, () => dependencies.formatUpgrade.check()),
   ]);
--- a/src/controller/environment.ts
+++ b/src/controller/environment.ts
@@ -1,4 +1,4 @@
-/** What all parts of a controller are built from: its settings, and the outside world behind interfaces. */
+/** The environment that all parts of a controller share: its settings, and interfaces to the outside world. */
 import type { Tuning } from '../config/tuning.js';
 import type { Settings } from '../domain/settings.js';
 import type { Message } from '../gossip/messages.js';
@@ -7,7 +7,7 @@
 import type { HttpClient } from '../net/http-client.js';
 import type { Random } from '../net/random.js';
 
-/** What all parts of a controller share. */
+/** Settings, external interfaces and process-wide values of one controller. */
 export interface Environment {
   readonly settings: Settings;
   readonly tuning: Tuning;
@@ -15,11 +15,11 @@
   readonly clock: Clock;
   readonly log: Log;
   readonly random: Random;
-  /** Tells this process from the earlier ones of the same node. */
+  /** Distinguishes this process from earlier processes of the same node. */
   readonly incarnation: number;
-  /** Sends a message to another controller; false: there is no way to it at present. */
+  /** Sends a message to another controller; returns false if there is no connection to it at present. */
   readonly send: (node: string, message: Message) => boolean;
 }
 
-/** The other controllers, by name. */
+/** The names of the other controllers. */
 export const peerNodesOf = ({ settings }: Environment): string[] => settings.peers.map(({ node }) => node);
--- a/src/controller/gossip-parts.ts
+++ b/src/controller/gossip-parts.ts
@@ -1,4 +1,4 @@
-/** Builds the exchange of messages with the other controllers, beside the links that carry them. */
+/** Builds the parts that exchange state with the other controllers, without the connections that carry the messages. */
 import { GossipExchange } from '../gossip/gossip-exchange.js';
 import { GossipSender } from '../gossip/gossip-sender.js';
 import { SentMachineUpdates } from '../gossip/sent-machine-updates.js';
@@ -11,7 +11,7 @@
 export interface GossipParts {
   readonly exchange: GossipExchange;
   readonly sender: GossipSender;
-  /** What each peer has been told of this node's machines. */
+  /** The updates about this node's machines that each peer has been sent. */
   readonly sentUpdates: SentMachineUpdates;
 }
 
--- a/src/controller/job-duties.ts
+++ b/src/controller/job-duties.ts
@@ -1,40 +1,40 @@
-/** Joins the duties that follow a job through its life: what users are told, what ends it, and the jobs that wait for it. */
+/** Builds the parts that handle the life cycle of jobs: users' requests, completion, and the release of dependents. */
 import { JobLookup, type JobLookupDependencies } from '../api/job-lookup.js';
 import { JobService, type JobServiceDependencies } from '../api/job-service.js';
 import { DependencyProgress } from '../jobs/dependency-progress.js';
 import { DependencyStates, type DependencyStatesDependencies } from '../jobs/dependency-states.js';
 import { JobCompletion, type JobCompletionDependencies } from '../jobs/job-completion.js';
-import { JobReactions, type JobReactionsDependencies } from '../jobs/job-reactions.js';
+import { JobChangeHandler, type JobChangeHandlerDependencies } from '../jobs/job-reactions.js';
 
-type Joined = 'states' | 'completion' | 'dependencyProgress' | 'lookup' | 'cancelDeadlineMs';
+type BuiltHere = 'states' | 'completion' | 'waitingJobAdvancer' | 'lookup' | 'cancelDeadlineMs';
 
-/** What the job duties need that they do not build themselves. */
-export type JobDutiesDependencies = Omit<
+/** What the job parts need from outside. */
+export type JobPartsDependencies = Omit<
   JobLookupDependencies &
     JobServiceDependencies &
     JobCompletionDependencies &
-    JobReactionsDependencies &
+    JobChangeHandlerDependencies &
     DependencyStatesDependencies,
-  Joined
+  BuiltHere
 >;
 
-/** The parts that accept jobs and bring them to their end. */
-export interface JobDuties {
-  /** Answers users. */
+/** The parts that accept jobs, advance them and record their end. */
+export interface JobParts {
+  /** Handles users' requests. */
   readonly jobs: JobService;
   readonly completion: JobCompletion;
-  readonly reactions: JobReactions;
-  readonly dependencyProgress: DependencyProgress;
+  readonly changeHandler: JobChangeHandler;
+  readonly waitingJobAdvancer: DependencyProgress;
 }
 
-/** Builds the parts that accept jobs, advance them and record their end. */
-export function createJobDuties(dependencies: JobDutiesDependencies): JobDuties {
+/** Builds the job parts on top of the records, the leadership, the workers and the scheduling. */
+export function createJobParts(dependencies: JobPartsDependencies): JobParts {
   const states = new DependencyStates(dependencies);
   const completion = new JobCompletion({ ...dependencies, states });
-  const dependencyProgress = new DependencyProgress({ ...dependencies, states });
-  const reactions = new JobReactions({ ...dependencies, completion, dependencyProgress });
+  const waitingJobAdvancer = new DependencyProgress({ ...dependencies, states });
+  const changeHandler = new JobChangeHandler({ ...dependencies, completion, waitingJobAdvancer });
   const { cancelDeadlineMs } = dependencies.settings.cluster.workers;
   const lookup = new JobLookup({ ...dependencies, states, cancelDeadlineMs });
   const jobs = new JobService({ ...dependencies, states, lookup });
-  return { jobs, completion, reactions, dependencyProgress };
+  return { jobs, completion, changeHandler, waitingJobAdvancer };
 }
--- a/src/controller/leadership-parts.ts
+++ b/src/controller/leadership-parts.ts
@@ -1,11 +1,11 @@
-/** Builds what decides which roles this controller leads, and what follows from it for the whole process. */
+/** Builds the parts that decide which roles this controller leads, upgrade the record format and report the node's health. */
 import { RoleLeadership } from '../leadership/role-leadership.js';
 import { FormatUpgrade } from '../records/format-upgrade.js';
 import { type Environment, peerNodesOf } from './environment.js';
 import { NodeHealth } from './node-health.js';
 import type { RecordParts } from './record-parts.js';
 
-/** The parts that decide which roles this node leads. */
+/** The parts that decide which roles this node leads, and that depend on it for the whole process. */
 export interface LeadershipParts {
   readonly leadership: RoleLeadership;
   readonly formatUpgrade: FormatUpgrade;
--- a/src/controller/node-health.ts
+++ b/src/controller/node-health.ts
@@ -1,10 +1,10 @@
-/** Whether this node serves requests, and whether it is the one that the store refuses. */
+/** The health of this node: whether it can serve requests, and whether it is cut off from the store. */
 import type { PeerDirectory } from '../gossip/peer-directory.js';
 import type { RoleLeadership } from '../leadership/role-leadership.js';
 import type { Replica } from '../store/replica.js';
 import type { StoreClient } from '../store/store-client.js';
 
-/** Whether this node can serve, as its health endpoint answers. */
+/** The health of this node, as reported by its health endpoint. */
 export class NodeHealth {
   constructor(
     private readonly replica: Replica,
@@ -13,13 +13,13 @@
     private readonly peerDirectory: PeerDirectory,
   ) {}
 
-  /** Requests are really served here, or nobody could serve them better. */
+  /** Whether this node reaches the store, or is cut off from it along with a peer, so that no other node would serve better. */
   get isServing(): boolean {
     if (!this.replica.isLoaded) return false;
     return this.leadership.hasRecentStoreContact || (this.isWithoutStore && this.peerDirectory.isAnyWithoutStore());
   }
 
-  /** The store refuses, or doesn't answer, this node. */
+  /** Whether the store refuses this node's requests or does not respond to them. */
   get isWithoutStore(): boolean {
     return !this.leadership.hasRecentStoreContact && this.client.lastRefusedAt > this.client.lastAnsweredAt;
   }
--- a/src/controller/peer-message-router.ts
+++ b/src/controller/peer-message-router.ts
@@ -1,4 +1,4 @@
-/** Hands each message of another controller to the part that it is for. */
+/** Routes messages from other controllers to the parts that process them. */
 import type { GossipExchange } from '../gossip/gossip-exchange.js';
 import type { HeartbeatForwarder } from '../gossip/heartbeat-forwarder.js';
 import type { ForwardedHeartbeat, Message } from '../gossip/messages.js';
@@ -7,19 +7,19 @@
 import type { Standby } from '../leadership/standby.js';
 import type { HeartbeatService } from '../workers/heartbeat-service.js';
 
-/** The receivers of peer messages, by kind. */
+/** The receivers of peer messages. */
 export interface PeerMessageRouterDependencies {
   exchange: GossipExchange;
   heartbeatForwarder: HeartbeatForwarder;
   broadcast: RecordBroadcast;
   replicaFreshness: ReplicaFreshness;
-  /** Without the warm standby there is none. */
+  /** undefined: the warm standby is switched off. */
   standby: Standby | undefined;
   heartbeats: HeartbeatService;
   send: (node: string, message: Message) => boolean;
 }
 
-/** Hands each message of a peer to the part it is for. */
+/** Routes each message from a peer by its kind. */
 export class PeerMessageRouter {
   constructor(private readonly dependencies: PeerMessageRouterDependencies) {}
 
--- a/src/controller/record-parts.ts
+++ b/src/controller/record-parts.ts
@@ -1,4 +1,4 @@
-/** Builds what a controller knows of the store: its client, the local copy, the state of the cluster, and transactions. */
+/** Builds the store client and the parts on top of it: the replica, the cluster state and transactions. */
 import { BATCH_GATHER_SHARE } from '../constants/store.js';
 import { PeerDirectory } from '../gossip/peer-directory.js';
 import { RecordBroadcast } from '../gossip/record-broadcast.js';
@@ -27,7 +27,7 @@
   readonly broadcast: RecordBroadcast;
 }
 
-/** `isFormatComplete`: do all controllers read the present record format? */
+/** `isFormatComplete`: whether all controllers can read the current record format. */
 export function createRecordParts(
   environment: Environment,
   listener: ClusterStateListener,
--- a/src/controller/scheduling-parts.ts
+++ b/src/controller/scheduling-parts.ts
@@ -1,4 +1,4 @@
-/** Builds what decides where tasks run, which of them are moved, and how many machines there are. */
+/** Builds the parts that decide where tasks run, which of them are moved, and how many machines there are. */
 import { maySend } from '@dewlatch/standby';
 
 import { ClusterLeader } from '../autoscaling/cluster-leader.js';
@@ -11,7 +11,7 @@
 import type { RecordParts } from './record-parts.js';
 import type { WorkerParts } from './worker-parts.js';
 
-/** The parts that place, move and evict tasks. */
+/** The parts that place, move and evict tasks, and that scale the cluster. */
 export interface SchedulingParts {
   readonly planner: PlacementPlanner;
   readonly leader: ClusterLeader;
--- a/src/controller/standby-parts.ts
+++ b/src/controller/standby-parts.ts
@@ -1,4 +1,4 @@
-/** Builds the warm standby, where the operators have switched it on, and the planned handover of roles. */
+/** Builds the warm standby, if the tuning enables it, and the planned handover of roles. */
 import { Handover } from '../leadership/handover.js';
 import { loadTracer } from '../leadership/load-tracer.js';
 import type { RoleLeadership } from '../leadership/role-leadership.js';
@@ -7,18 +7,18 @@
 import type { GossipParts } from './gossip-parts.js';
 import type { WorkerParts } from './worker-parts.js';
 
-type StandbyNeeds = Pick<
+type StandbyPartsDependencies = Pick<
   StandbyDependencies,
   'leadership' | 'peerDirectory' | 'clusterState' | 'replica' | 'transactions' | 'happiness' | 'leader'
 > & { leadership: RoleLeadership };
 
-/** undefined: the warm standby is switched off. */
-export function createStandby(environment: Environment, needs: StandbyNeeds): Standby | undefined {
+/** Returns undefined if the warm standby is switched off. */
+export function createStandby(environment: Environment, parts: StandbyPartsDependencies): Standby | undefined {
   const { settings, tuning, clock, log } = environment;
   if (!tuning.standby.enabled) return undefined;
   const tracer = loadTracer(tuning.standby.traceFile, settings.node, clock, log);
-  const standby = new Standby({ ...environment, ...needs, standby: tuning.standby, tracer });
-  needs.leadership.succession = standby;
+  const standby = new Standby({ ...environment, ...parts, standby: tuning.standby, tracer });
+  parts.leadership.succession = standby;
   return standby;
 }
 
--- a/src/controller/worker-manager-events.ts
+++ b/src/controller/worker-manager-events.ts
@@ -1,21 +1,21 @@
-/** Joins the manager of the workers to the parts that it asks, and that want to know of heartbeats and exits. */
+/** Connects the worker manager to the parts that it queries and to those that it notifies of heartbeats and exits. */
 import type { MachineInventory } from '../inventory/machine-inventory.js';
 import type { ClusterState } from '../records/cluster-state.js';
 import type { HealthChecks } from '../scheduling/health-checks.js';
 import type { PlacementPlanner } from '../scheduling/placement-planner.js';
 import type { WorkerManagerEvents } from '../workers/worker-manager-dependencies.js';
 
-/** The parts that are built after the manager are asked for when they are needed. */
+/** The connected parts; those that are built after the worker manager are looked up when they are needed. */
 export interface WorkerManagerEventsDependencies {
   clusterState: ClusterState;
   healthChecks: HealthChecks;
   inventory: () => MachineInventory;
   planner: () => PlacementPlanner;
-  /** A worker of the role's partition is being answered. */
+  /** Called when a heartbeat of a worker in the role's partition is answered. */
   workerAnswered: (role: string) => void;
 }
 
-/** Connects what heartbeats report with the records and the scheduling. */
+/** Connects the worker manager's queries and notifications with the records, the inventory and the scheduling. */
 export function createWorkerManagerEvents({
   clusterState,
   healthChecks,
--- a/src/controller/worker-parts.ts
+++ b/src/controller/worker-parts.ts
@@ -1,4 +1,4 @@
-/** Builds what serves the workers of the partitions that this controller leads, and what is known of their machines. */
+/** Builds the parts that serve the workers of the partitions that this controller leads, and that track machines. */
 import { HeartbeatForwarder } from '../gossip/heartbeat-forwarder.js';
 import { followCatalog } from '../inventory/catalog-follower.js';
 import { MachineInventory } from '../inventory/machine-inventory.js';
@@ -13,7 +13,7 @@
 import type { RecordParts } from './record-parts.js';
 import { createWorkerManagerEvents } from './worker-manager-events.js';
 
-/** The parts that talk to workers and know their machines. */
+/** The parts that communicate with workers and track machines. */
 export interface WorkerParts {
   readonly workerManager: WorkerManager;
   readonly inventory: MachineInventory;
@@ -23,12 +23,12 @@
   readonly cancellationEnforcer: CancellationEnforcer;
 }
 
-/** Parts that are built later, and asked for when they are needed. */
+/** Access to parts that are built later, and notifications to them. */
 export interface WorkerPartsHooks {
   planner: () => PlacementPlanner;
-  /** A worker of the role's partition is being answered. */
+  /** Called when a heartbeat of a worker in the role's partition is answered. */
   workerAnswered: (role: string) => void;
-  /** A heartbeat came here that another node should have got. */
+  /** Called at the first heartbeat of a worker that another node leads. */
   onMisrouted: () => void;
 }
 
@@ -43,8 +43,8 @@
   const { clusterState, peerDirectory } = records;
   const happiness = new Happiness(tuning.happinessWindowMs);
   const healthChecks = new HealthChecks({ clusterState, happiness, clock });
-  const inventoryLater = (): MachineInventory => inventory;
-  const events = createWorkerManagerEvents({ ...hooks, clusterState, healthChecks, inventory: inventoryLater });
+  const getInventory = (): MachineInventory => inventory;
+  const events = createWorkerManagerEvents({ ...hooks, clusterState, healthChecks, inventory: getInventory });
   const workerManager = new WorkerManager({ ...environment, ...records, leadership, events });
   const inventory: MachineInventory = new MachineInventory(settings, leadership, workerManager, clock);
   followCatalog(records.replica, () => inventory.catalog, log);
--- a/src/jobs/dependency-progress.ts
+++ b/src/jobs/dependency-progress.ts
@@ -1,7 +1,7 @@
 /**
- * Advances jobs that wait for their dependencies: releases them when the last dependency is done, and cancels them with any.
- * Driven by changes of the records, and by a sweep that finds what an event has missed. Any node may take a step, since each
- * is one compare-and-swap; the node responsible for a job's records does.
+ * Advances jobs that wait for their dependencies: releases a job when its last dependency is done, and cancels it when any of
+ * them is cancelled. Driven by changes of the records, and by a sweep that covers missed events. Each step is one
+ * compare-and-swap, so any node could take it; only the node that is responsible for the job's records does.
  */
 import { isResponsibleFor } from '../leadership/responsibility.js';
 import type { RoleLeadership } from '../leadership/role-leadership.js';
@@ -14,7 +14,7 @@
 import type { TransactionDraft } from '../store/transaction-draft.js';
 import type { DependencyStates } from './dependency-states.js';
 
-/** What advancing jobs needs of the other parts. */
+/** What advancing waiting jobs needs from the other parts. */
 export interface DependencyProgressDependencies {
   leadership: RoleLeadership;
   clusterState: ClusterState;
@@ -24,77 +24,81 @@
   log: Log;
 }
 
-/** Takes at most one step of a job at a time. */
+/** Takes at most one step at a time for each job. */
 export class DependencyProgress {
   /** Jobs with a step in flight. */
   private readonly inFlight = new Set<string>();
 
   constructor(private readonly dependencies: DependencyProgressDependencies) {}
 
-  /** To be called when the record of a job has changed or was deleted. */
+  /** Must be called when the record of a job has changed or has been deleted. */
   jobChanged(jobId: string): void {
     const { clusterState } = this.dependencies;
-    const { dependencies } = clusterState;
-    if (dependencies.waitingCount === 0) return;
-    if (dependencies.isWaiting(jobId)) this.evaluate(jobId);
+    const { dependencies: dependencyGraph } = clusterState;
+    if (dependencyGraph.waitingCount === 0) return;
+    if (dependencyGraph.isWaiting(jobId)) this.evaluate(jobId);
     const record = clusterState.jobs.get(jobId)?.record;
     if (record === undefined) {
-      for (const dependent of [...dependencies.dependentsOf(jobId)]) this.evaluate(dependent);
+      for (const dependent of [...dependencyGraph.dependentsOf(jobId)]) this.evaluate(dependent);
     } else if (record.state === 'cancelled') {
       this.cancelDependents(jobId);
     }
   }
 
-  /** Level-triggered: evaluates all waiting jobs, whatever events were missed. */
+  /** Level-triggered: evaluates all waiting jobs, so that a missed event only delays a step. */
   sweep(): void {
     for (const jobId of [...this.dependencies.clusterState.dependencies.waitingJobs]) this.evaluate(jobId);
   }
 
-  /** Cancels all direct and indirect dependents that are this node's to advance. */
+  /** Cancels all direct and indirect dependents that this node may advance. */
   private cancelDependents(jobId: string): void {
-    const { dependencies } = this.dependencies.clusterState;
-    const dependents = new Set(dependencies.dependentsOf(jobId));
-    // Iteration over a set reaches what is added to it meanwhile.
-    for (const each of dependents) for (const next of dependencies.dependentsOf(each)) dependents.add(next);
-    for (const each of dependents) if (this.mayAdvance(each)) this.cancel(each);
+    const { dependencies: dependencyGraph } = this.dependencies.clusterState;
+    const dependents = new Set(dependencyGraph.dependentsOf(jobId));
+    // Iterating over a Set also visits the elements that are added during the iteration.
+    for (const dependent of dependents)
+      for (const next of dependencyGraph.dependentsOf(dependent)) dependents.add(next);
+    for (const dependent of dependents) if (this.canAdvance(dependent)) this.cancel(dependent);
   }
 
-  /** Is the next step of a waiting job to be taken by this node, and not being taken yet? */
-  private mayAdvance(jobId: string): boolean {
+  /** Whether this node is to take the next step of a waiting job, and no step is in flight yet. */
+  private canAdvance(jobId: string): boolean {
     const { leadership } = this.dependencies;
     return !this.inFlight.has(jobId) && leadership.hasRecentStoreContact && isResponsibleFor(leadership, jobId);
   }
 
   /**
-   * Takes the step that a waiting job is ready for, if this node is to. Only its direct dependencies are evaluated, so that a
-   * sweep over a long chain costs its length; a cancellation that no event has told of passes from one job to the next.
+   * Takes the next step of a waiting job if it is due and this node may take it. Evaluates only the direct dependencies, so
+   * that the cost of a sweep is linear in the length of a chain; after a missed event, a cancellation thus propagates along the
+   * chain job by job.
    */
   private evaluate(jobId: string): void {
     const { clusterState, states } = this.dependencies;
-    if (!this.mayAdvance(jobId)) return;
+    if (!this.canAdvance(jobId)) return;
     switch (states.stateOfAll(clusterState.dependencies.dependenciesOf(jobId))) {
       case 'done':
         return this.commitStep(jobId, 'release', (draft) => this.release(draft, jobId));
       case 'cancelled':
         return this.cancel(jobId);
       case 'unknown':
-        return this.learn(jobId);
+        return this.loadStates(jobId);
       case 'open':
         return;
     }
   }
 
-  /** Reads how the direct dependencies of a waiting job have ended, and takes the step that follows. */
-  private learn(jobId: string): void {
+  /** Reads the unknown states of a waiting job's direct dependencies, then evaluates the job again if that is enough. */
+  private loadStates(jobId: string): void {
     const { clusterState, states, log } = this.dependencies;
     const dependencies = clusterState.dependencies.dependenciesOf(jobId);
     this.inFlight.add(jobId);
-    void states.learn(dependencies.filter((each) => states.stateOf(each) === 'unknown')).then(() => {
-      this.inFlight.delete(jobId);
-      const state = states.stateOfAll(clusterState.dependencies.dependenciesOf(jobId));
-      if (state !== 'unknown') this.evaluate(jobId);
-      else log.debug({ jobId }, 'dependency state not known yet');
-    });
+    void states
+      .loadFinalStates(dependencies.filter((dependency) => states.stateOf(dependency) === 'unknown'))
+      .then(() => {
+        this.inFlight.delete(jobId);
+        const state = states.stateOfAll(clusterState.dependencies.dependenciesOf(jobId));
+        if (state !== 'unknown') this.evaluate(jobId);
+        else log.debug({ jobId }, 'dependency state not known yet');
+      });
   }
 
   private cancel(jobId: string): void {
--- a/src/jobs/dependency-states.ts
+++ b/src/jobs/dependency-states.ts
@@ -1,6 +1,6 @@
 /**
- * What is known of the jobs that a waiting job depends on. That a job was cancelled or is done is final, however it was
- * learnt; how a job ended that is no longer in the replica of the live records has to be read, unless a peer has told.
+ * The states of the jobs that a waiting job depends on. `done` and `cancelled` are final, whatever their source. The final state
+ * of a job whose live record is gone from the replica has to be read from the store, unless a peer has sent it.
  */
 import { Priority } from '../net/token-bucket.js';
 import type { ClusterState } from '../records/cluster-state.js';
@@ -10,17 +10,17 @@
 import type { StoreClient } from '../store/store-client.js';
 import type { TransactionBatcher } from '../store/transaction-batcher.js';
 
-/** `unknown`: not among the live jobs, and nothing says whether or how it has ended. */
+/** `unknown`: this node has neither a live nor a final record of the job. */
 export type DependencyState = 'open' | 'done' | 'cancelled' | 'unknown';
 
-/** What is known of all direct and indirect dependencies of a job. */
-export interface Ancestry {
-  isCancelled: boolean;
-  /** Jobs of which it is not known how they have ended. */
+/** The combined state of all direct and indirect dependencies of a job. */
+export interface TransitiveDependencies {
+  isAnyCancelled: boolean;
+  /** Dependencies in state `unknown`, found before any cancelled one. */
   unknown: string[];
 }
 
-/** Where states are read from. */
+/** Where job states are read from. */
 export interface DependencyStatesDependencies {
   clusterState: ClusterState;
   replica: Replica;
@@ -28,25 +28,25 @@
   client: StoreClient;
 }
 
-/** Answers from memory; `learn` reads what is missing. */
+/** Answers from memory; `loadFinalStates` reads missing final records from the store. */
 export class DependencyStates {
-  /** Reads of final records in flight, by job. */
+  /** Reads of final records that are in flight, by job id. */
   private readonly readsInFlight = new Map<string, Promise<void>>();
 
   constructor(private readonly dependencies: DependencyStatesDependencies) {}
 
-  /** The state of one job, as far as it is known here. */
+  /** The state of one job according to this node's records. */
   stateOf(jobId: string): DependencyState {
     const { clusterState, replica, transactions } = this.dependencies;
     const record = clusterState.jobs.get(jobId)?.record;
     if (record !== undefined) return record.state === 'cancelled' ? 'cancelled' : 'open';
     const finalRecord = transactions.read(finalJobKey(jobId)).value;
     if (finalRecord !== undefined) return decodeFinalJobRecord(finalRecord).state === 'done' ? 'done' : 'cancelled';
-    // A record that can't be read is open for all that is known.
+    // A live record that can't be decoded counts as open.
     return replica.get(jobKey(jobId)).value === undefined ? 'unknown' : 'open';
   }
 
-  /** `done`: a job with these dependencies may start; `cancelled`: it never may. */
+  /** The combined state. `done`: a job with these dependencies may start; `cancelled`: it can never start. */
   stateOfAll(jobIds: readonly string[]): DependencyState {
     const states = jobIds.map((jobId) => this.stateOf(jobId));
     if (states.includes('cancelled')) return 'cancelled';
@@ -54,36 +54,36 @@
     return states.includes('open') ? 'open' : 'done';
   }
 
-  /** Searches all direct and indirect dependencies of a job that names these. */
-  ancestryOf(jobIds: readonly string[]): Ancestry {
-    const { dependencies } = this.dependencies.clusterState;
+  /** Searches the dependency graph, starting from a job's direct dependencies, until it finds a cancelled job. */
+  transitiveDependenciesOf(jobIds: readonly string[]): TransitiveDependencies {
+    const { dependencies: dependencyGraph } = this.dependencies.clusterState;
     const seen = new Set(jobIds);
     const unknown: string[] = [];
     for (const jobId of seen) {
       const state = this.stateOf(jobId);
-      if (state === 'cancelled') return { isCancelled: true, unknown };
+      if (state === 'cancelled') return { isAnyCancelled: true, unknown };
       if (state === 'unknown') unknown.push(jobId);
-      // Iteration over a set reaches what is added to it meanwhile.
-      for (const each of dependencies.dependenciesOf(jobId)) seen.add(each);
+      // Iterating over a Set also visits the elements that are added during the iteration.
+      for (const dependency of dependencyGraph.dependenciesOf(jobId)) seen.add(dependency);
     }
-    return { isCancelled: false, unknown };
+    return { isAnyCancelled: false, unknown };
   }
 
-  /** Reads how jobs have ended; what can't be read stays unknown. */
-  async learn(jobIds: readonly string[]): Promise<void> {
-    await Promise.all(jobIds.map((jobId) => this.read(jobId)));
+  /** Reads the final records of jobs from the store; the state of a job whose record can't be read stays `unknown`. */
+  async loadFinalStates(jobIds: readonly string[]): Promise<void> {
+    await Promise.all(jobIds.map((jobId) => this.loadFinalState(jobId)));
   }
 
-  private read(jobId: string): Promise<void> {
+  private loadFinalState(jobId: string): Promise<void> {
     const inFlight = this.readsInFlight.get(jobId);
     if (inFlight !== undefined) return inFlight;
     const { client, transactions } = this.dependencies;
-    const reading = client
+    const read = client
       .get(finalJobKey(jobId), Priority.start)
       .then((row) => transactions.cacheFinalRecord(finalJobKey(jobId), row))
       .catch(() => undefined)
       .finally(() => this.readsInFlight.delete(jobId));
-    this.readsInFlight.set(jobId, reading);
-    return reading;
+    this.readsInFlight.set(jobId, read);
+    return read;
   }
 }
--- a/src/jobs/job-completion.ts
+++ b/src/jobs/job-completion.ts
@@ -1,4 +1,4 @@
-/** Ends jobs whose tasks have all ended, and deletes what is left of the records of ended jobs. */
+/** Records the end of jobs whose tasks have all ended, and deletes leftover placement chunks of ended jobs. */
 import { END_WRITES } from '../constants/records.js';
 import { CLUSTER_LEADER_ROLE } from '../domain/role.js';
 import { isResponsibleFor } from '../leadership/responsibility.js';
@@ -15,7 +15,7 @@
 import type { TransactionDraft } from '../store/transaction-draft.js';
 import type { DependencyStates } from './dependency-states.js';
 
-/** What ending jobs needs of the other parts. */
+/** What recording the end of jobs needs from the other parts. */
 export interface JobCompletionDependencies {
   leadership: RoleLeadership;
   clusterState: ClusterState;
@@ -24,11 +24,11 @@
   states: DependencyStates;
   clock: Clock;
   log: Log;
-  /** Changes that one transaction may hold. */
+  /** Maximum number of writes in one transaction. */
   maxTransactionWrites: number;
 }
 
-/** Has nothing of the job left to run, so that its end can be recorded? */
+/** Whether no task of the job is running or still has to run, so that the job's end can be recorded. */
 export const hasJobEnded = (view: JobView): boolean =>
   view.placed === 0 && (view.record.state === 'cancelled' || view.isComplete);
 
@@ -39,12 +39,12 @@
 
   constructor(private readonly dependencies: JobCompletionDependencies) {}
 
-  /** Records the end of a job whose tasks have all ended. Any node may: the record decides. */
+  /** Records the end of a job whose tasks have all ended. Any node may, since the transaction checks the job's record. */
   async complete(jobId: string): Promise<void> {
     if (this.inFlight.has(jobId)) return;
     this.inFlight.add(jobId);
     const { clusterState, transactions, log } = this.dependencies;
-    // Dependents wait for the end of the job, and its user for the end of the last of them.
+    // The end of a job with dependents is urgent: they wait for it, and their user waits for the last of them.
     const priority = clusterState.dependencies.hasDependents(jobId) ? Priority.start : Priority.record;
     const outcome = await transactions.commit('end', priority, (draft) => this.recordEnd(draft, jobId));
     this.inFlight.delete(jobId);
@@ -55,7 +55,7 @@
     const { clusterState, replica, clock, maxTransactionWrites } = this.dependencies;
     const row = replica.get(jobKey(jobId));
     const isCancelled = clusterState.jobs.get(jobId)?.record.state === 'cancelled';
-    // What happened before the cancellation must have been seen: a start that it didn't prevent may be among the placements.
+    // The replica must hold all changes before the cancellation: they may include a start that it did not prevent.
     if (isCancelled && replica.revision < row.modRevision) return false;
     const released = isCancelled ? [] : this.dependentsToRelease(jobId);
     if (!endJob(draft, jobId, maxTransactionWrites - released.length)) return false;
@@ -63,23 +63,23 @@
     return true;
   }
 
-  /** Jobs that wait for this one alone, as many as fit into its transaction; others are released by themselves. */
+  /** Dependents that wait for this job only, as many as fit into its transaction; the others are released separately. */
   private dependentsToRelease(jobId: string): string[] {
     const { clusterState, states, maxTransactionWrites } = this.dependencies;
-    const { dependencies } = clusterState;
-    const waitsForNoOther = (dependent: string): boolean => {
-      const others = dependencies.dependenciesOf(dependent).filter((each) => each !== jobId);
+    const { dependencies: dependencyGraph } = clusterState;
+    const waitsForThisJobOnly = (dependent: string): boolean => {
+      const others = dependencyGraph.dependenciesOf(dependent).filter((dependency) => dependency !== jobId);
       return states.stateOfAll(others) === 'done';
     };
     const released: string[] = [];
-    for (const dependent of dependencies.dependentsOf(jobId)) {
+    for (const dependent of dependencyGraph.dependentsOf(jobId)) {
       if (released.length === maxTransactionWrites - END_WRITES) break;
-      if (waitsForNoOther(dependent)) released.push(dependent);
+      if (waitsForThisJobOnly(dependent)) released.push(dependent);
     }
     return released;
   }
 
-  /** Level-triggered: whatever events were missed, the leader of a job's partition ends the job. */
+  /** Level-triggered: the responsible node ends each job even if events were missed. */
   completeAll(): void {
     const { clusterState, leadership } = this.dependencies;
     for (const [jobId, view] of clusterState.jobs)
@@ -87,14 +87,14 @@
     if (leadership.isLeader) this.deleteLeftoverChunks();
   }
 
-  /** A job's record is deleted at its end, and its placements can't change after: their remaining chunks are deleted. */
+  /** Deletes the remaining placement chunks of ended jobs; they can't change any more, since the job's record is deleted. */
   private deleteLeftoverChunks(): void {
     const { clusterState, leadership, transactions, maxTransactionWrites } = this.dependencies;
     for (const { jobId, chunks } of clusterState.leftoverChunks()) {
       void transactions.commit('sweep', Priority.background, (draft) => {
         if (!leadership.requireLeadership(draft, CLUSTER_LEADER_ROLE) || draft.get(jobKey(jobId)) !== undefined)
           return false;
-        // The sweep before this one may have deleted some, or all, in the meantime.
+        // The previous sweep may have deleted some or all of them in the meantime.
         const remaining = chunks
           .map((chunk) => placementChunkKey(jobId, chunk))
           .filter((key) => draft.peek(key) !== undefined);
--- a/src/jobs/job-reactions.ts
+++ b/src/jobs/job-reactions.ts
@@ -1,4 +1,4 @@
-/** What follows from a change of a job's records: launches and stops, plans, its end, and the steps of its dependents. */
+/** Reacts to changes of a job's records: sends launches and stops, triggers plans, ends the job, advances its dependents. */
 import { BATCH_PUSH_GATHER_SHARE } from '../constants/workers.js';
 import { isPlacedByLeader } from '../domain/job.js';
 import { CLUSTER_LEADER_ROLE, partitionRole } from '../domain/role.js';
@@ -9,49 +9,49 @@
 import type { DependencyProgress } from './dependency-progress.js';
 import { hasJobEnded, type JobCompletion } from './job-completion.js';
 
-/** The workers that this node commands. */
-export interface CommandedWorkers {
+/** The workers of this node's partitions, and how to send them commands. */
+export interface WorkerCommandPusher {
   readonly workers: { get(machineId: string): { tasks: ReadonlyMap<string, { attempt: number }> } | undefined };
-  /** Tells the machine's worker what has changed, after `gatherMs` at most. */
+  /** Sends the machine's worker the commands that have changed, after `gatherMs` at most. */
   pushCommands(machineId: string, gatherMs?: number): void;
 }
 
-/** Asks for a placement plan. */
+/** Triggers placement plans. */
 export interface PlanTrigger {
-  /** Something has changed that the next plan should know. */
+  /** Schedules a plan after a change that may affect placement. */
   planSoon(isUrgent?: boolean): void;
 }
 
-/** The parts that changes are passed on to, and what that is decided by. */
-export interface JobReactionsDependencies {
+/** The parts that are notified of changes, and the state that decides which of them are. */
+export interface JobChangeHandlerDependencies {
   leadership: RoleLeadership;
   clusterState: ClusterState;
-  workerManager: CommandedWorkers;
+  workerManager: WorkerCommandPusher;
   planner: PlanTrigger;
   completion: JobCompletion;
-  dependencyProgress: DependencyProgress;
+  waitingJobAdvancer: DependencyProgress;
   /** ms between two heartbeats of a worker. */
   reportPeriodMs: number;
 }
 
-/** Passes each change on to whom it concerns on this node. */
-export class JobReactions {
-  constructor(private readonly dependencies: JobReactionsDependencies) {}
+/** Notifies the parts of this node that a change concerns. */
+export class JobChangeHandler {
+  constructor(private readonly dependencies: JobChangeHandlerDependencies) {}
 
-  /** `taskIndexes`: only the placements of these tasks have changed; undefined: the job's record has. */
+  /** `taskIndexes`: only the placements of these tasks have changed; undefined: the job's record has changed. */
   jobChanged(jobId: string, taskIndexes?: readonly number[]): void {
-    const { leadership, clusterState, planner, completion, dependencyProgress } = this.dependencies;
+    const { leadership, clusterState, planner, completion, waitingJobAdvancer } = this.dependencies;
     const view = clusterState.jobs.get(jobId);
-    if (taskIndexes === undefined) dependencyProgress.jobChanged(jobId);
+    if (taskIndexes === undefined) waitingJobAdvancer.jobChanged(jobId);
     planner.planSoon(view !== undefined && this.isUrgent(view));
     if (view === undefined) return;
-    for (const taskIndex of taskIndexes ?? [...view.knownPlacements()].map(([each]) => each))
+    for (const taskIndex of taskIndexes ?? [...view.knownPlacements()].map(([index]) => index))
       this.pushCommands(view, taskIndex);
-    // All nodes see the end at the same moment, and a transaction that fails since another node was first costs like others.
+    // All nodes see the end at the same time, so only the responsible one records it: a lost race costs a transaction too.
     if (hasJobEnded(view) && isResponsibleFor(leadership, jobId)) void completion.complete(jobId);
   }
 
-  /** Pushes to the machine of a task what it is to do about it, where that is new. */
+  /** Pushes the stop of a task to its machine, or its launch unless the worker already reports this attempt. */
   private pushCommands(view: JobView, taskIndex: number): void {
     const { workerManager, reportPeriodMs } = this.dependencies;
     const placement = view.placementOf(taskIndex);
@@ -59,17 +59,17 @@
     const worker = workerManager.workers.get(placement.machineId);
     if (worker === undefined) return;
     const isStopped = view.record.state === 'cancelled' || placement.gracePeriodS !== null;
-    const task = worker.tasks.get(taskIdOf(view.jobId, taskIndex));
+    const reportedTask = worker.tasks.get(taskIdOf(view.jobId, taskIndex));
     if (isStopped) {
       workerManager.pushCommands(placement.machineId);
       return;
     }
-    if (task?.attempt === placement.attempt) return;
+    if (reportedTask?.attempt === placement.attempt) return;
     const isBatch = view.record.spec.kind === 'array';
     workerManager.pushCommands(placement.machineId, isBatch ? reportPeriodMs * BATCH_PUSH_GATHER_SHARE : undefined);
   }
 
-  /** Has the job tasks that may wait for seconds at most, and that this very node places? */
+  /** Whether the job has queued tasks that may wait for seconds at most and that this node places. */
   private isUrgent({ jobId, record, queued }: JobView): boolean {
     const { leadership } = this.dependencies;
     if (record.spec.kind === 'array' || record.state === 'waiting' || queued.length === 0) return false;
--- a/test/api/api-server.test.ts
+++ b/test/api/api-server.test.ts
@@ -9,15 +9,15 @@
 import type { HttpAnswer } from '../../src/net/http-answer.js';
 import { noLog } from '../../testing/fixtures.js';
 
-function connect(handlers: Partial<Handlers>): { open: () => Duplex; openBoth: () => [Duplex, Duplex] } {
-  const unexpected = () => assert.fail('not asked for');
+function createTestServer(handlers: Partial<Handlers>): { open: () => Duplex; openBoth: () => [Duplex, Duplex] } {
+  const unexpected = () => assert.fail('unexpected request');
   const server = new ApiServer(
     {
       submit: unexpected,
       poll: unexpected,
       cancel: unexpected,
       answerHeartbeat: unexpected,
-      up: unexpected,
+      answerHealthCheck: unexpected,
       ...handlers,
     },
     noLog,
@@ -36,9 +36,9 @@
   `POST ${path} HTTP/1.1\r\nHost: node\r\nContent-Length: ${Buffer.byteLength(body)}\r\n\r\n${body}`;
 const get = (path: string) => `GET ${path} HTTP/1.1\r\nHost: node\r\n\r\n`;
 
-/** The whole answer; answers here fit into one piece. */
-async function ask(connection: Duplex, request: string): Promise<string> {
-  connection.write(request);
+/** Returns the whole response; all responses in these tests fit into one chunk. */
+async function request(connection: Duplex, rawRequest: string): Promise<string> {
+  connection.write(rawRequest);
   const [text] = (await once(connection, 'data')) as [string];
   return text;
 }
@@ -47,42 +47,42 @@
 const bodyOf = (answer: string) => JSON.parse(answer.slice(answer.indexOf('\r\n\r\n') + 4)) as unknown;
 
 describe('the HTTP server', () => {
-  it('answers heartbeat after heartbeat on one connection, also one that arrives in pieces', async () => {
-    const heard: unknown[] = [];
-    const { open } = connect({
+  it('answers successive heartbeats on one connection, including one that arrives in several chunks', async () => {
+    const receivedBodies: unknown[] = [];
+    const { open } = createTestServer({
       answerHeartbeat: (body) => {
-        heard.push(body);
+        receivedBodies.push(body);
         return { status: 200, body: { Fence: 1, Orders: [] } };
       },
     });
     const connection = open();
-    const answer = await ask(connection, post('/hello', '{"Tick":1}'));
+    const answer = await request(connection, post('/hello', '{"Tick":1}'));
     assert.equal(statusOf(answer), 200);
     assert.deepEqual(bodyOf(answer), { Fence: 1, Orders: [] });
     const [head, body] = post('/hello', '{"Tick":2}').split(/(?=\{)/);
     connection.write(head);
     connection.write(body!.slice(0, 4));
-    assert.equal(statusOf(await ask(connection, body!.slice(4))), 200);
-    assert.deepEqual(heard, [{ Tick: 1 }, { Tick: 2 }]);
+    assert.equal(statusOf(await request(connection, body!.slice(4))), 200);
+    assert.deepEqual(receivedBodies, [{ Tick: 1 }, { Tick: 2 }]);
   });
 
   it('rejects unknown paths, wrong methods and malformed bodies, each with its status', async () => {
-    const { open } = connect({ up: () => ({ status: 200, body: { up: true } }) });
+    const { open } = createTestServer({ answerHealthCheck: () => ({ status: 200, body: { up: true } }) });
     const connection = open();
-    assert.equal(statusOf(await ask(connection, get('/up?why=check'))), 200);
-    assert.equal(statusOf(await ask(connection, get('/nothing'))), 404);
-    assert.equal(statusOf(await ask(connection, get('/v1/jobs/%ZZ'))), 404);
-    const wrong = await ask(connection, get('/hello'));
-    assert.equal(statusOf(wrong), 405);
-    assert.match(wrong, /Allow: GET, POST/);
-    const malformed = await ask(connection, post('/v1/jobs', '{'));
+    assert.equal(statusOf(await request(connection, get('/up?why=check'))), 200);
+    assert.equal(statusOf(await request(connection, get('/nothing'))), 404);
+    assert.equal(statusOf(await request(connection, get('/v1/jobs/%ZZ'))), 404);
+    const wrongMethod = await request(connection, get('/hello'));
+    assert.equal(statusOf(wrongMethod), 405);
+    assert.match(wrongMethod, /Allow: GET, POST/);
+    const malformed = await request(connection, post('/v1/jobs', '{'));
     assert.equal(statusOf(malformed), 400);
     assert.deepEqual(bodyOf(malformed), { error: 'not JSON' });
   });
 
   it('rejects a body over the limit, with or without Content-Length, and closes the connection', async () => {
-    const { open } = connect({});
-    const announced = await ask(
+    const { open } = createTestServer({});
+    const announced = await request(
       open(),
       `POST /hello HTTP/1.1\r\nHost: node\r\nContent-Length: ${MAX_BODY_BYTES + 1}\r\n\r\n`,
     );
@@ -90,40 +90,43 @@
     assert.match(announced, /Connection: close/);
     const chunk = `${(MAX_BODY_BYTES + 1).toString(16)}\r\n${' '.repeat(MAX_BODY_BYTES + 1)}\r\n`;
     const chunked = `POST /hello HTTP/1.1\r\nHost: node\r\nTransfer-Encoding: chunked\r\n\r\n${chunk}`;
-    assert.deepEqual(bodyOf(await ask(open(), chunked)), { error: 'body over 64 KiB' });
+    assert.deepEqual(bodyOf(await request(open(), chunked)), { error: 'body over 64 KiB' });
   });
 
-  it('answers 503 with Retry-After where a handler fails, at once or later', async () => {
-    const { open } = connect({
+  it('answers 503 with Retry-After if a handler throws or rejects', async () => {
+    const { open } = createTestServer({
       answerHeartbeat: () => {
         throw new Error('broken');
       },
       poll: () => Promise.reject(new Error('broken')),
     });
-    for (const request of [post('/hello', '{}'), get('/v1/jobs/j-1')]) {
-      const answer = await ask(open(), request);
+    for (const rawRequest of [post('/hello', '{}'), get('/v1/jobs/j-1')]) {
+      const answer = await request(open(), rawRequest);
       assert.equal(statusOf(answer), 503);
       assert.match(answer, /Retry-After: 1/);
     }
   });
 
-  it('rejects users at once while too many of their requests are open, and accepts them again after', async () => {
-    let answerAll: (answer: HttpAnswer) => void = () => undefined;
-    const later = new Promise<HttpAnswer>((resolve) => (answerAll = resolve));
-    const { open } = connect({ poll: () => later, answerHeartbeat: () => ({ status: 200, body: {} }) });
-    const waiting = Array.from({ length: MAX_OPEN_REQUESTS }, () => ask(open(), get('/v1/jobs/j-1')));
+  it("rejects users' requests at once while too many are open, and accepts them again afterwards", async () => {
+    let resolveAll: (answer: HttpAnswer) => void = () => undefined;
+    const pendingAnswer = new Promise<HttpAnswer>((resolve) => (resolveAll = resolve));
+    const { open } = createTestServer({
+      poll: () => pendingAnswer,
+      answerHeartbeat: () => ({ status: 200, body: {} }),
+    });
+    const openRequests = Array.from({ length: MAX_OPEN_REQUESTS }, () => request(open(), get('/v1/jobs/j-1')));
     const connection = open();
-    const refused = await ask(connection, get('/v1/jobs/j-1'));
+    const refused = await request(connection, get('/v1/jobs/j-1'));
     assert.equal(statusOf(refused), 429);
     assert.match(refused, /Retry-After/);
-    assert.equal(statusOf(await ask(connection, post('/hello', '{}'))), 200, 'reports get through');
-    answerAll({ status: 200, body: { Phase: 'queued' } });
-    for (const answer of await Promise.all(waiting)) assert.equal(statusOf(answer), 200);
-    assert.equal(statusOf(await ask(connection, get('/v1/jobs/j-1'))), 200);
+    assert.equal(statusOf(await request(connection, post('/hello', '{}'))), 200, 'heartbeats are still answered');
+    resolveAll({ status: 200, body: { Phase: 'queued' } });
+    for (const answer of await Promise.all(openRequests)) assert.equal(statusOf(answer), 200);
+    assert.equal(statusOf(await request(connection, get('/v1/jobs/j-1'))), 200);
   });
 
-  it('drops a submission whose sender disconnects before it was read', async () => {
-    const { open, openBoth } = connect({ poll: () => Promise.resolve({ status: 200, body: {} }) });
+  it('stops counting a submission as open when its sender disconnects before it has been read', async () => {
+    const { open, openBoth } = createTestServer({ poll: () => Promise.resolve({ status: 200, body: {} }) });
     for (let count = 0; count < MAX_OPEN_REQUESTS; count++) {
       const [client, served] = openBoth();
       client.write('POST /v1/jobs HTTP/1.1\r\nHost: node\r\nContent-Length: 10\r\n\r\n{');
@@ -131,6 +134,6 @@
       served.destroy();
     }
     await new Promise((resolve) => setImmediate(resolve));
-    assert.equal(statusOf(await ask(open(), get('/v1/jobs/j-1'))), 200);
+    assert.equal(statusOf(await request(open(), get('/v1/jobs/j-1'))), 200);
   });
 });
