--- a/build/bundle.js
+++ b/build/bundle.js
@@ -1,6 +1,6 @@
 /**
- * Bundles the compiled program and its libraries into one file from which a startup snapshot can be taken: modules of
- * Node.js that can't be part of a snapshot are loaded at their first use instead of at the start.
+ * Bundles the compiled program and its libraries into one file from which a startup snapshot can be built. Modules of
+ * Node.js that can't be part of a snapshot are loaded at their first use instead of at startup.
  */
 import { createRequire } from 'node:module';
 
@@ -27,7 +27,7 @@
 const NAMESPACE = 'loaded-on-use';
 const requireHere = createRequire(import.meta.url);
 
-/** The source of a module that has the exports of a module of Node.js, which it loads when one of them is read. */
+/** The source of a proxy with the exports of a Node.js module, which it loads when one of them is first read. */
 function loadedOnUse(name) {
   const exported = Object.keys(requireHere(`node:${name}`));
   return [
@@ -52,5 +52,5 @@
 
 const bundle = { bundle: true, platform: 'node', format: 'cjs', logLevel: 'warning' };
 await build({ ...bundle, entryPoints: [ENTRY], outfile: OUTPUT, plugins: [loadOnUse] });
-// Loaded at run time, and only where traces are asked for: no part of the snapshot.
+// Loaded at run time and only if tracing is enabled, so it is not part of the snapshot.
 await build({ ...bundle, entryPoints: [TRACING_ENTRY], outfile: TRACING_OUTPUT });
--- a/build/production.js
+++ b/build/production.js
@@ -1,6 +1,6 @@
 /**
- * Checks out the version that runs in production, as `deploy/service.toml` names it, below `target/`, and compiles it with its
- * stand-ins: for scenarios in which its processes run side by side with those of the present version.
+ * Extracts the version that runs in production, as named by `deploy/service.toml`, to `target/production`, and compiles it
+ * with its fakes, for scenarios in which its processes run side by side with those of the current version.
  */
 import { execFileSync } from 'node:child_process';
 import { existsSync, mkdirSync, readFileSync, rmSync, symlinkSync } from 'node:fs';
--- a/build/snapshot.cjs
+++ b/build/snapshot.cjs
@@ -1,6 +1,6 @@
 /**
- * Run by `node --build-snapshot`: evaluates the bundled program, all of whose functions are compiled beforehand, so that a
- * process that starts from the snapshot compiles none of them in its first seconds.
+ * Run by `node --build-snapshot`: evaluates the bundled program with all its functions compiled eagerly, so that a process
+ * that starts from the snapshot compiles none of them in its first seconds.
  */
 'use strict';
 const { readFileSync } = require('node:fs');
@@ -13,7 +13,7 @@
 const source = readFileSync(BUNDLE, 'utf8').replace(HASHBANG, '');
 setFlagsFromString('--no-lazy');
 const evaluate = runInThisContext(`(function (require, module, exports) {${source}\n})`, { filename: BUNDLE });
-// A snapshot is refused by a process whose flags are not those at the time when it was taken.
+// A process refuses a snapshot that was taken under other V8 flags than its own.
 setFlagsFromString('--lazy');
 
 const program = { exports: {} };
--- a/eslint.config.js
+++ b/eslint.config.js
@@ -3,23 +3,23 @@
 import importSort from 'eslint-plugin-simple-import-sort';
 import tseslint from 'typescript-eslint';
 
-/** The compiler's strictest sets apart from the exceptions in `typeRuleExceptions`. */
+/** The strictest rule sets of typescript-eslint; `typeRuleExceptions` lists the exceptions. */
 const typeRules = [...tseslint.configs.strictTypeChecked, ...tseslint.configs.stylisticTypeChecked];
 
-/** Rules of those sets that are off or eased, each with its reason. */
+/** Rules of those sets that are disabled or relaxed, each with its reason. */
 const typeRuleExceptions = {
-  // Fakes implement asynchronous interfaces without waiting for anything.
+  // Fakes implement asynchronous interfaces without awaiting anything.
   '@typescript-eslint/require-await': 'off',
-  // Indices within a checked length are not undefined, which the compiler can not see.
+  // An element at an index within a checked length is defined, but the compiler cannot see that.
   '@typescript-eslint/no-non-null-assertion': 'off',
-  // Numbers and booleans are written into texts as they are.
+  // Numbers and booleans may stand in template literals without a conversion.
   '@typescript-eslint/restrict-template-expressions': [
     'error',
     { allowAny: true, allowBoolean: true, allowNullish: true, allowNumber: true, allowRegExp: true },
   ],
-  // Short callbacks return what they call.
+  // Short callbacks may return the result of a void call.
   '@typescript-eslint/no-confusing-void-expression': 'off',
-  // Values decoded from peers and stores are checked although their types promise them.
+  // Values decoded from peers and stores are checked even where their types say that they are present.
   '@typescript-eslint/no-unnecessary-condition': 'off',
 };
 
@@ -37,7 +37,7 @@
     rules: { 'simple-import-sort/imports': 'error', 'simple-import-sort/exports': 'error' },
   },
   {
-    // One step a line, in functions and files that a reader takes in at a time.
+    // One step per line, in functions and files that are short enough to be read at once.
     files: ['src/**', 'testing/**', 'test/**', 'packages/**'],
     rules: {
       'no-cond-assign': ['error', 'always'],
@@ -62,7 +62,7 @@
     },
   },
   {
-    // What a module offers says what it is for.
+    // Exported declarations have doc comments.
     files: ['src/**', 'packages/*/src/**'],
     plugins: { jsdoc },
     rules: {
@@ -77,7 +77,7 @@
       ],
     },
   },
-  // Scenarios are told one after the other, a file for each kind of fault.
+  // Test files may be longer: one file holds all scenarios of one kind of fault.
   { files: ['test/**', 'packages/*/test/**'], rules: { 'max-lines': ['error', 500] } },
   { files: ['*.js', 'build/*', 'test/**/*.mjs'], ...tseslint.configs.disableTypeChecked },
   {
--- a/test/program/layers.test.ts
+++ b/test/program/layers.test.ts
@@ -1,37 +1,37 @@
-/** Which folder of the program may import which: arrows point down the table, and no two files import each other in a circle. */
+/** Which folder of `src` may import from which, without import cycles. */
 import assert from 'node:assert/strict';
 import { readdirSync, readFileSync } from 'node:fs';
 import { dirname, join, normalize, relative } from 'node:path';
 import { describe, it } from 'node:test';
 
 const SOURCE = 'src';
-const BELOW_ALL = ['constants', 'domain', 'logging', 'net'];
+const BASE_FOLDERS = ['constants', 'domain', 'logging', 'net'];
 
-/** Every folder with the folders that it may import beside its own, and beside what lies below all. */
-const MAY_IMPORT: Readonly<Record<string, readonly string[]>> = {
+/** The folders that each folder may import from, besides itself. */
+const ALLOWED_IMPORTS: Readonly<Record<string, readonly string[]>> = {
   constants: [],
   domain: ['constants'],
   logging: ['constants', 'domain'],
   net: ['constants', 'domain', 'logging'],
-  config: BELOW_ALL,
-  store: BELOW_ALL,
-  cloud: BELOW_ALL,
-  records: [...BELOW_ALL, 'store'],
-  gossip: [...BELOW_ALL, 'store', 'records'],
-  leadership: [...BELOW_ALL, 'store', 'records', 'gossip'],
-  workers: [...BELOW_ALL, 'store', 'records', 'gossip', 'leadership'],
-  inventory: [...BELOW_ALL, 'store', 'cloud', 'records', 'leadership', 'workers'],
-  scheduling: [...BELOW_ALL, 'store', 'records', 'leadership', 'workers', 'inventory'],
+  config: BASE_FOLDERS,
+  store: BASE_FOLDERS,
+  cloud: BASE_FOLDERS,
+  records: [...BASE_FOLDERS, 'store'],
+  gossip: [...BASE_FOLDERS, 'store', 'records'],
+  leadership: [...BASE_FOLDERS, 'store', 'records', 'gossip'],
+  workers: [...BASE_FOLDERS, 'store', 'records', 'gossip', 'leadership'],
+  inventory: [...BASE_FOLDERS, 'store', 'cloud', 'records', 'leadership', 'workers'],
+  scheduling: [...BASE_FOLDERS, 'store', 'records', 'leadership', 'workers', 'inventory'],
   autoscaling: [
-    ...BELOW_ALL,
+    ...BASE_FOLDERS,
     ...['store', 'cloud', 'records', 'gossip', 'leadership', 'workers', 'inventory', 'scheduling'],
   ],
-  jobs: [...BELOW_ALL, 'store', 'records', 'leadership'],
-  api: [...BELOW_ALL, 'store', 'records', 'jobs'],
+  jobs: [...BASE_FOLDERS, 'store', 'records', 'leadership'],
+  api: [...BASE_FOLDERS, 'store', 'records', 'jobs'],
 };
 
-/** They join all others. */
-const COMPOSITION = new Set(['controller', 'main.ts']);
+/** They connect all other modules and may import from every folder. */
+const COMPOSITION_ROOTS = new Set(['controller', 'main.ts']);
 
 const files = readdirSync(SOURCE, { recursive: true, encoding: 'utf8' }).filter((file) => file.endsWith('.ts'));
 
@@ -43,27 +43,27 @@
 const folderOf = (file: string): string => file.split('/')[0]!;
 
 describe('an import', () => {
-  it('goes down the table of folders only', () => {
-    const upward: string[] = [];
+  it('goes only to a folder that the table allows', () => {
+    const disallowed: string[] = [];
     for (const file of files) {
       const folder = folderOf(file);
-      if (COMPOSITION.has(folder)) continue;
-      const allowed = MAY_IMPORT[folder];
+      if (COMPOSITION_ROOTS.has(folder)) continue;
+      const allowed = ALLOWED_IMPORTS[folder];
       assert.ok(allowed !== undefined, `${folder} is not in the table`);
       for (const target of importsOf(file)) {
-        if (folderOf(target) !== folder && !allowed.includes(folderOf(target))) upward.push(`${file} -> ${target}`);
+        if (folderOf(target) !== folder && !allowed.includes(folderOf(target))) disallowed.push(`${file} -> ${target}`);
       }
     }
-    assert.deepEqual(upward, []);
+    assert.deepEqual(disallowed, []);
   });
 
-  it('closes no circle', () => {
+  it('is not part of a cycle', () => {
     const state = new Map<string, 'open' | 'closed'>();
-    const circles: string[] = [];
+    const cycles: string[] = [];
     const visit = (file: string, path: readonly string[]): void => {
       if (state.get(file) === 'closed') return;
       if (state.get(file) === 'open') {
-        circles.push([...path.slice(path.indexOf(file)), file].join(' -> '));
+        cycles.push([...path.slice(path.indexOf(file)), file].join(' -> '));
         return;
       }
       state.set(file, 'open');
@@ -71,10 +71,10 @@
       state.set(file, 'closed');
     };
     for (const file of files) visit(file, []);
-    assert.deepEqual(circles, []);
+    assert.deepEqual(cycles, []);
   });
 
-  it('of the program reaches neither stand-ins nor tests', () => {
+  it('in src goes neither to fakes nor to tests', () => {
     const outside = files.flatMap((file) =>
       importsOf(file)
         .filter((target) => relative('.', target).startsWith('..'))
--- a/test/program/startup-snapshot.test.ts
+++ b/test/program/startup-snapshot.test.ts
@@ -13,20 +13,20 @@
 
 const SNAPSHOT = 'target/dewlatch.blob';
 const MAX_MESSAGE_BYTES = 1 << 20;
-/** Nothing listens there: the controller has neither store nor cloud. */
-const NOWHERE = '127.0.0.1:9';
+/** Nothing listens on this address: the controller reaches neither the store nor the cloud. */
+const CLOSED_ADDRESS = '127.0.0.1:9';
 
 const deployment = parse(readFileSync('deploy/service.toml', 'utf8')) as { run: string };
 const settings = JSON.parse(readFileSync('.ci/settings.json', 'utf8')) as object;
 
-/** Listens as a peer controller, and hands over the number of each life that it hears of. */
-async function listenForLives(hear: (incarnation: number) => void): Promise<Server> {
+/** Listens as a peer controller, and passes on the incarnation in each gossip message that it receives. */
+async function listenForIncarnations(onIncarnation: (incarnation: number) => void): Promise<Server> {
   const server = createServer((socket) => {
     const frames = new FrameDecoder(MAX_MESSAGE_BYTES);
     socket.on('error', () => socket.destroy());
     socket.on('data', (bytes) => {
       for (const message of frames.push(bytes).map(decodeMessage))
-        if (message.kind === 'gossip') hear(message.payload.incarnation);
+        if (message.kind === 'gossip') onIncarnation(message.payload.incarnation);
     });
   });
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
@@ -41,21 +41,25 @@
   });
   after(() => rmSync(folder, { recursive: true }));
 
-  /** Starts the deployed program; returns the number of its life, after which it has ended. */
-  async function lifeOfProcess(): Promise<number> {
-    let hear: (incarnation: number) => void = () => undefined;
-    const heard = new Promise<number>((resolve) => (hear = resolve));
-    const peer = await listenForLives((incarnation) => hear(incarnation));
+  /** Starts the deployed program, waits for its incarnation, and ends it. */
+  async function incarnationOfProcess(): Promise<number> {
+    let onIncarnation: (incarnation: number) => void = () => undefined;
+    const received = new Promise<number>((resolve) => (onIncarnation = resolve));
+    const peer = await listenForIncarnations((incarnation) => onIncarnation(incarnation));
     const address = `127.0.0.1:${(peer.address() as AddressInfo).port}`;
     const file = join(folder, 'settings.json');
-    const own = { bind: '127.0.0.1:0', mesh_addr: '127.0.0.1:0', outside: { cloud: NOWHERE, state: NOWHERE } };
-    writeFileSync(file, JSON.stringify({ ...settings, ...own, peers: [{ node: 'peer', address }] }));
+    const overrides = {
+      bind: '127.0.0.1:0',
+      mesh_addr: '127.0.0.1:0',
+      outside: { cloud: CLOSED_ADDRESS, state: CLOSED_ADDRESS },
+    };
+    writeFileSync(file, JSON.stringify({ ...settings, ...overrides, peers: [{ node: 'peer', address }] }));
     const [command, ...flags] = deployment.run.split(' ');
     const child = spawn(command!, [...flags, file], { stdio: 'ignore' });
     const ended = new Promise((resolve) => child.once('exit', resolve));
     const failed = ended.then(() => Promise.reject(new Error('the program ended by itself')));
     try {
-      return await Promise.race([heard, failed]);
+      return await Promise.race([received, failed]);
     } finally {
       child.kill('SIGKILL');
       failed.catch(() => undefined);
@@ -64,9 +68,9 @@
     }
   }
 
-  // A process that is started while the snapshot is rewritten in place can not load it: on the loopback, a controller that was
-  // started again beside such a build did not come back.
-  it('get a whole snapshot while a build replaces it', () => {
+  // A process that starts while the snapshot is rewritten in place can't load it: on the loopback interface, a controller that
+  // was restarted during such a build did not come back.
+  it('read a complete snapshot while a build replaces it', () => {
     const openedBefore = openSync(SNAPSHOT, 'r');
     const sizeBefore = fstatSync(openedBefore).size;
     try {
@@ -78,8 +82,8 @@
     }
   });
 
-  // Numbers drawn while the snapshot was built would be the same in every life, and tell no late answer from a present one.
-  it('draw different numbers for their lives', async () => {
-    assert.notEqual(await lifeOfProcess(), await lifeOfProcess());
+  // Numbers drawn while the snapshot is built would be equal in all processes, and would not tell late answers from current ones.
+  it('draw different incarnations', async () => {
+    assert.notEqual(await incarnationOfProcess(), await incarnationOfProcess());
   });
 });
--- a/test/scenarios/cluster.test.ts
+++ b/test/scenarios/cluster.test.ts
@@ -8,7 +8,7 @@
 let cluster: Cluster;
 afterEach(() => assert.deepEqual(cluster.verdict(), []));
 
-async function ready(options: ClusterOptions = {}, machines = 2): Promise<Cluster> {
+async function startCluster(options: ClusterOptions = {}, machines = 2): Promise<Cluster> {
   cluster = new Cluster(options);
   for (let index = 0; index < machines; index++) {
     cluster.addWorker({ machineId: `i-00000${index}`, zone: ['a', 'b', 'c'][index % 3]!, runMs: 5000 });
@@ -17,31 +17,31 @@
   return cluster;
 }
 
-const body = (answer: { body: unknown }) => decodeJobStatus(answer.body);
+const statusOf = (answer: { body: unknown }) => decodeJobStatus(answer.body);
 const service = { id: 'j-svc', kind: 'service', priority: 'prod', estimatedRunS: 0, spreadAcrossZones: true } as const;
 
 describe('jobs', () => {
-  it('run to their end, and are known for ever, also after a restart of all nodes', async () => {
-    await ready();
+  it('run to completion and stay known, also after all nodes have restarted', async () => {
+    await startCluster();
     assert.equal((await cluster.submit({ taskCount: 3 })).status, 201);
     await cluster.advance(12_000);
-    const status = body(await cluster.poll('j-000001'));
+    const status = statusOf(await cluster.poll('j-000001'));
     assert.deepEqual(status, { id: 'j-000001', state: 'done', done: 3, running: 0 });
     cluster.crash(0);
     cluster.start(0);
     await cluster.advance(6000);
-    assert.equal(body(await cluster.poll('j-000001')).state, 'done');
+    assert.equal(statusOf(await cluster.poll('j-000001')).state, 'done');
     const again = await cluster.submit({ taskCount: 3 });
     assert.equal(again.status, 200);
-    assert.equal(body(again).state, 'done');
+    assert.equal(statusOf(again).state, 'done');
     for (const taskIndex of [0, 1, 2]) assert.equal(cluster.runs(`j-000001/${taskIndex}`).length, 1);
   });
 
-  it('of many tasks leave no placement records behind', async () => {
-    await ready({ teams: [{ name: 'red' }], machineTypes: [{ ...C8, cpus: 1000, memoryGb: 10_000 }] }, 1);
+  it('with many tasks leave no placement records behind', async () => {
+    await startCluster({ teams: [{ name: 'red' }], machineTypes: [{ ...C8, cpus: 1000, memoryGb: 10_000 }] }, 1);
     await cluster.submit({ id: 'j-big', taskCount: 1000, cpus: 1, memoryGb: 1 });
     await cluster.advance(40_000);
-    assert.equal(body(await cluster.poll('j-big')).state, 'done');
+    assert.equal(statusOf(await cluster.poll('j-big')).state, 'done');
     await cluster.advance(3000);
     assert.deepEqual(
       [...cluster.store.rows.keys()].filter((key) => key.includes('j-big')),
@@ -49,38 +49,38 @@
     );
   });
 
-  it('are unknown unless somebody has submitted them', async () => {
-    await ready();
+  it('that nobody has submitted are unknown', async () => {
+    await startCluster();
     assert.equal((await cluster.poll('j-nobody')).status, 404);
     assert.equal((await cluster.cancelJob('j-nobody')).status, 404);
   });
 
-  it('that were cancelled stay so at every node, stop, and start no more', async () => {
-    await ready({ nodes: 3 }, 3);
+  it('that were cancelled are stopped, do not start again, and are cancelled at every node', async () => {
+    await startCluster({ nodes: 3 }, 3);
     await cluster.submit({ ...service, taskCount: 3 });
     await cluster.advance(3000);
-    assert.equal(body(await cluster.cancelJob('j-svc', 1)).state, 'cancelled');
-    for (const node of [0, 1, 2]) assert.equal(body(await cluster.poll('j-svc', node)).state, 'cancelled');
+    assert.equal(statusOf(await cluster.cancelJob('j-svc', 1)).state, 'cancelled');
+    for (const node of [0, 1, 2]) assert.equal(statusOf(await cluster.poll('j-svc', node)).state, 'cancelled');
     await cluster.advance(3000);
     for (const taskIndex of [0, 1, 2]) {
       const runs = cluster.runs(`j-svc/${taskIndex}`);
       assert.equal(runs.length, 1);
       assert.notEqual(runs[0]!.to, undefined);
     }
-    assert.equal(body(await cluster.submit({ ...service, taskCount: 3 }, 2)).state, 'cancelled');
+    assert.equal(statusOf(await cluster.submit({ ...service, taskCount: 3 }, 2)).state, 'cancelled');
   });
 
-  it('are told as new as any node has told, though a node has missed the news', async () => {
-    await ready({ nodes: 3 });
+  it('are reported no older than by any other node, even by a node whose watch has missed a change', async () => {
+    await startCluster({ nodes: 3 });
     await cluster.submit({ ...service, taskCount: 1 });
-    // Node 2 hears nothing more from its watch.
+    // Node 2 receives no more changes from its watch.
     cluster.network.fault({ from: 'n2', path: /^\/watch/, kind: 'lose' });
     await cluster.cancelJob('j-svc', 0);
-    assert.equal(body(await cluster.poll('j-svc', 2)).state, 'cancelled');
+    assert.equal(statusOf(await cluster.poll('j-svc', 2)).state, 'cancelled');
   });
 
-  it('that can never run are refused for good, others only for now', async () => {
-    await ready({ teams: [{ name: 'red', cpus_max: 4 }] });
+  it('that can never run are refused with 4xx, others during a store outage with 503 and a retry delay', async () => {
+    await startCluster({ teams: [{ name: 'red', cpus_max: 4 }] });
     assert.equal((await cluster.submit({ team: 'nobody' })).status, 422);
     assert.equal((await cluster.submit({ cpus: 100 })).status, 422);
     assert.equal((await cluster.submit({ ...service, taskCount: 3 })).status, 422, "over the team's limit");
@@ -92,8 +92,8 @@
     assert.ok((answer.retryAfter ?? 0) >= 1);
   });
 
-  it('accepted without the node hearing so are known at the retry', async () => {
-    await ready();
+  it('accepted in a transaction whose answer is lost are known when submitted again', async () => {
+    await startCluster();
     cluster.network.fault({ path: /^\/txn/, kind: 'answerLost', times: 1 });
     const first = await cluster.submit({ ...service, taskCount: 1 });
     assert.ok(first.status === 201 || first.status === 200 || first.status === 503);
@@ -102,8 +102,8 @@
 });
 
 describe('a task', () => {
-  it('of a dead machine starts elsewhere, once the cloud has confirmed that the machine is gone', async () => {
-    await ready({}, 3);
+  it('of a dead machine starts on another machine once the cloud has confirmed that the dead one is gone', async () => {
+    await startCluster({}, 3);
     await cluster.submit({ ...service, taskCount: 1 });
     const [run] = cluster.runs('j-svc/0');
     cluster.rememberWorkers();
@@ -114,35 +114,35 @@
     assert.equal(cluster.overlaps('j-svc/0'), 0);
   });
 
-  it('of a machine cut off while the cloud is down waits for the lease to be over', async () => {
-    await ready({}, 3);
+  it('of a machine that is cut off during a cloud outage starts again only after the lease has expired', async () => {
+    await startCluster({}, 3);
     await cluster.submit({ ...service, taskCount: 1 });
     const [run] = cluster.runs('j-svc/0');
     cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
     cluster.cut.add(run!.machineId);
     await cluster.advance(8000);
-    assert.equal(cluster.runs('j-svc/0').length, 1, 'it may still run there');
+    assert.equal(cluster.runs('j-svc/0').length, 1, 'it may still run on the first machine');
     await cluster.advance(8000);
     assert.equal(cluster.runs('j-svc/0').length, 2);
     assert.equal(cluster.overlaps('j-svc/0'), 0);
   });
 
-  it('is not forgotten while a launch may still be on its way', async () => {
-    await ready({}, 1);
+  it('whose launch command is held up for seconds runs only once', async () => {
+    await startCluster({}, 1);
     const worker = cluster.workers.get('i-000000')!;
     const heal = cluster.network.fault({ to: worker.endpoint, path: /^\/commands/, kind: 'hold' });
     await cluster.submit({ id: 'j-late' });
     await cluster.advance(9000);
     heal();
-    // The held copy arrives after the task was done, recorded and forgotten, or before: it never runs a second time.
+    // Whether the held copy arrives before or after the task was done, recorded and forgotten, it starts no second run.
     cluster.network.release();
     await cluster.advance(5000);
     assert.equal(cluster.runs('j-late/0').length, 1);
-    assert.equal(body(await cluster.poll('j-late')).state, 'done');
+    assert.equal(statusOf(await cluster.poll('j-late')).state, 'done');
   });
 
-  it('that fails everywhere is retried with growing pauses and starves nobody', async () => {
-    await ready({ cluster: {} }, 1);
+  it('that fails on every machine is retried with increasing delays, so that it starves no other task', async () => {
+    await startCluster({ cluster: {} }, 1);
     cluster.workers.get('i-000000')!.options.failsAllTasks = true;
     await cluster.submit({ ...service, taskCount: 1 });
     await cluster.advance(20_000);
@@ -150,8 +150,8 @@
     assert.ok(tries >= 1 && tries < 8, `${tries} tries`);
   });
 
-  it('never takes a team over its limit, whoever places it', async () => {
-    await ready({ nodes: 3, teams: [{ name: 'red', cpus: 4, cpus_max: 6 }] }, 3);
+  it('never takes a team over its limit, whichever node accepts its job', async () => {
+    await startCluster({ nodes: 3, teams: [{ name: 'red', cpus: 4, cpus_max: 6 }] }, 3);
     for (let n = 0; n < 4; n++) {
       await cluster.submit({ id: `j-q${n}`, taskCount: 4 }, n % 3);
       const running = [...cluster.workers.values()].flatMap((worker) =>
@@ -160,20 +160,20 @@
       assert.ok(running.length <= 3, `${running.length} tasks of 2 CPUs`);
     }
     await cluster.advance(60_000);
-    for (let n = 0; n < 4; n++) assert.equal(body(await cluster.poll(`j-q${n}`)).state, 'done');
+    for (let n = 0; n < 4; n++) assert.equal(statusOf(await cluster.poll(`j-q${n}`)).state, 'done');
     const team = cluster.store.rows.get('live/team/red')?.value as { cpus: number };
     assert.equal(team.cpus, 0);
   });
 
-  it('shares a machine with a sibling only if it must', async () => {
-    await ready({}, 4);
+  it('shares a machine with another task of its job only if there is no other machine', async () => {
+    await startCluster({}, 4);
     await cluster.submit({ ...service, taskCount: 4 });
     const counts = [...cluster.workers.values()].map((worker) => worker.tasks.size);
     assert.deepEqual(counts, [1, 1, 1, 1]);
   });
 
-  it('keeps to its zones: half of a spread service at most in one', async () => {
-    await ready({}, 3);
+  it('of a spread service is placed so that no zone holds more than half of the tasks, rounded up', async () => {
+    await startCluster({}, 3);
     await cluster.submit({ ...service, taskCount: 5 });
     const zones = new Map<string, number>();
     for (const worker of cluster.workers.values()) {
@@ -191,8 +191,8 @@
 describe('a gang', () => {
   const gang = { id: 'j-gang', kind: 'gang', priority: 'high', taskCount: 10, estimatedRunS: 30 } as const;
 
-  it('starts whole or not at all, and all its tasks under one attempt', async () => {
-    await ready({ teams: [{ name: 'red' }] }, 2);
+  it('starts all its tasks or none, and all under one attempt', async () => {
+    await startCluster({ teams: [{ name: 'red' }] }, 2);
     await cluster.submit(gang);
     await cluster.advance(3000);
     assert.equal([...cluster.workers.values()].flatMap((worker) => worker.history).length, 0);
@@ -203,15 +203,15 @@
     assert.deepEqual([...new Set(runs.map((run) => run.attempt))], [1]);
   });
 
-  it('stays in one zone if it must, and begins anew only when all of the old attempt have gone', async () => {
-    await ready({ teams: [{ name: 'red' }] }, 3);
+  it('bound to a single zone stays there, and starts its next attempt only after all tasks of the last one have ended', async () => {
+    await startCluster({ teams: [{ name: 'red' }] }, 3);
     cluster.addWorker({ machineId: 'i-000007', zone: 'b' });
     cluster.addWorker({ machineId: 'i-000008', zone: 'b' });
     await cluster.advance(3000);
     await cluster.submit({ ...gang, id: 'j-svc-gang', taskCount: 6, singleZone: true });
     const started = [...cluster.workers.values()].filter((worker) => worker.history.length > 0);
     assert.deepEqual([...new Set(started.map((worker) => worker.options.zone))], ['b']);
-    // One member's machine is cut off: while the others may still be there, nothing starts in another zone or attempt.
+    // One member's machine is cut off: while the others may still run, nothing starts in another zone or attempt.
     cluster.rememberWorkers();
     cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
     cluster.cut.add(started[0]!.options.machineId);
@@ -234,11 +234,11 @@
   const taskIds = [0, 1, 2, 3, 4, 5].map((taskIndex) => `j-svc-g/${taskIndex}`);
 
   it('that are lost while the others wait are replaced under the same attempt', async () => {
-    await ready({ teams: [{ name: 'red' }] }, 3);
+    await startCluster({ teams: [{ name: 'red' }] }, 3);
     cluster.workers.get('i-000002')!.options.imageMs = 15_000;
     await cluster.submit({ ...gang, cpus: 4 });
     const waiting = taskIds.filter((name) => cluster.runs(name).length > 0);
-    assert.equal(waiting.length, 4, 'two fetch their image');
+    assert.equal(waiting.length, 4, 'the other two fetch their image');
     const lost = waiting.filter((name) => cluster.runs(name)[0]!.machineId === cluster.runs(waiting[0]!)[0]!.machineId);
     cluster.rememberWorkers();
     cluster.addWorker({ machineId: 'i-000009' });
@@ -252,8 +252,8 @@
     }
   });
 
-  it('are all told to stop within a moment when one machine is to go', async () => {
-    await ready({ nodes: 3, teams: [{ name: 'red' }] }, 3);
+  it('all stop within seconds of each other when one of their machines gets a spot notice', async () => {
+    await startCluster({ nodes: 3, teams: [{ name: 'red' }] }, 3);
     await cluster.submit(gang);
     cluster.workers.get(cluster.runs(taskIds[0]!)[0]!.machineId)!.spotNoticeS = 20;
     await cluster.advance(6000);
@@ -263,8 +263,8 @@
 });
 
 describe('a team', () => {
-  it('gets its guarantee back from one that has borrowed it', async () => {
-    await ready(
+  it('gets its guaranteed capacity back from a team that has borrowed it', async () => {
+    await startCluster(
       {
         teams: [
           { name: 'red', cpus: 8 },
@@ -285,23 +285,23 @@
         [...worker.tasks].filter(([name, task]) => name.startsWith(jobId) && task.state === 'running'),
       ).length;
     assert.equal(running('j-b1'), 4);
-    assert.equal(running('j-r1'), 4, 'and no more than that is taken');
+    assert.equal(running('j-r1'), 4, 'no more than the guarantee is taken back');
   });
 });
 
 describe('a guarantee', () => {
-  it('of cards takes nothing from work that needs none', async () => {
+  it('of GPUs preempts no task that needs none', async () => {
     const teams = [
       { name: 'red', gpus: 2 },
       { name: 'blue', gpus: 2 },
     ];
-    await ready({ teams, machineTypes: [{ ...C8, gpus: 4 }] }, 0);
+    await startCluster({ teams, machineTypes: [{ ...C8, gpus: 4 }] }, 0);
     cluster.addWorker({ machineId: 'i-000001' });
     cluster.cloud.full.add('a').add('b').add('c');
     await cluster.advance(3000);
     await cluster.submit({ id: 'j-cards', cpus: 1, gpus: 1, taskCount: 4 });
     await cluster.submit({ ...service, taskCount: 2, spreadAcrossZones: false });
-    // All room is taken, and red uses more cards than its guarantee: blue's plain batch work must wait all the same.
+    // No capacity is left, and red uses more GPUs than its guarantee: blue's batch job without GPUs must wait all the same.
     await cluster.submit({ id: 'j-blue', team: 'blue', taskCount: 2 });
     await cluster.advance(5000);
     assert.equal(cluster.runs('j-svc/0')[0]!.to, undefined);
@@ -311,8 +311,8 @@
 });
 
 describe('a node', () => {
-  it('that crashes is replaced as an owner, and its tasks run on', async () => {
-    await ready({ nodes: 3 }, 3);
+  it('that crashes is replaced as partition leader, and the tasks of its partition keep running', async () => {
+    await startCluster({ nodes: 3 }, 3);
     await cluster.submit({ ...service, taskCount: 3 });
     cluster.crash(0);
     await cluster.advance(9000);
@@ -320,12 +320,12 @@
     for (const taskIndex of [0, 1, 2]) assert.equal(cluster.runs(`j-svc/${taskIndex}`)[0]!.to, undefined);
     cluster.start(0);
     await cluster.advance(12_000);
-    assert.equal(cluster.node(1).leadership.leaderOf('part-0'), 'n0', 'the part goes home');
+    assert.equal(cluster.node(1).leadership.leaderOf('part-0'), 'n0', 'the partition returns to its preferred node');
     for (const taskIndex of [0, 1, 2]) assert.equal(cluster.runs(`j-svc/${taskIndex}`).length, 1);
   });
 
-  it('that restarts within a moment acquires its own roles at once, with a higher fencing token', async () => {
-    await ready({ nodes: 3 });
+  it('that restarts immediately acquires its own partition at once, with a higher fencing token', async () => {
+    await startCluster({ nodes: 3 });
     const fencingToken = cluster.node(0).leadership.leadershipOf('part-0')!.fencingToken;
     cluster.crash(0);
     cluster.start(0);
@@ -333,8 +333,8 @@
     assert.ok(cluster.node(0).leadership.leadershipOf('part-0')!.fencingToken > fencingToken);
   });
 
-  it('alone without the store stops answering as soon as a peer has it', async () => {
-    await ready({ nodes: 3 }, 3);
+  it('that alone does not reach the store stops serving while its peers reach it, and one of them takes over', async () => {
+    await startCluster({ nodes: 3 }, 3);
     cluster.network.fault({ from: 'n0', to: 'store:1', kind: 'status', status: 503 });
     await cluster.advance(6000);
     assert.equal(cluster.node(0).leadership.servingLeadershipOf('part-0'), undefined);
@@ -343,8 +343,8 @@
     assert.ok(['n1', 'n2'].includes(cluster.node(1).leadership.leaderOf('part-0')!));
   });
 
-  it('cut off from store and peers answers no longer than a cancellation allows', async () => {
-    await ready({ nodes: 3 }, 3);
+  it('cut off from the store and its peers serves no longer than the cancellation deadline allows', async () => {
+    await startCluster({ nodes: 3 }, 3);
     cluster.network.fault({ from: 'n0', to: 'store:1', kind: 'lose' });
     for (const pair of ['n0>n1', 'n0>n2', 'n1>n0', 'n2>n0']) cluster.partitioned.add(pair);
     await cluster.advance(15_000);
@@ -353,8 +353,8 @@
     assert.equal(cluster.node(0).leadership.servingLeadershipOf('part-0'), undefined);
   });
 
-  it('learns of machines by way of a third when it can not hear their owner', async () => {
-    await ready({ nodes: 3 }, 6);
+  it('learns of machines through a third node when it receives nothing from their partition leader', async () => {
+    await startCluster({ nodes: 3 }, 6);
     for (const pair of ['n0>n1', 'n1>n0']) cluster.partitioned.add(pair);
     await cluster.advance(20_000);
     for (const node of [0, 1]) {
@@ -363,8 +363,8 @@
     }
   });
 
-  it('gets the reports of workers that can not reach it by way of another, and no task dies', async () => {
-    await ready({ nodes: 3 }, 3);
+  it('gets the heartbeats of workers that can not reach it through another node, and no task ends', async () => {
+    await startCluster({ nodes: 3 }, 3);
     await cluster.submit({ ...service, taskCount: 3 });
     const [run] = cluster.runs('j-svc/0');
     const partitionLeader = cluster.node(0).leadership.leaderOf(cluster.node(0).workerManager.roleOf(run!.machineId));
@@ -373,13 +373,13 @@
     await cluster.advance(40_000);
     assert.equal(cluster.runs('j-svc/0').length, 1);
     assert.equal(cluster.runs('j-svc/0')[0]!.to, undefined);
-    assert.equal(body(await cluster.cancelJob('j-svc', 1)).state, 'cancelled');
+    assert.equal(statusOf(await cluster.cancelJob('j-svc', 1)).state, 'cancelled');
     await cluster.advance(3000);
-    assert.notEqual(cluster.runs('j-svc/0')[0]!.to, undefined, 'orders get there as well');
+    assert.notEqual(cluster.runs('j-svc/0')[0]!.to, undefined, 'commands reach the worker as well');
   });
 
-  it('gives machines back that died while all nodes were down, long before their leases are proved over', async () => {
-    await ready({ nodes: 3 }, 6);
+  it('returns a machine that died while all nodes were down, long before its lease is proved to have expired', async () => {
+    await startCluster({ nodes: 3 }, 6);
     for (let n = 0; n < 6; n++) await cluster.submit({ ...service, id: `j-svc${n}`, taskCount: 1 });
     const [run] = cluster.runs('j-svc0/0');
     cluster.rememberWorkers();
@@ -393,8 +393,8 @@
     for (let n = 0; n < 6; n++) assert.equal(cluster.overlaps(`j-svc${n}/0`), 0);
   });
 
-  it('goes on answering through an outage of the store, however long, and nothing dies', async () => {
-    await ready({ nodes: 3 }, 3);
+  it('keeps serving through a store outage, however long, and no task ends', async () => {
+    await startCluster({ nodes: 3 }, 3);
     await cluster.submit({ ...service, taskCount: 3 });
     cluster.store.out = true;
     await cluster.advance(60_000);
@@ -409,8 +409,8 @@
 });
 
 describe('machines', () => {
-  it('are rented for what has no place, once for each need, and another zone is tried when one is full', async () => {
-    await ready({}, 0);
+  it('are rented once for tasks without a machine, in another zone if one has no capacity', async () => {
+    await startCluster({}, 0);
     cluster.cloud.full.add('a');
     await cluster.submit({ taskCount: 8 });
     await cluster.advance(20_000);
@@ -419,35 +419,39 @@
     assert.ok([...cluster.cloud.machines.values()].every((machine) => machine.zone !== 'a'));
   });
 
-  it('are not rented twice when the answer is lost', async () => {
-    await ready({}, 0);
+  it('are not rented twice when the answer of the cloud is lost', async () => {
+    await startCluster({}, 0);
     cluster.network.fault({ to: 'cloud:1', path: /^\/rentals$/, kind: 'answerLost', times: 1 });
     await cluster.submit({ taskCount: 4 });
     await cluster.advance(25_000);
     assert.equal([...cluster.cloud.rentals.values()].flat().length, 1);
   });
 
-  it('that are slow lose their batch work to others', async () => {
-    await ready({}, 0);
+  it('that are slow lose batch tasks to other machines', async () => {
+    await startCluster({}, 0);
     const slow = cluster.addWorker({ machineId: 'i-000001', runMs: 40_000 });
     cluster.addWorker({ machineId: 'i-000002', runMs: 5000, zone: 'b' });
     await cluster.advance(3000);
-    // 16 tasks of 2 CPUs: four at a time on each; the other machine ends its share many times over.
+    // 16 tasks of 2 CPUs, four at a time on each machine; the fast machine finishes its share many times over.
     await cluster.submit({ id: 'j-slow', taskCount: 16 });
     await cluster.advance(32_000);
-    assert.equal(body(await cluster.poll('j-slow')).state, 'done', 'long before the slow machine would be through');
+    assert.equal(
+      statusOf(await cluster.poll('j-slow')).state,
+      'done',
+      'long before the slow machine would have finished its share',
+    );
     assert.ok(slow.history.length <= 5);
   });
 
-  it('are not given back because their former owner, cut off from the store, calls them silent', async () => {
-    await ready({ nodes: 3 }, 9);
+  it('are not returned because their former leader, cut off from the store, reports them as silent', async () => {
+    await startCluster({ nodes: 3 }, 9);
     cluster.network.fault({ from: 'n0', to: 'store:1', kind: 'status', status: 503 });
     await cluster.advance(40_000);
     assert.deepEqual(cluster.cloud.returned, []);
   });
 
-  it('behind a cut from their owner and from the leader are not given back, since a third node hears them', async () => {
-    await ready({ nodes: 3 }, 6);
+  it('that do not reach their partition leader, which also leads the cluster, are not returned while other nodes hear them', async () => {
+    await startCluster({ nodes: 3 }, 6);
     const leader = Number(cluster.node(0).leadership.leaderOf('leader')!.slice(1));
     const far = (leader + 1) % 3;
     const machineIds = [...cluster.workers.keys()].filter(
@@ -455,15 +459,15 @@
         cluster.node(0).leadership.leaderOf(cluster.node(0).workerManager.roleOf(machineId)) === `n${leader}`,
     );
     assert.ok(machineIds.length > 0);
-    // One zone with these machines and a node can't reach the leader's; the third node hears both.
+    // These machines and one node can't reach the leader's node; the third node reaches both sides.
     for (const machineId of machineIds) cluster.unreachable.add(`${machineId}>n${leader}`);
     cluster.partitioned.add(`n${far}>n${leader}`).add(`n${leader}>n${far}`);
     await cluster.advance(30_000);
     assert.deepEqual(cluster.cloud.returned, []);
   });
 
-  it('that fail all their tasks are told from jobs that do, and given back', async () => {
-    await ready({}, 0);
+  it('that fail all their tasks are told apart from jobs that fail everywhere, and returned', async () => {
+    await startCluster({}, 0);
     cluster.addWorker({ machineId: 'i-000001', runMs: 60_000, failsAllTasks: true });
     cluster.addWorker({ machineId: 'i-000002', runMs: 60_000, zone: 'b' });
     await cluster.advance(3000);
--- a/test/scenarios/combined-faults-leaders.test.ts
+++ b/test/scenarios/combined-faults-leaders.test.ts
@@ -9,12 +9,12 @@
 afterEach(() => cluster.stop());
 
 const NODES = [0, 1, 2];
-const red = { teams: [{ name: 'red' }] };
+const unlimitedTeam = { teams: [{ name: 'red' }] };
 const service = { id: 'j-svc', kind: 'service', priority: 'prod', estimatedRunS: 0, taskCount: 1 } as const;
-/** Their tasks fill a machine each. */
+/** Each task fills a machine. */
 const gang = { id: 'j-gang', kind: 'gang', priority: 'high', taskCount: 2, cpus: 8 } as const;
 
-async function ready(machines: number, options: ClusterOptions = {}, runMs = 5000): Promise<void> {
+async function startCluster(machines: number, options: ClusterOptions = {}, runMs = 5000): Promise<void> {
   cluster = new Cluster({ nodes: 3, ...options });
   for (let index = 0; index < machines; index++) {
     cluster.addWorker({ machineId: `i-00000${index}`, zone: ['a', 'b', 'c'][index % 3]!, runMs });
@@ -24,21 +24,21 @@
 
 const someNode = () => NODES.map((node) => cluster.has(node)).indexOf(true);
 const roleOf = (machineId: string) => cluster.node(someNode()).workerManager.roleOf(machineId);
-/** The node that holds a role, as the others see it. */
-const holder = (role: string) => Number(cluster.node(someNode()).leadership.leaderOf(role)?.slice(1));
-const body = (answer: { body: unknown }) => decodeJobStatus(answer.body);
-const phase = async (jobId: string, node = 0) => body(await cluster.poll(jobId, node)).state;
-const cloudDown = () =>
+/** The node that leads a role, according to some node that is up. */
+const leaderOf = (role: string) => Number(cluster.node(someNode()).leadership.leaderOf(role)?.slice(1));
+const statusOf = (answer: { body: unknown }) => decodeJobStatus(answer.body);
+const jobState = async (jobId: string, node = 0) => statusOf(await cluster.poll(jobId, node)).state;
+const startCloudOutage = () =>
   cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
 
-/** Every host whose machine is of the role's part, of so many names. */
-function hostsOf(role: string, count: number): string[] {
+/** The ids of `count` machines of the role's partition. */
+function machinesOf(role: string, count: number): string[] {
   const machineIds = Array.from({ length: 60 }, (_, n) => `i-${String(n + 10).padStart(6, '0')}`);
   return machineIds.filter((machineId) => roleOf(machineId) === role).slice(0, count);
 }
 
-/** Nothing runs any more, and the team's use says so. */
-function assertTeamFree(): void {
+/** No records of jobs or placements are left, and the team uses nothing. */
+function assertNothingLeft(): void {
   const use = cluster.store.rows.get('live/team/red')?.value as { cpus: number } | undefined;
   assert.equal(use?.cpus ?? 0, 0);
   assert.deepEqual(
@@ -47,24 +47,24 @@
   );
 }
 
-function assertKept(): void {
+function assertNoViolations(): void {
   assert.deepEqual(cluster.verdict(), []);
 }
 
 describe('jobs of two or three tasks that end far apart', () => {
-  it('are done when the last has ended, and not before, though the leader and the owners change in between', async () => {
-    await ready(0, red);
+  it('are done when the last task has ended, and not before, though leaders change in between', async () => {
+    await startCluster(0, unlimitedTeam);
     for (const [n, runMs] of [4000, 16_000, 30_000].entries()) {
       cluster.addWorker({ machineId: `i-00000${n}`, zone: ['a', 'b', 'c'][n]!, runMs });
     }
     await cluster.advance(4000);
     await cluster.submit({ id: 'j-three', taskCount: 3, cpus: 8 });
-    // One after the other, on the only machine of its zone, which for a while takes no new work.
+    // The tasks run one after the other on the only machine of their zone, which at times takes no new tasks.
     for (const zone of ['a', 'b', 'c']) cluster.cloud.full.add(zone);
     await cluster.submit({ id: 'j-next', taskCount: 3, cpus: 8, zone: 'a' });
     cluster.rememberWorkers();
     for (let round = 0; round < 9; round++) {
-      const leader = holder('leader');
+      const leader = leaderOf('leader');
       const { spotNoticeS } = cluster.workers.get('i-000000')!;
       if (cluster.runs('j-next/0').length === 1)
         cluster.workers.get('i-000000')!.spotNoticeS = spotNoticeS === null ? 60 : null;
@@ -75,19 +75,19 @@
       await cluster.poll('j-three', leader);
       await cluster.poll('j-next', leader);
     }
-    assert.equal(await phase('j-three'), 'done');
+    assert.equal(await jobState('j-three'), 'done');
     await cluster.advance(20_000);
-    assert.equal(await phase('j-next'), 'done');
+    assert.equal(await jobState('j-next'), 'done');
     for (const taskIndex of [0, 1, 2]) assert.equal(cluster.runs(`j-three/${taskIndex}`).length, 1);
-    assertKept();
+    assertNoViolations();
   });
 
-  it('of a gang are done though the loss of one machine was recorded before the end of the other task', async () => {
-    await ready(0, red);
-    const leader = holder('leader');
-    const owner = NODES.find((node) => node !== leader && holder(`part-${node}`) === node)!;
+  it('are done as a gang though the loss of one machine was recorded before the end of the other task', async () => {
+    await startCluster(0, unlimitedTeam);
+    const leader = leaderOf('leader');
+    const owner = NODES.find((node) => node !== leader && leaderOf(`part-${node}`) === node)!;
     for (const role of [`part-${leader}`, `part-${owner}`]) {
-      cluster.addWorker({ machineId: hostsOf(role, 1)[0]!, runMs: 20_000 });
+      cluster.addWorker({ machineId: machinesOf(role, 1)[0]!, runMs: 20_000 });
     }
     await cluster.advance(3000);
     await cluster.submit(gang);
@@ -96,7 +96,7 @@
       runs.find((run) => roleOf(run.machineId) === role),
     );
     await cluster.advance(kept!.from + 19_800 - cluster.clock.now());
-    // Both end. One machine dies before it can say so; the other's owner gets no answers from the store for a while.
+    // Both tasks end. One machine dies before it reports that; the other's leader gets no answers from the store for a while.
     cluster.rememberWorkers();
     cluster.cut.add(lost!.machineId);
     const heal = cluster.network.fault({
@@ -110,13 +110,13 @@
     await cluster.advance(5000);
     assert.ok(cluster.cloud.returned.includes(lost!.machineId));
     cluster.checker.faultsEnded(cluster.clock.now());
-    assert.equal(await phase('j-gang'), 'done');
-    assertKept();
+    assert.equal(await jobState('j-gang'), 'done');
+    assertNoViolations();
   });
 
-  it('of a gang that lost a member twice, waiting and running, begin the next time under a new attempt', async () => {
-    await ready(3, red, 600_000);
-    // Both wait for their images, so that neither has started when one machine is lost.
+  it('are restarted as a gang under a new attempt after it lost one member while waiting and one while running', async () => {
+    await startCluster(3, unlimitedTeam, 600_000);
+    // Both tasks wait for their images, so that neither has started when one machine is lost.
     for (const worker of cluster.workers.values()) worker.options.imageMs = 20_000;
     await cluster.submit(gang);
     const [lost] = [...cluster.workers].find(([, worker]) => worker.tasks.has('j-gang/1'))!;
@@ -125,12 +125,12 @@
     await cluster.advance(45_000);
     const [again] = cluster.runs('j-gang/1');
     assert.notEqual(again!.machineId, lost);
-    assert.equal(again!.attempt, 1, 'the other was still waiting for it');
+    assert.equal(again!.attempt, 1, 'the other task was still waiting for it');
     cluster.addWorker({ machineId: 'i-000007', runMs: 600_000 });
     cluster.addWorker({ machineId: 'i-000008', runMs: 600_000 });
     await cluster.advance(5000);
     cluster.workers.get(again!.machineId)!.end('j-gang/1', 'error');
-    // The other notices, and exits as well.
+    // The other task notices that, and exits as well.
     await cluster.advance(23_000);
     const attempts = (taskIndex: number) => cluster.runs(`j-gang/${taskIndex}`).map((run) => run.attempt);
     assert.deepEqual(
@@ -140,30 +140,30 @@
         [1, 2],
       ],
     );
-    assertKept();
+    assertNoViolations();
   });
 
-  it('of a gang that ran begin anew only once a member behind a cut is proved gone', async () => {
-    await ready(4, red, 600_000);
+  it('are restarted as a gang only once a member that is cut off is proved to have ended', async () => {
+    await startCluster(4, unlimitedTeam, 600_000);
     await cluster.submit(gang);
-    cloudDown();
+    startCloudOutage();
     const [here] = cluster.runs('j-gang/0');
     cluster.cut.add(cluster.runs('j-gang/1')[0]!.machineId);
     await cluster.advance(4000);
     cluster.workers.get(here!.machineId)!.end('j-gang/0', 'peer_lost');
-    cluster.crash(holder('leader'));
+    cluster.crash(leaderOf('leader'));
     await cluster.advance(60_000);
     assert.deepEqual(
       cluster.runs('j-gang/0').map((run) => run.attempt),
       [1, 2],
     );
-    assertKept();
+    assertNoViolations();
   });
 });
 
-describe('controllers that hand over and back, all end, and return', () => {
-  it('keep answering while a handover is refused by an outage, however long, and nothing dies', async () => {
-    await ready(6);
+describe('controllers that hand over their roles or restart', () => {
+  it('keep serving while a store outage prevents a handover, however long, and no task ends', async () => {
+    await startCluster(6);
     for (let n = 0; n < 4; n++) await cluster.submit({ ...service, id: `j-svc${n}`, taskCount: 3 });
     cluster.store.out = true;
     for (const node of NODES) void cluster.node(node).leadership.release(`part-${node}`, 'scenario', 3000);
@@ -171,42 +171,42 @@
     cluster.store.endOutage();
     await cluster.advance(15_000);
     for (const worker of cluster.workers.values()) assert.equal(worker.agentEpoch, 1);
-    for (const role of ['part-0', 'part-1', 'part-2', 'leader']) assert.ok(NODES.includes(holder(role)), role);
-    assertKept();
+    for (const role of ['part-0', 'part-1', 'part-2', 'leader']) assert.ok(NODES.includes(leaderOf(role)), role);
+    assertNoViolations();
   });
 
-  it('that have given up their own part leave it to others for the while that was said', async () => {
-    await ready(3);
+  it('leave a partition that they have released to others for the requested time', async () => {
+    await startCluster(3);
     const taken = cluster.node(0).leadership.leadershipOf('part-0')!.fencingToken;
     void cluster.node(0).leadership.release('part-0', 'scenario', 8000);
     await cluster.advance(5000);
-    assert.notEqual(holder('part-0'), 0);
+    assert.notEqual(leaderOf('part-0'), 0);
     await cluster.advance(8000);
-    assert.equal(holder('part-0'), 0);
+    assert.equal(leaderOf('part-0'), 0);
     assert.ok(cluster.node(0).leadership.leadershipOf('part-0')!.fencingToken > taken);
-    assertKept();
+    assertNoViolations();
   });
 
   for (const awayMs of [200, 900, 4000, 14_000]) {
-    it(`within moments, one of them ${awayMs} ms after all have ended, start nothing twice and forget nothing`, async () => {
-      await ready(6);
+    it(`start no task twice and lose none, when one restarts ${awayMs} ms after all have crashed`, async () => {
+      await startCluster(6);
       cluster.rememberWorkers();
       await cluster.submit({ ...service, taskCount: 4 });
       await cluster.submit({ id: 'j-batch', taskCount: 12 });
       for (let round = 0; round < 6; round++) {
-        const from = holder(`part-${round % 3}`);
+        const from = leaderOf(`part-${round % 3}`);
         if (!cluster.has(from)) continue;
         void cluster.node(from).leadership.release(`part-${round % 3}`, 'scenario', 500);
-        if (cluster.has(holder('leader')))
-          void cluster.node(holder('leader')).leadership.release('leader', 'scenario', 500);
+        if (cluster.has(leaderOf('leader')))
+          void cluster.node(leaderOf('leader')).leadership.release('leader', 'scenario', 500);
         await cluster.advance(300);
         cluster.crash(from);
         await cluster.advance(150 * round);
         cluster.start(from);
         await cluster.advance(900);
       }
-      // Some machines can't be reached meanwhile, nor can the cloud say that they are gone.
-      const heal = cloudDown();
+      // Some machines can't be reached meanwhile, and the cloud can't confirm that they are gone.
+      const heal = startCloudOutage();
       for (const taskIndex of [0, 1]) cluster.cut.add(cluster.runs(`j-svc/${taskIndex}`).at(-1)!.machineId);
       for (const node of NODES) cluster.crash(node);
       await cluster.advance(awayMs);
@@ -220,23 +220,23 @@
       await cluster.advance(40_000);
       cluster.checker.faultsEnded(cluster.clock.now());
       await cluster.advance(20_000);
-      assert.equal(await phase('j-batch', 1), 'done');
-      assert.equal(body(await cluster.poll('j-svc', 2)).state, 'running');
-      for (const node of NODES) assert.equal(body(await cluster.poll('j-svc', node)).state, 'running');
+      assert.equal(await jobState('j-batch', 1), 'done');
+      assert.equal(statusOf(await cluster.poll('j-svc', 2)).state, 'running');
+      for (const node of NODES) assert.equal(statusOf(await cluster.poll('j-svc', node)).state, 'running');
       await cluster.cancelJob('j-svc', 2);
       await cluster.advance(5000);
-      assertTeamFree();
-      assertKept();
+      assertNothingLeft();
+      assertNoViolations();
     });
   }
 });
 
-describe('a report that was held back until a new leader has acted', () => {
-  it('does not free the place of a member of a gang that is there again under the same attempt', async () => {
+describe('a heartbeat that arrives after a new leader has acted', () => {
+  it('does not release the placement of a gang member that was placed there again under the same attempt', async () => {
     const workers = { report_s: 1, lease_s: 30, gang_wait_s: 300, gang_peer_s: 4, cancel_s: 80 };
-    await ready(0, { ...red, cluster: { workers } });
-    const leader = holder('leader');
-    const [early, late] = [hostsOf(`part-${leader}`, 1)[0]!, hostsOf(`part-${(leader + 1) % 3}`, 1)[0]!];
+    await startCluster(0, { ...unlimitedTeam, cluster: { workers } });
+    const leader = leaderOf('leader');
+    const [early, late] = [machinesOf(`part-${leader}`, 1)[0]!, machinesOf(`part-${(leader + 1) % 3}`, 1)[0]!];
     cluster.addWorker({ machineId: early });
     cluster.addWorker({ machineId: late, imageMs: 200_000 });
     await cluster.advance(3000);
@@ -244,7 +244,7 @@
     const [first] = [...cluster.workers.get(early)!.tasks.keys()];
     cluster.workers.get(early)!.end(first!, 'insufficient_resources');
     const held = cluster.workers.get(early)!.composeHeartbeat();
-    // It is recorded and forgotten, and the member is placed there once more: the others wait for it.
+    // The exit is recorded and forgotten, and the member is placed there again, since the others wait for it.
     await cluster.advance(15_000);
     assert.deepEqual(
       cluster.runs(first!).map(({ machineId, attempt, to }) => [machineId, attempt, to === undefined]),
@@ -253,25 +253,25 @@
         [early, 1, true],
       ],
     );
-    const heal = cloudDown();
+    const heal = startCloudOutage();
     cluster.cut.add(early);
     cluster.crash(leader);
-    cluster.addWorker({ machineId: hostsOf(`part-${(leader + 1) % 3}`, 2)[1]! });
+    cluster.addWorker({ machineId: machinesOf(`part-${(leader + 1) % 3}`, 2)[1]! });
     await cluster.advance(5000);
-    const owner = holder(`part-${leader}`);
+    const owner = leaderOf(`part-${leader}`);
     assert.notEqual(owner, leader);
     cluster.node(owner).answerHeartbeat(JSON.parse(JSON.stringify(held)));
     await cluster.advance(20_000);
     cluster.cut.clear();
     heal();
     await cluster.advance(20_000);
-    assertKept();
+    assertNoViolations();
   });
 
-  it('does not free the place of a task that is told to stop and still saves', async () => {
-    await ready(0, red);
-    const leader = holder('leader');
-    const machineId = hostsOf(`part-${(leader + 1) % 3}`, 1)[0]!;
+  it('does not release the placement of a task that was told to stop and still writes its checkpoint', async () => {
+    await startCluster(0, unlimitedTeam);
+    const leader = leaderOf('leader');
+    const machineId = machinesOf(`part-${(leader + 1) % 3}`, 1)[0]!;
     const worker = cluster.addWorker({ machineId });
     await cluster.advance(3000);
     cluster.crash(leader);
@@ -285,22 +285,22 @@
     worker.spotNoticeS = 30;
     await cluster.advance(3000);
     assert.equal(worker.tasks.get('j-svc-saves/0')!.state, 'checkpointing');
-    const owner = holder(roleOf(machineId));
+    const owner = leaderOf(roleOf(machineId));
     cluster.node(owner).answerHeartbeat(JSON.parse(JSON.stringify(held)));
     await cluster.advance(20_000);
     assert.equal(cluster.runs('j-svc-saves/0').length, 2);
-    assertKept();
+    assertNoViolations();
   });
 
-  it('nor do copies of any age, at any node, while leaders come and go', async () => {
-    await ready(6);
+  it('breaks no invariant, whatever its age and at any node, while leaders restart', async () => {
+    await startCluster(6);
     cluster.rememberWorkers();
     cluster.lateHeartbeats = { share: 0.4, lateMs: [2000, 25_000] };
     await cluster.submit({ ...service, taskCount: 4 });
     await cluster.submit({ ...gang, cpus: 4, taskCount: 3 });
     await cluster.submit({ id: 'j-batch', taskCount: 20 });
     for (let round = 0; round < 6; round++) {
-      const leader = holder('leader');
+      const leader = leaderOf('leader');
       cluster.crash(leader);
       await cluster.advance(round % 2 === 0 ? 6000 : 700);
       cluster.start(leader);
@@ -309,19 +309,19 @@
     cluster.lateHeartbeats = undefined;
     await cluster.advance(30_000);
     cluster.checker.faultsEnded(cluster.clock.now());
-    assert.equal(await phase('j-batch'), 'done');
-    assert.equal(await phase('j-gang'), 'done');
+    assert.equal(await jobState('j-batch'), 'done');
+    assert.equal(await jobState('j-gang'), 'done');
     await cluster.cancelJob('j-svc', 1);
     await cluster.advance(5000);
-    assertTeamFree();
-    assertKept();
+    assertNothingLeft();
+    assertNoViolations();
   });
 });
 
-describe('all controllers are away for longer than the lease', () => {
+describe('while all controllers are down for longer than the lease', () => {
   for (const lostCommands of [false, true]) {
-    it(`nothing starts twice, nothing is forgotten${lostCommands ? ', also where commands were held back meanwhile' : ''}`, async () => {
-      await ready(8, {}, 25_000);
+    it(`no task starts twice and none is lost${lostCommands ? ', even if commands are held back meanwhile' : ''}`, async () => {
+      await startCluster(8, {}, 25_000);
       cluster.rememberWorkers();
       const release = lostCommands ? cluster.network.cut({ path: /^\/commands/ }) : () => undefined;
       await cluster.submit({ ...service, taskCount: 4, spreadAcrossZones: true });
@@ -345,34 +345,34 @@
       const running = [...cluster.workers.values()].flatMap((worker) =>
         [...worker.tasks].filter(([name, task]) => name.startsWith('j-svc') && task.state === 'running'),
       );
-      assert.equal(running.length, 4, 'within 20 s, not when the leases are proved over');
+      assert.equal(running.length, 4, 'within 20 s, before the leases are proved to have expired');
       cluster.checker.faultsEnded(cluster.clock.now());
       await cluster.advance(50_000);
-      assert.equal(await phase('j-batch', 1), 'done');
-      assert.equal(await phase('j-gang', 2), 'done');
-      assert.equal(await phase('j-off', 0), 'cancelled');
+      assert.equal(await jobState('j-batch', 1), 'done');
+      assert.equal(await jobState('j-gang', 2), 'done');
+      assert.equal(await jobState('j-off', 0), 'cancelled');
       await cluster.cancelJob('j-svc', 1);
       await cluster.advance(5000);
-      assertTeamFree();
-      assertKept();
+      assertNothingLeft();
+      assertNoViolations();
     });
   }
 });
 
-describe('leaders that change ten times in two minutes', () => {
+describe('leaders that restart ten times in two minutes', () => {
   for (const outageMs of [0, 9000, 25_000]) {
-    it(`${outageMs > 0 ? `also in an outage of ${outageMs / 1000} s, ` : ''}break no rule and leave nothing waiting`, async () => {
-      await ready(8, {}, 20_000);
+    it(`break no invariant and leave no job waiting${outageMs > 0 ? `, also with a store outage of ${outageMs / 1000} s` : ''}`, async () => {
+      await startCluster(8, {}, 20_000);
       cluster.rememberWorkers();
       await cluster.submit({ ...service, taskCount: 4, spreadAcrossZones: true });
       await cluster.submit({ ...gang, cpus: 4, taskCount: 3 });
       await cluster.submit({ id: 'j-zone', taskCount: 3, singleZone: true, cpus: 4 });
       await cluster.submit({ id: 'j-batch', taskCount: 16 });
-      const heal = cloudDown();
+      const heal = startCloudOutage();
       const [, one] = cluster.runs('j-svc/0').concat(cluster.runs('j-svc/1'));
       cluster.cut.add(one!.machineId);
       for (let round = 0; round < 10; round++) {
-        const leader = NODES.find((node) => cluster.has(node) && node === holder('leader')) ?? round % 3;
+        const leader = NODES.find((node) => cluster.has(node) && node === leaderOf('leader')) ?? round % 3;
         if (round === 4 && outageMs > 0) cluster.store.out = true;
         cluster.crash(leader);
         await cluster.advance([300, 4000, 900][round % 3]!);
@@ -390,24 +390,24 @@
       await cluster.advance(15_000);
       cluster.checker.faultsEnded(cluster.clock.now());
       await cluster.advance(60_000);
-      for (const jobId of ['j-batch', 'j-gang', 'j-zone']) assert.equal(await phase(jobId, 1), 'done', jobId);
-      assert.equal(await phase('j-svc', 2), 'running');
+      for (const jobId of ['j-batch', 'j-gang', 'j-zone']) assert.equal(await jobState(jobId, 1), 'done', jobId);
+      assert.equal(await jobState('j-svc', 2), 'running');
       await cluster.cancelJob('j-svc', 1);
       await cluster.advance(5000);
-      assertTeamFree();
-      assertKept();
+      assertNothingLeft();
+      assertNoViolations();
     });
   }
 });
 
-describe('transactions without an answer that are carried out late', () => {
+describe('transactions that get no answer and are executed late', () => {
   for (const [share, options] of [
     [0.15, {}],
     [0.4, {}],
-    [0.3, red],
+    [0.3, unlimitedTeam],
   ] as const) {
-    it(`${share * 100} of 100${options === red ? ', where teams have no limit' : ''}, break no rule and leave nothing behind`, async () => {
-      await ready(8, options);
+    it(`break no invariant and leave no records: ${share * 100} of 100${options === unlimitedTeam ? ', without team limits' : ''}`, async () => {
+      await startCluster(8, options);
       cluster.rememberWorkers();
       const heal = cluster.network.fault({ to: 'store:1', path: /^\/(txn|holds)/, kind: 'late', share });
       for (let round = 0; round < 8; round++) {
@@ -422,7 +422,7 @@
         for (let n = 0; n < 3; n++) void cluster.users.cancelJob(`j-svc${round}${n}`);
         if (round % 2 === 1) void cluster.users.cancelJob(`j-a${round}0`);
         const part = `part-${round % 3}`;
-        const [owner, leader] = [holder(part), holder('leader')];
+        const [owner, leader] = [leaderOf(part), leaderOf('leader')];
         if (round % 3 === 0 && cluster.has(owner)) void cluster.node(owner).leadership.release(part, 'scenario', 2000);
         if (round % 3 === 1 && cluster.has(leader)) void cluster.restart(leader, 300);
         await cluster.advance(3000);
@@ -431,17 +431,17 @@
       await cluster.advance(15_000);
       cluster.checker.faultsEnded(cluster.clock.now());
       await cluster.advance(70_000);
-      // Some were called off before they were accepted, and so never.
+      // The cancellations of some jobs came before their acceptance and had no effect.
       for (const [jobId, { state }] of cluster.users.jobs) if (state === 'running') void cluster.users.cancelJob(jobId);
       await cluster.advance(20_000);
       for (const [jobId, job] of cluster.users.jobs) assert.ok(['done', 'cancelled'].includes(job.state), jobId);
-      assertTeamFree();
-      assertKept();
+      assertNothingLeft();
+      assertNoViolations();
     });
   }
 
-  it('of rentals rent nothing twice and leave no record', async () => {
-    await ready(0);
+  it('rent no machine twice and leave no rental record', async () => {
+    await startCluster(0);
     for (const zone of ['a', 'b', 'c']) cluster.cloud.full.add(zone);
     const heal = cluster.network.fault({
       path: /^\/txn/,
@@ -454,7 +454,7 @@
     heal();
     cluster.cloud.full.clear();
     await cluster.advance(12_000);
-    cluster.crash(holder('leader'));
+    cluster.crash(leaderOf('leader'));
     await cluster.advance(10_000);
     const machineIds = [...cluster.cloud.rentals.values()].flat();
     assert.equal(machineIds.length, 2, '8 tasks of 2 CPUs on machines of 8');
@@ -465,7 +465,7 @@
       [...cluster.store.rows.keys()].filter((key) => key.startsWith('live/hire/')),
       [],
     );
-    assert.equal(await phase('j-000001', someNode()), 'done');
-    assertKept();
+    assert.equal(await jobState('j-000001', someNode()), 'done');
+    assertNoViolations();
   });
 });
--- a/test/scenarios/combined-faults-workers.test.ts
+++ b/test/scenarios/combined-faults-workers.test.ts
@@ -6,10 +6,10 @@
 import { decodeJobState } from '../../testing/job-status-wire-codec.js';
 
 let cluster: Cluster;
-/** Every scenario ends with the verdict of the invariant checker. */
+/** Every scenario ends with the result of the invariant checker. */
 afterEach(() => assert.deepEqual(cluster.verdict(), []));
 
-async function ready(machines: number, options: ClusterOptions = { nodes: 3 }, runMs = 5000): Promise<Cluster> {
+async function startCluster(machines: number, options: ClusterOptions = { nodes: 3 }, runMs = 5000): Promise<Cluster> {
   cluster = new Cluster(options);
   for (let index = 0; index < machines; index++) {
     cluster.addWorker({ machineId: `i-00000${index}`, zone: ['a', 'b', 'c'][index % 3]!, runMs });
@@ -19,24 +19,24 @@
 }
 
 const service = { id: 'j-svc', kind: 'service', priority: 'prod', estimatedRunS: 0, taskCount: 1 } as const;
-const where = (name: string) => cluster.runs(name).at(-1)!.machineId;
-const phase = (answer: { body: unknown }) => decodeJobState(answer.body);
+const currentMachine = (name: string) => cluster.runs(name).at(-1)!.machineId;
+const stateOf = (answer: { body: unknown }) => decodeJobState(answer.body);
 const isSchedulable = (node: number, machineId: string) => {
   const machine = cluster.node(node).inventory.get(machineId);
   return machine !== undefined && cluster.node(node).inventory.isSchedulable(machine);
 };
 
-describe('a machine that can open no connection, though commands reach it', () => {
-  it('gets no new work by its answers to commands, and its service comes up elsewhere for good', async () => {
-    await ready(2);
+describe('a machine that can not open connections, though commands reach it', () => {
+  it('gets no new tasks on account of its answers to commands, and its service moves to another machine once', async () => {
+    await startCluster(2);
     await cluster.submit(service);
-    const machineId = where('j-svc/0');
+    const machineId = currentMachine('j-svc/0');
     const machine = cluster.workers.get(machineId)!;
     cluster.rememberWorkers();
     const since = cluster.clock.now();
     cluster.outboundLoss.add(machineId);
     for (let second = 0; second < 40; second++) {
-      // Some job goes to every machine that counts as open, and each command's answer is one more report of it.
+      // A job goes to every machine that counts as schedulable, and the answer to each command is a heartbeat as well.
       void cluster.post(jobOf({ id: `j-${second}`, taskCount: 1, cpus: 1 }), second % 3);
       await cluster.advance(1000);
     }
@@ -45,62 +45,65 @@
       [],
     );
     assert.equal(isSchedulable(0, machineId), false);
-    assert.ok(cluster.cloud.returned.includes(machineId), 'given back');
+    assert.ok(cluster.cloud.returned.includes(machineId), 'returned');
     const runs = cluster.runs('j-svc/0');
     assert.equal(runs.length, 2);
     assert.ok(runs[1]!.from - since < 16_000, `${runs[1]!.from - since} ms`);
     for (let second = 0; second < 30; second++) {
       assert.equal(cluster.overlaps(`j-${second}/0`), 0);
-      assert.equal(phase(await cluster.poll(`j-${second}`)), 'done');
+      assert.equal(stateOf(await cluster.poll(`j-${second}`)), 'done');
     }
   });
 
-  it('is told of a cancellation by a command, long before its lease is over', async () => {
-    await ready(3);
+  it('gets a cancellation by a command, long before its lease expires', async () => {
+    await startCluster(3);
     await cluster.submit(service);
-    const machineId = where('j-svc/0');
+    const machineId = currentMachine('j-svc/0');
     cluster.outboundLoss.add(machineId);
     await cluster.advance(4500);
     const asked = cluster.clock.now();
-    assert.equal(phase(await cluster.cancelJob('j-svc', 1)), 'cancelled');
+    assert.equal(stateOf(await cluster.cancelJob('j-svc', 1)), 'cancelled');
     const [run] = cluster.runs('j-svc/0');
     assert.ok((run!.to ?? Infinity) - asked < 1000, `${run!.to} after ${asked}`);
-    assert.ok(cluster.store.rows.has('ended/j-svc'), 'the answer of the command is a report: the place is free');
+    assert.ok(
+      cluster.store.rows.has('ended/j-svc'),
+      'the answer to the command is a heartbeat: the placement is released',
+    );
   });
 
-  it('keeps the place of a task that was killed there until its exit is proved', async () => {
-    await ready(3, { nodes: 3, teams: [{ name: 'red', cpus_max: 2 }] });
+  it('keeps the placement of a task that was killed there until its exit is proved', async () => {
+    await startCluster(3, { nodes: 3, teams: [{ name: 'red', cpus_max: 2 }] });
     await cluster.submit(service);
-    const machineId = where('j-svc/0');
+    const machineId = currentMachine('j-svc/0');
     cluster.rememberWorkers();
     cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
     const since = cluster.clock.now();
     cluster.outboundLoss.add(machineId);
-    // The kill arrives, its answer does not: nobody knows that the task has gone.
+    // The kill arrives but its answer is lost: no controller knows that the task has ended.
     cluster.network.fault({ to: `${machineId}:9000`, kind: 'answerLost' });
     await cluster.advance(1000);
     await cluster.submit({ ...service, id: 'j-svc2' });
-    assert.equal(phase(await cluster.cancelJob('j-svc', 1)), 'cancelled');
+    assert.equal(stateOf(await cluster.cancelJob('j-svc', 1)), 'cancelled');
     const [run] = cluster.runs('j-svc/0');
     assert.notEqual(run!.to, undefined);
     await cluster.advance(2000);
     assert.equal(cluster.store.rows.has('ended/j-svc'), false);
     assert.equal(cluster.runs('j-svc2/0').length, 0, 'the team is still at its limit');
     await cluster.advance(8000);
-    assert.ok(cluster.store.rows.has('ended/j-svc'), 'its lease is over');
+    assert.ok(cluster.store.rows.has('ended/j-svc'), 'its lease has expired');
     const [next] = cluster.runs('j-svc2/0');
     assert.ok(next!.from - since > 10_000 && next!.from - since < 14_000, `${next!.from - since} ms`);
   });
 });
 
-describe('a command that is held up', () => {
-  it('starts nothing for long, when its job is cancelled before the machine goes on', async () => {
-    await ready(1);
+describe('a launch command that is delayed', () => {
+  it('starts a task for a few seconds at most, if its job is cancelled before the machine resumes', async () => {
+    await startCluster(1);
     const machine = cluster.workers.get('i-000000')!;
     machine.suspend();
     void cluster.post(jobOf(service));
     await cluster.advance(600);
-    assert.equal(phase(await cluster.cancelJob('j-svc', 1)), 'cancelled');
+    assert.equal(stateOf(await cluster.cancelJob('j-svc', 1)), 'cancelled');
     machine.resume();
     await cluster.advance(10_000);
     const [run] = cluster.runs('j-svc/0');
@@ -111,15 +114,15 @@
     assert.ok(cluster.store.rows.has('ended/j-svc'));
   });
 
-  it('is refused where the new token has come first, and its place is free only then', async () => {
-    await ready(1);
+  it('is refused by a worker that has seen the new token, and its placement is released only then', async () => {
+    await startCluster(1);
     const host = 'i-000000';
     cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
     cluster.outboundLoss.add(host);
     const deliver = cluster.network.cut({ to: `${host}:9000` });
     void cluster.post(jobOf(service));
     await cluster.advance(600);
-    assert.equal(phase(await cluster.cancelJob('j-svc', 1)), 'cancelled');
+    assert.equal(stateOf(await cluster.cancelJob('j-svc', 1)), 'cancelled');
     assert.equal(cluster.store.rows.has('ended/j-svc'), false, 'the launch may still arrive');
     cluster.outboundLoss.delete(host);
     await cluster.advance(4000);
@@ -129,21 +132,21 @@
     assert.equal(cluster.runs('j-svc/0').length, 0);
   });
 
-  it('costs no other task of its machine while the store gives new tokens, however short a cancellation may take', async () => {
+  it('ends no other task of its machine while the store grants new tokens, however short the cancellation deadline is', async () => {
     const workers = { report_s: 1, lease_s: 10, gang_wait_s: 30, gang_peer_s: 4, cancel_s: 16 };
-    await ready(1, { nodes: 3, cluster: { workers } });
+    await startCluster(1, { nodes: 3, cluster: { workers } });
     await cluster.submit({ ...service, id: 'j-svc-old' });
     cluster.network.fault({ to: 'i-000000:9000', kind: 'hold' });
     void cluster.post(jobOf(service));
     await cluster.advance(200);
-    assert.equal(phase(await cluster.cancelJob('j-svc', 1)), 'cancelled');
+    assert.equal(stateOf(await cluster.cancelJob('j-svc', 1)), 'cancelled');
     await cluster.advance(30_000);
     assert.equal(cluster.runs('j-svc-old/0').length, 1);
     assert.equal(cluster.runs('j-svc-old/0')[0]!.to, undefined);
   });
 
-  it('does not come through an outage of the store either, which keeps the owner from a new token', async () => {
-    await ready(1);
+  it('starts no task after a store outage either, in which the partition leader gets no new token', async () => {
+    await startCluster(1);
     const host = 'i-000000';
     cluster.outboundLoss.add(host);
     const deliver = cluster.network.cut({ to: `${host}:9000` });
@@ -162,37 +165,38 @@
     assert.ok(cluster.store.rows.has('ended/j-svc'));
   });
 
-  it('is not carried out after the lease, and a cancelled task does not go on after its machine hung', async () => {
-    await ready(2);
+  it('is not executed after the lease, and a cancelled task does not continue after its machine hung', async () => {
+    await startCluster(2);
     cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
     for (const hangMs of [8000, 14_000]) {
       const jobId = `j-svc-${hangMs}`;
       await cluster.submit({ ...service, id: jobId });
-      const machineId = where(`${jobId}/0`);
+      const machineId = currentMachine(`${jobId}/0`);
       const machine = cluster.workers.get(machineId)!;
       machine.suspend();
       void cluster.requestCancellation(jobId, 1);
-      // Launches are on their way there too.
+      // Launches are in flight to the machine as well.
       for (let n = 0; n < 4; n++) void cluster.post(jobOf({ id: `j-${hangMs}-${n}`, taskCount: 2 }), n % 3);
       await cluster.advance(hangMs);
       machine.resume();
       await cluster.advance(2000);
       assert.notEqual(cluster.runs(`${jobId}/0`)[0]!.to, undefined);
       await cluster.advance(30_000);
-      for (let n = 0; n < 4; n++) assert.equal(phase(await cluster.poll(`j-${hangMs}-${n}`)), 'done');
+      for (let n = 0; n < 4; n++) assert.equal(stateOf(await cluster.poll(`j-${hangMs}-${n}`)), 'done');
     }
   });
 });
 
 const partitionOf = (name: string) => cluster.node(0).leadership.partitionOf(name);
-const isPlaced = (jobId: string) => JSON.stringify(cluster.store.rows.get(`live/ledger/${jobId}/0000`)?.value ?? '');
+const placementsJson = (jobId: string) =>
+  JSON.stringify(cluster.store.rows.get(`live/ledger/${jobId}/0000`)?.value ?? '');
 const until = (condition: () => boolean, ms = 20_000) => cluster.until(condition, ms);
 
-describe('a machine that is back just when its lease is proved over', () => {
-  it('keeps what it was given anew, though the proof is recorded twice', async () => {
-    await ready(3);
+describe('a machine that returns just when its lease is proved to have expired', () => {
+  it('keeps the task that was placed there again, though the proof is recorded twice', async () => {
+    await startCluster(3);
     cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
-    // Its job is placed by another node than the one that answers for the machine.
+    // The job is placed by another node than the machine's partition leader.
     const leader = cluster.node(0).leadership.leaderOf('leader');
     const machineIds = [...cluster.workers.keys()];
     const machineId = machineIds.find((each) => `n${partitionOf(each)}` !== leader)!;
@@ -203,21 +207,21 @@
     for (const other of others) cluster.workers.get(other)!.spotNoticeS = 1000;
     await cluster.advance(2000);
     await cluster.submit({ ...service, id: jobId, priority: 'high' });
-    assert.equal(where(`${jobId}/0`), machineId);
+    assert.equal(currentMachine(`${jobId}/0`), machineId);
     cluster.outboundLoss.add(machineId);
     await cluster.advance(8500);
     const owner = partitionOf(machineId);
-    // The proof is recorded, but the answer is lost: the owner tries again later.
+    // The proof is recorded, but the answer is lost: the partition leader tries again later.
     cluster.network.fault({ from: `n${owner}`, to: 'store:1', path: /^\/txn/, kind: 'answerLost', times: 1 });
-    await until(() => !isPlaced(jobId).includes(machineId));
+    await until(() => !placementsJson(jobId).includes(machineId));
     cluster.outboundLoss.delete(machineId);
-    // In the meantime the machine is back, in a new session.
+    // In the meantime the machine has returned with a new agent epoch.
     const machine = cluster.workers.get(machineId)!;
     for (let report = 0; report < 2; report++) {
       void cluster.node(owner).answerHeartbeat(machine.composeHeartbeat());
       await cluster.advance(report === 0 ? 490 : 0);
     }
-    // It is slow to read again what has become of it.
+    // The partition leader learns late what has become of the placement.
     const heal = cluster.network.fault({ from: `n${owner}`, to: 'store:1', path: /^\/watch/, kind: 'lose' });
     await until(() => cluster.runs(`${jobId}/0`).length === 2, 1500);
     heal();
@@ -230,10 +234,10 @@
   });
 });
 
-describe('a node that takes a part over before it has read what its former owner did last', () => {
-  it('starts nothing there that has gone elsewhere', async () => {
-    await ready(3);
-    // The part's own node is away, and another one answers for its machines.
+describe('a node that takes over a partition before it has read the last changes of the former leader', () => {
+  it('starts no task there that has moved to another machine', async () => {
+    await startCluster(3);
+    // The partition's preferred node is down, and another one leads it.
     const machineId = [...cluster.workers.keys()].find(
       (each) => `n${partitionOf(each)}` !== cluster.node(0).leadership.leaderOf('leader'),
     )!;
@@ -247,16 +251,16 @@
     for (const other of cluster.workers.keys()) if (other !== machineId) cluster.workers.get(other)!.spotNoticeS = 1000;
     await cluster.advance(2000);
     await cluster.submit({ ...service, priority: 'high' }, former);
-    assert.equal(where('j-svc/0'), machineId);
+    assert.equal(currentMachine('j-svc/0'), machineId);
     for (const other of cluster.workers.keys()) if (other !== machineId) cluster.workers.get(other)!.spotNoticeS = null;
-    // Its heartbeats come every 0.8 s from its start on: the last before its watch is lost must keep it in touch for long enough.
+    // It checks its replica every 0.8 s from its start on: the last check before its watch is lost must count for long enough.
     await cluster.advance(2600);
     cluster.start(home);
     await cluster.advance(700);
     cluster.workers.get(machineId)!.spotNoticeS = 1000;
     const leads = Number(cluster.node(former).leadership.leaderOf('leader')!.slice(1));
     await until(() => cluster.node(leads).inventory.get(machineId)!.spotTerminationAt !== null);
-    // What happens from here on it learns from nobody: the task is stopped, forgotten, and starts on another machine.
+    // From here on it misses all changes: the task is stopped, forgotten, and starts on another machine.
     const heal = cluster.network.fault({ from: `n${home}`, to: 'store:1', path: /^\/watch/, kind: 'lose' });
     for (const node of others) cluster.partitioned.add(`n${node}>n${home}`);
     await until(() => cluster.runs('j-svc/0').length === 2 && !cluster.workers.get(machineId)!.tasks.has('j-svc/0'));
@@ -272,14 +276,14 @@
   });
 });
 
-describe('a late copy of a report', () => {
+describe('a late copy of a heartbeat', () => {
   for (const restarts of [false, true]) {
-    it(`from before a launch proves nothing, ${restarts ? 'at its owner that is just back' : 'wherever it comes'}`, async () => {
-      await ready(2, { nodes: 3, teams: [{ name: 'red', cpus_max: 2 }] });
+    it(`from before a launch proves no exit, ${restarts ? 'even at a partition leader that has just restarted' : 'at whatever node it arrives'}`, async () => {
+      await startCluster(2, { nodes: 3, teams: [{ name: 'red', cpus_max: 2 }] });
       cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
       const copies = new Map([...cluster.workers].map(([id, worker]) => [id, worker.composeHeartbeat()]));
       await cluster.submit(service);
-      const machineId = where('j-svc/0');
+      const machineId = currentMachine('j-svc/0');
       const owner = partitionOf(machineId);
       const copy = copies.get(machineId)!;
       cluster.cut.add(machineId);
@@ -303,24 +307,24 @@
     });
   }
 
-  it('frees no task of a gang that has been started there again under its attempt', async () => {
-    await ready(4, { nodes: 3, teams: [{ name: 'red' }] });
-    // The gang waits for the image of its last task.
+  it('releases no gang member that was started there again under the same attempt', async () => {
+    await startCluster(4, { nodes: 3, teams: [{ name: 'red' }] });
+    // The gang waits until the image of its last task is fetched.
     cluster.addWorker({ machineId: 'i-000004', imageMs: 60_000 });
     await cluster.advance(3000);
     const gang = { id: 'j-svc-g', kind: 'gang', priority: 'high', taskCount: 5, cpus: 8, estimatedRunS: 30 } as const;
     await cluster.submit(gang);
     const first = [0, 1, 2, 3, 4].find((taskIndex) => cluster.runs(`j-svc-g/${taskIndex}`).length > 0)!;
     const name = `j-svc-g/${first}`;
-    const machineId = where(name);
+    const machineId = currentMachine(name);
     const machine = cluster.workers.get(machineId)!;
     machine.end(name, 'insufficient_resources');
     const copy = JSON.parse(JSON.stringify(machine.composeHeartbeat())) as unknown;
     await until(() => cluster.runs(name).length === 2, 20_000);
-    assert.deepEqual([where(name), cluster.runs(name)[1]!.attempt], [machineId, 1]);
+    assert.deepEqual([currentMachine(name), cluster.runs(name)[1]!.attempt], [machineId, 1]);
     cluster.addWorker({ machineId: 'i-000009' });
     await cluster.advance(2000);
-    // A new owner hears the copy before the machine itself, which no answer or command reaches for a while.
+    // A new leader receives the copy before any heartbeat of the machine, which no answer or command reaches for a while.
     cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
     const owner = partitionOf(machineId);
     cluster.inboundLoss.add(machineId);
@@ -334,9 +338,9 @@
   });
 });
 
-describe('copies of all reports, up to a lease and a half late', () => {
-  it('free nothing wrongly and keep nothing waiting, while nodes restart and jobs are cancelled', async () => {
-    await ready(6, { nodes: 3, teams: [{ name: 'red', cpus_max: 10 }] });
+describe('copies of all heartbeats, up to a lease and a half late', () => {
+  it('release no placement wrongly and keep no job waiting, while nodes restart and jobs are cancelled', async () => {
+    await startCluster(6, { nodes: 3, teams: [{ name: 'red', cpus_max: 10 }] });
     cluster.lateHeartbeats = { share: 1, lateMs: [2000, 15_000] };
     await cluster.submit({ ...service, id: 'j-svc', taskCount: 2, cpus: 1 });
     for (let round = 0; round < 8; round++) {
@@ -344,9 +348,9 @@
       void cluster.post(jobOf({ ...service, id: `j-svc${round}`, taskCount: 2 }), (round + 1) % 3);
       await cluster.advance(2500);
       void cluster.requestCancellation(`j-svc${round}`, (round + 1) % 3);
-      // Tasks are moved, and sessions end too: what their copies say is older than what the machines do now.
+      // Tasks are moved and agent epochs end as well, so the copies are older than the current state of the machines.
       for (const worker of cluster.workers.values()) worker.spotNoticeS = null;
-      cluster.workers.get(where('j-svc/0'))!.spotNoticeS = 1000;
+      cluster.workers.get(currentMachine('j-svc/0'))!.spotNoticeS = 1000;
       if (round % 3 === 1) cluster.outboundLoss.add([...cluster.workers.keys()][0]!);
       await cluster.advance(500);
       void cluster.restart(round % 3, 0);
@@ -359,10 +363,10 @@
     cluster.checker.faultsEnded(cluster.clock.now());
     await cluster.advance(30_000);
     for (let round = 0; round < 8; round++) {
-      assert.equal(phase(await cluster.poll(`j-a${round}`)), 'done');
+      assert.equal(stateOf(await cluster.poll(`j-a${round}`)), 'done');
       for (const taskIndex of [0, 1]) assert.equal(cluster.overlaps(`j-svc${round}/${taskIndex}`), 0);
     }
-    assert.equal(phase(await cluster.cancelJob('j-svc')), 'cancelled');
+    assert.equal(stateOf(await cluster.cancelJob('j-svc')), 'cancelled');
     const use = cluster.store.rows.get('live/team/red')!.value as { cpus: number };
     assert.equal(use.cpus, 0);
     const left = [...cluster.store.rows.keys()].filter((key) => /^live\/(job|ledger)\//.test(key));
@@ -370,13 +374,13 @@
   });
 });
 
-describe('a leader and owner that ends', () => {
+describe('a crash of the cluster leader', () => {
   const four = [0, 1, 2, 3].map((n) => `j-svc${n}`);
 
-  it('while machines hear no answer: what they run ends in time, and comes up elsewhere only then', async () => {
-    await ready(6);
+  it('and a partition leader while machines get no answers: their tasks end in time, and start elsewhere only then', async () => {
+    await startCluster(6);
     for (const jobId of four) await cluster.submit({ ...service, id: jobId });
-    const machineIds = [...new Set(four.map((jobId) => where(`${jobId}/0`)))];
+    const machineIds = [...new Set(four.map((jobId) => currentMachine(`${jobId}/0`)))];
     cluster.rememberWorkers();
     cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
     const leader = Number(cluster.node(0).leadership.leaderOf('leader')!.slice(1));
@@ -391,24 +395,24 @@
     for (const jobId of four.slice(1)) {
       assert.equal(cluster.overlaps(`${jobId}/0`), 0);
       assert.equal(cluster.runs(`${jobId}/0`).at(-1)!.to, undefined, `${jobId} runs again`);
-      assert.equal(machineIds.includes(where(`${jobId}/0`)), false);
+      assert.equal(machineIds.includes(currentMachine(`${jobId}/0`)), false);
     }
     assert.ok(
       cluster.store.rows.has('ended/j-svc0'),
-      'the place is free, though the machine never showed the new token',
+      'the placement is released, though the machine never showed the new token',
     );
     cluster.inboundLoss.clear();
     await cluster.advance(8000);
     for (const machineId of machineIds) assert.ok(isSchedulable(other, machineId), `${machineId} is schedulable again`);
   });
 
-  it('while machines can not be reached: their tasks start elsewhere once the leases are proved over', async () => {
-    await ready(6);
+  it('while machines can not be reached: their tasks start elsewhere once the leases are proved to have expired', async () => {
+    await startCluster(6);
     for (const jobId of four) await cluster.submit({ ...service, id: jobId });
-    const machineIds = [...new Set(four.map((jobId) => where(`${jobId}/0`)))];
+    const machineIds = [...new Set(four.map((jobId) => currentMachine(`${jobId}/0`)))];
     cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
     const leader = Number(cluster.node(0).leadership.leaderOf('leader')!.slice(1));
-    // The answers of its last moment are on their way when it ends.
+    // Its last answers are still in flight when it crashes.
     const held = cluster.network.cut({ to: `n${leader}:8080` });
     await cluster.advance(1500);
     for (const machineId of machineIds) cluster.cut.add(machineId);
@@ -418,7 +422,7 @@
     await cluster.advance(3000);
     const other = (leader + 1) % 3;
     void cluster.requestCancellation('j-svc0', other);
-    // Two machines are reached again within their lease, the others after it.
+    // One machine is reached again within its lease, the others after it.
     await cluster.advance(3000);
     cluster.cut.delete(machineIds[1]!);
     await cluster.advance(50_000);
@@ -432,10 +436,10 @@
   });
 });
 
-describe('a zone with a controller that is cut off', () => {
-  it('for longer than a lease keeps no cancelled task, runs nothing twice, and comes back', async () => {
+describe('a zone that is cut off together with its controller', () => {
+  it('for longer than a lease keeps no cancelled task, runs no task twice, and is used again afterwards', async () => {
     cluster = new Cluster({ nodes: 3 });
-    // The node inside answers for all machines of the zone.
+    // The node inside the zone leads the partition of all its machines.
     for (let index = 10; index < 28; index++) {
       const machineId = `i-0000${index}`;
       cluster.addWorker({ machineId, zone: ['a', 'b', 'c'][partitionOf(machineId)]!, runMs: 20_000 });
@@ -469,7 +473,7 @@
       for (const taskIndex of [0, 1])
         assert.equal(cluster.runs(`${jobId}/${taskIndex}`).at(-1)!.to, undefined, `${jobId}/${taskIndex}`);
     }
-    for (let n = 0; n < 3; n++) assert.equal(phase(await cluster.poll(`j-a${n}`)), 'done');
+    for (let n = 0; n < 3; n++) assert.equal(stateOf(await cluster.poll(`j-a${n}`)), 'done');
     for (const { options } of inside)
       assert.ok(isSchedulable(0, options.machineId), `${options.machineId} is schedulable again`);
     for (const { options } of inside)
--- a/test/scenarios/disagreement.test.ts
+++ b/test/scenarios/disagreement.test.ts
@@ -4,9 +4,9 @@
 import type { Schedule } from '../../testing/random-schedule.js';
 import { play } from '../../testing/randomized-scenario.js';
 
-describe('two jobs of a team that has room for one of them', () => {
-  // Drawn as seed 4074. Each node leaves the team's room to the job of the other, since their orders differ.
-  it('do not wait for each other for ever', async () => {
+describe('two jobs of a team whose limit has room for only one of them', () => {
+  // Generated from seed 4074. Each node leaves the team's room to the other node's job, since their queue orders differ.
+  it('do not wait for each other forever', async () => {
     const schedule = {
       seed: 11,
       faults: [
--- a/test/scenarios/large-clusters.test.ts
+++ b/test/scenarios/large-clusters.test.ts
@@ -22,13 +22,18 @@
 
 let cluster: Cluster | undefined;
 afterEach(() => {
-  const broken = cluster?.verdict() ?? [];
+  const violations = cluster?.verdict() ?? [];
   cluster = undefined;
-  assert.deepEqual(broken, []);
+  assert.deepEqual(violations, []);
 });
 
-async function ready(nodes: number, machines: number, cluster_ = {}, teams = [{ name: 'red' }]): Promise<Cluster> {
-  cluster = new Cluster({ nodes, teams, cluster: cluster_ });
+async function startCluster(
+  nodes: number,
+  machines: number,
+  clusterSettings = {},
+  teams = [{ name: 'red' }],
+): Promise<Cluster> {
+  cluster = new Cluster({ nodes, teams, cluster: clusterSettings });
   for (let index = 0; index < machines; index++) {
     const machineId = `i-${String(index).padStart(6, '0')}`;
     cluster.addWorker({ machineId, zone: ['a', 'b', 'c'][index % 3]!, runMs: 5000 });
@@ -61,7 +66,7 @@
   ...fields,
 });
 
-const asGossip = (told: ReturnType<SentMachineUpdates['compose']>): Gossip => ({
+const asGossip = (fields: ReturnType<SentMachineUpdates['compose']>): Gossip => ({
   ...{
     node: 'n0',
     uptimeMs: 1,
@@ -77,61 +82,61 @@
     avoidedRoles: [],
     terminatedMachines: [],
   },
-  ...told,
+  ...fields,
 });
 
 describe('gossip of hundreds of machines', () => {
   const many = Array.from({ length: 300 }, (_, n) => machine(`i-${n}`));
 
-  it('tells in full only what has changed, and of the rest when it was heard', () => {
+  it('contains in full only machines that have changed, and of the others the last heartbeat', () => {
     const sentUpdates = new SentMachineUpdates(1);
-    const heard = new ReceivedMachineUpdates();
+    const received = new ReceivedMachineUpdates();
     assert.equal(
-      heard.apply(asGossip(sentUpdates.compose('n1', describeOwnMachines(0, many), [], 0))).machines.length,
+      received.apply(asGossip(sentUpdates.compose('n1', describeOwnMachines(0, many), [], 0))).machines.length,
       300,
     );
     const later = many.map((each, n) => ({ ...each, sequence: 9, heartbeatAgeMs: 40, isBackingOff: n === 7 }));
-    const told = sentUpdates.compose('n1', describeOwnMachines(1000, later), [], 1010);
+    const gossip = sentUpdates.compose('n1', describeOwnMachines(1000, later), [], 1010);
     assert.deepEqual(
-      told.machines.map(({ machineId }) => machineId),
+      gossip.machines.map(({ machineId }) => machineId),
       ['i-7'],
     );
-    const { machines, unchanged, hasGap } = heard.apply(asGossip(told));
+    const { machines, unchanged, hasGap } = received.apply(asGossip(gossip));
     assert.equal(hasGap, false);
     assert.equal(machines.length + unchanged.length, 300);
     const other = unchanged.find((each) => each.machine.machineId === 'i-8')!;
     assert.deepEqual([other.sequence, other.heartbeatAgeMs], [9, 50]);
   });
 
-  it('is told whole again to a peer that has missed some, which believes nothing built on it until then', () => {
+  it('is sent as a snapshot to a peer that has missed a message, which applies no later update until then', () => {
     const sentUpdates = new SentMachineUpdates(1);
-    const heard = new ReceivedMachineUpdates();
-    heard.apply(asGossip(sentUpdates.compose('n1', describeOwnMachines(0, many), [], 0)));
-    // Lost: machine 3 has begun a new session.
+    const received = new ReceivedMachineUpdates();
+    received.apply(asGossip(sentUpdates.compose('n1', describeOwnMachines(0, many), [], 0)));
+    // This message is lost: machine 3 has a new agent epoch.
     const now = many.map((each, n) => (n === 3 ? { ...each, agentEpoch: 2 } : each));
     sentUpdates.compose('n1', describeOwnMachines(1000, now), [], 1000);
-    const after = heard.apply(asGossip(sentUpdates.compose('n1', describeOwnMachines(2000, now), [], 2000)));
+    const after = received.apply(asGossip(sentUpdates.compose('n1', describeOwnMachines(2000, now), [], 2000)));
     assert.equal(after.hasGap, true);
     assert.equal(after.machines.length + after.unchanged.length, 0);
     sentUpdates.requireSnapshot('n1');
-    const whole = heard.apply(asGossip(sentUpdates.compose('n1', describeOwnMachines(3000, now), [], 3000)));
+    const whole = received.apply(asGossip(sentUpdates.compose('n1', describeOwnMachines(3000, now), [], 3000)));
     assert.equal(whole.hasGap, false);
     assert.equal(whole.machines.find(({ machineId }) => machineId === 'i-3')!.agentEpoch, 2);
   });
 
-  it('of thousands of machines goes in messages that a peer takes, until it knows them all', () => {
+  it('of thousands of machines is split into messages below the size limit, until the peer knows all machines', () => {
     const images = Array.from({ length: 12 }, (_, n) => `registry.example/team/image-${n}`);
     const all = Array.from({ length: 6000 }, (_, n) => machine(`i-${n}`, { images }));
     const others = Array.from({ length: 6000 }, (_, n) => machine(`i-other-${n}`, { images, number: -1 }));
     const sentUpdates = new SentMachineUpdates(1);
-    const heard = new ReceivedMachineUpdates();
+    const received = new ReceivedMachineUpdates();
     const known = new Set<string>();
     const passedOn = new Set<string>();
     for (let turn = 0; turn < 40; turn++) {
       const own = describeOwnMachines(turn * 1000, all);
       const gossip = asGossip(sentUpdates.compose('n1', own, others, turn * 1000));
       assert.ok(encodeMessage({ kind: 'gossip', payload: gossip }).length < MAX_GOSSIP_BYTES);
-      const { machines, hasGap } = heard.apply(gossip);
+      const { machines, hasGap } = received.apply(gossip);
       assert.equal(hasGap, false);
       for (const { machineId } of machines) (machineId.startsWith('i-other') ? passedOn : known).add(machineId);
     }
@@ -139,20 +144,20 @@
     assert.equal(passedOn.size, 6000);
   });
 
-  it('of a former life, or held back by a cut, changes nothing', () => {
+  it('changes nothing if it arrives late, and is accepted from a new incarnation', () => {
     const sentUpdates = new SentMachineUpdates(1);
-    const heard = new ReceivedMachineUpdates();
+    const received = new ReceivedMachineUpdates();
     const first = asGossip(sentUpdates.compose('n1', describeOwnMachines(0, many), [], 0));
     const second = asGossip(sentUpdates.compose('n1', describeOwnMachines(1000, many), [], 1000));
-    heard.apply(first);
-    heard.apply(second);
-    assert.equal(heard.apply(first).machines.length, 0);
+    received.apply(first);
+    received.apply(second);
+    assert.equal(received.apply(first).machines.length, 0);
     const restarted = new SentMachineUpdates(2);
-    assert.equal(heard.apply(asGossip(restarted.compose('n1', describeOwnMachines(0, many), [], 0))).hasGap, false);
+    assert.equal(received.apply(asGossip(restarted.compose('n1', describeOwnMachines(0, many), [], 0))).hasGap, false);
   });
 
-  it('goes on between controllers when one message was lost', async () => {
-    await ready(2, 12);
+  it('between controllers recovers when one message was lost', async () => {
+    await startCluster(2, 12);
     cluster!.partitioned.add('n0>n1');
     cluster!.node(0).composeGossip('n1');
     cluster!.partitioned.delete('n0>n1');
@@ -163,17 +168,17 @@
   });
 });
 
-describe('a chunk of a ledger', () => {
+describe('a chunk of placements', () => {
   const placed: TaskPlacement = {
     ...{ kind: 'placed', attempt: 1, failures: 0, machineId: 'i-1', agentEpoch: 1, gracePeriodS: null, zone: 'a' },
   };
 
-  it('keeps the slots that a change leaves alone, and its measured length', () => {
+  it('keeps the decoded placements that a change does not concern, and its measured length', () => {
     const one = withPlacement(undefined, 64, 3, placed);
     const two = withPlacement(one, 64, 9, placed);
     assert.equal(decodeChunk(two, 64)[3], decodeChunk(one, 64)[3]);
     assert.equal(jsonLength(two), JSON.stringify(two).length);
-    // As it comes from the store or a peer.
+    // A parsed copy, as it comes from the store or a peer.
     const copy = decodeChunk(JSON.parse(JSON.stringify(two)), 64, decodeChunk(two, 64));
     assert.ok(copy.every((placement, at) => placement === decodeChunk(two, 64)[at]));
     assert.deepEqual(decodeChunk(JSON.parse(JSON.stringify(two)), 64), decodeChunk(two, 64));
@@ -181,7 +186,7 @@
 });
 
 describe('exits of batch tasks', () => {
-  it('that come one by one share a transaction; a submission among them does not wait', async () => {
+  it('that arrive one by one share a transaction, and a submission among them does not wait', async () => {
     const clock = new FakeClock();
     const sent: { keys: number; at: number }[] = [];
     const transact = (_: unknown, writes: unknown[]): Promise<TransactionResult> => {
@@ -219,7 +224,7 @@
 });
 
 describe('a backlog of exits', () => {
-  it('costs changes by the jobs that it concerns, not by its length', async () => {
+  it('costs a number of changes that depends on its jobs, not on its length', async () => {
     const clock = new FakeClock();
     let writes = 0;
     const sent: string[][] = [];
@@ -252,14 +257,14 @@
     await clock.advance(20_000);
     assert.ok(
       sent.every((keys) => keys.filter((key) => key.startsWith('live/team/')).length === 1),
-      'each transaction changes one record that all nodes change',
+      'each transaction changes only one of the team records, which all nodes change',
     );
     assert.ok(writes < 150, `${writes} changes for 600 exits of 30 jobs`);
   });
 });
 
-describe('renting', () => {
-  it('goes on when many rentals are under way and values are small', async () => {
+describe('scale-out', () => {
+  it('continues while many rentals are pending and the store takes only small values', async () => {
     cluster = new Cluster({
       nodes: 1,
       teams: [{ name: 'red' }],
@@ -277,58 +282,61 @@
 });
 
 describe('a node that takes over hundreds of machines', () => {
-  it('greets them a few at a time, each in its turn, also where many do not answer', async () => {
-    await ready(2, 240);
+  it('announces its token to a few at a time, each in its turn, even if many do not answer', async () => {
+    await startCluster(2, 240);
     await cluster!.submit({ id: 'j-svc1', kind: 'service', taskCount: 400, memoryGb: 1, priority: 'prod' });
     await cluster!.advance(8000);
-    const asked = () => cluster!.network.log.filter(({ from, path }) => from === 'n0' && path === '/commands').length;
+    const commandCount = () =>
+      cluster!.network.log.filter(({ from, path }) => from === 'n0' && path === '/commands').length;
     for (const machineId of cluster!.workers.keys()) cluster!.cut.add(machineId);
     cluster!.crash(1);
-    const start = asked();
+    const start = commandCount();
     let before = start;
     let most = 0;
     for (let n = 0; n < 80; n++) {
       await cluster!.advance(100);
-      most = Math.max(most, asked() - before);
-      before = asked();
+      most = Math.max(most, commandCount() - before);
+      before = commandCount();
     }
-    assert.ok(most > 0 && most <= 30, `${most} in a tenth of a second`);
-    const greeted = cluster!.network.log.filter(({ from, path }) => from === 'n0' && path === '/commands').slice(start);
-    assert.ok(new Set(greeted.map(({ to }) => to)).size > 60);
+    assert.ok(most > 0 && most <= 30, `${most} commands in 100 ms`);
+    const commands = cluster!.network.log
+      .filter(({ from, path }) => from === 'n0' && path === '/commands')
+      .slice(start);
+    assert.ok(new Set(commands.map(({ to }) => to)).size > 60);
   });
 });
 
 describe('an idle cluster of 900 machines', () => {
-  it('looks at each machine a few times a second, however many duties there are', async () => {
-    await ready(3, 900);
+  it('checks each machine only a few times a second, for all periodic duties together', async () => {
+    await startCluster(3, 900);
     const { inventory } = cluster!.node(0);
-    let looks = 0;
+    let checks = 0;
     const isSilent = inventory.isSilent.bind(inventory);
     inventory.isSilent = (each) => {
-      looks++;
+      checks++;
       return isSilent(each);
     };
     await cluster!.advance(2000);
-    assert.ok(looks / 2 < 900 * 4, `${looks / 2} looks a second`);
+    assert.ok(checks / 2 < 900 * 4, `${checks / 2} checks a second`);
   });
 });
 
-describe('a start that waits for its turn at the store', () => {
-  it('is given up when another node has filled the machine in the meantime', async () => {
-    await ready(2, 10);
+describe('a start that waits for a store transaction', () => {
+  it('is abandoned when another node has filled the machine in the meantime', async () => {
+    await startCluster(2, 10);
     let most = 0;
-    const look = () => {
+    const sampleUsage = () => {
       const { clusterState } = cluster!.node(1);
       for (const machineId of cluster!.workers.keys()) most = Math.max(most, clusterState.usedOn(machineId)?.cpus ?? 0);
     };
-    const refuse = cluster!.network.fault({ from: 'n0', path: /txn/, kind: 'status', status: 429 });
+    const endRefusal = cluster!.network.fault({ from: 'n0', path: /txn/, kind: 'status', status: 429 });
     const jobs = Array.from({ length: 12 }, (_, n) =>
       cluster!.post(jobOf({ id: `j-wait${n}`, taskCount: 12, estimatedRunS: 5 }), 1),
     );
     for (let n = 0; n < 40; n++) {
       await cluster!.advance(50);
-      if (n === 12) refuse();
-      look();
+      if (n === 12) endRefusal();
+      sampleUsage();
     }
     await Promise.all(jobs);
     assert.ok(most <= 8, `${most} CPUs of 8`);
--- a/test/scenarios/limits.test.ts
+++ b/test/scenarios/limits.test.ts
@@ -13,12 +13,12 @@
 
 let cluster: Cluster | undefined;
 afterEach(() => {
-  const broken = cluster?.verdict() ?? [];
+  const violations = cluster?.verdict() ?? [];
   cluster = undefined;
-  assert.deepEqual(broken, []);
+  assert.deepEqual(violations, []);
 });
 
-async function ready(nodes: number, machines: number): Promise<Cluster> {
+async function startCluster(nodes: number, machines: number): Promise<Cluster> {
   cluster = new Cluster({ nodes, teams: [{ name: 'red' }] });
   for (let index = 0; index < machines; index++) {
     const machineId = `i-${String(index).padStart(6, '0')}`;
@@ -28,35 +28,35 @@
   return cluster;
 }
 
-const requests = (to: string, path = /./) =>
+const requestCount = (to: string, path = /./) =>
   cluster!.network.log.filter((each) => each.to === to && path.test(each.path)).length;
 
 describe('as the cluster grows', () => {
-  it('an idle one asks no more of the store', async () => {
+  it('an idle cluster sends no more requests to the store', async () => {
     const counts: number[] = [];
     for (const machines of [6, 120]) {
-      await ready(5, machines);
-      const before = requests('store:1');
+      await startCluster(5, machines);
+      const before = requestCount('store:1');
       await cluster!.advance(10_000);
-      counts.push(requests('store:1') - before);
+      counts.push(requestCount('store:1') - before);
       cluster!.stop();
     }
     assert.ok(counts[1]! <= counts[0]! * 1.1, counts.join(' '));
-    // Five nodes renew their holds and look whether their copies are complete.
+    // Five nodes renew their store leases and check whether their replicas are complete.
     assert.ok(counts[1]! / 10 < 5 * 3, `${counts[1]! / 10} a second`);
   });
 
-  it('gossip tells each peer of the machines of its sender alone, unless the peer hears no other word of them', async () => {
-    await ready(5, 60);
-    const told = (from: number, to: number) => cluster!.node(from).composeGossip(`n${to}`).machines.length;
-    for (const to of [1, 2, 3, 4]) assert.ok(told(0, to) < 30, `${told(0, to)} machines`);
+  it('gossip describes only the machines that its sender leads, and those of nodes that the peer does not hear', async () => {
+    await startCluster(5, 60);
+    const machineCount = (from: number, to: number) => cluster!.node(from).composeGossip(`n${to}`).machines.length;
+    for (const to of [1, 2, 3, 4]) assert.ok(machineCount(0, to) < 30, `${machineCount(0, to)} machines`);
     cluster!.partitioned.add('n0>n1').add('n1>n0');
     await cluster!.advance(4000);
-    assert.ok(told(2, 1) > told(2, 3), 'node 2 passes on to node 1 what node 0 says');
+    assert.ok(machineCount(2, 1) > machineCount(2, 3), 'node 2 forwards to node 1 what node 0 reports');
   });
 
-  it('a burst of starts and exits shares changes of the store', async () => {
-    await ready(3, 60);
+  it('a burst of starts and exits shares transactions', async () => {
+    await startCluster(3, 60);
     const before = cluster!.store.revision;
     await cluster!.submit({ id: 'j-many', taskCount: 200, memoryGb: 1 });
     await cluster!.advance(12_000);
@@ -68,8 +68,8 @@
   });
 });
 
-describe('under a stream of small jobs that takes all room', () => {
-  it('the largest array, and one of the lowest rank, begin within four minutes', async () => {
+describe('under a stream of small jobs that fills the machine', () => {
+  it('the largest array and a job of the lowest priority start within four minutes', async () => {
     cluster = new Cluster({ nodes: 1, teams: [{ name: 'red' }] });
     cluster.addWorker({ machineId: 'i-000001', runMs: 4000 });
     cluster.cloud.full.add('a').add('b').add('c');
@@ -81,15 +81,15 @@
     for (let n = 4; n < 70; n++) await small(n);
     for (const jobId of ['j-largest', 'j-lowest']) {
       const begun = [0, 1, 2, 3].flatMap((taskIndex) => cluster!.runs(`${jobId}/${taskIndex}`));
-      assert.ok(begun.length > 0, `${jobId} has not begun`);
-      assert.ok(Math.min(...begun.map((run) => run.from)) > 100_000, 'the small ones go first for a while');
+      assert.ok(begun.length > 0, `${jobId} has not started`);
+      assert.ok(Math.min(...begun.map((run) => run.from)) > 100_000, 'the small jobs go first for a while');
     }
   });
 });
 
 describe('a node', () => {
-  it('hears of a change from the node that made it, before its own watch tells it', async () => {
-    await ready(3, 3);
+  it('learns of a change from the node that made it, before its own watch delivers it', async () => {
+    await startCluster(3, 3);
     cluster!.network.fault({ path: /^\/watch/, kind: 'lose' });
     const answer = cluster!.post(
       jobOf({
@@ -107,13 +107,13 @@
   });
 });
 
-describe('news of a record', () => {
-  it('older than what the copy is complete beyond brings nothing back', async () => {
+describe('a record from a peer', () => {
+  it('that is older than the revision as of which the replica is complete restores no deleted key', async () => {
     const clock = new FakeClock();
     const page = { rows: [{ key: 'live/b', value: 1, modRevision: 7 }], more: false, revision: 9 };
     const replica = new Replica({ list: () => Promise.resolve(page) } as unknown as StoreClient, 'live/', clock);
     await replica.load();
-    // Dropped at 8, as far as the store says; a peer's word of 5 was held back by a cut.
+    // The key may have been deleted at revision 8; the peer's message about revision 5 was delayed by a network partition.
     replica.applyFromPeer({ key: 'live/a', value: 1, modRevision: 5 });
     assert.equal(replica.get('live/a').modRevision, 0);
     replica.applyFromPeer({ key: 'live/a', value: 2, modRevision: 12 });
@@ -121,8 +121,8 @@
   });
 });
 
-describe('the rate of one node', () => {
-  it('falls to its even share while others use the limit too, and batch work leaves some for what is urgent', async () => {
+describe('the request rate of a node', () => {
+  it('falls to its even share while others use the limit too, and batch work leaves tokens for urgent requests', async () => {
     const clock = new FakeClock();
     const bucket = new TokenBucket(clock, 10, 10, 2);
     let through = 0;
@@ -149,14 +149,14 @@
   });
 });
 
-describe('a change of batch work', () => {
-  it('lets starts of batch work take turns with a backlog of its exits', async () => {
+describe('a start of a batch task', () => {
+  it('takes turns with a backlog of exits', async () => {
     const clock = new FakeClock();
     const bucket = new TokenBucket(clock, 10, 10, 10);
     const exits = async () => {
       for (;;) await bucket.take(2, Priority.record);
     };
-    // Several come at once, each time one has gone: the queue is never empty of them.
+    // Three callers always request again, so there are always exits in the queue.
     for (let n = 0; n < 3; n++) void exits();
     await clock.advance(2000);
     let starts = 0;
@@ -171,7 +171,7 @@
     assert.ok(starts >= 5, `${starts} starts in 10 s`);
   });
 
-  it('gets its turn under a steady stream of urgent ones that leaves the bucket never full', async () => {
+  it('gets its turn under a steady stream of urgent requests that never lets the bucket fill up', async () => {
     const clock = new FakeClock();
     const bucket = new TokenBucket(clock, 10, 10, 10);
     let over = false;
@@ -191,8 +191,8 @@
   });
 });
 
-describe('a long queue', () => {
-  it('costs work in proportion to its length', async () => {
+describe('a long queue of mutations', () => {
+  it('costs a number of decisions proportional to its length', async () => {
     const clock = new FakeClock();
     let revision = 0;
     const transact = (): Promise<TransactionResult> => Promise.resolve({ kind: 'done', revision: ++revision });
@@ -224,7 +224,7 @@
 });
 
 describe('a transaction of several decisions', () => {
-  it('stays small, since the store refuses large ones while small ones use up its rate; a gang still starts whole', async () => {
+  it('stays small, since the store refuses large ones while small ones use up its rate, but holds a whole gang', async () => {
     const clock = new FakeClock();
     const sizes: number[] = [];
     const transact = (_: unknown, writes: unknown[]): Promise<TransactionResult> => {
--- a/test/scenarios/randomized.test.ts
+++ b/test/scenarios/randomized.test.ts
@@ -5,15 +5,18 @@
 import { play } from '../../testing/randomized-scenario.js';
 
 /**
- * A few of the randomized scenarios that `npm run randomized` runs by the hundred. In 5039, and in 197 of the large ones, tasks started
- * some milliseconds after their cancellation was confirmed, while the news of it waited for others.
+ * A few of the hundreds of scenarios that `npm run randomized` runs. With seed 5039, and with seed 197 of the large scenarios,
+ * tasks started some milliseconds after their cancellation was confirmed, while its broadcast waited behind other messages.
  */
 const SEEDS = [1, 9, 12, 22, 5039];
-/** In the others of these a task ran on two machines as long as knowledge of workers could be lost before the claim that vouched for it. */
+/**
+ * With the other seeds a task ran on two machines while what a controller knew of its workers could end before the leadership
+ * term from which the expiry of their leases is counted.
+ */
 const SEEDS_OF_LARGE = [4, 119, 128, 197];
 
 describe('a scenario with random faults', () => {
-  it('breaks no rule where cancellations meet a refusal, cuts and an outage (it does if the hold-over has no end)', async () => {
+  it('breaks no invariant when cancellations meet a refusal by the store, partitions and an outage (it does if degraded serving has no limit)', async () => {
     const schedule: Schedule = {
       seed: 1,
       faults: [
@@ -26,14 +29,14 @@
   });
 
   for (const seed of SEEDS) {
-    it(`breaks no rule: seed ${seed}`, async () => {
+    it(`breaks no invariant: seed ${seed}`, async () => {
       const schedule = scheduleOf(seed);
       assert.deepEqual(await play(schedule), [], JSON.stringify(schedule));
     });
   }
 
   for (const seed of SEEDS_OF_LARGE) {
-    it(`breaks no rule with tens of machines and controllers that have been up for long: seed ${seed}`, async () => {
+    it(`breaks no invariant with tens of machines and long-running controllers: seed ${seed}`, async () => {
       const schedule = largeScheduleOf(seed);
       assert.deepEqual(await play(schedule), [], JSON.stringify(schedule));
     });
--- a/test/scenarios/single-execution.test.ts
+++ b/test/scenarios/single-execution.test.ts
@@ -1,6 +1,6 @@
 /**
- * A task must never start on a machine while it is on another one. In these scenarios a controller loses sight of its own
- * claim for a moment, or a proof waits in a queue while the world moves on.
+ * A task must never start on a machine while it is on another one. In these scenarios a controller does not see its own
+ * leadership for a moment, or the proof that a task has ended waits in a queue while the cluster's state changes.
  */
 import assert from 'node:assert/strict';
 import { afterEach, describe, it } from 'node:test';
@@ -10,17 +10,17 @@
 import { type ClusterOptions, jobOf } from '../../testing/fixtures.js';
 
 let cluster: Cluster;
-/** Every scenario ends with the verdict of the invariant checker. */
+/** Every scenario ends with the result of the invariant checker. */
 afterEach(() => assert.deepEqual(cluster.verdict(), []));
 
-/** Longer than a lease and the time for which a former owner may go on answering: proofs count from the claim no longer. */
+/** Longer than a lease plus the degraded serving of a former leader: lease expiry is no longer counted from the acquisition. */
 const SETTLED_MS = 45_000;
-/** Until the controllers know the machines and their types. */
+/** Time until the controllers know the machines and their types. */
 const READY_MS = 6000;
 const CLOUD_OUTAGE = { to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } } as const;
 /**
- * The stand-in runs jobs of such names until they are killed; without checkpoints they are not stopped on a notice of the
- * cloud. The leader places what must be in one zone, so it is not the owner of the machine that finds it a new place.
+ * The fake worker runs jobs with such names until they are killed; without checkpoints they are not stopped on a spot notice.
+ * The cluster leader places single-zone jobs, so it is not the machine's partition leader that places the task again.
  */
 const longJob = (n: number) => ({ id: `j-svc-${n}`, taskCount: 1, cpus: 3, singleZone: true });
 
@@ -32,8 +32,8 @@
 
 const until = (condition: () => boolean, ms = 10_000) => cluster.until(condition, ms);
 
-/** Starts a cluster whose controllers have held their partitions for long. No machine can be returned to the cloud. */
-async function settled(machines: number, options: ClusterOptions = { nodes: 3 }): Promise<void> {
+/** Starts a cluster whose controllers have led their partitions for SETTLED_MS. No machine can be returned to the cloud. */
+async function startSettledCluster(machines: number, options: ClusterOptions = { nodes: 3 }): Promise<void> {
   cluster = new Cluster(options);
   for (let index = 0; index < machines; index++) {
     cluster.addWorker({ machineId: `i-0000${String(index).padStart(2, '0')}`, zone: ['a', 'b', 'c'][index % 3]! });
@@ -43,7 +43,7 @@
   await cluster.advance(SETTLED_MS);
 }
 
-/** The cloud says that it will take these machines, so that nothing more is placed there. */
+/** Gives these machines spot notices, so that no more tasks are placed there. */
 async function closeToNewWork(machineIds: readonly string[]): Promise<void> {
   for (const machineId of machineIds) cluster.workers.get(machineId)!.spotNoticeS = 1000;
   await cluster.advance(1000);
@@ -52,9 +52,9 @@
 const writesClaim = (body: unknown, kind: StoreOperation['kind'], role: string) =>
   decodeTransaction(body).operations.some((each) => each.kind === kind && each.key === `live/claim/${role}`);
 
-/** Long tasks run on all machines, those of one partition are closed to new work. Returns the latter and their owner. */
-async function tasksOnOnePartition(): Promise<{ role: string; machineIds: string[]; owner: number }> {
-  await settled(9, { nodes: 3, teams: [{ name: 'red' }] });
+/** Starts nine long tasks; returns one partition's role, its machines and its leader. */
+async function startLongTasks(): Promise<{ role: string; machineIds: string[]; owner: number }> {
+  await startSettledCluster(9, { nodes: 3, teams: [{ name: 'red' }] });
   for (let n = 0; n < 9; n++) await cluster.submit(longJob(n), n % 3);
   const machineIds = [...cluster.workers.keys()].filter(
     (machineId) => partitionOf(machineId) === partitionOf('i-000000'),
@@ -63,13 +63,13 @@
   return { role, machineIds, owner: ownerOf(role) };
 }
 
-describe('a controller that does not see its own claim for a moment', () => {
-  it('frees no task whose worker reports a little later, when a raised token comes by the watch before its answer', async () => {
-    const { role, machineIds, owner } = await tasksOnOnePartition();
+describe('a controller that does not see its own leadership for a moment', () => {
+  it('releases no task whose worker sends its heartbeat late, when an advanced token arrives by the watch before the answer', async () => {
+    const { role, machineIds, owner } = await startLongTasks();
     const isBusy = (machineId: string) => cluster.workers.get(machineId)!.tasks.size > 0;
     const commanded = machineIds.find((machineId) => !isBusy(machineId))!;
     const others = machineIds.filter(isBusy);
-    // A start on one machine stays without an answer, and its job is cancelled: the token is raised to shut the start out.
+    // A launch on one machine gets no answer, and its job is cancelled: the token is advanced so that the launch is refused.
     cluster.outboundLoss.add(commanded);
     cluster.network.fault({ to: `${commanded}:9000`, kind: 'hold' });
     cluster.network.fault({
@@ -82,18 +82,18 @@
     });
     for (let n = 0; n < 9; n++) void cluster.post(jobOf({ id: `j-once-${n}`, cpus: 3 }), n % 3);
     await cluster.advance(600);
-    // The other workers of the partition do not get through for less than a lease: they and their tasks live on.
+    // The other workers' heartbeats are lost for less than a lease: the workers and their tasks survive.
     await closeToNewWork(others);
     for (const machineId of others) cluster.outboundLoss.add(machineId);
     for (let n = 0; n < 9; n++) void cluster.requestCancellation(`j-once-${n}`, n % 3);
     await cluster.advance(6000);
     for (const machineId of others) cluster.outboundLoss.delete(machineId);
     await cluster.advance(15_000);
-    assert.equal(ownerOf(role), owner, 'the partition has not changed hands');
+    assert.equal(ownerOf(role), owner, 'the partition has the same leader');
   });
 
-  it('frees no task whose worker reports a little later, when it keeps a partition that it could not hand over', async () => {
-    const { role, machineIds, owner } = await tasksOnOnePartition();
+  it('releases no task whose worker sends its heartbeat late, when it keeps a partition that it could not hand over', async () => {
+    const { role, machineIds, owner } = await startLongTasks();
     await closeToNewWork(machineIds);
     const heal = cluster.network.fault({
       from: `n${owner}`,
@@ -112,8 +112,8 @@
   });
 });
 
-describe('a controller that passes reports on and is back within a second', () => {
-  it('gives no worker the answer that its former life asked for another one', async () => {
+describe('a controller that forwards heartbeats and restarts within a second', () => {
+  it('gives no worker an answer that its former incarnation requested for another worker', async () => {
     cluster = new Cluster({ nodes: 2 });
     const machineIds = Array.from({ length: 12 }, (_, index) => `i-0000${String(index).padStart(2, '0')}`)
       .filter((machineId) => partitionOf(machineId) === 0)
@@ -122,7 +122,7 @@
     for (const machineId of machineIds) cluster.addWorker({ machineId });
     await cluster.advance(READY_MS);
     assert.equal(ownerOf('part-0'), 0);
-    // Neither of the two reaches its owner, nor the owner them; one of them has been given a task.
+    // Neither of the two workers reaches its leader or is reached by it; the first one is assigned a task.
     for (const machineId of machineIds) {
       cluster.network.fault({ from: machineId, to: 'n0:8080', kind: 'refuse' });
       cluster.network.fault({ from: 'n0', to: `${machineId}:9000`, kind: 'refuse' });
@@ -131,7 +131,7 @@
     const release = cluster.network.cut({ from: 'n1', to: 'n0' });
     void cluster.post(jobOf({ id: 'j-svc-0' }), 0);
     await cluster.advance(1500);
-    const blocked = cluster.network.fault({ from: first, to: 'n1:8080', kind: 'refuse' });
+    const unblock = cluster.network.fault({ from: first, to: 'n1:8080', kind: 'refuse' });
     cluster.crash(1);
     cluster.start(1);
     const before = reportsTo('n1:8080', second);
@@ -139,9 +139,9 @@
     await cluster.advance(5);
     release();
     await cluster.advance(5);
-    // Whatever it was told, nobody tells it otherwise for a while.
+    // Whatever answer the second worker got, it gets no other one for a while.
     cluster.outboundLoss.add(second);
-    blocked();
+    unblock();
     await cluster.advance(6000);
     assert.equal(cluster.runs('j-svc-0/0').at(-1)!.machineId, first);
   });
--- a/test/scenarios/store-outage.test.ts
+++ b/test/scenarios/store-outage.test.ts
@@ -9,7 +9,7 @@
 let cluster: Cluster;
 afterEach(() => assert.deepEqual(cluster.verdict(), []));
 
-const CANCEL_MS = 36_000;
+const CANCEL_DEADLINE_MS = 36_000;
 const NODES = [0, 1, 2];
 const service = {
   kind: 'service',
@@ -19,7 +19,7 @@
   taskCount: 1,
 } as const;
 
-async function ready(options: ClusterOptions = {}): Promise<void> {
+async function startCluster(options: ClusterOptions = {}): Promise<void> {
   cluster = new Cluster({ nodes: 3, ...options });
   for (let index = 0; index < 9; index++) {
     cluster.addWorker({ machineId: `i-00000${index}`, zone: ['a', 'b', 'c'][index % 3]! });
@@ -27,7 +27,7 @@
   await cluster.advance(5000);
 }
 
-/** A service whose task runs on a machine of n0's part: n0 is then the one to be refused. */
+/** Starts a service whose task runs on a machine of n0's partition: n0 is the node that the store refuses later. */
 async function runOnNode0(): Promise<string> {
   for (let n = 0; n < 8; n++) {
     const jobId = `j-svc${n}`;
@@ -42,8 +42,8 @@
   throw new Error('no task on a machine of n0');
 }
 
-/** Nothing that n0 is told over the mesh arrives, nor what it says. */
-function part(node: string): () => void {
+/** Loses all messages between the node and its peers; returns what ends that. */
+function isolateFromPeers(node: string): () => void {
   const pairs = NODES.map((each) => `n${each}`)
     .filter((each) => each !== node)
     .flatMap((each) => [`${node}>${each}`, `${each}>${node}`]);
@@ -53,16 +53,16 @@
   };
 }
 
-/** A service of a machine of n0's part; the store then refuses n0, and its peers are cut off from it. */
+/** Starts a service on a machine of n0's partition; then the store refuses n0, and n0 is cut off from its peers. */
 async function isolateOwner(): Promise<{ jobId: string; reconnect: () => void }> {
-  await ready();
+  await startCluster();
   const jobId = await runOnNode0();
   cluster.store.refused.add('n0');
-  return { jobId, reconnect: part('n0') };
+  return { jobId, reconnect: isolateFromPeers('n0') };
 }
 
-/** Calls a job off through a node that is not the refused one; returns the steady ms of the confirmation. */
-async function callOff(jobId: string, node: number): Promise<number> {
+/** Cancels a job through a node that the store doesn't refuse; returns the monotonic ms of the confirmation. */
+async function cancelThrough(jobId: string, node: number): Promise<number> {
   let at = NaN;
   const asked = cluster.requestCancellation(jobId, node);
   void asked.then(() => (at = cluster.clock.now()));
@@ -71,54 +71,54 @@
   return at;
 }
 
-const endOf = (jobId: string): number => cluster.runs(`${jobId}/0`)[0]!.to ?? Infinity;
+const endedAt = (jobId: string): number => cluster.runs(`${jobId}/0`)[0]!.to ?? Infinity;
 
-function assertGoneInTime(jobId: string, confirmedAt: number): void {
-  const late = endOf(jobId) - confirmedAt - CANCEL_MS;
-  assert.ok(late <= 0, `${jobId} was on its machine for ${late / 1000} s too long`);
-  assert.equal(cluster.runs(`${jobId}/0`).length, 1, 'and never started again');
+function assertEndedInTime(jobId: string, confirmedAt: number): void {
+  const late = endedAt(jobId) - confirmedAt - CANCEL_DEADLINE_MS;
+  assert.ok(late <= 0, `${jobId} was on its machine ${late / 1000} s too long`);
+  assert.equal(cluster.runs(`${jobId}/0`).length, 1, 'it did not start again');
 }
 
-describe('the store refuses an owner alone, a peer confirms a cancellation, then the store is out for all', () => {
+describe('when the store refuses only a partition leader, a peer confirms a cancellation, and then the store is out for all', () => {
   for (const refusedMs of [200, 1000, 2000, 2700]) {
-    it(`after ${refusedMs} ms: the tasks are gone in time, though the news was lost`, async () => {
+    it(`${refusedMs} ms later, the tasks end in time, though the leader has missed the cancellation`, async () => {
       const { jobId, reconnect } = await isolateOwner();
       await cluster.advance(refusedMs / 2);
-      const at = await callOff(jobId, 1);
+      const at = await cancelThrough(jobId, 1);
       await cluster.advance(Math.max(0, refusedMs / 2 - 300));
       cluster.store.out = true;
       reconnect();
       await cluster.advance(64_000);
-      assertGoneInTime(jobId, at);
+      assertEndedInTime(jobId, at);
     });
   }
 
-  it('and they are gone in time where the mesh stays cut, by the clock alone', async () => {
+  it('the tasks end in time while the leader stays cut off from its peers, by its clock alone', async () => {
     const { jobId } = await isolateOwner();
-    const at = await callOff(jobId, 1);
+    const at = await cancelThrough(jobId, 1);
     cluster.store.out = true;
     await cluster.advance(64_000);
-    assertGoneInTime(jobId, at);
+    assertEndedInTime(jobId, at);
   });
 
-  it('and the word of a node that came back in the outage does not stand for what its former life confirmed', async () => {
+  it('the replica of a node that restarted in the outage is not taken to hold what its former incarnation confirmed', async () => {
     const { jobId, reconnect } = await isolateOwner();
-    // Nobody but n1 hears of it either.
-    const alone = part('n1');
-    const watch = cluster.network.fault({ from: 'n2', path: /^\/watch/, kind: 'lose' });
-    const at = await callOff(jobId, 1);
+    // No node but n1 learns of the cancellation.
+    const reconnectNode1 = isolateFromPeers('n1');
+    const restoreWatch = cluster.network.fault({ from: 'n2', path: /^\/watch/, kind: 'lose' });
+    const at = await cancelThrough(jobId, 1);
     cluster.store.out = true;
     cluster.crash(1);
-    watch();
+    restoreWatch();
     cluster.start(1);
-    alone();
+    reconnectNode1();
     reconnect();
     await cluster.advance(64_000);
-    assertGoneInTime(jobId, at);
+    assertEndedInTime(jobId, at);
   });
 
-  it('and what nobody called off lives through the outage, though the copies differed by seconds', async () => {
-    await ready();
+  it('tasks that nobody cancelled survive the outage, though the replicas differed by seconds', async () => {
+    await startCluster();
     const jobId = await runOnNode0();
     cluster.store.refused.add('n0');
     await cluster.advance(2700);
@@ -127,15 +127,15 @@
     cluster.store.refused.clear();
     cluster.store.endOutage();
     await cluster.advance(8000);
-    assert.equal(endOf(jobId), Infinity);
+    assert.equal(endedAt(jobId), Infinity);
     assert.equal(cluster.runs(`${jobId}/0`).length, 1);
   });
 
-  it('and tasks called off are stopped by whoever reaches the machine, without waiting for their owner', async () => {
+  it('cancelled tasks are stopped by any node that reaches the machine, without waiting for the partition leader', async () => {
     const { jobId } = await isolateOwner();
-    const at = await callOff(jobId, 1);
+    const at = await cancelThrough(jobId, 1);
     cluster.store.out = true;
     await cluster.advance(8000);
-    assert.ok(endOf(jobId) - at < 8000, 'within seconds');
+    assert.ok(endedAt(jobId) - at < 8000, 'within seconds');
   });
 });
--- a/test/scenarios/upgrades.test.ts
+++ b/test/scenarios/upgrades.test.ts
@@ -3,12 +3,12 @@
 
 import { playUpgrade, upgradeScheduleOf } from '../../testing/upgrade-scenario.js';
 
-/** A few of the scenarios that `npm run upgrades` runs by the dozen, with the present version alone. */
+/** A few of the dozens of scenarios that `npm run upgrades` runs, with the current version only. */
 const SEEDS = [1, 2, 7, 28];
 
-describe('pipelines, cancellations and limits that shrink, among random faults', () => {
+describe('pipelines, cancellations and shrinking store limits, under random faults', () => {
   for (const seed of SEEDS) {
-    it(`break no rule: seed ${seed}`, async () => {
+    it(`break no invariant: seed ${seed}`, async () => {
       const schedule = upgradeScheduleOf(seed);
       assert.deepEqual(await playUpgrade(schedule), [], JSON.stringify(schedule));
     });
--- a/test/wire-format.test.ts
+++ b/test/wire-format.test.ts
@@ -1,6 +1,6 @@
 /**
- * What whole controllers put in the store, send and answer, byte for byte. The expected texts are string literals, and the
- * order of keys counts: whatever the program calls a field inside, these texts stay.
+ * What whole controllers store, send and answer, byte for byte. The expected texts are string literals in which the order of
+ * keys counts: they stay the same whatever the program calls a field internally.
  */
 import assert from 'node:assert/strict';
 import { afterEach, describe, it } from 'node:test';
@@ -11,38 +11,38 @@
 let cluster: Cluster;
 afterEach(() => cluster.stop());
 
-/** `<status> <body>` of each answer to a worker's report, as it came. */
-let helloAnswers: string[] = [];
+/** `<status> <body>` of each answer to a heartbeat, as received. */
+let heartbeatAnswers: string[] = [];
 
-/** Times of day and numbers of processes depend on the run; only their digits are replaced. */
-const steady = (text: string): string =>
+/** Replaces the digits of wall-clock times and incarnations, which differ between runs. */
+const maskVariableDigits = (text: string): string =>
   text.replace(/"(at|releasedAt)":17000\d{8}\b/g, '"$1":AT').replace(/"life":\d+/g, '"life":LIFE');
 
-const text = (value: unknown): string => steady(JSON.stringify(value));
+const maskedJson = (value: unknown): string => maskVariableDigits(JSON.stringify(value));
 
-function begin(options: ClusterOptions = {}): void {
+function startCluster(options: ClusterOptions = {}): void {
   cluster = new Cluster(options);
-  helloAnswers = [];
-  const open = cluster.network.client.bind(cluster.network);
+  heartbeatAnswers = [];
+  const createClient = cluster.network.client.bind(cluster.network);
   cluster.network.client = (from) => ({
     call: async (address, method, path, body, limits) => {
-      const reply = await open(from).call(address, method, path, body, limits);
-      if (path === '/hello') helloAnswers.push(`${reply.status} ${JSON.stringify(reply.body)}`);
+      const reply = await createClient(from).call(address, method, path, body, limits);
+      if (path === '/hello') heartbeatAnswers.push(`${reply.status} ${JSON.stringify(reply.body)}`);
       return reply;
     },
   });
 }
 
-/** `<key> <value>` of the record as the store has it. */
-const stored = (key: string): string => `${key} ${text(cluster.store.rows.get(key)?.value)}`;
+/** `<key> <value>` of the stored record. */
+const storedRecord = (key: string): string => `${key} ${maskedJson(cluster.store.rows.get(key)?.value)}`;
 
-/** The changes of keys with this beginning, as transactions asked for them. */
+/** The changes of keys with this prefix, as requested by transactions, each once. */
 const changes = (prefix: string): string[] => {
   const all = cluster.network.log
     .filter(({ path }) => path === '/txn')
     .flatMap(({ body }) => (JSON.parse(JSON.stringify(body)) as Record<string, object[]>).Apply!)
     .filter((each) => Object.values(each).some((key) => typeof key === 'string' && key.startsWith(prefix)))
-    .map(text);
+    .map(maskedJson);
   return [...new Set(all)];
 };
 
@@ -50,7 +50,9 @@
 const requests = (to: string, path: RegExp): string[] => {
   const all = cluster.network.log
     .filter((each) => each.to === to && path.test(each.path))
-    .map((each) => `${each.method} ${each.to}${each.path}${each.body === undefined ? '' : ` ${text(each.body)}`}`);
+    .map(
+      (each) => `${each.method} ${each.to}${each.path}${each.body === undefined ? '' : ` ${maskedJson(each.body)}`}`,
+    );
   return [...new Set(all)];
 };
 
@@ -60,20 +62,20 @@
 const END = ',"SnapshotEveryS":0,"SnapshotS":0}';
 const ARRAY = '"Shape":"array","Rank":"normal","Shards":1,"Cpus":2';
 
-const told = ({ status, body }: { status: number; body: unknown }): string => `${status} ${JSON.stringify(body)}`;
+const answerText = ({ status, body }: { status: number; body: unknown }): string => `${status} ${JSON.stringify(body)}`;
 const submit = async (json: string, node = 0): Promise<string> =>
-  told(await cluster.during(cluster.post(JSON.parse(json), node)));
-const simple = (ref: string, node = 0): Promise<string> => submit(submission(ref, ARRAY) + END, node);
-const poll = async (ref: string, node = 0): Promise<string> => told(await cluster.poll(ref, node));
-const withdraw = async (ref: string): Promise<string> => told(await cluster.cancelJob(ref));
+  answerText(await cluster.during(cluster.post(JSON.parse(json), node)));
+const submitArray = (ref: string, node = 0): Promise<string> => submit(submission(ref, ARRAY) + END, node);
+const poll = async (ref: string, node = 0): Promise<string> => answerText(await cluster.poll(ref, node));
+const withdraw = async (ref: string): Promise<string> => answerText(await cluster.cancelJob(ref));
 
 const spec = (ref: string, kind: string, tail = ',"SnapshotEveryS":0,"SnapshotS":0,"DueS":null}'): string =>
   `{"spec":{"Ref":"${ref}","Jobclass":"web","Owner":"red",${kind},"Cards":0,"MemGb":4,"Bundle":"img-1","SizeGb":1,` +
   `"Flavors":null,"Site":null,"OneZone":false,"Spread":false,"Reclaimable":false,"GuessS":10${tail}`;
 
-describe('the stored record', () => {
-  it('of an array, a gang and a service, and of their places', async () => {
-    begin();
+describe('a stored record', () => {
+  it('keeps its format for an array, a gang and a service, and for their placements', async () => {
+    startCluster();
     cluster.addWorker({ machineId: 'i-000001' });
     await cluster.advance(5000);
     const array = '"Shape":"array","Rank":"low","Shards":2,"Cpus":1';
@@ -87,27 +89,27 @@
       spec('j-array', array, ',"SnapshotEveryS":5,"SnapshotS":2,"DueS":600}')
         .replace('"Flavors":null', '"Flavors":["c8"]')
         .replace('"Site":null', '"Site":"a"') + ',"phase":"active","at":AT,"chunk":64}';
-    assert.equal(stored('live/job/j-array'), `live/job/j-array ${whole}`);
+    assert.equal(storedRecord('live/job/j-array'), `live/job/j-array ${whole}`);
     const active = ',"phase":"active","at":AT,"chunk":64}';
-    assert.equal(stored('live/job/j-gang'), `live/job/j-gang ${spec('j-gang', gang)}${active}`);
-    assert.equal(stored('live/job/j-svc'), `live/job/j-svc ${spec('j-svc', service)}${active}`);
+    assert.equal(storedRecord('live/job/j-gang'), `live/job/j-gang ${spec('j-gang', gang)}${active}`);
+    assert.equal(storedRecord('live/job/j-svc'), `live/job/j-svc ${spec('j-svc', service)}${active}`);
     const two = '{"s":[[1,0,"i-000001",1,-1,"a"],[1,0,"i-000001",1,-1,"a"]]}';
-    assert.equal(stored('live/ledger/j-array/0000'), `live/ledger/j-array/0000 ${two}`);
-    assert.equal(stored('live/ledger/j-gang/0000'), `live/ledger/j-gang/0000 ${two}`);
-    assert.equal(stored('live/ledger/j-svc/0000'), 'live/ledger/j-svc/0000 {"s":[[1,0,"i-000001",1,-1,"a"]]}');
-    assert.equal(stored('live/team/red'), 'live/team/red {"cpus":6,"cards":0}');
+    assert.equal(storedRecord('live/ledger/j-array/0000'), `live/ledger/j-array/0000 ${two}`);
+    assert.equal(storedRecord('live/ledger/j-gang/0000'), `live/ledger/j-gang/0000 ${two}`);
+    assert.equal(storedRecord('live/ledger/j-svc/0000'), 'live/ledger/j-svc/0000 {"s":[[1,0,"i-000001",1,-1,"a"]]}');
+    assert.equal(storedRecord('live/team/red'), 'live/team/red {"cpus":6,"cards":0}');
   });
 
-  it('of a job that waits, is released, is withdrawn, and of ended ones', async () => {
-    begin();
+  it('keeps its format for a job that waits, is released, is cancelled or has ended', async () => {
+    startCluster();
     cluster.addWorker({ machineId: 'i-000001', runMs: 20_000 });
     await cluster.advance(5000);
-    await simple('j-a');
+    await submitArray('j-a');
     const awaits = ',"Awaits":["j-a"]}';
     await submit(submission('j-b', ARRAY) + END.replace('}', awaits));
     await submit(submission('j-c', ARRAY) + END.replace('}', awaits));
     const waiting = ',"phase":"waiting","at":AT,"chunk":64,"awaits":["j-a"]}';
-    assert.equal(stored('live/job/j-b'), `live/job/j-b ${spec('j-b', ARRAY)}${waiting}`);
+    assert.equal(storedRecord('live/job/j-b'), `live/job/j-b ${spec('j-b', ARRAY)}${waiting}`);
     assert.equal(await poll('j-b'), '200 {"Ref":"j-b","Phase":"queued","done":0,"running":0}');
     assert.equal(await withdraw('j-c'), '200 {"Ref":"j-c","Phase":"withdrawn"}');
     await cluster.advance(60_000);
@@ -123,12 +125,12 @@
       `{"Set":"live/job/j-c","V":${spec('j-c', ARRAY)}${withdrawn}}`,
       '{"Drop":"live/job/j-c"}',
     ]);
-    assert.equal(stored('ended/j-b'), 'ended/j-b {"phase":"done","shards":1}');
-    assert.equal(stored('ended/j-c'), 'ended/j-c {"phase":"withdrawn","shards":1}');
+    assert.equal(storedRecord('ended/j-b'), 'ended/j-b {"phase":"done","shards":1}');
+    assert.equal(storedRecord('ended/j-c'), 'ended/j-c {"phase":"withdrawn","shards":1}');
   });
 
-  it('of places: queued, placed, to be stopped, failed, stopped, done', async () => {
-    begin();
+  it('keeps its format for placements that are queued, placed, to be stopped, failed, stopped or done', async () => {
+    startCluster();
     const machine = cluster.addWorker({ machineId: 'i-000001', failsTask: (shard) => shard.startsWith('j-bad') });
     cluster.addWorker({ machineId: 'i-000002', zone: 'b', runMs: 20_000 });
     await cluster.advance(5000);
@@ -159,15 +161,15 @@
     assert.ok(wide.includes('{"Set":"live/ledger/j-wide/0000","V":{"s":[[1,0,"i-000002",1,-1,"b"],0,0,0]}}'), wide[0]);
     assert.ok(
       wide.some((each) => each.includes('"V":{"s":[1,')),
-      'a place that is done',
+      'the placement of a finished task',
     );
   });
 
-  it('of a chunk that is too large for the store: its compact form', async () => {
+  it('uses the compact format for a chunk that would otherwise be too large for the store', async () => {
     const zone = 'z'.repeat(190);
     const machineTypes = [{ name: 'c8/x', cpus: 8, memoryGb: 64, zones: [] }];
     const state = { rps: 500, write_rps: 200, value_kb: 1, txn_ops: 12 };
-    begin({ cluster: { zones: [zone], state }, locations: [zone], machineTypes });
+    startCluster({ cluster: { zones: [zone], state }, locations: [zone], machineTypes });
     const old = '"Shape":"array","Rank":"normal","Shards":6,"Cpus":1';
     const job = `${spec('j-old', old)},"phase":"active","at":1700000000000,"chunk":6}`;
     await cluster.store.handle('POST', '/txn', JSON.parse(`{"Apply":[{"Set":"live/job/j-old","V":${job}}]}`));
@@ -176,13 +178,16 @@
     const slot = '[1,0,"i-000001",1,-1,0]';
     const compact = `{"z":["${zone}"],"s":[${slot},${slot},${slot},${slot},${slot},${slot}]}`;
     assert.equal(changes('live/ledger/')[0], `{"Set":"live/ledger/j-old/0000","V":${compact}}`);
-    assert.equal(stored('live/flavor/c8%2Fx'), 'live/flavor/c8%2Fx {"Sku":"c8/x","Cpus":8,"MemGb":64,"Sites":[]}');
+    assert.equal(
+      storedRecord('live/flavor/c8%2Fx'),
+      'live/flavor/c8%2Fx {"Sku":"c8/x","Cpus":8,"MemGb":64,"Sites":[]}',
+    );
   });
 
-  it('of claims, forms, the standby and machine types', async () => {
-    begin({ nodes: 2, standby: { enabled: true, follow: true } });
+  it('keeps its format for leaderships, format versions, standbys and machine types', async () => {
+    startCluster({ nodes: 2, standby: { enabled: true, follow: true } });
     await cluster.advance(10_000);
-    assert.deepEqual([...cluster.store.rows.keys()].sort().map(stored), [
+    assert.deepEqual([...cluster.store.rows.keys()].sort().map(storedRecord), [
       'live/claim/leader {"node":"n0","latch":1}',
       'live/claim/part-0 {"node":"n0","latch":1}',
       'live/claim/part-1 {"node":"n1","latch":2}',
@@ -195,8 +200,8 @@
     ]);
   });
 
-  it('of a rental, and what the cloud is asked', async () => {
-    begin({ bootMs: 3000, runMs: 2000, teams: [{ name: 'red', cpus_max: 500 }] });
+  it('keeps its format for a rental, as do the requests to the cloud', async () => {
+    startCluster({ bootMs: 3000, runMs: 2000, teams: [{ name: 'red', cpus_max: 500 }] });
     cluster.addWorker({ machineId: 'i-000001', runMs: 2000 });
     await cluster.advance(5000);
     await submit(submission('j-e', '"Shape":"array","Rank":"normal","Shards":2,"Cpus":8') + END);
@@ -216,35 +221,37 @@
     ]) {
       assert.ok(asked.includes(expected), `${expected} in ${asked.join('\n')}`);
     }
-    // A late copy of a report of a machine that has been returned.
-    const report =
+    // A late copy of a heartbeat from a machine that has been returned.
+    const lateHeartbeat =
       '{"Host":"i-000100","Endpoint":"i-000100:9000","Flavor":"c8","Site":"a","Tenure":1,"Tick":9,"Fence":0}';
-    assert.equal(await hello(report), '421 {}');
+    assert.equal(await sendHeartbeat(lateHeartbeat), '421 {}');
   });
 });
 
-/** The answer to a report that comes from elsewhere than from a stand-in of a worker. */
-async function hello(report: string, node = 0): Promise<string> {
+/** Sends a heartbeat that comes from no fake worker; returns the answer. */
+async function sendHeartbeat(heartbeat: string, node = 0): Promise<string> {
   const sent = cluster.network.client('elsewhere');
   const limits = { timeoutMs: 4000 };
-  return told(await cluster.during(sent.call(`n${node}:8080`, 'POST', '/hello', JSON.parse(report), limits), 10));
+  return answerText(
+    await cluster.during(sent.call(`n${node}:8080`, 'POST', '/hello', JSON.parse(heartbeat), limits), 10),
+  );
 }
 
-describe('the requests to the store', () => {
-  it('for holds, watches, lists and transactions', async () => {
-    begin();
+describe('a request to the store', () => {
+  it('keeps its format for leases, watches, lists and transactions', async () => {
+    startCluster();
     await cluster.store.handle(
       'POST',
       '/txn',
       JSON.parse('{"Apply":[{"Set":"live/team/red","V":{"cpus":0,"cards":0}}]}'),
     );
-    const paged = (path: string) => path.replace(/Limit=\d+/, 'Limit=1');
+    const pagedPath = (path: string) => path.replace(/Limit=\d+/, 'Limit=1');
     await cluster.store.handle(
       'POST',
       '/txn',
       JSON.parse('{"Apply":[{"Set":"live/team/tan","V":{"cpus":0,"cards":0}}]}'),
     );
-    cluster.network.serve('store:1', (method, path, body) => cluster.store.handle(method, paged(path), body));
+    cluster.network.serve('store:1', (method, path, body) => cluster.store.handle(method, pagedPath(path), body));
     await cluster.advance(5000);
     const sent = requests('store:1', /./);
     assert.deepEqual(
@@ -265,12 +272,12 @@
     );
   });
 
-  it('for single records, and transactions that only compare', async () => {
-    begin({ nodes: 2 });
+  it('keeps its format for single records and for transactions with conditions only', async () => {
+    startCluster({ nodes: 2 });
     await cluster.advance(6000);
     cluster.partitioned.add('n0>n1');
     cluster.network.fault({ from: 'n1', to: 'store:1', path: /^\/watch/, kind: 'lose' });
-    assert.equal(await simple('j-a'), '201 {"Ref":"j-a","Phase":"queued"}');
+    assert.equal(await submitArray('j-a'), '201 {"Ref":"j-a","Phase":"queued"}');
     assert.equal(await poll('j-a', 1), '200 {"Ref":"j-a","Phase":"queued","done":0,"running":0}');
     const sent = requests('store:1', /^\/(store\/|txn)/);
     assert.ok(sent.includes('GET store:1/store/live/job/j-a'), sent.join('\n'));
@@ -279,23 +286,23 @@
   });
 });
 
-describe('the answer to a report', () => {
-  const report = (host: string): string =>
+describe('the answer to a heartbeat', () => {
+  const heartbeat = (host: string): string =>
     `{"Host":"${host}","Endpoint":"${host}:9000","Flavor":"c8","Site":"a","Tenure":1,"Tick":1}`;
 
-  it('has orders to launch, kill and forget', async () => {
-    begin();
+  it('carries launch, kill and forget commands', async () => {
+    startCluster();
     cluster.addWorker({ machineId: 'i-000001', runMs: 4000 });
     cluster.network.fault({ path: /^\/commands/, kind: 'refuse' });
     await cluster.advance(5000);
-    await simple('j-a');
+    await submitArray('j-a');
     await cluster.advance(8000);
     await submit(submission('j-svc', ARRAY.replace('array', 'service')) + END);
     await cluster.advance(3000);
     await withdraw('j-svc');
     await cluster.advance(4000);
     assert.deepEqual(
-      [...new Set(helloAnswers)],
+      [...new Set(heartbeatAnswers)],
       [
         '200 {"Fence":1,"Orders":[]}',
         '200 {"Fence":1,"Orders":[{"Verb":"launch","Shard":"j-a/0","Try":1}]}',
@@ -307,18 +314,18 @@
     );
   });
 
-  it('names another owner, or none, or says that it is no report', async () => {
-    begin({ nodes: 2 });
-    assert.equal(await hello(report('i-000002')), '503 {"error":"not entitled"}');
+  it('refuses service without a leader, names another partition leader, or rejects a malformed heartbeat', async () => {
+    startCluster({ nodes: 2 });
+    assert.equal(await sendHeartbeat(heartbeat('i-000002')), '503 {"error":"not entitled"}');
     await cluster.advance(6000);
-    assert.equal(await hello(report('i-000002')), '421 {"Steward":"n1"}');
-    assert.equal(await hello('{"Host":"i-000002"}'), '400 {"error":"not a report"}');
+    assert.equal(await sendHeartbeat(heartbeat('i-000002')), '421 {"Steward":"n1"}');
+    assert.equal(await sendHeartbeat('{"Host":"i-000002"}'), '400 {"error":"not a report"}');
   });
 });
 
 describe('the answer to a user', () => {
-  it('to a submission that is refused', async () => {
-    begin();
+  it('names the reason for which a submission is refused', async () => {
+    startCluster();
     const refused = async (rest: string): Promise<string> => submit(`${submission('j-1', ARRAY)}${rest}`);
     assert.equal(await submit('{"Ref":"x"}'), '400 {"error":"Ref: must look like j-000412"}');
     await cluster.advance(5000);
@@ -334,43 +341,43 @@
     assert.equal(await refused(END.replace('}', unknown)), '422 {"error":"j-2 was never accepted"}');
   });
 
-  it('about a job in each phase', async () => {
-    begin();
+  it('contains the state of a job, from its submission to its end', async () => {
+    startCluster();
     await cluster.advance(5000);
-    assert.equal(await simple('j-a'), '201 {"Ref":"j-a","Phase":"queued"}');
-    assert.equal(await simple('j-a'), '200 {"Ref":"j-a","Phase":"queued","done":0,"running":0}');
+    assert.equal(await submitArray('j-a'), '201 {"Ref":"j-a","Phase":"queued"}');
+    assert.equal(await submitArray('j-a'), '200 {"Ref":"j-a","Phase":"queued","done":0,"running":0}');
     cluster.addWorker({ machineId: 'i-000001', runMs: 20_000 });
     await cluster.advance(6000);
     assert.equal(await poll('j-a'), '200 {"Ref":"j-a","Phase":"running","done":0,"running":1}');
     await cluster.advance(25_000);
     assert.equal(await poll('j-a'), '200 {"Ref":"j-a","Phase":"done","done":1,"running":0}');
     assert.equal(await withdraw('j-a'), '200 {"Ref":"j-a","Phase":"done"}');
-    assert.equal(await simple('j-b'), '201 {"Ref":"j-b","Phase":"queued"}');
+    assert.equal(await submitArray('j-b'), '201 {"Ref":"j-b","Phase":"queued"}');
     assert.equal(await withdraw('j-b'), '200 {"Ref":"j-b","Phase":"withdrawn"}');
     assert.equal(await poll('j-b'), '200 {"Ref":"j-b","Phase":"withdrawn","done":0,"running":0}');
     assert.equal(await poll('j-none'), '404 {"error":"no such job"}');
     assert.equal(await withdraw('j-none'), '404 {"error":"no such job"}');
   });
 
-  it('while the store is out, and to health checks', async () => {
-    begin();
-    assert.equal(told(cluster.node(0).up()), '503 {"up":false}');
+  it('is 503 while the store is out, and to a health check before the node is healthy', async () => {
+    startCluster();
+    assert.equal(answerText(cluster.node(0).up()), '503 {"up":false}');
     await cluster.advance(5000);
-    assert.equal(told(cluster.node(0).up()), '200 {"up":true}');
+    assert.equal(answerText(cluster.node(0).up()), '200 {"up":true}');
     cluster.store.out = true;
     await cluster.advance(9000);
     const out = '503 {"error":"the state service does not answer"}';
-    assert.equal(await simple('j-z'), out);
+    assert.equal(await submitArray('j-z'), out);
     assert.equal(await poll('j-z'), out);
     assert.equal(await withdraw('j-z'), out);
   });
 
-  it('while more is submitted than the store takes', async () => {
+  it('is 429 while more is submitted than the write rate of the store allows', async () => {
     const state = { rps: 500, write_rps: 2, value_kb: 4, txn_ops: 12 };
-    begin({ cluster: { state }, teams: [{ name: 'red' }] });
+    startCluster({ cluster: { state }, teams: [{ name: 'red' }] });
     await cluster.advance(15_000);
     for (let n = 0; n < 40; n++) void cluster.post(JSON.parse(submission(`j-${n}`, ARRAY) + END));
     await cluster.advance(500);
-    assert.equal(await simple('j-99'), '429 {"error":"busy"}');
+    assert.equal(await submitArray('j-99'), '429 {"error":"busy"}');
   });
 });
