--- a/test/scenarios/cluster.test.ts
+++ b/test/scenarios/cluster.test.ts
@@ -127,7 +127,7 @@
     assert.equal(cluster.overlaps('j-svc/0'), 0);
   });
 
-  it('whose launch command is held up for seconds runs only once', async () => {
+  it('whose launch is delayed runs only once, since it is not forgotten while the launch may still arrive', async () => {
     await startCluster({}, 1);
     const worker = cluster.workers.get('i-000000')!;
     const heal = cluster.network.fault({ to: worker.endpoint, path: /^\/commands/, kind: 'hold' });
@@ -453,7 +453,7 @@
   it('that do not reach their partition leader, which also leads the cluster, are not returned while other nodes hear them', async () => {
     await startCluster({ nodes: 3 }, 6);
     const leader = Number(cluster.node(0).leadership.leaderOf('leader')!.slice(1));
-    const far = (leader + 1) % 3;
+    const farNode = (leader + 1) % 3;
     const machineIds = [...cluster.workers.keys()].filter(
       (machineId) =>
         cluster.node(0).leadership.leaderOf(cluster.node(0).workerManager.roleOf(machineId)) === `n${leader}`,
@@ -461,12 +461,12 @@
     assert.ok(machineIds.length > 0);
     // These machines and one node can't reach the leader's node; the third node reaches both sides.
     for (const machineId of machineIds) cluster.unreachable.add(`${machineId}>n${leader}`);
-    cluster.partitioned.add(`n${far}>n${leader}`).add(`n${leader}>n${far}`);
+    cluster.partitioned.add(`n${farNode}>n${leader}`).add(`n${leader}>n${farNode}`);
     await cluster.advance(30_000);
     assert.deepEqual(cluster.cloud.returned, []);
   });
 
-  it('that fail all their tasks are told apart from jobs that fail everywhere, and returned', async () => {
+  it('that fail all their tasks are distinguished from jobs that fail everywhere, and returned', async () => {
     await startCluster({}, 0);
     cluster.addWorker({ machineId: 'i-000001', runMs: 60_000, failsAllTasks: true });
     cluster.addWorker({ machineId: 'i-000002', runMs: 60_000, zone: 'b' });
--- a/test/scenarios/combined-faults-jobs.test.ts
+++ b/test/scenarios/combined-faults-jobs.test.ts
@@ -102,10 +102,10 @@
       slowDownStore(200, 900);
     },
   };
-  for (const [name, begin] of Object.entries(faults)) {
-    it(`concurrent with cancellations, polls and resubmissions ${name} leads to one state at all nodes`, async () => {
+  for (const [name, injectFault] of Object.entries(faults)) {
+    it(`concurrent with cancellations, polls and resubmissions, ${name}, leads to one state at all nodes`, async () => {
       await startCluster({ teams: [{ name: 'red' }] });
-      begin();
+      injectFault();
       const jobIds = Array.from({ length: 40 }, (_, n) => `j-end${n}`);
       for (const [n, jobId] of jobIds.entries()) {
         const job = jobOf({
@@ -159,10 +159,10 @@
       cluster.rememberWorkers();
       for (const machineId of lost) cluster.cut.add(machineId);
       for (let turn = 0; turn < 3; turn++) {
-        const old = cluster.leader()!;
+        const formerLeader = cluster.leader()!;
         // The answers to the other nodes' transactions are lost while they take over; one node's transactions are held back.
         for (let n = 0; n < 3; n++) {
-          if (n !== old)
+          if (n !== formerLeader)
             cluster.network.fault({
               from: `n${n}`,
               path: /^\/txn/,
@@ -170,12 +170,12 @@
               times: 2,
             });
         }
-        cluster.crash(old);
-        schedule(cancelAt, () => cluster.requestCancellation(`j-svc${turn}`, (old + 1) % 3));
-        schedule(cancelAt + 2500, () => cluster.requestCancellation(`j-svc${turn}`, (old + 2) % 3));
+        cluster.crash(formerLeader);
+        schedule(cancelAt, () => cluster.requestCancellation(`j-svc${turn}`, (formerLeader + 1) % 3));
+        schedule(cancelAt + 2500, () => cluster.requestCancellation(`j-svc${turn}`, (formerLeader + 2) % 3));
         await cluster.advance(4000);
         cluster.network.release();
-        cluster.start(old);
+        cluster.start(formerLeader);
         await cluster.advance(6000);
         cluster.network.release();
       }
@@ -214,20 +214,20 @@
   });
 });
 
-describe('more tasks than capacity', () => {
+describe('a cluster with more tasks than capacity', () => {
   for (const ms of [
     [200, 400],
     [300, 700],
     [500, 1000],
   ] as [number, number][]) {
-    it(`of all priorities, with a store latency of ${ms.join(' to ')} ms: leases are kept, users are answered, all jobs end`, async () => {
+    it(`keeps its leases, answers users and finishes jobs of all priorities, with a store latency of ${ms.join(' to ')} ms`, async () => {
       await startCluster({
         teams: [{ name: 'red' }, { name: 'blue', cpus: 8, cpus_max: 16 }],
       });
       for (const zone of ['a', 'b', 'c']) cluster.cloud.full.add(zone);
-      const owners = () =>
+      const leaders = () =>
         ['leader', 'part-0', 'part-1', 'part-2'].map((role) => cluster.node(0).leadership.leaderOf(role));
-      const before = owners();
+      const before = leaders();
       slowDownStore(...ms);
       await cluster.advance(3000);
       const jobIds: string[] = [];
@@ -255,7 +255,7 @@
       const answeredCount = all.filter(({ status }) => status === 200).length;
       assert.ok(answeredCount > 0.9 * all.length, `${answeredCount} of ${all.length} polls answered`);
       assert.ok(healthyCount > 0.95 * 240, `${healthyCount} of 240 health checks found a node up`);
-      assert.deepEqual(owners(), before, 'no store lease was lost');
+      assert.deepEqual(leaders(), before, 'no store lease was lost');
       for (const jobId of jobIds) assert.equal(await jobState(jobId), 'done', jobId);
     });
   }
@@ -303,10 +303,10 @@
         cluster.rememberWorkers();
         // The machines are cut off: their tasks go on until the leases expire.
         for (const { options } of lost) cluster.cut.add(options.machineId);
-        const old = cluster.leader()!;
-        cluster.crash(old);
+        const formerLeader = cluster.leader()!;
+        cluster.crash(formerLeader);
         await cluster.advance(9000);
-        cluster.start(old);
+        cluster.start(formerLeader);
         await cluster.advance(31_000);
         cloudBack();
         if ('zone' in fields || 'spreadAcrossZones' in fields)
--- a/test/scenarios/combined-faults-leaders.test.ts
+++ b/test/scenarios/combined-faults-leaders.test.ts
@@ -82,17 +82,17 @@
     assertNoViolations();
   });
 
-  it('are done as a gang though the loss of one machine was recorded before the end of the other task', async () => {
+  it('that form a gang are done though the loss of one machine was recorded before the end of the other task', async () => {
     await startCluster(0, unlimitedTeam);
     const leader = leaderOf('leader');
-    const owner = NODES.find((node) => node !== leader && leaderOf(`part-${node}`) === node)!;
-    for (const role of [`part-${leader}`, `part-${owner}`]) {
+    const partitionLeader = NODES.find((node) => node !== leader && leaderOf(`part-${node}`) === node)!;
+    for (const role of [`part-${leader}`, `part-${partitionLeader}`]) {
       cluster.addWorker({ machineId: machinesOf(role, 1)[0]!, runMs: 20_000 });
     }
     await cluster.advance(3000);
     await cluster.submit(gang);
     const runs = [...cluster.runs('j-gang/0'), ...cluster.runs('j-gang/1')];
-    const [kept, lost] = [`part-${owner}`, `part-${leader}`].map((role) =>
+    const [kept, lost] = [`part-${partitionLeader}`, `part-${leader}`].map((role) =>
       runs.find((run) => roleOf(run.machineId) === role),
     );
     await cluster.advance(kept!.from + 19_800 - cluster.clock.now());
@@ -100,7 +100,7 @@
     cluster.rememberWorkers();
     cluster.cut.add(lost!.machineId);
     const heal = cluster.network.fault({
-      from: `n${owner}`,
+      from: `n${partitionLeader}`,
       path: /^\/txn/,
       where: (transact) => JSON.stringify(transact).includes('j-gang'),
       kind: 'lose',
@@ -114,7 +114,7 @@
     assertNoViolations();
   });
 
-  it('are restarted as a gang under a new attempt after it lost one member while waiting and one while running', async () => {
+  it('that form a gang are restarted under a new attempt after losing one task while waiting and one while running', async () => {
     await startCluster(3, unlimitedTeam, 600_000);
     // Both tasks wait for their images, so that neither has started when one machine is lost.
     for (const worker of cluster.workers.values()) worker.options.imageMs = 20_000;
@@ -143,7 +143,7 @@
     assertNoViolations();
   });
 
-  it('are restarted as a gang only once a member that is cut off is proved to have ended', async () => {
+  it('that form a gang are restarted only once a task that is cut off is proved to have ended', async () => {
     await startCluster(4, unlimitedTeam, 600_000);
     await cluster.submit(gang);
     startCloudOutage();
@@ -188,7 +188,7 @@
   });
 
   for (const awayMs of [200, 900, 4000, 14_000]) {
-    it(`start no task twice and lose none, when one restarts ${awayMs} ms after all have crashed`, async () => {
+    it(`start no task twice and lose none after handovers, if one restarts ${awayMs} ms after all have crashed`, async () => {
       await startCluster(6);
       cluster.rememberWorkers();
       await cluster.submit({ ...service, taskCount: 4 });
@@ -258,9 +258,9 @@
     cluster.crash(leader);
     cluster.addWorker({ machineId: machinesOf(`part-${(leader + 1) % 3}`, 2)[1]! });
     await cluster.advance(5000);
-    const owner = leaderOf(`part-${leader}`);
-    assert.notEqual(owner, leader);
-    cluster.node(owner).answerHeartbeat(JSON.parse(JSON.stringify(held)));
+    const partitionLeader = leaderOf(`part-${leader}`);
+    assert.notEqual(partitionLeader, leader);
+    cluster.node(partitionLeader).answerHeartbeat(JSON.parse(JSON.stringify(held)));
     await cluster.advance(20_000);
     cluster.cut.clear();
     heal();
@@ -285,8 +285,8 @@
     worker.spotNoticeS = 30;
     await cluster.advance(3000);
     assert.equal(worker.tasks.get('j-svc-saves/0')!.state, 'checkpointing');
-    const owner = leaderOf(roleOf(machineId));
-    cluster.node(owner).answerHeartbeat(JSON.parse(JSON.stringify(held)));
+    const partitionLeader = leaderOf(roleOf(machineId));
+    cluster.node(partitionLeader).answerHeartbeat(JSON.parse(JSON.stringify(held)));
     await cluster.advance(20_000);
     assert.equal(cluster.runs('j-svc-saves/0').length, 2);
     assertNoViolations();
@@ -406,7 +406,7 @@
     [0.4, {}],
     [0.3, unlimitedTeam],
   ] as const) {
-    it(`break no invariant and leave no records: ${share * 100} of 100${options === unlimitedTeam ? ', without team limits' : ''}`, async () => {
+    it(`break no invariant and leave no records, at a share of ${share * 100} %${options === unlimitedTeam ? ', without team limits' : ''}`, async () => {
       await startCluster(8, options);
       cluster.rememberWorkers();
       const heal = cluster.network.fault({ to: 'store:1', path: /^\/(txn|holds)/, kind: 'late', share });
@@ -422,8 +422,9 @@
         for (let n = 0; n < 3; n++) void cluster.users.cancelJob(`j-svc${round}${n}`);
         if (round % 2 === 1) void cluster.users.cancelJob(`j-a${round}0`);
         const part = `part-${round % 3}`;
-        const [owner, leader] = [leaderOf(part), leaderOf('leader')];
-        if (round % 3 === 0 && cluster.has(owner)) void cluster.node(owner).leadership.release(part, 'scenario', 2000);
+        const [partitionLeader, leader] = [leaderOf(part), leaderOf('leader')];
+        if (round % 3 === 0 && cluster.has(partitionLeader))
+          void cluster.node(partitionLeader).leadership.release(part, 'scenario', 2000);
         if (round % 3 === 1 && cluster.has(leader)) void cluster.restart(leader, 300);
         await cluster.advance(3000);
       }
--- a/test/scenarios/combined-faults-workers.test.ts
+++ b/test/scenarios/combined-faults-workers.test.ts
@@ -145,7 +145,7 @@
     assert.equal(cluster.runs('j-svc-old/0')[0]!.to, undefined);
   });
 
-  it('starts no task after a store outage either, in which the partition leader gets no new token', async () => {
+  it('starts no task after a store outage in which the partition leader gets no new token', async () => {
     await startCluster(1);
     const host = 'i-000000';
     cluster.outboundLoss.add(host);
@@ -165,7 +165,7 @@
     assert.ok(cluster.store.rows.has('ended/j-svc'));
   });
 
-  it('is not executed after the lease, and a cancelled task does not continue after its machine hung', async () => {
+  it('is not executed after the lease has expired, and a cancelled task does not continue after its machine hung', async () => {
     await startCluster(2);
     cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
     for (const hangMs of [8000, 14_000]) {
@@ -210,19 +210,19 @@
     assert.equal(currentMachine(`${jobId}/0`), machineId);
     cluster.outboundLoss.add(machineId);
     await cluster.advance(8500);
-    const owner = partitionOf(machineId);
+    const partitionLeader = partitionOf(machineId);
     // The proof is recorded, but the answer is lost: the partition leader tries again later.
-    cluster.network.fault({ from: `n${owner}`, to: 'store:1', path: /^\/txn/, kind: 'answerLost', times: 1 });
+    cluster.network.fault({ from: `n${partitionLeader}`, to: 'store:1', path: /^\/txn/, kind: 'answerLost', times: 1 });
     await until(() => !placementsJson(jobId).includes(machineId));
     cluster.outboundLoss.delete(machineId);
     // In the meantime the machine has returned with a new agent epoch.
     const machine = cluster.workers.get(machineId)!;
     for (let report = 0; report < 2; report++) {
-      void cluster.node(owner).answerHeartbeat(machine.composeHeartbeat());
+      void cluster.node(partitionLeader).answerHeartbeat(machine.composeHeartbeat());
       await cluster.advance(report === 0 ? 490 : 0);
     }
     // The partition leader learns late what has become of the placement.
-    const heal = cluster.network.fault({ from: `n${owner}`, to: 'store:1', path: /^\/watch/, kind: 'lose' });
+    const heal = cluster.network.fault({ from: `n${partitionLeader}`, to: 'store:1', path: /^\/watch/, kind: 'lose' });
     await until(() => cluster.runs(`${jobId}/0`).length === 2, 1500);
     heal();
     for (const other of others) cluster.workers.get(other)!.spotNoticeS = null;
@@ -284,20 +284,20 @@
       const copies = new Map([...cluster.workers].map(([id, worker]) => [id, worker.composeHeartbeat()]));
       await cluster.submit(service);
       const machineId = currentMachine('j-svc/0');
-      const owner = partitionOf(machineId);
+      const partitionLeader = partitionOf(machineId);
       const copy = copies.get(machineId)!;
       cluster.cut.add(machineId);
-      void cluster.requestCancellation('j-svc', owner);
+      void cluster.requestCancellation('j-svc', partitionLeader);
       await cluster.advance(50);
-      void cluster.post(jobOf({ ...service, id: 'j-svc2' }), owner);
+      void cluster.post(jobOf({ ...service, id: 'j-svc2' }), partitionLeader);
       if (restarts) {
-        void cluster.restart(owner);
+        void cluster.restart(partitionLeader);
         await cluster.advance(300);
-        assert.notEqual(cluster.node(owner).leadership.leadershipOf(`part-${owner}`), undefined);
+        assert.notEqual(cluster.node(partitionLeader).leadership.leadershipOf(`part-${partitionLeader}`), undefined);
       }
       for (const node of [0, 1, 2]) void cluster.node(node).answerHeartbeat(copy);
-      const payload = { node: `n${(owner + 1) % 3}`, id: 1, status: JSON.stringify(copy) };
-      cluster.node(owner).receive({ kind: 'forwarded_heartbeat', payload });
+      const payload = { node: `n${(partitionLeader + 1) % 3}`, id: 1, status: JSON.stringify(copy) };
+      cluster.node(partitionLeader).receive({ kind: 'forwarded_heartbeat', payload });
       await cluster.advance(5000);
       assert.equal(cluster.runs('j-svc2/0').length, 0, 'the team is at its limit');
       cluster.cut.delete(machineId);
@@ -326,13 +326,13 @@
     await cluster.advance(2000);
     // A new leader receives the copy before any heartbeat of the machine, which no answer or command reaches for a while.
     cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
-    const owner = partitionOf(machineId);
+    const partitionLeader = partitionOf(machineId);
     cluster.inboundLoss.add(machineId);
     cluster.outboundLoss.add(machineId);
-    void cluster.restart(owner);
-    await until(() => cluster.node(owner).leadership.leadershipOf(`part-${owner}`) !== undefined);
+    void cluster.restart(partitionLeader);
+    await until(() => cluster.node(partitionLeader).leadership.leadershipOf(`part-${partitionLeader}`) !== undefined);
     await cluster.advance(500);
-    void cluster.node(owner).answerHeartbeat(copy);
+    void cluster.node(partitionLeader).answerHeartbeat(copy);
     await cluster.advance(8500);
     assert.equal(cluster.runs(name).length, 2);
   });
@@ -374,25 +374,25 @@
   });
 });
 
-describe('a crash of the cluster leader', () => {
-  const four = [0, 1, 2, 3].map((n) => `j-svc${n}`);
+describe('after a crash of the cluster leader', () => {
+  const jobIds = [0, 1, 2, 3].map((n) => `j-svc${n}`);
 
-  it('and a partition leader while machines get no answers: their tasks end in time, and start elsewhere only then', async () => {
+  it('and a partition leader, tasks of machines that get no answers end in time, and start elsewhere only then', async () => {
     await startCluster(6);
-    for (const jobId of four) await cluster.submit({ ...service, id: jobId });
-    const machineIds = [...new Set(four.map((jobId) => currentMachine(`${jobId}/0`)))];
+    for (const jobId of jobIds) await cluster.submit({ ...service, id: jobId });
+    const machineIds = [...new Set(jobIds.map((jobId) => currentMachine(`${jobId}/0`)))];
     cluster.rememberWorkers();
     cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
     const leader = Number(cluster.node(0).leadership.leaderOf('leader')!.slice(1));
-    const owner = partitionOf(machineIds[0]!);
+    const partitionLeader = partitionOf(machineIds[0]!);
     for (const machineId of machineIds) cluster.inboundLoss.add(machineId);
-    for (const node of new Set([leader, owner])) cluster.crash(node);
+    for (const node of new Set([leader, partitionLeader])) cluster.crash(node);
     await cluster.advance(4000);
-    const other = [0, 1, 2].find((node) => node !== leader && node !== owner)!;
+    const other = [0, 1, 2].find((node) => node !== leader && node !== partitionLeader)!;
     void cluster.requestCancellation('j-svc0', other);
     await cluster.advance(36_000);
     assert.notEqual(cluster.runs('j-svc0/0')[0]!.to, undefined);
-    for (const jobId of four.slice(1)) {
+    for (const jobId of jobIds.slice(1)) {
       assert.equal(cluster.overlaps(`${jobId}/0`), 0);
       assert.equal(cluster.runs(`${jobId}/0`).at(-1)!.to, undefined, `${jobId} runs again`);
       assert.equal(machineIds.includes(currentMachine(`${jobId}/0`)), false);
@@ -406,10 +406,10 @@
     for (const machineId of machineIds) assert.ok(isSchedulable(other, machineId), `${machineId} is schedulable again`);
   });
 
-  it('while machines can not be reached: their tasks start elsewhere once the leases are proved to have expired', async () => {
+  it('tasks of machines that can not be reached start elsewhere once their leases are proved to have expired', async () => {
     await startCluster(6);
-    for (const jobId of four) await cluster.submit({ ...service, id: jobId });
-    const machineIds = [...new Set(four.map((jobId) => currentMachine(`${jobId}/0`)))];
+    for (const jobId of jobIds) await cluster.submit({ ...service, id: jobId });
+    const machineIds = [...new Set(jobIds.map((jobId) => currentMachine(`${jobId}/0`)))];
     cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
     const leader = Number(cluster.node(0).leadership.leaderOf('leader')!.slice(1));
     // Its last answers are still in flight when it crashes.
@@ -428,7 +428,7 @@
     await cluster.advance(50_000);
     for (const machineId of machineIds) cluster.cut.delete(machineId);
     await cluster.advance(8000);
-    for (const jobId of four.slice(1)) {
+    for (const jobId of jobIds.slice(1)) {
       assert.equal(cluster.overlaps(`${jobId}/0`), 0);
       assert.equal(cluster.runs(`${jobId}/0`).at(-1)!.to, undefined, `${jobId} runs again`);
     }
--- a/test/scenarios/large-clusters.test.ts
+++ b/test/scenarios/large-clusters.test.ts
@@ -224,7 +224,7 @@
 });
 
 describe('a backlog of exits', () => {
-  it('costs a number of changes that depends on its jobs, not on its length', async () => {
+  it('costs a number of changes that depends on how many jobs it concerns, not on its length', async () => {
     const clock = new FakeClock();
     let writes = 0;
     const sent: string[][] = [];
--- a/test/scenarios/randomized.test.ts
+++ b/test/scenarios/randomized.test.ts
@@ -16,7 +16,7 @@
 const SEEDS_OF_LARGE = [4, 119, 128, 197];
 
 describe('a scenario with random faults', () => {
-  it('breaks no invariant when cancellations meet a refusal by the store, partitions and an outage (it does if degraded serving has no limit)', async () => {
+  it('breaks no invariant when cancellations meet a refusal by the store, partitions and an outage (unlimited degraded serving breaks one)', async () => {
     const schedule: Schedule = {
       seed: 1,
       faults: [
--- a/test/scenarios/single-execution.test.ts
+++ b/test/scenarios/single-execution.test.ts
@@ -25,7 +25,7 @@
 const longJob = (n: number) => ({ id: `j-svc-${n}`, taskCount: 1, cpus: 3, singleZone: true });
 
 const partitionOf = (machineId: string) => cluster.node(0).leadership.partitionOf(machineId);
-const ownerOf = (role: string) => Number(cluster.node(0).leadership.leaderOf(role)!.slice(1));
+const leaderOf = (role: string) => Number(cluster.node(0).leadership.leaderOf(role)!.slice(1));
 
 const reportsTo = (address: string, machineId: string) =>
   cluster.network.log.filter(({ from, to }) => from === machineId && to === address).length;
@@ -53,19 +53,19 @@
   decodeTransaction(body).operations.some((each) => each.kind === kind && each.key === `live/claim/${role}`);
 
 /** Starts nine long tasks; returns one partition's role, its machines and its leader. */
-async function startLongTasks(): Promise<{ role: string; machineIds: string[]; owner: number }> {
+async function startLongTasks(): Promise<{ role: string; machineIds: string[]; leader: number }> {
   await startSettledCluster(9, { nodes: 3, teams: [{ name: 'red' }] });
   for (let n = 0; n < 9; n++) await cluster.submit(longJob(n), n % 3);
   const machineIds = [...cluster.workers.keys()].filter(
     (machineId) => partitionOf(machineId) === partitionOf('i-000000'),
   );
   const role = `part-${partitionOf('i-000000')}`;
-  return { role, machineIds, owner: ownerOf(role) };
+  return { role, machineIds, leader: leaderOf(role) };
 }
 
 describe('a controller that does not see its own leadership for a moment', () => {
   it('releases no task whose worker sends its heartbeat late, when an advanced token arrives by the watch before the answer', async () => {
-    const { role, machineIds, owner } = await startLongTasks();
+    const { role, machineIds, leader } = await startLongTasks();
     const isBusy = (machineId: string) => cluster.workers.get(machineId)!.tasks.size > 0;
     const commanded = machineIds.find((machineId) => !isBusy(machineId))!;
     const others = machineIds.filter(isBusy);
@@ -73,7 +73,7 @@
     cluster.outboundLoss.add(commanded);
     cluster.network.fault({ to: `${commanded}:9000`, kind: 'hold' });
     cluster.network.fault({
-      from: `n${owner}`,
+      from: `n${leader}`,
       to: 'store:1',
       path: /^\/txn/,
       where: (body) => writesClaim(body, 'put', role),
@@ -89,21 +89,21 @@
     await cluster.advance(6000);
     for (const machineId of others) cluster.outboundLoss.delete(machineId);
     await cluster.advance(15_000);
-    assert.equal(ownerOf(role), owner, 'the partition has the same leader');
+    assert.equal(leaderOf(role), leader, 'the partition has the same leader');
   });
 
   it('releases no task whose worker sends its heartbeat late, when it keeps a partition that it could not hand over', async () => {
-    const { role, machineIds, owner } = await startLongTasks();
+    const { role, machineIds, leader } = await startLongTasks();
     await closeToNewWork(machineIds);
     const heal = cluster.network.fault({
-      from: `n${owner}`,
+      from: `n${leader}`,
       to: 'store:1',
       path: /^\/txn/,
       where: (body) => writesClaim(body, 'delete', role),
       kind: 'status',
       status: 429,
     });
-    void cluster.node(owner).leadership.release(role, 'for the scenario', 15_000);
+    void cluster.node(leader).leadership.release(role, 'for the scenario', 15_000);
     for (const machineId of machineIds) cluster.outboundLoss.add(machineId);
     await cluster.advance(6000);
     heal();
@@ -121,7 +121,7 @@
     const [first, second] = machineIds as [string, string];
     for (const machineId of machineIds) cluster.addWorker({ machineId });
     await cluster.advance(READY_MS);
-    assert.equal(ownerOf('part-0'), 0);
+    assert.equal(leaderOf('part-0'), 0);
     // Neither of the two workers reaches its leader or is reached by it; the first one is assigned a task.
     for (const machineId of machineIds) {
       cluster.network.fault({ from: machineId, to: 'n0:8080', kind: 'refuse' });
--- a/test/scenarios/store-outage.test.ts
+++ b/test/scenarios/store-outage.test.ts
@@ -54,7 +54,7 @@
 }
 
 /** Starts a service on a machine of n0's partition; then the store refuses n0, and n0 is cut off from its peers. */
-async function isolateOwner(): Promise<{ jobId: string; reconnect: () => void }> {
+async function isolatePartitionLeader(): Promise<{ jobId: string; reconnect: () => void }> {
   await startCluster();
   const jobId = await runOnNode0();
   cluster.store.refused.add('n0');
@@ -82,7 +82,7 @@
 describe('when the store refuses only a partition leader, a peer confirms a cancellation, and then the store is out for all', () => {
   for (const refusedMs of [200, 1000, 2000, 2700]) {
     it(`${refusedMs} ms later, the tasks end in time, though the leader has missed the cancellation`, async () => {
-      const { jobId, reconnect } = await isolateOwner();
+      const { jobId, reconnect } = await isolatePartitionLeader();
       await cluster.advance(refusedMs / 2);
       const at = await cancelThrough(jobId, 1);
       await cluster.advance(Math.max(0, refusedMs / 2 - 300));
@@ -94,7 +94,7 @@
   }
 
   it('the tasks end in time while the leader stays cut off from its peers, by its clock alone', async () => {
-    const { jobId } = await isolateOwner();
+    const { jobId } = await isolatePartitionLeader();
     const at = await cancelThrough(jobId, 1);
     cluster.store.out = true;
     await cluster.advance(64_000);
@@ -102,7 +102,7 @@
   });
 
   it('the replica of a node that restarted in the outage is not taken to hold what its former incarnation confirmed', async () => {
-    const { jobId, reconnect } = await isolateOwner();
+    const { jobId, reconnect } = await isolatePartitionLeader();
     // No node but n1 learns of the cancellation.
     const reconnectNode1 = isolateFromPeers('n1');
     const restoreWatch = cluster.network.fault({ from: 'n2', path: /^\/watch/, kind: 'lose' });
@@ -132,7 +132,7 @@
   });
 
   it('cancelled tasks are stopped by any node that reaches the machine, without waiting for the partition leader', async () => {
-    const { jobId } = await isolateOwner();
+    const { jobId } = await isolatePartitionLeader();
     const at = await cancelThrough(jobId, 1);
     cluster.store.out = true;
     await cluster.advance(8000);
--- a/test/wire-format.test.ts
+++ b/test/wire-format.test.ts
@@ -230,10 +230,10 @@
 
 /** Sends a heartbeat that comes from no fake worker; returns the answer. */
 async function sendHeartbeat(heartbeat: string, node = 0): Promise<string> {
-  const sent = cluster.network.client('elsewhere');
+  const client = cluster.network.client('elsewhere');
   const limits = { timeoutMs: 4000 };
   return answerText(
-    await cluster.during(sent.call(`n${node}:8080`, 'POST', '/hello', JSON.parse(heartbeat), limits), 10),
+    await cluster.during(client.call(`n${node}:8080`, 'POST', '/hello', JSON.parse(heartbeat), limits), 10),
   );
 }
 
