--- a/test/scenarios/cluster.test.ts
+++ b/test/scenarios/cluster.test.ts
@@ -363,7 +363,7 @@
     }
   });
 
-  it('gets the heartbeats of workers that can not reach it through another node, and no task ends', async () => {
+  it('gets the heartbeats of workers that cannot reach it through another node, and no task ends', async () => {
     await startCluster({ nodes: 3 }, 3);
     await cluster.submit({ ...service, taskCount: 3 });
     const [run] = cluster.runs('j-svc/0');
--- a/test/scenarios/combined-faults-workers.test.ts
+++ b/test/scenarios/combined-faults-workers.test.ts
@@ -26,7 +26,7 @@
   return machine !== undefined && cluster.node(node).inventory.isSchedulable(machine);
 };
 
-describe('a machine that can not open connections, though commands reach it', () => {
+describe('a machine that cannot open connections, though commands reach it', () => {
   it('gets no new tasks on account of its answers to commands, and its service moves to another machine once', async () => {
     await startCluster(2);
     await cluster.submit(service);
@@ -406,7 +406,7 @@
     for (const machineId of machineIds) assert.ok(isSchedulable(other, machineId), `${machineId} is schedulable again`);
   });
 
-  it('tasks of machines that can not be reached start elsewhere once their leases are proved to have expired', async () => {
+  it('tasks of machines that cannot be reached start elsewhere once their leases are proved to have expired', async () => {
     await startCluster(6);
     for (const jobId of jobIds) await cluster.submit({ ...service, id: jobId });
     const machineIds = [...new Set(jobIds.map((jobId) => currentMachine(`${jobId}/0`)))];
