--- a/test/testing/invariant-checker.test.ts
+++ b/test/testing/invariant-checker.test.ts
@@ -24,318 +24,325 @@
 });
 
 const jobId = 'j-000001';
-const answer = (kind: UserAnswer['kind'], status: number, state?: JobState, askedAt = now - 1) =>
-  checker.answered({
+const answer = (kind: UserAnswer['kind'], status: number, state?: JobState, requestedAt = now - 1) =>
+  checker.answerReceived({
     kind,
     jobId,
-    askedAt,
+    requestedAt,
     at: now,
     status,
     body: state === undefined ? {} : encodeJobState(jobId, state),
   });
-/** A user submits a job and is told that it is accepted. */
+/** A user submits the job and is told that it is accepted. */
 const accept = (fields: Partial<Submission> = {}) => {
   checker.submitted(jobOf(fields));
   answer('submit', 201, 'queued');
   now += 100;
 };
 const cancel = () => {
-  checker.cancelAsked(now - 1, jobId);
+  checker.cancelRequested(now - 1, jobId);
   answer('cancel', 200, 'cancelled');
   now += 100;
 };
-const start = (machineId: string, taskIndex = 0, orderedAt = now, job = jobId) =>
-  checker.taskStarted(now, machineId, `${job}/${taskIndex}`, orderedAt);
-const end = (machineId: string, taskIndex = 0, cause = 'done') =>
-  checker.taskEnded(now, machineId, `${jobId}/${taskIndex}`, cause);
-const rules = () => {
+const startTask = (machineId: string, taskIndex = 0, commandedAt = now, job = jobId) =>
+  checker.taskStarted(now, machineId, `${job}/${taskIndex}`, commandedAt);
+const endTask = (machineId: string, taskIndex = 0, exitReason = 'done') =>
+  checker.taskEnded(now, machineId, `${jobId}/${taskIndex}`, exitReason);
+const violatedRules = () => {
   checker.verdict(now);
   return checker.violations.map((each) => each.rule);
 };
-/** Time passes, and the checker looks every second. */
-const pass = (s: number) => {
-  for (let n = 0; n < s; n++) checker.checkNow((now += 1000));
+/** Advances the time, with a check every second. */
+const passSeconds = (seconds: number) => {
+  for (let n = 0; n < seconds; n++) checker.checkNow((now += 1000));
 };
 
-describe('the checker finds nothing wrong', () => {
-  it('with a job that runs to its end, and one that is cancelled in time', () => {
+describe('the invariant checker finds no violation', () => {
+  it('in a job that is done before its cancellation is requested', () => {
     accept({ taskCount: 2 });
-    start('i-1');
-    start('i-2', 1);
+    startTask('i-1');
+    startTask('i-2', 1);
     now += 5000;
     answer('poll', 200, 'running');
-    end('i-1');
-    end('i-2', 1);
+    endTask('i-1');
+    endTask('i-2', 1);
     now += 3000;
     answer('poll', 200, 'done');
-    checker.cancelAsked(now, jobId);
+    checker.cancelRequested(now, jobId);
     answer('cancel', 200, 'done');
-    assert.deepEqual(rules(), []);
+    assert.deepEqual(violatedRules(), []);
   });
 
-  it('with a task that begins anew once it has left its machine', () => {
+  it('in a task that starts again after its machine is gone', () => {
     accept();
-    start('i-1');
+    startTask('i-1');
     checker.machineGone(now, 'i-1');
-    start('i-2');
-    assert.deepEqual(rules(), []);
+    startTask('i-2');
+    assert.deepEqual(violatedRules(), []);
   });
 
-  it('with a question that was asked before another answer came', () => {
+  it('in an answer to a poll that was sent before the job was cancelled', () => {
     accept({ kind: 'service' });
-    start('i-1');
-    const askedAt = now - 500;
+    startTask('i-1');
+    const requestedAt = now - 500;
     cancel();
-    answer('poll', 200, 'running', askedAt);
-    end('i-1', 0, 'stopped');
-    assert.deepEqual(rules(), []);
+    answer('poll', 200, 'running', requestedAt);
+    endTask('i-1', 0, 'stopped');
+    assert.deepEqual(violatedRules(), []);
   });
 });
 
-describe('the checker of pipelines', () => {
-  const AFTER = 'j-000002';
-  const LAST = 'j-000003';
-  const tell = (job: string, state: JobState, kind: UserAnswer['kind'] = 'poll') =>
-    checker.answered({ kind, jobId: job, askedAt: now - 1, at: now, status: 200, body: encodeJobState(job, state) });
-  /** A chain of three jobs, all accepted. */
+describe('the pipeline checker', () => {
+  const SECOND = 'j-000002';
+  const THIRD = 'j-000003';
+  const answerState = (job: string, state: JobState, kind: UserAnswer['kind'] = 'poll') =>
+    checker.answerReceived({
+      kind,
+      jobId: job,
+      requestedAt: now - 1,
+      at: now,
+      status: 200,
+      body: encodeJobState(job, state),
+    });
+  /** Submits a chain of three jobs, each dependent on the one before; all are accepted. */
   const acceptChain = () => {
     accept({ taskCount: 2 });
-    for (const [job, before] of [
-      [AFTER, jobId],
-      [LAST, AFTER],
+    for (const [job, dependency] of [
+      [SECOND, jobId],
+      [THIRD, SECOND],
     ] as const) {
-      checker.submitted(jobOf({ id: job, dependencies: [before] }));
-      tell(job, 'queued', 'submit');
+      checker.submitted(jobOf({ id: job, dependencies: [dependency] }));
+      answerState(job, 'queued', 'submit');
     }
   };
 
-  it('catches a task that starts before all tasks of a job before it are done', () => {
+  it('reports a task that starts before all tasks of a dependency are done', () => {
     acceptChain();
-    start('i-1');
-    start('i-2', 1);
-    end('i-1');
-    start('i-1', 0, now, AFTER);
-    assert.deepEqual(rules(), ['too_early']);
+    startTask('i-1');
+    startTask('i-2', 1);
+    endTask('i-1');
+    startTask('i-1', 0, now, SECOND);
+    assert.deepEqual(violatedRules(), ['too_early']);
   });
 
-  it('finds nothing wrong with one that starts after, and counts no job that waits as left waiting', () => {
+  it('accepts a task that starts after the dependency is done, and does not report the wait as left_waiting', () => {
     acceptChain();
     checker.faultsEnded(now);
-    start('i-1');
-    start('i-2', 1);
-    pass(100);
-    end('i-1');
-    end('i-2', 1);
-    start('i-1', 0, now, AFTER);
-    assert.deepEqual(rules(), []);
+    startTask('i-1');
+    startTask('i-2', 1);
+    passSeconds(100);
+    endTask('i-1');
+    endTask('i-2', 1);
+    startTask('i-1', 0, now, SECOND);
+    assert.deepEqual(violatedRules(), []);
   });
 
-  it('catches a job that is called queued for too long after one before it is cancelled, over two levels', () => {
+  it('reports a job that is still queued too long after the cancellation of an indirect dependency', () => {
     acceptChain();
     cancel();
     now += 35_000;
-    tell(LAST, 'queued');
-    assert.deepEqual(rules(), []);
+    answerState(THIRD, 'queued');
+    assert.deepEqual(violatedRules(), []);
     now += 1000;
-    tell(LAST, 'queued');
-    assert.deepEqual(rules(), ['orphaned']);
+    answerState(THIRD, 'queued');
+    assert.deepEqual(violatedRules(), ['orphaned']);
   });
 
-  it('takes a job for cancelled with one before it, and only then', () => {
+  it('accepts that a job is cancelled only with one of its dependencies', () => {
     acceptChain();
-    tell(LAST, 'cancelled');
-    assert.deepEqual(rules(), ['went_back']);
+    answerState(THIRD, 'cancelled');
+    assert.deepEqual(violatedRules(), ['went_back']);
     checker.violations.length = 0;
     cancel();
-    tell(AFTER, 'cancelled');
-    assert.deepEqual(rules(), []);
+    answerState(SECOND, 'cancelled');
+    assert.deepEqual(violatedRules(), []);
     now += 100;
-    tell(AFTER, 'queued');
-    assert.deepEqual(rules(), ['went_back']);
+    answerState(SECOND, 'queued');
+    assert.deepEqual(violatedRules(), ['went_back']);
   });
 
-  it('catches a job that is accepted though it needs one that nobody has submitted', () => {
-    checker.submitted(jobOf({ id: AFTER, dependencies: ['j-nobody'] }));
-    tell(AFTER, 'queued', 'submit');
-    assert.deepEqual(rules(), ['wrongly_accepted']);
+  it('reports a job that is accepted though its dependency was never submitted', () => {
+    checker.submitted(jobOf({ id: SECOND, dependencies: ['j-nobody'] }));
+    answerState(SECOND, 'queued', 'submit');
+    assert.deepEqual(violatedRules(), ['wrongly_accepted']);
   });
 });
 
-describe('the checker catches', () => {
-  it('ran_twice: a task starts while it is on another machine, or still on the same', () => {
+describe('the invariant checker reports', () => {
+  it('ran_twice: a task starts while it is still on another machine, or on the same one', () => {
     accept();
-    start('i-1');
-    start('i-2');
-    assert.deepEqual(rules(), ['ran_twice']);
-    end('i-2');
-    start('i-1');
-    assert.deepEqual(rules(), ['ran_twice', 'ran_twice']);
+    startTask('i-1');
+    startTask('i-2');
+    assert.deepEqual(violatedRules(), ['ran_twice']);
+    endTask('i-2');
+    startTask('i-1');
+    assert.deepEqual(violatedRules(), ['ran_twice', 'ran_twice']);
   });
 
-  it('quota: tasks of all jobs of a team count together', () => {
+  it('quota: the tasks of all jobs of a team together exceed its limit', () => {
     accept({ cpus: 4, taskCount: 2 });
     checker.submitted(jobOf({ id: 'j-000002', cpus: 2 }));
-    start('i-1');
-    start('i-2', 1);
-    assert.deepEqual(rules(), []);
-    start('i-2', 0, now, 'j-000002');
-    assert.deepEqual(rules(), ['quota']);
+    startTask('i-1');
+    startTask('i-2', 1);
+    assert.deepEqual(violatedRules(), []);
+    startTask('i-2', 0, now, 'j-000002');
+    assert.deepEqual(violatedRules(), ['quota']);
   });
 
-  it('wrong_place: type, zone and kind', () => {
+  it('wrong_place: a machine of the wrong type, in the wrong zone, or a spot machine', () => {
     const jobs = [{ machineTypes: ['c8'], allowsSpot: true }, { zone: 'b', allowsSpot: true }, { allowsSpot: false }];
     jobs.forEach((fields, n) => {
       checker.submitted(jobOf({ id: `j-${n}`, ...fields }));
       checker.taskStarted(now, 'i-spot', `j-${n}/0`);
     });
-    assert.deepEqual(rules(), ['wrong_place', 'wrong_place', 'wrong_place']);
+    assert.deepEqual(violatedRules(), ['wrong_place', 'wrong_place', 'wrong_place']);
   });
 
-  it('wrong_place: one zone for all, as long as any task is there', () => {
+  it('wrong_place: a single-zone job starts a task in another zone than its running tasks', () => {
     accept({ taskCount: 3, singleZone: true });
-    start('i-1');
-    start('i-2', 1);
-    assert.deepEqual(rules(), ['wrong_place']);
-    end('i-1', 0, 'stopped');
-    start('i-2', 2);
-    assert.deepEqual(rules(), ['wrong_place']);
+    startTask('i-1');
+    startTask('i-2', 1);
+    assert.deepEqual(violatedRules(), ['wrong_place']);
+    endTask('i-1', 0, 'stopped');
+    startTask('i-2', 2);
+    assert.deepEqual(violatedRules(), ['wrong_place']);
   });
 
-  it('wrong_place: more than half, rounded up, of a spread job in one zone', () => {
+  it('wrong_place: more than half, rounded up, of the tasks of a spread job run in one zone', () => {
     accept({ taskCount: 3, spreadAcrossZones: true });
-    start('i-1');
-    start('i-1', 1);
-    assert.deepEqual(rules(), []);
-    start('i-1', 2);
-    assert.deepEqual(rules(), ['wrong_place']);
+    startTask('i-1');
+    startTask('i-1', 1);
+    assert.deepEqual(violatedRules(), []);
+    startTask('i-1', 2);
+    assert.deepEqual(violatedRules(), ['wrong_place']);
   });
 
-  it('ran_cancelled: a task still there after the time, though its machine hangs', () => {
+  it('ran_cancelled: a task of a cancelled job still runs after the time allowed, also if its machine hangs', () => {
     accept();
-    start('i-1');
+    startTask('i-1');
     cancel();
-    pass(35);
-    assert.deepEqual(rules(), []);
-    pass(2);
-    assert.deepEqual(rules(), ['ran_cancelled']);
+    passSeconds(35);
+    assert.deepEqual(violatedRules(), []);
+    passSeconds(2);
+    assert.deepEqual(violatedRules(), ['ran_cancelled']);
   });
 
-  it('ran_cancelled: the end comes too late, with no look in between', () => {
+  it('ran_cancelled: a task of a cancelled job ends too late, without a check in between', () => {
     accept();
-    start('i-1');
+    startTask('i-1');
     cancel();
     now += 37_000;
-    end('i-1', 0, 'stopped');
-    assert.deepEqual(rules(), ['ran_cancelled']);
+    endTask('i-1', 0, 'stopped');
+    assert.deepEqual(violatedRules(), ['ran_cancelled']);
   });
 
-  it('started_cancelled: a start whose command was sent after the confirmation', () => {
+  it('started_cancelled: a task starts by a command that was sent after the confirmed cancellation', () => {
     accept();
     cancel();
-    start('i-1');
-    assert.deepEqual(rules(), ['started_cancelled']);
+    startTask('i-1');
+    assert.deepEqual(violatedRules(), ['started_cancelled']);
     assert.deepEqual(checker.lateStarts, []);
   });
 
-  it('no rule, but a start to be noted, where the command was on its way; it still has to end in time', () => {
+  it('a late start, not a violation, if the command was sent before the cancellation; the task must still end in time', () => {
     accept();
     const sentAt = now - 100;
     cancel();
-    start('i-1', 0, sentAt);
-    assert.deepEqual(rules(), []);
+    startTask('i-1', 0, sentAt);
+    assert.deepEqual(violatedRules(), []);
     assert.equal(checker.lateStarts.length, 1);
-    pass(37);
-    assert.deepEqual(rules(), ['ran_cancelled']);
+    passSeconds(37);
+    assert.deepEqual(violatedRules(), ['ran_cancelled']);
   });
 
-  it('forgotten: an accepted job is unknown, or refused when submitted again', () => {
+  it('forgotten: an accepted job is answered as unknown, or rejected when submitted again', () => {
     accept();
     answer('poll', 404);
     answer('submit', 400);
     answer('submit', 422);
-    assert.deepEqual(rules(), ['forgotten', 'forgotten', 'forgotten']);
+    assert.deepEqual(violatedRules(), ['forgotten', 'forgotten', 'forgotten']);
   });
 
-  it('forgotten: no question is answered for 75 s after the troubles', () => {
+  it('forgotten: no poll of a job is answered for 75 s after the last fault', () => {
     accept({ cpus: 8 });
-    start('i-1');
-    const ask = (s: number) => {
-      for (let n = 0; n < s; n += 5) {
+    startTask('i-1');
+    const pollUnanswered = (seconds: number) => {
+      for (let n = 0; n < seconds; n += 5) {
         now += 5000;
         answer('poll', 503);
       }
     };
-    ask(200);
-    assert.deepEqual(rules(), []);
+    pollUnanswered(200);
+    assert.deepEqual(violatedRules(), []);
     checker.faultsEnded(now);
-    ask(70);
+    pollUnanswered(70);
     answer('poll', 200, 'running');
-    ask(70);
-    assert.deepEqual(rules(), []);
-    ask(10);
-    assert.deepEqual(rules(), ['forgotten']);
+    pollUnanswered(70);
+    assert.deepEqual(violatedRules(), []);
+    pollUnanswered(10);
+    assert.deepEqual(violatedRules(), ['forgotten']);
   });
 
-  it('invented: an answer for a job that nobody submitted', () => {
+  it('invented: an answer gives a state for a job that was never submitted', () => {
     answer('poll', 404);
-    assert.deepEqual(rules(), []);
+    assert.deepEqual(violatedRules(), []);
     answer('poll', 200, 'queued');
-    assert.deepEqual(rules(), ['invented']);
+    assert.deepEqual(violatedRules(), ['invented']);
   });
 
-  it('not_done: a task is missing, or a service', () => {
+  it('not_done: a job is answered as done though a task is not, or though it is a service', () => {
     accept({ taskCount: 2 });
-    start('i-1');
-    end('i-1');
+    startTask('i-1');
+    endTask('i-1');
     answer('poll', 200, 'done');
-    assert.deepEqual(rules(), ['not_done']);
+    assert.deepEqual(violatedRules(), ['not_done']);
     checker.submitted(jobOf({ id: 'j-svc', kind: 'service' }));
-    checker.answered({
+    checker.answerReceived({
       kind: 'poll',
       jobId: 'j-svc',
-      askedAt: now,
+      requestedAt: now,
       at: now,
       status: 200,
       body: encodeJobState('j-svc', 'done'),
     });
-    assert.deepEqual(rules(), ['not_done', 'not_done']);
+    assert.deepEqual(violatedRules(), ['not_done', 'not_done']);
   });
 
-  it('went_back: something else after done', () => {
+  it('went_back: a job is answered as running after it was done', () => {
     accept();
-    start('i-1');
-    end('i-1');
+    startTask('i-1');
+    endTask('i-1');
     answer('poll', 200, 'done');
     now += 1000;
     answer('poll', 200, 'running');
-    assert.deepEqual(rules(), ['went_back']);
+    assert.deepEqual(violatedRules(), ['went_back']);
   });
 
-  it('went_back: cancelled and done, whoever asked first', () => {
+  it('went_back: a job is answered as done and as cancelled, in whatever order the requests were sent', () => {
     accept();
-    start('i-1');
-    end('i-1');
-    checker.cancelAsked(now, jobId);
-    const askedAt = now - 50;
+    startTask('i-1');
+    endTask('i-1');
+    checker.cancelRequested(now, jobId);
+    const requestedAt = now - 50;
     answer('poll', 200, 'done');
-    answer('cancel', 200, 'cancelled', askedAt);
-    assert.deepEqual(rules(), ['went_back']);
+    answer('cancel', 200, 'cancelled', requestedAt);
+    assert.deepEqual(violatedRules(), ['went_back']);
   });
 
-  it('went_back: something else after cancelled, also at a repeated submission', () => {
+  it('went_back: a repeated submission is answered as queued after the job was cancelled', () => {
     accept();
     cancel();
     answer('submit', 200, 'queued');
-    assert.deepEqual(rules(), ['went_back']);
+    assert.deepEqual(violatedRules(), ['went_back']);
   });
 
-  it('went_back: cancelled, though not by its user', () => {
+  it('went_back: a job is answered as cancelled though no user requested it', () => {
     accept();
     answer('poll', 200, 'cancelled');
-    assert.deepEqual(rules(), ['went_back']);
+    assert.deepEqual(violatedRules(), ['went_back']);
   });
 
-  it('wrongly_accepted: a job that can never run', () => {
+  it('wrongly_accepted: a job is accepted that can never run', () => {
     const never: Partial<Submission>[] = [
       { team: 'nobody' },
       { team: 'blue', cpus: 65 },
@@ -346,72 +353,72 @@
     ];
     never.forEach((fields, n) => {
       checker.submitted(jobOf({ id: `j-${n}`, ...fields }));
-      const told = { kind: 'submit' as const, jobId: `j-${n}`, askedAt: now, at: now, status: 201 };
-      checker.answered({ ...told, body: encodeJobState(told.jobId, 'queued') });
-      assert.equal(rules().length, n + 1, JSON.stringify(fields));
+      const accepted = { kind: 'submit' as const, jobId: `j-${n}`, requestedAt: now, at: now, status: 201 };
+      checker.answerReceived({ ...accepted, body: encodeJobState(accepted.jobId, 'queued') });
+      assert.equal(violatedRules().length, n + 1, JSON.stringify(fields));
     });
-    assert.ok(rules().every((rule) => rule === 'wrongly_accepted'));
+    assert.ok(violatedRules().every((rule) => rule === 'wrongly_accepted'));
   });
 
-  it('wrongly_accepted: each field that is missing or invalid, but null may be left out', () => {
+  it('wrongly_accepted: a job is accepted with a missing or invalid field; nullable fields may be absent', () => {
     accept({ machineTypes: undefined, zone: null, deadlineS: undefined });
-    assert.deepEqual(rules(), []);
+    assert.deepEqual(violatedRules(), []);
     const names = Object.keys(DEFAULT_SUBMISSION).filter((name) => name !== 'id');
     for (const name of names) {
       [undefined, null, {}].forEach((value, n) => {
         checker.submitted(encodeSubmission({ ...DEFAULT_SUBMISSION, id: `j-${name}-${n}`, [name]: value }));
-        const told = { kind: 'submit' as const, jobId: `j-${name}-${n}`, askedAt: now, at: now, status: 201 };
-        checker.answered({ ...told, body: encodeJobState(told.jobId, 'queued') });
+        const accepted = { kind: 'submit' as const, jobId: `j-${name}-${n}`, requestedAt: now, at: now, status: 201 };
+        checker.answerReceived({ ...accepted, body: encodeJobState(accepted.jobId, 'queued') });
       });
     }
-    assert.equal(rules().length, names.length * 3);
-    // A repeat of an accepted job gets its state, whatever it looks like.
+    assert.equal(violatedRules().length, names.length * 3);
+    // A repeated submission of an accepted job is answered with its state, however malformed it is.
     checker.submitted(encodeSubmission({ id: jobId }));
     answer('submit', 200, 'queued');
-    assert.equal(rules().length, names.length * 3);
+    assert.equal(violatedRules().length, names.length * 3);
   });
 
-  it('left_waiting: 90 s after the troubles, with room and the limit free', () => {
+  it('left_waiting: a job does not start within 90 s after the last fault, with room and under its team limit', () => {
     accept();
-    pass(200);
-    assert.deepEqual(rules(), []);
+    passSeconds(200);
+    assert.deepEqual(violatedRules(), []);
     checker.faultsEnded(now);
-    pass(89);
-    assert.deepEqual(rules(), []);
-    pass(2);
-    assert.deepEqual(rules(), ['left_waiting']);
+    passSeconds(89);
+    assert.deepEqual(violatedRules(), []);
+    passSeconds(2);
+    assert.deepEqual(violatedRules(), ['left_waiting']);
   });
 
-  it('left_waiting only if there is room: free machines that fit and can be reached, under the limit', () => {
+  it('left_waiting only if there is room on a machine that can be reached, and under the team limit', () => {
     accept({ cpus: 6 });
     checker.faultsEnded(now);
     checker.submitted(jobOf({ id: 'j-000002', team: 'blue', cpus: 4 }));
     checker.submitted(jobOf({ id: 'j-000003', cpus: 4 }));
-    start('i-1', 0, now, 'j-000002');
+    startTask('i-1', 0, now, 'j-000002');
     checker.machineUsable('i-2', false);
-    pass(100);
+    passSeconds(100);
     checker.machineUsable('i-2', true);
-    start('i-1', 0, now, 'j-000003');
-    pass(100);
-    assert.deepEqual(rules(), [], 'first there was no machine, then the team was at its limit');
+    startTask('i-1', 0, now, 'j-000003');
+    passSeconds(100);
+    assert.deepEqual(violatedRules(), [], 'first no machine had room, then the team was at its limit');
     checker.taskEnded(now, 'i-1', 'j-000003/0', 'done');
-    pass(91);
-    assert.deepEqual(rules(), ['left_waiting']);
+    passSeconds(91);
+    assert.deepEqual(violatedRules(), ['left_waiting']);
   });
 
-  it('left_waiting of a gang only if there is room for all of it, in its zones', () => {
+  it('left_waiting of a single-zone gang only if one zone has room for all its tasks', () => {
     accept({ team: 'blue', kind: 'gang', taskCount: 8, cpus: 2, singleZone: true });
     checker.faultsEnded(now);
-    pass(100);
-    assert.deepEqual(rules(), [], 'four fit in each zone');
+    passSeconds(100);
+    assert.deepEqual(violatedRules(), [], 'four fit in each zone');
     checker.machineUp('i-3', { machineType: 'c8', zone: 'b', isSpot: false });
-    pass(91);
-    assert.deepEqual(rules(), ['left_waiting']);
+    passSeconds(91);
+    assert.deepEqual(violatedRules(), ['left_waiting']);
   });
 });
 
-describe('a cluster feeds its checker', () => {
-  it('with what its workers really run, whoever told them to, and with what its users were really told', async () => {
+describe('a cluster informs its invariant checker', () => {
+  it('of everything that its workers run, whoever sent the commands, and of all answers to its users', async () => {
     const cluster = new Cluster();
     const first = cluster.addWorker({ machineId: 'i-1' });
     const second = cluster.addWorker({ machineId: 'i-2', zone: 'b' });
--- a/test/testing/stand-ins.test.ts
+++ b/test/testing/stand-ins.test.ts
@@ -15,16 +15,16 @@
 let cluster: Cluster;
 afterEach(() => cluster?.stop());
 
-function ready(options: ClusterOptions = {}, machines = 1, runMs = 5000): Cluster {
+function startCluster(options: ClusterOptions = {}, machines = 1, runMs = 5000): Cluster {
   cluster = new Cluster(options);
   for (let n = 0; n < machines; n++) cluster.addWorker({ machineId: `i-${n}`, zone: ['a', 'b', 'c'][n % 3]!, runMs });
   return cluster;
 }
 
-/** Workers alone: no controller interferes, and a test gives the commands. */
-function alone(machines = 1, runMs = 5000, lease_s = 10): Cluster {
+/** Workers without a controller: the test itself sends the commands. */
+function startWorkersOnly(machines = 1, runMs = 5000, lease_s = 10): Cluster {
   const workers = { report_s: 1, lease_s, gang_wait_s: 30, gang_peer_s: 4, cancel_s: 70 };
-  ready({ cluster: { workers } }, machines, runMs);
+  startCluster({ cluster: { workers } }, machines, runMs);
   cluster.crash(0);
   return cluster;
 }
@@ -45,14 +45,14 @@
     )
     .catch(() => undefined);
 const putBody = (value: number) => encodeTransaction({ operations: [{ kind: 'put', key: 'k', value }] });
-const phase = (n: number, taskId: string) => {
+const taskOutcome = (n: number, taskId: string) => {
   const task = worker(n).tasks.get(taskId);
   return task?.state === 'exited' ? task.exitReason : task?.state;
 };
 
 describe('a suspended machine', () => {
-  it('executes neither tasks nor commands, and resumes both where it stopped', async () => {
-    alone(1, 5000, 60);
+  it('executes neither tasks nor commands until it resumes, and then continues both', async () => {
+    startWorkersOnly(1, 5000, 60);
     void cluster.post(jobOf({ taskCount: 2 }));
     void launch(0, 'j-000001/0');
     await cluster.advance(2000);
@@ -60,18 +60,18 @@
     const answer = launch(0, 'j-000001/1');
     await cluster.advance(5000);
     assert.equal(await answer, undefined);
-    assert.equal(phase(0, 'j-000001/0'), 'running', 'three seconds are left');
-    assert.equal(phase(0, 'j-000001/1'), undefined);
+    assert.equal(taskOutcome(0, 'j-000001/0'), 'running', 'it still has three seconds to run');
+    assert.equal(taskOutcome(0, 'j-000001/1'), undefined);
     worker(0).resume();
     await cluster.advance(2000);
-    assert.equal(phase(0, 'j-000001/0'), 'running');
-    assert.equal(phase(0, 'j-000001/1'), 'running', 'the command had reached it');
+    assert.equal(taskOutcome(0, 'j-000001/0'), 'running');
+    assert.equal(taskOutcome(0, 'j-000001/1'), 'running', 'it had received the command');
     await cluster.advance(1001);
-    assert.equal(phase(0, 'j-000001/0'), 'done');
+    assert.equal(taskOutcome(0, 'j-000001/0'), 'done');
   });
 
-  it('beyond its lease begins a new agent epoch at once when it resumes, and drops commands of the old one', async () => {
-    alone();
+  it('for longer than its lease begins a new agent epoch as soon as it resumes, and drops commands of the old one', async () => {
+    startWorkersOnly();
     void cluster.post(jobOf({ taskCount: 2 }));
     void launch(0, 'j-000001/0');
     await cluster.advance(1000);
@@ -79,8 +79,8 @@
     void launch(0, 'j-000001/1');
     await cluster.advance(15_000);
     assert.equal(worker(0).agentEpoch, 1);
-    // It can't go on with it after the lease, so from then on it is on no machine.
-    assert.equal(worker(0).history[0]!.to! - worker(0).lastAnswered, 10_000);
+    // The machine can't continue the task after the lease, so the task's run ends with the lease.
+    assert.equal(worker(0).history[0]!.to! - worker(0).leaseRenewedAt, 10_000);
     worker(0).resume();
     await cluster.advance(10);
     assert.equal(worker(0).agentEpoch, 2);
@@ -90,11 +90,11 @@
 });
 
 describe('a machine with outbound loss', () => {
-  it('reaches no controller, while direct commands reach it and are answered', async () => {
-    ready();
+  it('reaches no controller, but receives and answers direct commands', async () => {
+    startCluster();
     await cluster.advance(3000);
     cluster.outboundLoss.add('i-0');
-    const { lastAnswered } = worker(0);
+    const { leaseRenewedAt } = worker(0);
     void cluster.post(jobOf({}));
     const batch = encodeCommandBatch({
       fencingToken: worker(0).fencingToken,
@@ -105,13 +105,13 @@
     await cluster.advance(3000);
     assert.equal((await answer).status, 200);
     assert.equal(worker(0).history.length, 1);
-    assert.ok(worker(0).lastAnswered <= lastAnswered + 500);
+    assert.ok(worker(0).leaseRenewedAt <= leaseRenewedAt + 500);
   });
 });
 
 describe('a machine with inbound loss', () => {
-  it('is heard, but hears neither answers nor commands, until its lease is over', async () => {
-    ready();
+  it('sends heartbeats that arrive, but receives neither answers nor commands, until its lease expires', async () => {
+    startCluster();
     await cluster.advance(3000);
     cluster.inboundLoss.add('i-0');
     assert.equal(await cluster.during(launch(0, 'j-000001/0')), undefined);
@@ -127,15 +127,15 @@
 });
 
 describe('late copies of heartbeats', () => {
-  it('come later than newer heartbeats, also from an agent epoch that is over', async () => {
-    ready();
-    const heard: WorkerStatus[] = [];
+  it('arrive after newer heartbeats, also from a former agent epoch', async () => {
+    startCluster();
+    const received: WorkerStatus[] = [];
     cluster.lateHeartbeats = { share: 0.5, lateMs: [2000, 25_000] };
     const controller = cluster.node(0);
-    const hello = controller.answerHeartbeat.bind(controller);
+    const answerHeartbeat = controller.answerHeartbeat.bind(controller);
     controller.answerHeartbeat = (body) => {
-      heard.push(decodeWorkerStatus(body)!);
-      return hello(body);
+      received.push(decodeWorkerStatus(body)!);
+      return answerHeartbeat(body);
     };
     await cluster.advance(3000);
     cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503 });
@@ -143,20 +143,24 @@
     await cluster.advance(11_000);
     cluster.unreachable.clear();
     await cluster.advance(20_000);
-    const late = heard.filter((each, at) => heard.slice(0, at).some((other) => other.sequence > each.sequence));
+    const late = received.filter((each, index) =>
+      received.slice(0, index).some((other) => other.sequence > each.sequence),
+    );
     assert.ok(late.length > 5);
-    const firstOfNext = heard.findIndex((each) => each.agentEpoch === 2);
-    assert.ok(firstOfNext >= 0 && late.some((each) => each.agentEpoch === 1 && heard.indexOf(each) > firstOfNext));
+    const firstOfNextEpoch = received.findIndex((each) => each.agentEpoch === 2);
+    assert.ok(
+      firstOfNextEpoch >= 0 && late.some((each) => each.agentEpoch === 1 && received.indexOf(each) > firstOfNextEpoch),
+    );
   });
 });
 
-describe('transactions without an answer', () => {
-  it('are carried out later, after newer ones, also once the store refuses their sender', async () => {
+describe('late transactions', () => {
+  it('get no answer and are executed after newer ones, even if the store refuses their sender by then', async () => {
     const clock = new FakeClock();
     const network = new FakeNetwork(clock);
     const store = new FakeStore(clock);
-    network.serve('store:1', (method, path, body, { from, late }) =>
-      store.handle(method, path, body, late === true ? undefined : from),
+    network.serve('store:1', (method, path, body, { from, isLate }) =>
+      store.handle(method, path, body, isLate === true ? undefined : from),
     );
     const put = (value: number) =>
       network.client('n0').call('store:1', 'POST', '/txn', putBody(value), { timeoutMs: 1500 });
@@ -177,7 +181,7 @@
 });
 
 describe('a slow store', () => {
-  it('carries a request out in the middle of the time that it takes', async () => {
+  it('executes a request after half of its duration', async () => {
     const clock = new FakeClock();
     const store = new FakeStore(clock);
     store.slowMs = 800;
@@ -193,13 +197,13 @@
   });
 });
 
-describe('a cut that holds messages', () => {
-  it('delivers them in order when it ends, though their senders have given up', async () => {
+describe('a partition that holds messages', () => {
+  it('delivers them in order when it ends, even if their senders have timed out', async () => {
     const clock = new FakeClock();
     const network = new FakeNetwork(clock);
-    const got: unknown[] = [];
+    const received: unknown[] = [];
     network.serve('b:1', (_method, _path, body) => {
-      got.push(body);
+      received.push(body);
       return { status: 200, body: {} };
     });
     const heal = network.split(['a']);
@@ -215,18 +219,18 @@
     await clock.advance(2000);
     const late = call(2);
     await clock.advance(500);
-    assert.deepEqual(got, []);
+    assert.deepEqual(received, []);
     heal();
     await clock.advance(10);
-    assert.deepEqual(got, [1, 2]);
+    assert.deepEqual(received, [1, 2]);
     assert.equal(await early, 0);
-    assert.equal(await late, 200, 'this one was still waited for');
+    assert.equal(await late, 200, 'its sender had not timed out');
   });
 });
 
-describe('a controller that stands still', () => {
-  it('in the middle of a command sends it when it goes on', async () => {
-    ready();
+describe('a frozen controller', () => {
+  it('sends a command that it was about to send only after it has thawed', async () => {
+    startCluster();
     await cluster.advance(4000);
     cluster.freezeAt(0, { path: /^\/commands/, when: 'sending', forMs: 4000 });
     void cluster.post(jobOf({}));
@@ -236,17 +240,17 @@
     assert.equal(cluster.runs('j-000001/0').length, 1);
   });
 
-  it('in the middle of an answer to a user gives it late: the user has gone', async () => {
-    ready();
+  it('sends an answer so late that the user has timed out, though the job was accepted', async () => {
+    startCluster();
     await cluster.advance(4000);
     cluster.freezeAt(0, { path: /submit/, when: 'answering', forMs: 8000 });
     assert.equal((await cluster.submit({})).status, 0);
     await cluster.advance(6000);
-    assert.equal((await cluster.submit({})).status, 200, 'it had been accepted');
+    assert.equal((await cluster.submit({})).status, 200, 'the job had been accepted');
   });
 
-  it('and one that has just been answered takes the answer in when it goes on', async () => {
-    ready();
+  it('processes an answer that it has just received only after it has thawed', async () => {
+    startCluster();
     await cluster.advance(4000);
     cluster.freezeAt(0, { path: /^\/txn/, when: 'answered', forMs: 3000 });
     const answer = cluster.post(jobOf({}));
@@ -258,8 +262,8 @@
 });
 
 describe('a controller that restarts at once', () => {
-  it('finds requests of its former incarnation still on their way', async () => {
-    ready();
+  it('has requests of its former process still in flight', async () => {
+    startCluster();
     await cluster.advance(4000);
     void cluster.restart(0, 200, [3000, 3000]);
     await cluster.advance(100);
@@ -276,46 +280,46 @@
   const gang = { kind: 'gang', taskCount: 2, checkpointIntervalS: 10, checkpointS: 1 } as const;
   const [first, second] = ['j-000001/0', 'j-000001/1'] as const;
 
-  it('wait for each other, run together and are done together', async () => {
-    alone(2, 6000);
+  it('wait for each other, and then run and finish together', async () => {
+    startWorkersOnly(2, 6000);
     void cluster.post(jobOf(gang));
     worker(1).options.imageMs = 3000;
     void launch(0, first);
     void launch(1, second);
     await cluster.advance(100);
-    assert.deepEqual([phase(0, first), phase(1, second)], ['waiting', 'fetching']);
+    assert.deepEqual([taskOutcome(0, first), taskOutcome(1, second)], ['waiting', 'fetching']);
     await cluster.advance(3000);
-    assert.deepEqual([phase(0, first), phase(1, second)], ['running', 'running']);
+    assert.deepEqual([taskOutcome(0, first), taskOutcome(1, second)], ['running', 'running']);
     await cluster.advance(5800);
-    assert.deepEqual([phase(0, first), phase(1, second)], ['running', 'running']);
+    assert.deepEqual([taskOutcome(0, first), taskOutcome(1, second)], ['running', 'running']);
     await cluster.advance(200);
-    assert.deepEqual([phase(0, first), phase(1, second)], ['done', 'done']);
+    assert.deepEqual([taskOutcome(0, first), taskOutcome(1, second)], ['done', 'done']);
   });
 
-  it('give up alone, and notice when another is gone, has failed or is suspended', async () => {
-    alone(3, 5000, 60);
+  it('give up if the gang is incomplete, and exit when another task is killed, suspended or lost with its machine', async () => {
+    startWorkersOnly(3, 5000, 60);
     void cluster.post(jobOf(gang));
     void launch(0, first);
     await cluster.advance(30_100);
-    assert.equal(phase(0, first), 'gang_incomplete');
+    assert.equal(taskOutcome(0, first), 'gang_incomplete');
     for (const attempt of [2, 3, 4]) {
       void launch(1, first, attempt);
       void launch(2, second, attempt);
       await cluster.advance(100);
-      assert.equal(phase(1, first), 'running');
+      assert.equal(taskOutcome(1, first), 'running');
       if (attempt === 2) void kill(2, second, attempt);
       if (attempt === 3) worker(2).suspend();
       if (attempt === 4) cluster.kill('i-2');
       await cluster.advance(4100);
-      assert.equal(phase(1, first), 'peer_lost');
+      assert.equal(taskOutcome(1, first), 'peer_lost');
       if (attempt === 3) worker(2).resume();
       if (attempt < 4) void kill(2, second, attempt);
       await cluster.advance(100);
     }
   });
 
-  it('save together if all are told in time', async () => {
-    alone(2, 60_000, 60);
+  it('write a checkpoint together only if all are told to stop in time', async () => {
+    startWorkersOnly(2, 60_000, 60);
     void cluster.post(jobOf(gang));
     const stop = (n: number, taskId: string) => kill(n, taskId, worker(n).tasks.get(taskId)!.attempt, 2);
     for (const [attempt, both] of [true, false].entries()) {
@@ -325,43 +329,43 @@
       void stop(0, first);
       if (both) void stop(1, second);
       await cluster.advance(800);
-      assert.deepEqual([phase(0, first), phase(1, second)], ['running', 'running']);
+      assert.deepEqual([taskOutcome(0, first), taskOutcome(1, second)], ['running', 'running']);
       await cluster.advance(3000 + (both ? 0 : 3000));
       assert.equal(worker(0).tasks.get(first)!.isCheckpointed === true, both);
-      assert.equal(phase(1, second), both ? 'stopped' : 'peer_lost');
+      assert.equal(taskOutcome(1, second), both ? 'stopped' : 'peer_lost');
     }
   });
 });
 
 describe('a worker', () => {
-  it('refuses what has no room, what is there with another attempt, and what nobody has submitted', async () => {
-    alone();
+  it('refuses tasks without room, another attempt of a running task, and tasks of unknown jobs', async () => {
+    startWorkersOnly();
     void cluster.post(jobOf({ taskCount: 5 }));
     for (const taskIndex of [0, 1, 2, 3, 4]) void launch(0, `j-000001/${taskIndex}`);
     void launch(0, 'j-nobody/0');
     await cluster.advance(100);
-    assert.equal(phase(0, 'j-000001/4'), 'insufficient_resources');
-    assert.equal(phase(0, 'j-nobody/0'), 'unknown');
+    assert.equal(taskOutcome(0, 'j-000001/4'), 'insufficient_resources');
+    assert.equal(taskOutcome(0, 'j-nobody/0'), 'unknown');
     void launch(0, 'j-000001/0', 2);
     await cluster.advance(100);
     assert.equal(worker(0).tasks.get('j-000001/0')!.attempt, 1);
     assert.equal(worker(0).history.length, 4);
   });
 
-  it('keeps the result of a task that is done: started again, it is done at once', async () => {
-    alone(2);
+  it('keeps the result of a finished task: launched again, the task is done at once', async () => {
+    startWorkersOnly(2);
     void cluster.post(jobOf({}));
     void launch(0, 'j-000001/0');
     await cluster.advance(6000);
     void launch(1, 'j-000001/0', 2);
     await cluster.advance(10);
-    assert.equal(phase(1, 'j-000001/0'), 'done');
+    assert.equal(taskOutcome(1, 'j-000001/0'), 'done');
     assert.equal(worker(1).history[0]!.to, worker(1).history[0]!.from);
   });
 
-  // Found by a randomized scenario, in which a machine that was gone started what a cut had held back.
-  it('that is gone carries out no command that a cut delivers later', async () => {
-    alone();
+  // In a randomized scenario, a machine that was gone started a task by a command that a partition had held.
+  it('whose machine is gone executes no held command that is delivered later', async () => {
+    startWorkersOnly();
     void cluster.post(jobOf({}));
     const gone = worker(0);
     const deliver = cluster.network.cut({ to: 'i-0:9000' });
@@ -375,9 +379,9 @@
   });
 });
 
-describe('users', () => {
-  it('repeat what fails, go on asking, and get sound answers to odd requests', async () => {
-    ready({ nodes: 2 }, 2);
+describe('fake users', () => {
+  it('retry failed requests, keep polling, and get correct answers to unusual requests', async () => {
+    startCluster({ nodes: 2 }, 2);
     await cluster.advance(4000);
     cluster.store.out = true;
     const answer = cluster.users.submit(jobOf({ id: 'j-000001' }));
@@ -388,12 +392,12 @@
     await cluster.advance(16_000);
     assert.equal(cluster.users.jobs.get('j-000001')!.state, 'done');
     assert.equal(cluster.users.jobs.get('j-svc')!.state, 'running');
-    const odd = await cluster.during(cluster.users.sendOddRequests());
+    const answers = await cluster.during(cluster.users.sendUnusualRequests());
     assert.deepEqual(
-      odd.map((each) => each.status),
+      answers.map((each) => each.status),
       [200, 200, 200, 422, 422, 400, 400, 400, 400, 404],
     );
-    assert.equal(decodeJobState(odd[0]!.body), 'done');
+    assert.equal(decodeJobState(answers[0]!.body), 'done');
     assert.deepEqual(cluster.verdict(), []);
   });
 });
--- a/testing/answer-checker.ts
+++ b/testing/answer-checker.ts
@@ -1,47 +1,47 @@
-/** The rules about what users are told: no job is forgotten or invented, and no end of a job is taken back. */
+/** Rules on answers to users: no job is forgotten or invented, and a final state is never revoked. */
 import { decodeJobState, type JobState } from './job-status-wire-codec.js';
 import type { ObservedCluster, ObservedJob } from './observed-cluster.js';
 import type { PipelineChecker } from './pipeline-checker.js';
 import type { PlacementRules } from './placement-rules.js';
 
-/** ms without an answer to any question about a job after which it counts as forgotten, once all faults are over. */
-const FORGOTTEN_MS = 75_000;
+/** Time without an answer to any poll after which a job counts as forgotten, after all faults have ended. */
+const MAX_UNANSWERED_MS = 75_000;
 
-/** The rules that answers can break. */
+/** The rules that answers can violate. */
 export type AnswerRule = 'forgotten' | 'invented' | 'not_done' | 'went_back' | 'wrongly_accepted' | 'orphaned';
 
-/** An answer to a user, or that there was none. */
+/** An answer to a user's request, or the absence of one. */
 export interface UserAnswer {
   kind: 'submit' | 'poll' | 'cancel';
   jobId: string;
-  askedAt: number;
+  requestedAt: number;
   at: number;
-  /** 0: none in time, or no connection. */
+  /** HTTP status; 0: no answer in time, or no connection. */
   status: number;
   body: unknown;
 }
 
-/** What answers are checked against. */
+/** The state and rules that answers are checked against. */
 export interface AnswerCheckerDependencies {
   observed: ObservedCluster;
   rules: PlacementRules;
   pipelines: PipelineChecker;
-  /** When the last fault ended; Infinity before. */
+  /** When the last fault ended; Infinity until then. */
   faultsEndedAt(): number;
-  addViolation(rule: AnswerRule, at: number, what: string): void;
+  addViolation(rule: AnswerRule, at: number, details: string): void;
 }
 
-/** The end of which its user has been told. */
+/** The final state that the job's user has been told, if any. */
 function finalStateOf(job: ObservedJob): JobState | undefined {
   if (job.cancelledAt !== undefined) return 'cancelled';
   return job.doneAt !== undefined ? 'done' : undefined;
 }
 
-/** Checks each answer as it comes. */
+/** Checks each answer and records what it tells about the job. */
 export class AnswerChecker {
   constructor(private readonly dependencies: AnswerCheckerDependencies) {}
 
-  answered(answer: UserAnswer): void {
+  check(answer: UserAnswer): void {
     const { kind, jobId, at, status } = answer;
     const job = this.dependencies.observed.jobs.get(jobId);
     const state = decodeJobState(answer.body);
@@ -52,71 +52,71 @@
     job.acceptedAt ??= at;
     if (state !== 'done' && state !== 'cancelled') return this.checkUnfinished(job, answer, state);
     this.checkFinal(job, answer, state);
-    if (state === 'cancelled') this.noteCancelled(job, answer);
-    else this.noteDone(job, answer);
+    if (state === 'cancelled') this.recordCancelled(job, answer);
+    else this.recordDone(job, answer);
   }
 
-  private addViolation(rule: AnswerRule, at: number, what: string): void {
-    this.dependencies.addViolation(rule, at, what);
+  private addViolation(rule: AnswerRule, at: number, details: string): void {
+    this.dependencies.addViolation(rule, at, details);
   }
 
   private checkForgotten(job: ObservedJob | undefined, answer: UserAnswer): void {
     if (job?.acceptedAt === undefined) return;
-    const { kind, jobId, askedAt, at, status } = answer;
-    const wasAccepted = job.acceptedAt < askedAt;
+    const { kind, jobId, requestedAt, at, status } = answer;
+    const wasAccepted = job.acceptedAt < requestedAt;
     if (status === 404 && wasAccepted) this.addViolation('forgotten', at, `${kind} of ${jobId}: 404`);
     if (kind === 'submit' && (status === 400 || status === 422) && wasAccepted) {
       this.addViolation('forgotten', at, `${jobId} submitted again: ${status}`);
     }
-    if (kind === 'poll') this.checkSilence(job, answer);
+    if (kind === 'poll') this.checkUnanswered(job, answer);
   }
 
-  private checkSilence(job: ObservedJob, { jobId, askedAt, at, status }: UserAnswer): void {
+  private checkUnanswered(job: ObservedJob, { jobId, requestedAt, at, status }: UserAnswer): void {
     if (status === 200 || status === 404) {
       job.unansweredSince = undefined;
       return;
     }
-    job.unansweredSince ??= askedAt;
-    if (at - Math.max(job.unansweredSince, this.dependencies.faultsEndedAt()) < FORGOTTEN_MS) return;
-    this.addViolation('forgotten', at, `no question about ${jobId} was answered`);
+    job.unansweredSince ??= requestedAt;
+    if (at - Math.max(job.unansweredSince, this.dependencies.faultsEndedAt()) < MAX_UNANSWERED_MS) return;
+    this.addViolation('forgotten', at, `no poll of ${jobId} was answered`);
   }
 
   private checkAcceptance(job: ObservedJob, { jobId, at }: UserAnswer): void {
-    const why = this.dependencies.rules.whyNever(job.spec) ?? this.whyNeverReleased(job);
-    if (why !== undefined) this.addViolation('wrongly_accepted', at, `${jobId}: ${why}`);
+    const reason = this.dependencies.rules.rejectionReason(job.spec) ?? this.unknownDependencyReason(job);
+    if (reason !== undefined) this.addViolation('wrongly_accepted', at, `${jobId}: ${reason}`);
   }
 
-  private whyNeverReleased(job: ObservedJob): string | undefined {
-    const unknown = this.dependencies.pipelines.unknownPredecessor(job);
-    return unknown === undefined ? undefined : `needs ${unknown}, which nobody has submitted`;
+  private unknownDependencyReason(job: ObservedJob): string | undefined {
+    const unknown = this.dependencies.pipelines.unknownDependency(job);
+    return unknown === undefined ? undefined : `depends on ${unknown}, which was never submitted`;
   }
 
   private checkUnfinished(job: ObservedJob, answer: UserAnswer, state: JobState | undefined): void {
-    const { kind, jobId, askedAt, at } = answer;
+    const { kind, jobId, requestedAt, at } = answer;
     const endedAt = job.cancelledAt ?? job.doneAt;
-    if (endedAt !== undefined && endedAt < askedAt) {
+    if (endedAt !== undefined && endedAt < requestedAt) {
       this.addViolation('went_back', at, `${kind} of ${jobId}: ${state}, was ${finalStateOf(job)}`);
     }
     const orphanedForMs = this.dependencies.pipelines.orphanedForMs(job, at);
     if (orphanedForMs === undefined) return;
-    const what = `${kind} of ${jobId}: ${state}, a job before it is cancelled for ${orphanedForMs} ms`;
-    this.addViolation('orphaned', at, what);
+    const details = `${kind} of ${jobId}: ${state}, a dependency has been cancelled for ${orphanedForMs} ms`;
+    this.addViolation('orphaned', at, details);
   }
 
   private checkFinal(job: ObservedJob, { kind, jobId, at }: UserAnswer, state: JobState): void {
     const final = finalStateOf(job);
-    // Only one of the two is ever true, so it doesn't matter here who asked first.
+    // A job ends in exactly one final state, so the order of the requests does not matter here.
     if (final !== undefined && final !== state)
       this.addViolation('went_back', at, `${kind} of ${jobId}: ${state}, was ${final}`);
   }
 
-  private noteCancelled(job: ObservedJob, { jobId, at }: UserAnswer): void {
-    if (job.cancelAskedAt === undefined && !this.dependencies.pipelines.mayBeCancelled(job))
-      this.addViolation('went_back', at, `${jobId} cancelled, though not by its user`);
+  private recordCancelled(job: ObservedJob, { jobId, at }: UserAnswer): void {
+    if (job.cancelRequestedAt === undefined && !this.dependencies.pipelines.mayBeCancelled(job))
+      this.addViolation('went_back', at, `${jobId} cancelled, though its user did not request it`);
     job.cancelledAt ??= at;
   }
 
-  private noteDone(job: ObservedJob, { jobId, at }: UserAnswer): void {
+  private recordDone(job: ObservedJob, { jobId, at }: UserAnswer): void {
     const { spec } = job;
     const isDone = spec !== undefined && spec.kind !== 'service' && job.done.size === spec.taskCount;
     if (!isDone) this.addViolation('not_done', at, `${jobId}: ${job.done.size} of ${spec?.taskCount} tasks are done`);
--- a/testing/answering-http-client.ts
+++ b/testing/answering-http-client.ts
@@ -1,7 +1,7 @@
-/** An HTTP client that answers every request alike. */
+/** A fake HTTP client that answers every request the same way. */
 import type { HttpClient, NoResponseError, Reply } from '../src/net/http-client.js';
 
-/** A `NoResponseError` in place of a reply is thrown. */
+/** Creates a client that returns the reply to every request; a `NoResponseError` is thrown instead. */
 export const answering = (reply: Reply | NoResponseError): HttpClient => ({
   call: () => (reply instanceof Error ? Promise.reject(reply) : Promise.resolve(reply)),
 });
--- a/testing/cluster-nodes.ts
+++ b/testing/cluster-nodes.ts
@@ -1,4 +1,4 @@
-/** The controllers of a cluster: their starts, ends and pauses, and the gossip between them. */
+/** The controllers of a cluster: starts, stops and freezes them, and carries the messages between them. */
 import { setMaxListeners } from 'node:events';
 
 import { DEFAULT_STANDBY_SETTINGS } from '@dewlatch/standby';
@@ -9,9 +9,9 @@
 import type { FakeNetwork } from './fake-network.js';
 import { type ClusterOptions, settingsFileOf } from './fixtures.js';
 import { Freezer, type Trap } from './freezer.js';
-import { type OpaqueMessage, PRESENT_VERSION, type ProgramVersion, type TestedController } from './program-version.js';
+import { CURRENT_VERSION, type OpaqueMessage, type ProgramVersion, type TestedController } from './program-version.js';
 
-/** A controller that is up. */
+/** A running controller. */
 export interface ClusterNode {
   version: ProgramVersion;
   controller: TestedController;
@@ -20,15 +20,15 @@
   freezer: Freezer;
 }
 
-/** The seed of the first node; that of each further one is larger by one. */
+/** The seed of the first node; each further node's is larger by one. */
 const FIRST_SEED = 7;
 
-/** Starts and ends controllers by their index, and carries their messages. */
+/** Starts and ends controllers by index, and carries their messages. */
 export class ClusterNodes {
   private readonly nodes = new Map<string, ClusterNode>();
-  /** The version that each node runs from its next start on, where it is not the present one. */
+  /** The version that a node runs from its next start on, if not the current one. */
   private readonly versions = new Map<number, ProgramVersion>();
-  /** How many nodes the cluster has, whether they are up or not. */
+  /** Number of nodes in the cluster, up or not. */
   readonly count: number;
 
   constructor(
@@ -39,12 +39,12 @@
     this.count = options.nodes ?? 1;
   }
 
-  /** The names of all nodes. */
+  /** The names of all nodes, up or not. */
   get names(): string[] {
     return Array.from({ length: this.count }, (_, index) => `n${index}`);
   }
 
-  /** Starts all nodes, in the version that the options ask for. */
+  /** Starts all nodes in the version that the options specify. */
   startAll(): void {
     for (let index = 0; index < this.count; index++) {
       if (this.options.version !== undefined) this.versions.set(index, this.options.version);
@@ -59,9 +59,9 @@
     const standby = { ...DEFAULT_STANDBY_SETTINGS, ...this.options.standby, ...this.options.standbyOf?.(index) };
     const tuning = { ...DEFAULT_TUNING, ...this.options.tuning, standby };
     const freezer = new Freezer(this.clock);
-    const client = freezer.client(this.network.client(settings.node), stop.signal);
-    const version = this.versions.get(index) ?? PRESENT_VERSION;
-    const controller = version.createController(settings, tuning, client, freezer.thawed, FIRST_SEED + index);
+    const client = freezer.wrapClient(this.network.client(settings.node), stop.signal);
+    const version = this.versions.get(index) ?? CURRENT_VERSION;
+    const controller = version.createController(settings, tuning, client, freezer.processClock, FIRST_SEED + index);
     const node = { version, controller, stop, freezer };
     this.nodes.set(settings.node, node);
     this.network.serve(`${settings.node}:8080`, async (_method, path, body) => {
@@ -69,11 +69,11 @@
       if (stop.signal.aborted) throw new NoResponseError('reset', true);
       return answer;
     });
-    controller.connect((to, message) => !stop.signal.aborted && this.carry(settings.node, to, message));
+    controller.connect((to, message) => !stop.signal.aborted && this.deliver(settings.node, to, message));
     void controller.runDuties(stop.signal);
   }
 
-  /** From its next start on, the node runs the present version. */
+  /** From its next start on, the node runs the current version. */
   upgrade(index: number): void {
     this.versions.delete(index);
   }
@@ -81,7 +81,7 @@
   crash(index: number): void {
     this.nodes.get(`n${index}`)?.stop.abort();
     this.nodes.delete(`n${index}`);
-    this.network.unserve(`n${index}:8080`);
+    this.network.stopServing(`n${index}:8080`);
   }
 
   async terminate(index: number): Promise<void> {
@@ -91,9 +91,9 @@
   }
 
   async restart(index: number, sendingMs: number, lateMs: [number, number]): Promise<void> {
-    const heal = this.network.fault({ from: `n${index}`, path: /^\/(txn|commands)/, kind: 'late', lateMs });
+    const endFault = this.network.fault({ from: `n${index}`, path: /^\/(txn|commands)/, kind: 'late', lateMs });
     await this.clock.sleep(sendingMs);
-    heal();
+    endFault();
     this.crash(index);
     this.start(index);
   }
@@ -102,10 +102,10 @@
     this.nodes.get(`n${index}`)?.freezer.freeze(forMs);
   }
 
-  freezeAt(index: number, trap: Trap): () => void {
-    const traps = this.nodes.get(`n${index}`)?.freezer.traps;
-    traps?.add(trap);
-    return () => traps?.delete(trap);
+  freezeAt(index: number, trigger: Trap): () => void {
+    const triggers = this.nodes.get(`n${index}`)?.freezer.triggers;
+    triggers?.add(trigger);
+    return () => triggers?.delete(trigger);
   }
 
   leader(): number | undefined {
@@ -125,19 +125,19 @@
     return [...this.nodes.values()][0]!;
   }
 
-  /** Each node that is not paused sends its gossip to all others that are up. */
+  /** Each node that is not frozen sends its gossip to all others that are up. */
   exchangeGossip(): void {
     for (const [from, { controller, freezer }] of this.nodes) {
       if (freezer.isFrozen) continue;
-      for (const to of this.nodes.keys()) if (from !== to) this.carry(from, to, controller.composeGossip(to));
+      for (const to of this.nodes.keys()) if (from !== to) this.deliver(from, to, controller.composeGossip(to));
     }
   }
 
-  private carry(from: string, to: string, message: OpaqueMessage): boolean {
-    const bytes = (this.nodes.get(from)?.version ?? PRESENT_VERSION).encodeMessage(message);
-    this.network.post(from, to, () => {
+  private deliver(from: string, to: string, message: OpaqueMessage): boolean {
+    const bytes = (this.nodes.get(from)?.version ?? CURRENT_VERSION).encodeMessage(message);
+    this.network.sendOneWay(from, to, () => {
       const node = this.nodes.get(to);
-      void node?.freezer.pass().then(() => node.controller.receive(node.version.decodeMessage(bytes)));
+      void node?.freezer.untilThawed().then(() => node.controller.receive(node.version.decodeMessage(bytes)));
     });
     return true;
   }
--- a/testing/cluster-workers.ts
+++ b/testing/cluster-workers.ts
@@ -1,4 +1,4 @@
-/** The machines of a cluster: how they come and go, their heartbeats, and what ran on them. */
+/** The machines of a cluster: adds and removes them, sends their heartbeats, and keeps the history of their tasks. */
 import type { Resources } from '../src/domain/resources.js';
 import type { Reply } from '../src/net/http-client.js';
 import type { Random } from '../src/net/random.js';
@@ -7,15 +7,15 @@
 import type { FakeNetwork } from './fake-network.js';
 import { FakeWorker, type TaskRun } from './fake-worker.js';
 import type { ExitReason } from './fake-worker-wire-codec.js';
-import { ANSWER_MS } from './heartbeat-sender.js';
+import { ANSWER_TIMEOUT_MS } from './heartbeat-sender.js';
 import type { InvariantChecker } from './invariant-checker.js';
 import type { LinkFaults } from './link-faults.js';
 import type { JobDescription, WorkerEnvironment, WorkerOptions } from './worker-environment.js';
 
-/** What machines of a type have that the cloud does not list. */
-const UNLIMITED: Resources = { cpus: Infinity, gpus: Infinity, memoryGb: Infinity };
+/** Resources of machines whose type the cloud does not list. */
+const UNLIMITED_RESOURCES: Resources = { cpus: Infinity, gpus: Infinity, memoryGb: Infinity };
 
-/** What the machines live in. */
+/** The environment of the machines. */
 export interface ClusterWorkersDependencies {
   clock: FakeClock;
   network: FakeNetwork;
@@ -24,21 +24,21 @@
   links: LinkFaults;
   random: Random;
   environment: Omit<WorkerEnvironment, 'describe' | 'results'>;
-  /** Machines that are scaled out are up after so many ms; undefined: never. */
+  /** Boot time of rented machines, ms; undefined: they never come up. */
   bootMs: number | undefined;
-  /** How long tasks run on them. */
+  /** Duration of tasks on rented machines, ms. */
   runMs: number | undefined;
   onTaskEnd(taskId: string, reason: ExitReason): void;
 }
 
-/** Adds machines as scenarios and the cloud ask for them. */
+/** Adds and removes machines as scenarios and the cloud request it. */
 export class ClusterWorkers {
   readonly workers = new Map<string, FakeWorker>();
-  /** Of that share of the heartbeats a copy arrives again later, at the same node. */
+  /** A second copy of this share of the heartbeats arrives late, at the same node. */
   lateHeartbeats: { share: number; lateMs: [number, number] } | undefined;
   private readonly jobs = new Map<string, JobDescription>();
   private readonly environment: WorkerEnvironment;
-  private readonly known = new Set<FakeWorker>();
+  private readonly everAdded = new Set<FakeWorker>();
 
   constructor(private readonly dependencies: ClusterWorkersDependencies) {
     const { cloud, environment } = dependencies;
@@ -47,7 +47,7 @@
     cloud.onRent = (machineId) => this.boot(machineId);
   }
 
-  /** A user uploads a job for the workers, where nobody has done so before. */
+  /** A user uploads a job for the workers; only the first upload counts. */
   uploadJob(jobId: string, description: JobDescription): void {
     if (!this.jobs.has(jobId)) this.jobs.set(jobId, description);
   }
@@ -55,7 +55,7 @@
   addWorker(options: WorkerOptions): FakeWorker {
     const { clock, cloud, network, checker } = this.dependencies;
     const { machineId, machineType = 'c8', zone = 'a', isSpot = false } = options;
-    const capacity = (cloud.machineType(machineType) as Resources | undefined) ?? UNLIMITED;
+    const capacity = (cloud.machineType(machineType) as Resources | undefined) ?? UNLIMITED_RESOURCES;
     const worker = new FakeWorker(clock, options, capacity, this.environment);
     this.workers.set(machineId, worker);
     checker.machineUp(machineId, { machineType, zone, isSpot });
@@ -66,7 +66,7 @@
       checker.taskEnded(clock.now(), machineId, taskId, reason);
       this.dependencies.onTaskEnd(taskId, reason);
     };
-    network.serve(worker.endpoint, (_method, path, body, sender) => worker.handle(path, body, sender.at));
+    network.serve(worker.endpoint, (_method, path, body, sender) => worker.handle(path, body, sender.sentAt));
     cloud.machines.set(machineId, { machineType, zone, isSpot, state: 'running', ageS: 100 });
     return worker;
   }
@@ -84,14 +84,14 @@
 
   kill(machineId: string): void {
     const { checker, clock, links } = this.dependencies;
-    this.workers.get(machineId)?.die();
+    this.workers.get(machineId)?.terminate();
     checker.machineGone(clock.now(), machineId);
     this.workers.delete(machineId);
     links.cut.add(machineId);
   }
 
-  /** Tells the checker which machines could take a task now. */
-  noteUsable(): void {
+  /** Reports to the checker which machines could start a task now. */
+  reportUsableMachines(): void {
     const { checker, links } = this.dependencies;
     for (const [machineId, worker] of this.workers) {
       const isReached = links.isReachable(machineId) && !worker.isSuspended;
@@ -102,29 +102,29 @@
   /** Each worker sends a heartbeat to one of the nodes. */
   sendHeartbeats(nodes: readonly string[]): void {
     for (const [machineId, worker] of this.workers) {
-      void worker.sendHeartbeat(nodes, (node, heartbeat) => this.carry(machineId, node, heartbeat));
+      void worker.sendHeartbeat(nodes, (node, heartbeat) => this.deliverHeartbeat(machineId, node, heartbeat));
     }
   }
 
-  private async carry(machineId: string, node: string, heartbeat: object): Promise<Reply | undefined> {
+  private async deliverHeartbeat(machineId: string, node: string, heartbeat: object): Promise<Reply | undefined> {
     const { clock, network, random } = this.dependencies;
-    const send = (from: string) =>
+    const sendFrom = (from: string) =>
       network
         .client(from)
-        .call(`${node}:8080`, 'POST', '/hello', heartbeat, { timeoutMs: ANSWER_MS })
+        .call(`${node}:8080`, 'POST', '/hello', heartbeat, { timeoutMs: ANSWER_TIMEOUT_MS })
         .catch(() => undefined);
     if (this.lateHeartbeats !== undefined && random.float() < this.lateHeartbeats.share) {
-      const [least, most] = this.lateHeartbeats.lateMs;
-      // It is on its way already, whatever becomes of its worker.
-      void clock.sleep(least + random.float() * (most - least)).then(() => send('late-copies'));
+      const [minMs, maxMs] = this.lateHeartbeats.lateMs;
+      // The copy is in flight already, so faults of its worker do not affect it.
+      void clock.sleep(minMs + random.float() * (maxMs - minMs)).then(() => sendFrom('late-copies'));
     }
-    return send(machineId);
+    return sendFrom(machineId);
   }
 
-  /** Every start of a task, on whatever machine, from first to last. */
+  /** All runs of a task on any machine, in the order of their starts. */
   runs(taskId: string): (Omit<TaskRun, 'taskId'> & { machineId: string })[] {
     this.rememberWorkers();
-    return [...this.known]
+    return [...this.everAdded]
       .flatMap((worker) =>
         worker.history
           .filter((each) => each.taskId === taskId)
@@ -134,6 +134,6 @@
   }
 
   rememberWorkers(): void {
-    for (const worker of this.workers.values()) this.known.add(worker);
+    for (const worker of this.workers.values()) this.everAdded.add(worker);
   }
 }
--- a/testing/cluster.ts
+++ b/testing/cluster.ts
@@ -1,4 +1,4 @@
-/** A whole cluster in one process, for scenarios. */
+/** A complete cluster in one process, for scenarios. */
 import type { Controller } from '../src/controller/controller.js';
 import type { MachineType } from '../src/domain/machine-type.js';
 import type { HttpAnswer } from '../src/net/http-answer.js';
@@ -17,25 +17,25 @@
 import type { Trap } from './freezer.js';
 import { InvariantChecker } from './invariant-checker.js';
 import { LinkFaults } from './link-faults.js';
-import { presentController, type TestedController } from './program-version.js';
+import { currentController, type TestedController } from './program-version.js';
 import { decodeSubmission, decodeSubmittedId, type Submission } from './submission-wire-codec.js';
 import type { WorkerOptions } from './worker-environment.js';
 
-/** ms that users wait for an answer. */
-const POLL_PATIENCE_MS = 2000;
-const REQUEST_PATIENCE_MS = 5000;
-/** ms between two heartbeats of a worker, and between two rounds of gossip. */
-const TICK_MS = 500;
-/** ms between two looks at whether something has come about. */
-const UNTIL_STEP_MS = 5;
+/** How long users wait for an answer. */
+const POLL_TIMEOUT_MS = 2000;
+const REQUEST_TIMEOUT_MS = 5000;
+/** Period of the workers' heartbeats and of the gossip between nodes. */
+const TICK_PERIOD_MS = 500;
+/** ms between two checks of the condition that `until` waits for. */
+const CONDITION_POLL_MS = 5;
 
-/** Whole controllers in one process, on a network, a clock, a store, a cloud and workers that tests command. */
+/** Complete controllers with a fake clock, network, store, cloud and workers, all driven by tests. */
 export class Cluster {
   readonly clock = new FakeClock();
   readonly network = new FakeNetwork(this.clock);
   readonly store = new FakeStore(this.clock);
   readonly cloud: FakeCloud;
-  /** Sees all that workers run and users are told. */
+  /** Observes what workers run and what users are told. */
   readonly checker: InvariantChecker;
   private readonly links = new LinkFaults();
   readonly cut = this.links.cut;
@@ -43,14 +43,14 @@
   readonly outboundLoss = this.links.outboundLoss;
   readonly unreachable = this.links.unreachable;
   readonly partitioned = this.links.partitioned;
-  /** Users who repeat what fails and go on asking; they act when a scenario tells them to. */
+  /** Users who retry failed requests and keep polling; a scenario triggers what they do. */
   readonly users: FakeUsers;
-  /** Called when a task has ended, at that very moment. */
-  onTaskEnd: (taskId: string, cause: string) => void = () => undefined;
+  /** Called at the moment at which a task ends. */
+  onTaskEnd: (taskId: string, exitReason: string) => void = () => undefined;
   private readonly random = new Random(11);
   private readonly nodes: ClusterNodes;
   private readonly machines: ClusterWorkers;
-  private readonly ticking = new AbortController();
+  private readonly tickerStop = new AbortController();
 
   constructor(options: ClusterOptions = {}) {
     const machineTypes = options.machineTypes ?? [C8];
@@ -80,25 +80,25 @@
       requestCancellation: (jobId: string, node: number) => this.requestCancellation(jobId, node),
     };
     this.users = new FakeUsers(service, this.clock, this.random);
-    this.network.lastingFault = (from, to) => this.links.lossBetween(from, to.split(':')[0]!);
+    this.network.linkFaultKind = (from, to) => this.links.faultBetween(from, to.split(':')[0]!);
     this.nodes.startAll();
     void this.tick();
   }
 
   private serve(): void {
-    this.network.serve('store:1', (method, path, body, { from, late }) =>
-      // What comes late had reached the store before it began to refuse its sender.
-      this.store.handle(method, path, body, late === true ? undefined : from),
+    this.network.serve('store:1', (method, path, body, { from, isLate }) =>
+      // A late request counts as received before the store began to refuse its sender.
+      this.store.handle(method, path, body, isLate === true ? undefined : from),
     );
     this.network.serve('cloud:1', (method, path, body) => this.cloud.handle(method, path, body));
   }
 
-  /** The workers that are there now, by their machines. */
+  /** The workers that exist now, by machine id. */
   get workers(): Map<string, FakeWorker> {
     return this.machines.workers;
   }
 
-  /** Of that share of the workers' heartbeats a copy arrives again later, at the same node. */
+  /** A second copy of this share of the workers' heartbeats arrives late, at the same node. */
   set lateHeartbeats(setting: ClusterWorkers['lateHeartbeats']) {
     this.machines.lateHeartbeats = setting;
   }
@@ -107,48 +107,48 @@
     this.nodes.start(index);
   }
 
-  /** From its next start on, the node runs the present version. */
+  /** From its next start on, the node runs the current version. */
   upgrade(index: number): void {
     this.nodes.upgrade(index);
   }
 
-  /** Ends a node without notice. What it has sent stays on its way. */
+  /** Ends a node without notice. Requests that it has sent may still arrive. */
   crash(index: number): void {
     this.nodes.crash(index);
   }
 
-  /** Asks a node to stop, as an operator's signal does; it ends when it has handed over. */
+  /** Asks a node to stop, like SIGTERM; it ends after it has handed its roles over. */
   terminate(index: number): Promise<void> {
     return this.nodes.terminate(index);
   }
 
   /** Some node that is up. */
   anyNode(): Controller {
-    return presentController(this.nodes.any().controller);
+    return currentController(this.nodes.any().controller);
   }
 
   /**
-   * Ends a node after a while and starts it again at once. What it sends to the store and to workers in that while gets no
-   * answer and arrives late, when the new process is up.
+   * Ends a node after `sendingMs` and restarts it at once. Its requests to the store and to workers in that time get no
+   * answer and arrive late, as a rule when the new process is up.
    */
   restart(index: number, sendingMs = 0, lateMs: [number, number] = [500, 5000]): Promise<void> {
     return this.nodes.restart(index, sendingMs, lateMs);
   }
 
-  /** A node stands still for a while, whatever it is doing, and then goes on as if nothing had been. */
+  /** Freezes a node for a while, at whatever point of its work; it then continues as if nothing had happened. */
   freeze(index: number, forMs: number): void {
     this.nodes.freeze(index, forMs);
   }
 
   /**
-   * The same at the next moment at which the node is about to send such a request or answer, or has just sent one. Returns
-   * what gives it up.
+   * Freezes the node the next time it is about to send a request or answer that matches the trigger, or has just
+   * received the answer to such a request. Returns a function that disarms the trigger.
    */
-  freezeAt(index: number, trap: Trap): () => void {
-    return this.nodes.freezeAt(index, trap);
+  freezeAt(index: number, trigger: Trap): () => void {
+    return this.nodes.freezeAt(index, trigger);
   }
 
-  /** The node that holds the claim to lead, if it is up. */
+  /** A node that considers itself leader of the cluster, if one is up. */
   leader(): number | undefined {
     return this.nodes.leader();
   }
@@ -159,22 +159,22 @@
   }
 
   node(index: number): Controller {
-    return presentController(this.nodes.get(index)!.controller);
+    return currentController(this.nodes.get(index)!.controller);
   }
 
   addWorker(options: WorkerOptions): FakeWorker {
     return this.machines.addWorker(options);
   }
 
-  /** The machine is gone, with all that is on it. */
+  /** Removes the machine, with all its tasks. */
   kill(machineId: string): void {
     this.machines.kill(machineId);
   }
 
   private async tick(): Promise<void> {
-    while (!this.ticking.signal.aborted) {
-      await this.clock.sleep(TICK_MS, this.ticking.signal);
-      this.machines.noteUsable();
+    while (!this.tickerStop.signal.aborted) {
+      await this.clock.sleep(TICK_PERIOD_MS, this.tickerStop.signal);
+      this.machines.reportUsableMachines();
       this.checker.checkNow(this.clock.now());
       this.machines.sendHeartbeats(this.nodes.names);
       this.nodes.exchangeGossip();
@@ -185,7 +185,7 @@
     return this.clock.advance(ms);
   }
 
-  /** Waits for an answer while time passes, and longer if it takes longer. */
+  /** Advances the time by at least `ms`, until the promise is settled. */
   async during<T>(promise: Promise<T>, ms = 3000): Promise<T> {
     let settled = false;
     void promise.finally(() => (settled = true));
@@ -194,11 +194,11 @@
     return promise;
   }
 
-  /** A user sends a job; the answer comes as time passes. */
+  /** A user submits a job; the answer arrives as time advances. */
   post(body: unknown, node = 0): Promise<HttpAnswer> {
     this.checker.submitted(body);
     const jobId = String(decodeSubmittedId(body));
-    // Its user uploads it for the workers.
+    // The user also uploads the job for the workers.
     this.machines.uploadJob(jobId, decodeSubmission(body));
     return this.asUser('submit', jobId, node, (controller) => controller.submit(body));
   }
@@ -208,7 +208,7 @@
   }
 
   requestCancellation(jobId: string, node = 0): Promise<HttpAnswer> {
-    this.checker.cancelAsked(this.clock.now(), jobId);
+    this.checker.cancelRequested(this.clock.now(), jobId);
     return this.asUser('cancel', jobId, node, (controller) => controller.cancel(jobId));
   }
 
@@ -218,19 +218,26 @@
     index: number,
     call: (controller: TestedController) => Promise<HttpAnswer>,
   ): Promise<HttpAnswer> {
-    const askedAt = this.clock.now();
+    const requestedAt = this.clock.now();
     const node = this.nodes.get(index);
-    const patienceMs = kind === 'poll' ? POLL_PATIENCE_MS : REQUEST_PATIENCE_MS;
+    const timeoutMs = kind === 'poll' ? POLL_TIMEOUT_MS : REQUEST_TIMEOUT_MS;
     const { freezer, stop, controller } = node ?? {};
     const answer = await new Promise<HttpAnswer>((resolve) => {
-      const none: HttpAnswer = { status: 0, body: undefined };
-      // A node that ends in the meantime has told nobody anything.
-      if (controller === undefined) return resolve(none);
-      stop!.signal.addEventListener('abort', () => resolve(none));
-      this.clock.after(patienceMs, () => resolve(none));
+      const noAnswer: HttpAnswer = { status: 0, body: undefined };
+      // A node that is down, or ends in the meantime, sends no answer.
+      if (controller === undefined) return resolve(noAnswer);
+      stop!.signal.addEventListener('abort', () => resolve(noAnswer));
+      this.clock.after(timeoutMs, () => resolve(noAnswer));
       void freezer!.serve(kind, () => call(controller)).then(resolve);
     });
-    this.checker.answered({ kind, jobId, askedAt, at: this.clock.now(), status: answer.status, body: answer.body });
+    this.checker.answerReceived({
+      kind,
+      jobId,
+      requestedAt,
+      at: this.clock.now(),
+      status: answer.status,
+      body: answer.body,
+    });
     return answer;
   }
 
@@ -246,38 +253,38 @@
     return this.during(this.requestCancellation(jobId, node));
   }
 
-  /** Every start of a task, on whatever machine, from first to last. */
+  /** All runs of a task on any machine, in the order of their starts. */
   runs(taskId: string): ReturnType<ClusterWorkers['runs']> {
     return this.machines.runs(taskId);
   }
 
-  /** Lets time pass, a little at a time, until something has come about. */
+  /** Advances the time in small steps until the condition holds. */
   async until(condition: () => boolean, withinMs: number): Promise<void> {
-    for (let waited = 0; !condition(); waited += UNTIL_STEP_MS) {
-      if (waited >= withinMs) throw new Error('it does not come about');
-      await this.advance(UNTIL_STEP_MS);
+    for (let waited = 0; !condition(); waited += CONDITION_POLL_MS) {
+      if (waited >= withinMs) throw new Error(`the condition does not hold within ${withinMs} ms`);
+      await this.advance(CONDITION_POLL_MS);
     }
   }
 
-  /** Remembers machines that are about to go, for `runs`. */
+  /** Keeps the current workers for `runs`, before some of them are removed. */
   rememberWorkers(): void {
     this.machines.rememberWorkers();
   }
 
-  /** The times in which a task was on two machines at once. */
-  overlaps(name: string): number {
-    const runs = this.runs(name);
-    return runs.filter((run, at) => runs.some((other, i) => i < at && (other.to ?? Infinity) > run.from)).length;
+  /** How many runs of a task started while an earlier one was still running. */
+  overlaps(taskId: string): number {
+    const runs = this.runs(taskId);
+    return runs.filter((run, index) => runs.some((other, i) => i < index && (other.to ?? Infinity) > run.from)).length;
   }
 
-  /** Ends the scenario; tells which rules were broken in it, if any. */
+  /** Ends the scenario and describes the violated rules, if any. */
   verdict(): string[] {
     this.stop();
     return this.checker.verdict(this.clock.now());
   }
 
   stop(): void {
-    this.ticking.abort();
+    this.tickerStop.abort();
     this.nodes.stop();
   }
 }
--- a/testing/fake-clock.ts
+++ b/testing/fake-clock.ts
@@ -1,4 +1,4 @@
-/** A stand-in of the clock. */
+/** A fake clock that tests advance. */
 import type { Clock } from '../src/net/clock.js';
 
 interface Timer {
@@ -6,12 +6,12 @@
   fire: () => void;
 }
 
-/** Time that passes only when a test says so. */
+/** Time that passes only in `advance`. */
 export class FakeClock implements Clock {
   private time = 1000;
-  /** Times at which something is due, the next one last. */
-  private readonly times: number[] = [];
-  private readonly due = new Map<number, Set<Timer>>();
+  /** Times at which timers are due, in descending order. */
+  private readonly dueTimes: number[] = [];
+  private readonly timersByTime = new Map<number, Set<Timer>>();
 
   now(): number {
     return this.time;
@@ -34,52 +34,52 @@
     });
   }
 
-  /** Does it when the time has come, unless the function that it returns is called before. */
+  /** Calls `fire` after the given time. Returns a function that cancels it. */
   after(ms: number, fire: () => void): () => void {
     const timer: Timer = { at: this.time + Math.max(0, ms), fire };
     this.add(timer);
-    return () => void this.due.get(timer.at)?.delete(timer);
+    return () => void this.timersByTime.get(timer.at)?.delete(timer);
   }
 
   private add(timer: Timer): void {
-    const known = this.due.get(timer.at);
-    if (known !== undefined) {
-      known.add(timer);
+    const sameTime = this.timersByTime.get(timer.at);
+    if (sameTime !== undefined) {
+      sameTime.add(timer);
       return;
     }
-    this.due.set(timer.at, new Set([timer]));
-    let [from, to] = [0, this.times.length];
-    while (from < to) {
-      const middle = (from + to) >> 1;
-      if (this.times[middle]! > timer.at) from = middle + 1;
-      else to = middle;
+    this.timersByTime.set(timer.at, new Set([timer]));
+    let [low, high] = [0, this.dueTimes.length];
+    while (low < high) {
+      const middle = (low + high) >> 1;
+      if (this.dueTimes[middle]! > timer.at) low = middle + 1;
+      else high = middle;
     }
-    this.times.splice(from, 0, timer.at);
+    this.dueTimes.splice(low, 0, timer.at);
   }
 
-  /** Lets time pass, with all that happens in it, in order. */
+  /** Advances the time, and fires the timers that fall due in order. */
   async advance(ms: number): Promise<void> {
     const end = this.time + ms;
-    await settle();
-    for (let at = this.times.at(-1); at !== undefined && at <= end; at = this.times.at(-1)) {
-      const timers = [...this.due.get(at)!];
+    await runPendingPromises();
+    for (let at = this.dueTimes.at(-1); at !== undefined && at <= end; at = this.dueTimes.at(-1)) {
+      const timers = [...this.timersByTime.get(at)!];
       if (timers.length === 0) {
-        this.due.delete(at);
-        this.times.pop();
+        this.timersByTime.delete(at);
+        this.dueTimes.pop();
         continue;
       }
       this.time = Math.max(this.time, at);
       for (const timer of timers) {
-        // One may have cancelled another.
-        if (this.due.get(at)?.delete(timer)) timer.fire();
+        // An earlier timer may have cancelled this one.
+        if (this.timersByTime.get(at)?.delete(timer)) timer.fire();
       }
-      await settle();
+      await runPendingPromises();
     }
     this.time = end;
   }
 }
 
-/** Lets all promises that can go on do so. */
-async function settle(): Promise<void> {
+/** Lets the continuations of settled promises run. */
+async function runPendingPromises(): Promise<void> {
   for (let i = 0; i < 3; i++) await new Promise<void>((resolve) => setImmediate(resolve));
 }
--- a/testing/fake-cloud-wire-codec.ts
+++ b/testing/fake-cloud-wire-codec.ts
@@ -1,11 +1,11 @@
-/** The cloud's side of its wire form: requests decoded, answers encoded. */
+/** The cloud's side of its wire format: decodes requests and encodes answers. */
 import type { ListedMachine, ScaleOutRequest } from '../src/cloud/cloud-wire-codec.js';
 import type { MachineType } from '../src/domain/machine-type.js';
 
-/** A machine type; a catalogue may leave out what has a default. */
+/** A machine type in the catalog; fields with a default may be absent. */
 export type CatalogEntry = Partial<MachineType>;
 
-/** In the order of the fields that the entry has. */
+/** Wire names of the fields; entries are encoded in their own field order. */
 const WIRE_NAMES: Record<keyof MachineType, string> = {
   name: 'Sku',
   cpus: 'Cpus',
@@ -45,10 +45,10 @@
   };
 }
 
-/** The machines that a scale-in request returns. */
+/** The machines that a scale-in request gives back. */
 export const decodeScaleInRequest = (body: unknown): string[] => (body as { Hosts: string[] }).Hosts;
 
-/** The machines that a scale-out request has got. */
+/** The answer to a scale-out request: the machines that were rented. */
 export const encodeRentedMachines = (machineIds: readonly string[]): unknown => ({ Hosts: machineIds });
 
 /** The list of machines, on a single page. */
--- a/testing/fake-cloud.ts
+++ b/testing/fake-cloud.ts
@@ -1,4 +1,4 @@
-/** A stand-in of the cloud. */
+/** An in-memory fake of the cloud. */
 import type { ListedMachine, ScaleOutRequest } from '../src/cloud/cloud-wire-codec.js';
 import type { Reply } from '../src/net/http-client.js';
 import {
@@ -10,14 +10,14 @@
   encodeRentedMachines,
 } from './fake-cloud-wire-codec.js';
 
-/** A machine of the cloud, by its id. */
+/** A machine as the cloud lists it, without its id and endpoint. */
 export type CloudMachine = Pick<ListedMachine, 'machineType' | 'zone' | 'isSpot' | 'state' | 'ageS'>;
 
-/** A catalogue, scale-out by idempotency key, scale-in, and a list of machines without lag. */
+/** Machine types, scale-out by idempotency key, scale-in, and a list of machines without lag. */
 export class FakeCloud {
-  /** Machines by the idempotency key of the request that they were rented with. */
+  /** Machines by the idempotency key of the scale-out request that they were rented with. */
   readonly rentals = new Map<string, string[]>();
-  /** Machines that were returned, in order. */
+  /** Machines that were returned, oldest first. */
   readonly returned: string[] = [];
   readonly machines = new Map<string, CloudMachine>();
   /** Zones without capacity. */
@@ -59,8 +59,8 @@
   }
 
   private scaleOut({ rentalId, machineType, zone, isSpot, count }: ScaleOutRequest): Reply {
-    const known = this.rentals.get(rentalId);
-    if (known !== undefined) return { status: 200, body: encodeRentedMachines(known) };
+    const rented = this.rentals.get(rentalId);
+    if (rented !== undefined) return { status: 200, body: encodeRentedMachines(rented) };
     if (this.full.has(zone)) return { status: 503, body: { error: 'no capacity' } };
     const machineIds = Array.from({ length: count }, () => `i-${String(this.nextMachine++).padStart(6, '0')}`);
     this.rentals.set(rentalId, machineIds);
--- a/testing/fake-gangs.ts
+++ b/testing/fake-gangs.ts
@@ -1,9 +1,9 @@
-/** How the tasks of a gang find each other, start, end and stop together. */
+/** Coordinates the tasks of a gang, which start, end and checkpoint together. */
 import type { Clock } from '../src/net/clock.js';
 import type { ExitReason } from './fake-worker-wire-codec.js';
 import { jobIdOf } from './task-id.js';
 
-/** What the gang's members need to know of their job. */
+/** The part of a job that its gang needs. */
 export interface GangJob {
   taskCount: number;
   checkpointS: number;
@@ -12,9 +12,9 @@
 /** The worker on which a member of a gang runs. */
 export interface GangHost {
   readonly isSuspended: boolean;
-  /** The member runs from now on. */
+  /** Runs the member from now on. */
   run(taskId: string): void;
-  /** How long the member would run by itself. */
+  /** How long the member would run on its own. */
   runMs(taskId: string): number;
   end(taskId: string, reason: ExitReason, isCheckpointed?: boolean): void;
 }
@@ -23,7 +23,7 @@
   job: GangJob;
   members: Map<string, GangHost>;
   state: 'waiting' | 'running' | 'stopping' | 'broken';
-  /** Members that got a command to stop in time for a checkpoint. */
+  /** Members that have been commanded to stop with time for a checkpoint. */
   stopping: Set<string>;
 }
 
@@ -33,17 +33,17 @@
 
   constructor(
     private readonly clock: Clock,
-    /** ms for which a member waits for the others. */
-    readonly waitMs: number,
-    /** ms within which the members notice that one is gone. */
-    private readonly peerMs: number,
+    /** ms for which a member waits for the others before it gives up. */
+    readonly memberWaitMs: number,
+    /** ms within which the members detect the loss of another. */
+    private readonly peerLossDetectionMs: number,
   ) {}
 
   private static key(taskId: string, attempt: number): string {
     return `${jobIdOf(taskId)} ${attempt}`;
   }
 
-  /** A task has its image and waits for the others of its attempt; the last one starts them all. */
+  /** A task has its image and waits for the others of its attempt; the last to join starts them all. */
   join(host: GangHost, taskId: string, attempt: number, job: GangJob): void {
     const key = FakeGangs.key(taskId, attempt);
     let gang = this.gangs.get(key);
@@ -75,23 +75,23 @@
     if (gang.state === 'running' || gang.state === 'stopping') this.breakUp(gang);
   }
 
-  /** A task's machine is suspended: the others notice, unless it resumes before. */
+  /** A task's machine is suspended: the others detect it, unless it resumes in time. */
   suspend(host: GangHost, taskId: string, attempt: number): void {
     const gang = this.gangs.get(FakeGangs.key(taskId, attempt));
     if (gang === undefined) return;
-    void this.clock.sleep(this.peerMs / 2).then(() => {
+    void this.clock.sleep(this.peerLossDetectionMs / 2).then(() => {
       if (host.isSuspended && gang.state === 'running' && gang.members.has(taskId)) this.breakUp(gang);
     });
   }
 
-  /** A running task is to stop with time for a checkpoint, which needs all members to stop in time. */
+  /** Stops a running task with time for a checkpoint; there is one only if all members are stopped in time. */
   stop(taskId: string, attempt: number): void {
     const gang = this.gangs.get(FakeGangs.key(taskId, attempt));
     if (gang === undefined || gang.state === 'broken') return;
     gang.stopping.add(taskId);
     if (gang.state === 'running') {
       gang.state = 'stopping';
-      void this.clock.sleep(this.peerMs).then(() => {
+      void this.clock.sleep(this.peerLossDetectionMs).then(() => {
         if (gang.state === 'stopping' && gang.stopping.size < gang.job.taskCount) this.breakUp(gang);
       });
     }
@@ -101,18 +101,18 @@
     });
   }
 
-  /** The rest notice within a while and exit. */
+  /** The remaining members detect the loss after a while and exit. */
   private breakUp(gang: Gang): void {
     gang.state = 'broken';
-    void this.clock.sleep(this.peerMs / 2).then(() => this.endAll(gang, 'peer_lost'));
+    void this.clock.sleep(this.peerLossDetectionMs / 2).then(() => this.endAll(gang, 'peer_lost'));
   }
 
   private endAll(gang: Gang, reason: ExitReason, isCheckpointed?: boolean): void {
     gang.state = 'broken';
-    // A member that is suspended notices nothing.
+    // A suspended member detects nothing.
     for (const [taskId, host] of [...gang.members]) {
-      const own = gang.stopping.has(taskId) && reason === 'peer_lost' ? 'stopped' : reason;
-      if (!host.isSuspended) host.end(taskId, own, isCheckpointed);
+      const exitReason = gang.stopping.has(taskId) && reason === 'peer_lost' ? 'stopped' : reason;
+      if (!host.isSuspended) host.end(taskId, exitReason, isCheckpointed);
     }
   }
 }
--- a/testing/fake-network.ts
+++ b/testing/fake-network.ts
@@ -1,57 +1,58 @@
-/** A stand-in of the network between all hosts of a cluster. */
+/** An in-memory fake of the network between all hosts of a cluster. */
 import { type CallOptions, type HttpClient, NoResponseError, type Reply } from '../src/net/http-client.js';
 import { Random } from '../src/net/random.js';
 import type { FakeClock } from './fake-clock.js';
 
-/** Who sent a request, and when. */
+/** The origin of a request. */
 export interface Sender {
   from: string;
-  /** When it sent the request, which may be long ago. */
-  at: number;
-  /** Nobody waits for the answer any more. */
-  late?: boolean;
+  /** When the request was sent; a delayed one may arrive long after. */
+  sentAt: number;
+  /** The sender has stopped waiting for the answer. */
+  isLate?: boolean;
 }
 
-/** Answers the requests to an address. */
-export type Handler = (method: string, path: string, body: unknown, sender: Sender) => Promise<Reply> | Reply;
+/** Handles the requests to an address. */
+export type RequestHandler = (method: string, path: string, body: unknown, sender: Sender) => Promise<Reply> | Reply;
 
-/** What happens to messages from one host to an address; the first fault that matches counts. */
+/** A fault of the messages that match all its fields; of several faults, the first that matches applies. */
 export interface NetworkFault {
   from?: string;
   to?: string;
   path?: RegExp;
-  /** Which requests, by their body. */
+  /** Selects requests by their body. */
   where?: (body: unknown) => boolean;
   /**
-   * refuse: never connected. lose: nothing arrives, no answer. answerLost: it arrives, the answer is lost.
-   * hold: it arrives when released, in order, and the answer too if somebody still waits for it.
-   * late: it arrives after `lateMs`, when newer ones have, and there is no answer.
+   * refuse: the connection is refused. lose: the message does not arrive. answerLost: it arrives, its answer is lost.
+   * hold: it is delivered on release, in order, and its answer too if the sender still waits for it.
+   * late: it arrives after a delay of `lateMs`, behind newer messages, and gets no answer.
+   * status: the sender gets `status` and `body` as the answer, and the message does not arrive.
    */
   kind: 'refuse' | 'lose' | 'answerLost' | 'hold' | 'late' | 'status';
   status?: number;
   body?: unknown;
-  /** The least and the most that a message is late, ms. */
+  /** Shortest and longest delay of a late message, ms. */
   lateMs?: [number, number];
-  /** How many of the messages it hits; all if left out. */
+  /** Share of the messages that are affected; all if absent. */
   share?: number;
-  /** How often; for ever if left out. */
+  /** Number of messages that are affected; unlimited if absent. */
   times?: number;
 }
 
-/** A host's name without the port. */
-const nameOf = (address: string) => address.split(':')[0]!;
+/** The host name of an address. */
+const hostName = (address: string) => address.split(':')[0]!;
 
-/** A network in memory: routes calls by address, and delays, loses, holds and repeats them. */
+/** Routes calls by address, and delays, loses or holds them. */
 export class FakeNetwork {
-  private readonly handlers = new Map<string, Handler>();
+  private readonly handlers = new Map<string, RequestHandler>();
   private faults: NetworkFault[] = [];
-  private held: { fault: NetworkFault; go: () => void }[] = [];
-  private readonly splits = new Map<NetworkFault, Set<string>>();
+  private held: { fault: NetworkFault; resume: () => void }[] = [];
+  private readonly partitions = new Map<NetworkFault, Set<string>>();
   private readonly random: Random;
-  /** All that was sent, whether it arrived or not. */
+  /** All requests that were sent, also those that did not arrive, but not those refused or answered by a fault. */
   readonly log: { from: string; to: string; method: string; path: string; body: unknown }[] = [];
-  /** Further faults, for whoever knows the hosts. */
-  lastingFault: (from: string, to: string) => NetworkFault['kind'] | undefined = () => undefined;
+  /** The kind of the lasting fault between two hosts, if any, in addition to faults and partitions. */
+  linkFaultKind: (from: string, to: string) => NetworkFault['kind'] | undefined = () => undefined;
 
   constructor(
     private readonly clock: FakeClock,
@@ -60,50 +61,52 @@
     this.random = new Random(seed);
   }
 
-  serve(address: string, handler: Handler): void {
+  serve(address: string, handler: RequestHandler): void {
     this.handlers.set(address, handler);
   }
 
-  unserve(address: string): void {
+  stopServing(address: string): void {
     this.handlers.delete(address);
   }
 
-  /** Returns what ends it; what it holds stays held until `release`. */
+  /** Adds a fault. Returns a function that ends it; messages that it holds stay held until they are delivered. */
   fault(fault: NetworkFault): () => void {
     this.faults.push(fault);
     return () => (this.faults = this.faults.filter((each) => each !== fault));
   }
 
-  /** Ends all faults; what is held stays held. */
+  /** Ends all faults; held messages stay held. */
   heal(): void {
     this.faults = [];
   }
 
-  /** A cut that holds messages. Returns what ends it and delivers them. */
+  /** Holds the messages that match. Returns a function that ends this and delivers them. */
   cut(where: { from?: string; to?: string; path?: RegExp }): () => void {
     const fault: NetworkFault = { ...where, kind: 'hold' };
-    const heal = this.fault(fault);
+    const endFault = this.fault(fault);
     return () => {
-      heal();
+      endFault();
       this.release(fault);
     };
   }
 
-  /** Cuts these hosts off from all others; inside all goes on. Returns what ends it and delivers what was held. */
+  /**
+   * Partitions these hosts from all others. Returns a function that ends the partition and delivers the held messages.
+   */
   split(inside: Iterable<string>): () => void {
     const fault: NetworkFault = { kind: 'hold' };
-    this.splits.set(fault, new Set(inside));
+    this.partitions.set(fault, new Set(inside));
     return () => {
-      this.splits.delete(fault);
+      this.partitions.delete(fault);
       this.release(fault);
     };
   }
 
-  /** Delivers what was held, late and in order. */
+  /** Delivers the held messages in order, or only those that the given fault holds. */
   release(by?: NetworkFault): void {
-    const freed = this.held.filter(({ fault }) => by === undefined || fault === by);
-    this.held = this.held.filter((each) => !freed.includes(each));
-    for (const { go } of freed) go();
+    const released = this.held.filter(({ fault }) => by === undefined || fault === by);
+    this.held = this.held.filter((each) => !released.includes(each));
+    for (const { resume } of released) resume();
   }
 
   client(from: string): HttpClient {
@@ -113,19 +116,19 @@
     };
   }
 
-  /** Carries a message that has no answer, at once unless a fault is in the way. */
-  post(from: string, to: string, deliver: () => void): void {
-    const fault = this.match(from, to, '', undefined);
+  /** Delivers a one-way message, at once unless a fault applies. */
+  sendOneWay(from: string, to: string, deliver: () => void): void {
+    const fault = this.matchFault(from, to, '', undefined);
     if (fault === undefined) deliver();
-    else if (fault.kind === 'hold') this.held.push({ fault, go: deliver });
-    else if (fault.kind === 'late') void this.clock.sleep(this.lateness(fault)).then(deliver);
+    else if (fault.kind === 'hold') this.held.push({ fault, resume: deliver });
+    else if (fault.kind === 'late') void this.clock.sleep(this.delayMs(fault)).then(deliver);
   }
 
-  private lateness({ lateMs: [least, most] = [2000, 12_000] }: NetworkFault): number {
-    return least + this.random.float() * (most - least);
+  private delayMs({ lateMs: [min, max] = [2000, 12_000] }: NetworkFault): number {
+    return min + this.random.float() * (max - min);
   }
 
-  private match(from: string, to: string, path: string, body: unknown): NetworkFault | undefined {
+  private matchFault(from: string, to: string, path: string, body: unknown): NetworkFault | undefined {
     const found = this.faults.find(
       (fault) =>
         (fault.from === undefined || fault.from === from) &&
@@ -135,18 +138,19 @@
         (fault.share === undefined || this.random.float() < fault.share),
     );
     if (found?.times !== undefined && --found.times === 0) this.faults = this.faults.filter((each) => each !== found);
-    return found ?? this.lasting(from, to);
+    return found ?? this.linkFault(from, to);
   }
 
-  private lasting(from: string, to: string): NetworkFault | undefined {
-    for (const [fault, inside] of this.splits) if (inside.has(nameOf(from)) !== inside.has(nameOf(to))) return fault;
-    const kind = this.lastingFault(from, to);
+  private linkFault(from: string, to: string): NetworkFault | undefined {
+    for (const [fault, inside] of this.partitions)
+      if (inside.has(hostName(from)) !== inside.has(hostName(to))) return fault;
+    const kind = this.linkFaultKind(from, to);
     return kind === undefined ? undefined : { kind };
   }
 
-  /** Is there a cut that takes or holds an answer, one that began after the request? */
-  private onAnswer(from: string, to: string, path: string): NetworkFault | undefined {
-    const cut = this.faults.find(
+  /** A fault that loses or holds an answer, though the request went through: it began in the meantime. */
+  private faultOnAnswer(from: string, to: string, path: string): NetworkFault | undefined {
+    const answerFault = this.faults.find(
       (fault) =>
         (fault.kind === 'lose' || fault.kind === 'hold') &&
         fault.share === undefined &&
@@ -155,22 +159,22 @@
         (fault.to === undefined || fault.to === to) &&
         (fault.path === undefined || fault.path.test(path)),
     );
-    return cut ?? this.lasting(from, to);
+    return answerFault ?? this.linkFault(from, to);
   }
 
   private untilReleased(fault: NetworkFault): Promise<void> {
-    return new Promise((resolve) => this.held.push({ fault, go: resolve }));
+    return new Promise((resolve) => this.held.push({ fault, resume: resolve }));
   }
 
-  /** Whether nobody gets the answer; the message itself arrives at once, late or never. */
-  private carriesNoAnswer(fault: NetworkFault, deliver: (late?: boolean) => Promise<Reply>): boolean {
+  /** Does the fault lose the answer? If so, also delivers the request itself at once, late or never. */
+  private losesAnswer(fault: NetworkFault, deliver: (isLate?: boolean) => Promise<Reply>): boolean {
     const ignore = (arrived: Promise<Reply>) => void arrived.catch(() => undefined);
     if (fault.kind === 'answerLost') ignore(deliver());
-    if (fault.kind === 'late') ignore(this.clock.sleep(this.lateness(fault)).then(() => deliver(true)));
+    if (fault.kind === 'late') ignore(this.clock.sleep(this.delayMs(fault)).then(() => deliver(true)));
     return fault.kind === 'answerLost' || fault.kind === 'late' || fault.kind === 'lose';
   }
 
-  // eslint-disable-next-line max-params -- the signature of HttpClient and the sender
+  // eslint-disable-next-line max-params -- the signature of HttpClient plus the sender
   private async call(
     from: string,
     to: string,
@@ -179,31 +183,31 @@
     body: unknown,
     options: CallOptions,
   ): Promise<Reply> {
-    const sender: Sender = { from, at: this.clock.now() };
+    const sender: Sender = { from, sentAt: this.clock.now() };
     const copy: unknown = body === undefined ? undefined : JSON.parse(JSON.stringify(body));
-    const fault = this.match(from, to, path, copy);
-    const what = `${method} ${to}${path}`;
-    if (!this.handlers.has(to) || fault?.kind === 'refuse') throw new NoResponseError(`${what}: refused`, false);
+    const fault = this.matchFault(from, to, path, copy);
+    const description = `${method} ${to}${path}`;
+    if (!this.handlers.has(to) || fault?.kind === 'refuse') throw new NoResponseError(`${description}: refused`, false);
     if (fault?.kind === 'status') return { status: fault.status!, body: fault.body ?? {} };
     this.log.push({ from, to, method, path, body: copy });
-    const deliver = async (late = false): Promise<Reply> => {
+    const deliver = async (isLate = false): Promise<Reply> => {
       const handler = this.handlers.get(to);
-      if (handler === undefined) throw new NoResponseError(`${what}: refused`, false);
-      return handler(method, path, copy, late ? { ...sender, late } : sender);
+      if (handler === undefined) throw new NoResponseError(`${description}: refused`, false);
+      return handler(method, path, copy, isLate ? { ...sender, isLate } : sender);
     };
     let cancel: () => void = () => undefined;
     const timedOut = new Promise<Reply>((_, reject) => {
-      cancel = this.clock.after(options.timeoutMs, () => reject(new NoResponseError(`${what}: timeout`, true)));
+      cancel = this.clock.after(options.timeoutMs, () => reject(new NoResponseError(`${description}: timeout`, true)));
     });
-    if (fault !== undefined && this.carriesNoAnswer(fault, deliver)) return timedOut;
+    if (fault !== undefined && this.losesAnswer(fault, deliver)) return timedOut;
     const answer = async (): Promise<Reply> => {
       if (fault === undefined) await this.clock.sleep(1);
       else await this.untilReleased(fault);
-      const reply = await deliver(this.clock.now() - sender.at >= options.timeoutMs);
-      // A cut that began in the meantime takes the answer too.
-      const since = this.onAnswer(from, to, path);
-      if (since?.kind === 'hold') await this.untilReleased(since);
-      return since?.kind === 'lose' || since?.kind === 'answerLost' ? timedOut : reply;
+      const reply = await deliver(this.clock.now() - sender.sentAt >= options.timeoutMs);
+      // A fault that began in the meantime applies to the answer too.
+      const answerFault = this.faultOnAnswer(from, to, path);
+      if (answerFault?.kind === 'hold') await this.untilReleased(answerFault);
+      return answerFault?.kind === 'lose' || answerFault?.kind === 'answerLost' ? timedOut : reply;
     };
     const reply = answer();
     timedOut.catch(() => undefined);
--- a/testing/fake-store-wire-codec.ts
+++ b/testing/fake-store-wire-codec.ts
@@ -1,6 +1,6 @@
-/** The store's side of its wire form: requests decoded, answers encoded. */
+/** The store's side of its wire format: decodes requests and encodes answers. */
 
-/** A transaction takes effect only if the key was last changed at this revision; 0: only if it does not exist. */
+/** A transaction is executed only if the key was last changed at this revision; 0: only if the key does not exist. */
 export interface StoreCondition {
   key: string;
   modRevision: number;
@@ -16,7 +16,7 @@
   operations: StoreOperation[];
 }
 
-/** What a client asks of the store. */
+/** A request to the store. */
 export type StoreRequest =
   | { kind: 'get'; key: string }
   | { kind: 'list'; prefix: string; after: string; limit: number }
@@ -32,7 +32,7 @@
   modRevision: number;
 }
 
-/** A change that a watch is told of; an undefined value: the key is deleted. */
+/** A change that a watch reports; the value is undefined if the key was deleted. */
 export type StoreChange = StoreRow;
 
 const DEFAULT_PAGE_ROWS = 1000;
@@ -89,7 +89,7 @@
 
 export const encodeRow = ({ key, value, modRevision }: StoreRow): object => ({ K: key, V: value, Stamp: modRevision });
 
-/** The answer that tells nothing but the store's revision. */
+/** An answer that contains only the store's revision. */
 export const encodeRevision = (revision: number): object => ({ Epoch: revision });
 
 export const encodePage = (rows: readonly StoreRow[], hasMore: boolean, revision: number): object => ({
@@ -105,7 +105,7 @@
   ),
 });
 
-/** The answer to a transaction of which these keys' conditions do not hold. */
+/** The answer to a transaction whose conditions on these keys do not hold. */
 export const encodeConflict = (failed: readonly string[], revision: number): object => ({ failed, Epoch: revision });
 
 export const encodeLease = (leaseId: number): object => ({ Latch: leaseId });
--- a/testing/fake-store.ts
+++ b/testing/fake-store.ts
@@ -1,4 +1,4 @@
-/** A stand-in of the key-value store. */
+/** An in-memory fake of the key-value store. */
 import type { Clock } from '../src/net/clock.js';
 import type { Reply } from '../src/net/http-client.js';
 import {
@@ -15,8 +15,8 @@
   type StoreTransaction,
 } from './fake-store-wire-codec.js';
 
-/** ms between two looks of an open watch at whether the outage is over. */
-const OUTAGE_STEP_MS = 50;
+/** Period at which an open watch checks whether the outage has ended. */
+const OUTAGE_POLL_MS = 50;
 const CONDITIONS_PER_WRITE = 4;
 
 interface StoredValue {
@@ -25,11 +25,11 @@
   leaseId: number | undefined;
 }
 
-/** What the store takes; everything else gets 400 or 429. */
+/** Limits of the store; a transaction above them gets 400 or 429. */
 export interface StoreLimits {
-  /** Bytes of a value. */
+  /** Size limit of a value, bytes. */
   valueBytes: number;
-  /** Changes in one transaction; of conditions it takes four times as many. */
+  /** Operations in one transaction; four times as many conditions are allowed. */
   transactionWrites: number;
   writesPerSecond: number;
 }
@@ -39,51 +39,51 @@
 const bytesOf = (each: StoreOperation): number =>
   each.kind === 'delete' || each.value === undefined ? 0 : Buffer.byteLength(JSON.stringify(each.value));
 
-/** Keys with revisions, transactions, watches and leases, and what may go wrong with them. */
+/** Keys with revisions, transactions, watches and leases, with faults that tests can switch on. */
 export class FakeStore {
   readonly rows = new Map<string, StoredValue>();
   private readonly leases = new Map<number, { ttlMs: number; until: number }>();
   private readonly changes: StoreChange[] = [];
-  private waiters: (() => void)[] = [];
+  private watchWaiters: (() => void)[] = [];
   private nextLeaseId = 1;
   revision = 0;
   /** While set, every request gets 503. */
   out = false;
-  /** Every request takes that long: half of it before it is carried out, half after. Watches and leases too. */
+  /** Duration of every request, also of watches and leases: half of it before the request is executed, half after. */
   slowMs = 0;
-  /** Undefined: everything is taken. May change at any moment. */
+  /** Undefined: no limits. May change at any time. */
   limits: StoreLimits | undefined;
-  /** Changes that may still be made now, and the ms as of which that is known. */
-  private writesLeft = { count: Infinity, at: 0 };
-  /** Requests that were refused for their size. */
+  /** Operations that the rate limit still allows, as of the time `at`. */
+  private writeAllowance = { count: Infinity, at: 0 };
+  /** Number of transactions that were rejected for their size. */
   tooLarge = 0;
-  /** Nodes whose every request gets 503 while the others are served; their open watches wait, as in an outage. */
+  /** Nodes that get 503 to every request while others are served; their open watches wait, as in an outage. */
   readonly refused = new Set<string>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** Full time again for all leases, as after an outage. */
+  /** Ends the outage, and renews all leases for their full TTL. */
   endOutage(): void {
     this.out = false;
     for (const lease of this.leases.values()) lease.until = this.clock.now() + lease.ttlMs;
   }
 
-  private isOutFor(from: string | undefined): boolean {
+  private isUnavailableTo(from: string | undefined): boolean {
     return this.out || (from !== undefined && this.refused.has(from));
   }
 
-  /** Answers a request; `from`: the node that sent it, if that may be refused. */
+  /** Handles a request. `from`: the node that sent it; undefined if the request must not be refused for its sender. */
   async handle(method: string, path: string, body: unknown, from?: string): Promise<Reply> {
-    if (this.slowMs === 0) return this.carryOut(method, path, body, from);
+    if (this.slowMs === 0) return this.execute(method, path, body, from);
     await this.clock.sleep(this.slowMs / 2);
-    const reply = await this.carryOut(method, path, body, from);
+    const reply = await this.execute(method, path, body, from);
     await this.clock.sleep(this.slowMs / 2);
     return reply;
   }
 
-  private async carryOut(method: string, path: string, body: unknown, from: string | undefined): Promise<Reply> {
-    if (this.isOutFor(from)) return { status: 503, body: { error: 'unavailable' } };
-    this.expire();
+  private async execute(method: string, path: string, body: unknown, from: string | undefined): Promise<Reply> {
+    if (this.isUnavailableTo(from)) return { status: 503, body: { error: 'unavailable' } };
+    this.expireLeases();
     const request = decodeStoreRequest(method, path, body);
     switch (request.kind) {
       case 'watch':
@@ -118,12 +118,12 @@
     const lease = this.leases.get(leaseId);
     if (lease === undefined) return { status: 404, body: {} };
     lease.until = kind === 'revokeLease' ? this.clock.now() : this.clock.now() + lease.ttlMs;
-    this.expire();
+    this.expireLeases();
     return { status: 200, body: {} };
   }
 
-  /** Ends leases whose time is over, with the keys that are attached to them. */
-  expire(): void {
+  /** Removes expired leases and the keys that are attached to them. */
+  expireLeases(): void {
     for (const [leaseId, lease] of this.leases) {
       if (this.clock.now() < lease.until) continue;
       this.leases.delete(leaseId);
@@ -134,7 +134,7 @@
 
   private transact(transaction: StoreTransaction): Reply {
     const { conditions, operations } = transaction;
-    const refusal = this.refuse(transaction);
+    const refusal = this.refusalByLimits(transaction);
     if (refusal !== undefined) return refusal;
     const leaseIds = operations.map((each) => (each.kind === 'put' ? each.leaseId : undefined));
     if (leaseIds.some((leaseId) => leaseId !== undefined && !this.leases.has(leaseId))) {
@@ -148,8 +148,8 @@
     return { status: 200, body: encodeRevision(this.revision) };
   }
 
-  /** What the limits say to a transaction; what they let pass counts towards them. */
-  private refuse({ conditions, operations }: StoreTransaction): Reply | undefined {
+  /** The refusal of a transaction above the limits; one within them is counted against the write rate. */
+  private refusalByLimits({ conditions, operations }: StoreTransaction): Reply | undefined {
     if (this.limits === undefined) return undefined;
     const { valueBytes, transactionWrites, writesPerSecond } = this.limits;
     const bytes = Math.max(0, ...operations.map(bytesOf));
@@ -160,10 +160,10 @@
       return { status: 400, body: { error: `too large: ${operations.length} changes, ${bytes} bytes` } };
     }
     const now = this.clock.now();
-    const regained = ((now - this.writesLeft.at) / 1000) * writesPerSecond;
-    this.writesLeft = { count: Math.min(writesPerSecond, this.writesLeft.count + regained), at: now };
-    if (this.writesLeft.count < operations.length) return { status: 429, body: { error: 'too many changes' } };
-    this.writesLeft.count -= operations.length;
+    const regained = ((now - this.writeAllowance.at) / 1000) * writesPerSecond;
+    this.writeAllowance = { count: Math.min(writesPerSecond, this.writeAllowance.count + regained), at: now };
+    if (this.writeAllowance.count < operations.length) return { status: 429, body: { error: 'too many changes' } };
+    this.writeAllowance.count -= operations.length;
     return undefined;
   }
 
@@ -177,7 +177,7 @@
       else this.rows.set(key, { value, modRevision, leaseId: operation.leaseId });
       this.changes.push({ key, value, modRevision });
     }
-    for (const wake of this.waiters.splice(0)) wake();
+    for (const wake of this.watchWaiters.splice(0)) wake();
   }
 
   private list({ prefix, after, limit }: RequestOf<'list'>): Reply {
@@ -190,11 +190,11 @@
     const end = this.clock.now() + waitMs;
     const newChanges = () =>
       this.changes.filter((each) => each.modRevision > fromRevision && each.key.startsWith(prefix));
-    while (this.isOutFor(node) || (newChanges().length === 0 && this.clock.now() < end)) {
-      const woken = new AbortController();
-      this.waiters.push(() => woken.abort());
-      // An open watch stays open through an outage, however short a time it asked for.
-      await this.clock.sleep(this.isOutFor(node) ? OUTAGE_STEP_MS : end - this.clock.now(), woken.signal);
+    while (this.isUnavailableTo(node) || (newChanges().length === 0 && this.clock.now() < end)) {
+      const wakeUp = new AbortController();
+      this.watchWaiters.push(() => wakeUp.abort());
+      // An open watch stays open through an outage, even beyond its own wait time.
+      await this.clock.sleep(this.isUnavailableTo(node) ? OUTAGE_POLL_MS : end - this.clock.now(), wakeUp.signal);
     }
     return { status: 200, body: encodeChanges(this.revision, newChanges()) };
   }
--- a/testing/fake-worker-wire-codec.ts
+++ b/testing/fake-worker-wire-codec.ts
@@ -1,6 +1,6 @@
-/** The worker's side of its wire form: its status encoded, commands and answers to heartbeats decoded. */
+/** The worker's side of its wire format: encodes its status, and decodes commands and answers to heartbeats. */
 
-/** A step of a task on its worker. */
+/** The state of a task on its worker. */
 export type TaskState = 'fetching' | 'waiting' | 'running' | 'checkpointing' | 'exited';
 
 /** Why a task has exited. */
@@ -12,11 +12,11 @@
   | 'peer_lost'
   | 'gang_incomplete'
   | 'insufficient_resources'
-  /** These are never sent: the machine is gone, or its lease has expired. */
+  /** The last two are never sent: the machine is gone, or its lease has expired. */
   | 'gone'
   | 'killed';
 
-/** A task as its worker reports it. */
+/** The status of a task as its worker reports it. */
 export interface TaskStatus {
   attempt: number;
   state: TaskState;
@@ -24,7 +24,7 @@
   isCheckpointed?: boolean;
 }
 
-/** The body of a heartbeat, and of an answer to commands. */
+/** The content of a heartbeat and of an answer to commands. */
 export interface WorkerStatus {
   machineId: string;
   endpoint: string;
@@ -38,7 +38,7 @@
   tasks: ReadonlyMap<string, TaskStatus>;
 }
 
-/** What a worker is to do with a task. */
+/** A command to a worker about a task. */
 export type TaskCommand =
   | { kind: 'launch' | 'forget'; taskId: string; attempt: number }
   | { kind: 'kill'; taskId: string; attempt: number; gracePeriodS: number };
@@ -46,7 +46,7 @@
 /** Commands with the sender's fencing token. */
 export interface CommandBatch {
   fencingToken: number;
-  /** Of commands that are sent directly: the agent epoch that they are meant for. */
+  /** The agent epoch that directly sent commands are meant for; absent in answers to heartbeats. */
   agentEpoch?: number;
   commands: TaskCommand[];
 }
@@ -114,7 +114,7 @@
   return kind === 'kill' ? { kind, taskId, attempt, gracePeriodS } : { kind, taskId, attempt };
 }
 
-/** Commands that were sent directly, or the answer to a heartbeat. */
+/** Decodes commands that were sent directly, or the answer to a heartbeat. */
 export function decodeCommandBatch(body: unknown): CommandBatch {
   const { Fence: fencingToken, Tenure: agentEpoch, Orders } = body as WireCommandBatch;
   return { fencingToken, agentEpoch, commands: Orders.map(decodeCommand) };
@@ -127,12 +127,12 @@
   ...(command.kind === 'kill' ? { WindDownS: command.gracePeriodS } : {}),
 });
 
-/** Commands as tests send them to a worker directly. */
+/** Encodes commands that tests send to a worker directly. */
 export const encodeCommandBatch = ({ fencingToken, agentEpoch, commands }: CommandBatch): object => ({
   Fence: fencingToken,
   Tenure: agentEpoch,
   Orders: commands.map(encodeCommand),
 });
 
-/** The node that a misrouted heartbeat should go to; undefined: the answer names none. */
+/** The node that a misrouted heartbeat is redirected to; undefined if the answer names none. */
 export const decodeRedirect = (body: unknown): string | undefined => (body as { Steward?: string }).Steward;
--- a/testing/fake-worker.ts
+++ b/testing/fake-worker.ts
@@ -1,4 +1,4 @@
-/** A stand-in of a worker: it executes commands, keeps a lease, and sends heartbeats. */
+/** A fake worker: it executes commands, keeps a lease, and sends heartbeats. */
 import { type Resources, subtractResources } from '../src/domain/resources.js';
 import type { Clock } from '../src/net/clock.js';
 import type { Reply } from '../src/net/http-client.js';
@@ -12,16 +12,16 @@
 } from './fake-worker-wire-codec.js';
 import { HeartbeatSender, type SendHeartbeat } from './heartbeat-sender.js';
 import { jobIdOf } from './task-id.js';
-import { whyRefused, type WorkerEnvironment, type WorkerOptions } from './worker-environment.js';
+import { launchRefusal, type WorkerEnvironment, type WorkerOptions } from './worker-environment.js';
 
 interface Task extends TaskStatus {
-  /** When its next step is due if no command comes before. */
+  /** When the next state change is due, unless a command comes first. */
   dueAt: number;
   /** When the command that launched it was sent. */
   commandedAt: number;
 }
 
-/** One start of a task; `to` is undefined while it runs. */
+/** One run of a task; `to` is undefined until it ends. */
 export interface TaskRun {
   taskId: string;
   attempt: number;
@@ -29,33 +29,33 @@
   to: number | undefined;
 }
 
-/** A machine with its agent; it also keeps account of what ran when. */
+/** A machine with its agent, and a history of its task runs. */
 export class FakeWorker {
   readonly tasks = new Map<string, Task>();
   endpoint: string;
-  /** Every start of a task, in order. */
+  /** All runs of tasks, in the order of their starts. */
   readonly history: TaskRun[] = [];
   agentEpoch = 1;
   sequence = 0;
-  /** The highest that it has seen. */
+  /** The highest fencing token that it has seen. */
   fencingToken = 0;
-  /** s until the cloud takes the machine away; null: no notice. */
+  /** Seconds until the cloud reclaims the spot machine; null if it has not given notice. */
   spotNoticeS: number | null = null;
-  /** When the last heartbeat that was answered had been sent. */
-  lastAnswered: number;
-  /** Called when a task has its image; `commandedAt`: when the command was sent. */
+  /** When the last heartbeat that was answered had been sent: the lease runs from then. */
+  leaseRenewedAt: number;
+  /** Called when a task has its image and starts; `commandedAt`: when its launch command was sent. */
   onStart: (taskId: string, commandedAt: number) => void = () => undefined;
-  /** Called when a launch has been executed; `fencingToken`: the one that it came with. */
+  /** Called when a launch has been accepted; `fencingToken`: that of the command. */
   onLaunch: (taskId: string, attempt: number, fencingToken: number) => void = () => undefined;
-  /** Called when a task that has started ends, also with the machine. */
+  /** Called when a task that has started ends, also because the machine is gone. */
   onEnd: (taskId: string, reason: ExitReason) => void = () => undefined;
   private readonly images = new Set<string>();
   private readonly heartbeats: HeartbeatSender;
   private isDead = false;
   private suspendedAt: number | undefined;
-  /** Its lease expired while it was suspended; it learns that when it resumes. */
+  /** The lease expired while the machine was suspended; the next agent epoch begins when it resumes. */
   private hasExpired = false;
-  private resumed: (() => void)[] = [];
+  private resumeWaiters: (() => void)[] = [];
   private wakesAt = Infinity;
 
   constructor(
@@ -65,7 +65,7 @@
     private readonly environment: WorkerEnvironment,
   ) {
     this.endpoint = `${options.machineId}:9000`;
-    this.lastAnswered = clock.now();
+    this.leaseRenewedAt = clock.now();
     this.heartbeats = new HeartbeatSender(clock, this);
     this.scheduleWake();
   }
@@ -74,13 +74,13 @@
     return this.suspendedAt !== undefined;
   }
 
-  /** It stops: no task goes on, no command is executed, until it resumes. */
+  /** Suspends the machine: no task makes progress and no command is executed until it resumes. */
   suspend(): void {
     this.suspendedAt ??= this.clock.now();
     for (const [taskId, task] of this.tasks) this.environment.gangs.suspend(this, taskId, task.attempt);
   }
 
-  /** It goes on where it stopped; what reached it in the meantime comes next, in order. */
+  /** Continues where the machine stopped; requests that arrived in the meantime are then handled in order. */
   resume(): void {
     if (this.suspendedAt === undefined) return;
     const suspendedMs = this.clock.now() - this.suspendedAt;
@@ -89,30 +89,30 @@
     if (this.hasExpired) this.beginAgentEpoch();
     this.hasExpired = false;
     this.processDue();
-    for (const resume of this.resumed.splice(0)) resume();
+    for (const resume of this.resumeWaiters.splice(0)) resume();
   }
 
   async untilResumed(): Promise<void> {
-    while (this.isSuspended) await new Promise<void>((resolve) => this.resumed.push(resolve));
+    while (this.isSuspended) await new Promise<void>((resolve) => this.resumeWaiters.push(resolve));
   }
 
-  /** The machine is gone, with all that is on it. */
-  die(): void {
+  /** The machine is gone, with all its tasks. */
+  terminate(): void {
     this.endAll('gone');
     this.isDead = true;
   }
 
   private get leaseEnd(): number {
-    return this.lastAnswered + this.environment.leaseS * 1000;
+    return this.leaseRenewedAt + this.environment.leaseS * 1000;
   }
 
   private beginAgentEpoch(): void {
     this.tasks.clear();
     this.agentEpoch++;
-    this.lastAnswered = this.clock.now();
+    this.leaseRenewedAt = this.clock.now();
   }
 
-  /** Sees to it that the lease and tasks end at their time, though nobody asks. */
+  /** Schedules `processDue` for the time at which the lease expires or the next task is due. */
   private scheduleWake(): void {
     let next = this.hasExpired ? Infinity : this.leaseEnd;
     if (!this.isSuspended) for (const task of this.tasks.values()) next = Math.min(next, task.dueAt);
@@ -124,7 +124,7 @@
     });
   }
 
-  /** Does all that is due by now. */
+  /** Applies the lease expiry and the state changes of tasks that are due by now. */
   processDue(): void {
     if (this.isDead) return;
     const now = this.clock.now();
@@ -134,7 +134,7 @@
   }
 
   private expireLease(): void {
-    // What is suspended can't go on any more after this moment, so it has ended too.
+    // Tasks of a suspended machine can never continue after this moment, so they end too.
     this.endAll('killed');
     if (this.isSuspended) this.hasExpired = true;
     else this.beginAgentEpoch();
@@ -165,7 +165,7 @@
     }
   }
 
-  /** The task has its image. */
+  /** Starts the task, whose image has been fetched. */
   private start(taskId: string, task: Task): void {
     const job = this.environment.describe(jobIdOf(taskId))!;
     this.images.add(job.image);
@@ -175,11 +175,11 @@
     if (this.environment.results.has(taskId)) return this.end(taskId, 'done');
     if (job.kind !== 'gang') return this.run(taskId);
     task.state = 'waiting';
-    task.dueAt = this.clock.now() + this.environment.gangs.waitMs;
+    task.dueAt = this.clock.now() + this.environment.gangs.memberWaitMs;
     this.environment.gangs.join(this, taskId, task.attempt, job);
   }
 
-  /** The task runs from now on. How long a gang runs is up to all its members. */
+  /** Runs the task from now on. The end of a gang's tasks is decided for all members together. */
   run(taskId: string): void {
     const task = this.tasks.get(taskId)!;
     const { kind } = this.environment.describe(jobIdOf(taskId))!;
@@ -193,7 +193,7 @@
     return kind === 'service' || taskId.startsWith('j-svc') ? Infinity : (this.options.runMs ?? Infinity);
   }
 
-  /** The task exits. */
+  /** Ends the task. */
   end(taskId: string, exitReason: ExitReason, isCheckpointed?: boolean): void {
     const task = this.tasks.get(taskId)!;
     const hasStarted = task.state !== 'fetching';
@@ -206,7 +206,7 @@
     this.environment.gangs.leave(taskId, task.attempt);
   }
 
-  /** Its next heartbeat, as it would send it now. */
+  /** Composes the next heartbeat. */
   composeHeartbeat(): object {
     this.processDue();
     return encodeWorkerStatus({
@@ -240,9 +240,9 @@
     if (known?.attempt === attempt) return;
     const job = this.environment.describe(jobIdOf(taskId));
     const dueAt = this.clock.now() + (job === undefined || this.images.has(job.image) ? 0 : this.imageMs);
-    // Which of two attempts a heartbeat then shows is not told; the one that goes on is the one that matters.
+    // The protocol does not say which of two attempts a heartbeat then reports: this worker keeps the running one.
     if (job !== undefined && known !== undefined && known.state !== 'exited') return;
-    const refusal = whyRefused(job, this.freeResources());
+    const refusal = launchRefusal(job, this.freeResources());
     const task: Task = { attempt, state: 'fetching', dueAt, commandedAt };
     this.tasks.set(taskId, task);
     if (refusal !== undefined) return this.end(taskId, refusal);
@@ -272,10 +272,10 @@
     task.dueAt = this.clock.now() + checkpointS * 1000;
   }
 
-  /** What `/commands` and `/show` do. */
+  /** Handles the requests `/commands` and `/show`. */
   async handle(path: string, body: unknown, sentAt = this.clock.now()): Promise<Reply> {
     await this.untilResumed();
-    // What a cut held back and delivers now finds nobody.
+    // The machine is gone: a held message that is delivered only now gets no answer.
     if (this.isDead) return new Promise<Reply>(() => undefined);
     this.processDue();
     if (path === '/show') return { status: 200, body: this.composeHeartbeat() };
@@ -292,11 +292,11 @@
     return this.heartbeats.send(nodes, send);
   }
 
-  /** The answer to a heartbeat renews the lease and brings commands. */
+  /** Processes the answer to a heartbeat: it renews the lease and carries commands. */
   acceptAnswer(batch: CommandBatch, sentAt: number, agentEpoch: number): void {
     if (this.isDead || batch.fencingToken < this.fencingToken || agentEpoch !== this.agentEpoch) return;
     this.fencingToken = batch.fencingToken;
-    this.lastAnswered = sentAt;
+    this.leaseRenewedAt = sentAt;
     this.execute(batch.commands, this.clock.now());
   }
 }
--- a/testing/fault-injector.ts
+++ b/testing/fault-injector.ts
@@ -1,33 +1,33 @@
-/** Injects the faults of a random schedule, and ends them. */
+/** Injects the faults of a random schedule, and ends each after its duration. */
 import type { Cluster } from './cluster.js';
 import type { NetworkFault } from './fake-network.js';
 import { type FaultKind, NODES, type ScheduledFault, ZONES } from './random-schedule.js';
 import { jobIdOf } from './task-id.js';
 
-/** The most that a message is late, ms: well over a lease. */
-const LATE_MS = 25_000;
-/** The least and the most that a transaction is late, ms. */
-const LATE_WRITE_MS: [number, number] = [2000, 12_000];
-/** ms for which a node may freeze at the next request of a kind. */
-const TRAP_MS = 8000;
+/** Longest delay of a late message, ms: well over the duration of a lease. */
+const MAX_DELAY_MS = 25_000;
+/** Shortest and longest delay of a late transaction, ms. */
+const TRANSACTION_DELAY_MS: [number, number] = [2000, 12_000];
+/** ms for which a freeze trigger stays armed. */
+const FREEZE_TRIGGER_MS = 8000;
 const STORE = 'store:1';
 const WRITES = /^\/txn/;
 const COMMANDS = /^\/commands/;
 const HEARTBEATS = /^\/hello/;
 
-/** ms until nothing is left of a fault. */
-export const lastsMs = ({ kind, forMs, refusedMs = 0, times = 1 }: ScheduledFault): number =>
+/** ms from the start of a fault until it has no more effect. */
+export const faultDurationMs = ({ kind, forMs, refusedMs = 0, times = 1 }: ScheduledFault): number =>
   refusedMs +
   forMs * times +
-  (kind === 'lateTransactions' || kind === 'lateHeartbeats' ? LATE_MS : 0) +
-  (kind === 'processPause' ? TRAP_MS : 0);
+  (kind === 'lateTransactions' || kind === 'lateHeartbeats' ? MAX_DELAY_MS : 0) +
+  (kind === 'processPause' ? FREEZE_TRIGGER_MS : 0);
 
 type Injection = (fault: ScheduledFault) => unknown;
 
-const nameOf = (index: number): string => `n${index}`;
+const nodeName = (index: number): string => `n${index}`;
 const ALL_NODES = Array.from({ length: NODES }, (_, index) => index);
 
-/** Injects each fault for its time into a cluster. */
+/** Injects faults into a cluster. */
 export class FaultInjector {
   private readonly injections: Record<FaultKind, Injection> = {
     storeOutage: ({ forMs }) => this.storeOutage(forMs),
@@ -37,12 +37,14 @@
     refusedByStore: (fault) => this.refuse(fault),
     refusedThenOutage: (fault) => this.refuseThenOutage(fault),
     lateTransactions: ({ forMs, share }) =>
-      this.withFault(forMs, { to: STORE, path: WRITES, kind: 'late', lateMs: LATE_WRITE_MS, share }),
+      this.withFault(forMs, { to: STORE, path: WRITES, kind: 'late', lateMs: TRANSACTION_DELAY_MS, share }),
     lateHeartbeats: ({ forMs, share = 1 }) => this.lateHeartbeats(forMs, share),
     messageLoss: ({ forMs, share }) => this.messageLoss(forMs, share),
-    delayedCommands: ({ forMs }) => this.during(forMs, this.cluster.network.cut({ path: COMMANDS })),
-    inboundLoss: ({ forMs, machines }) => this.addWhile(this.cluster.inboundLoss, this.machineIds(machines), forMs),
-    outboundLoss: ({ forMs, machines }) => this.addWhile(this.cluster.outboundLoss, this.machineIds(machines), forMs),
+    delayedCommands: ({ forMs }) => this.endAfter(forMs, this.cluster.network.cut({ path: COMMANDS })),
+    inboundLoss: ({ forMs, machines }) =>
+      this.addTemporarily(this.cluster.inboundLoss, this.machineIds(machines), forMs),
+    outboundLoss: ({ forMs, machines }) =>
+      this.addTemporarily(this.cluster.outboundLoss, this.machineIds(machines), forMs),
     suspension: ({ forMs, machines }) => this.suspend(this.machineIds(machines), forMs),
     machineLoss: ({ machines }) => this.machineIds(machines).forEach((machineId) => this.cluster.kill(machineId)),
     crash: ({ forMs, node = 0 }) => this.takeDown([node], forMs),
@@ -52,30 +54,31 @@
     zonePartition: (fault) => this.partitionZone(fault),
     nodePartition: ({ forMs, node = 0 }) =>
       Promise.all([
-        this.withFault(forMs, { from: nameOf(node), to: STORE, kind: 'lose' }),
-        this.addWhile(this.cluster.partitioned, this.gossipLinks(node), forMs),
+        this.withFault(forMs, { from: nodeName(node), to: STORE, kind: 'lose' }),
+        this.addTemporarily(this.cluster.partitioned, this.gossipLinks(node), forMs),
       ]),
     leaderUnreachable: ({ forMs, node = 0, machines }) => {
-      const links = this.machineIds(machines).map((machineId) => `${machineId}>${nameOf(node)}`);
-      return this.addWhile(this.cluster.unreachable, links, forMs);
+      const links = this.machineIds(machines).map((machineId) => `${machineId}>${nodeName(node)}`);
+      return this.addTemporarily(this.cluster.unreachable, links, forMs);
     },
-    gossipPartition: ({ forMs, node = 0 }) => this.addWhile(this.cluster.partitioned, this.gossipLinks(node), forMs),
+    gossipPartition: ({ forMs, node = 0 }) =>
+      this.addTemporarily(this.cluster.partitioned, this.gossipLinks(node), forMs),
     delayedGossip: ({ forMs, node = 0 }) => this.delayGossip(node, forMs),
     processPause: (fault) => this.pause(fault),
     cloudOutage: ({ forMs }) =>
       this.withFault(forMs, { to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } }),
-    cancelNow: ({ count = 1 }) => this.cancelSome(count),
+    cancelNow: ({ count = 1 }) => this.cancelJobs(count),
     cancelAtTaskEnd: ({ forMs }) => this.cancelAtTaskEnd(forMs),
-    oddRequests: () => this.cluster.users.sendOddRequests(),
+    oddRequests: () => this.cluster.users.sendUnusualRequests(),
   };
 
   constructor(
     private readonly cluster: Cluster,
-    /** Users cancel so many jobs. */
-    private readonly cancelSome: (count: number) => void,
+    /** Makes users cancel this many jobs. */
+    private readonly cancelJobs: (count: number) => void,
   ) {}
 
-  /** The end of the fault comes by itself. */
+  /** Injects the fault, which ends after its own duration. */
   async inject(fault: ScheduledFault): Promise<void> {
     await this.injections[fault.kind](fault);
   }
@@ -86,67 +89,69 @@
   }
 
   private peersOf(node: number): string[] {
-    return ALL_NODES.filter((each) => each !== node).map(nameOf);
+    return ALL_NODES.filter((each) => each !== node).map(nodeName);
   }
 
-  /** Both directions between a node and each of its peers. */
+  /** The links between a node and each of its peers, in both directions. */
   private gossipLinks(node: number): string[] {
-    return this.peersOf(node).flatMap((peer) => [`${nameOf(node)}>${peer}`, `${peer}>${nameOf(node)}`]);
+    return this.peersOf(node).flatMap((peer) => [`${nodeName(node)}>${peer}`, `${peer}>${nodeName(node)}`]);
   }
 
-  /** Waits, and ends what has begun. */
-  private async during(forMs: number, end: () => void): Promise<void> {
+  /** Calls `end` after the given time. */
+  private async endAfter(forMs: number, end: () => void): Promise<void> {
     await this.cluster.clock.sleep(forMs);
     end();
   }
 
   private withFault(forMs: number, fault: NetworkFault): Promise<void> {
-    return this.during(forMs, this.cluster.network.fault(fault));
+    return this.endAfter(forMs, this.cluster.network.fault(fault));
   }
 
-  private addWhile(set: Set<string>, members: readonly string[], forMs: number): Promise<void> {
+  private addTemporarily(set: Set<string>, members: readonly string[], forMs: number): Promise<void> {
     members.forEach((member) => set.add(member));
-    return this.during(forMs, () => members.forEach((member) => set.delete(member)));
+    return this.endAfter(forMs, () => members.forEach((member) => set.delete(member)));
   }
 
   private takeDown(nodes: readonly number[], forMs: number): Promise<void> {
     const { cluster } = this;
     nodes.forEach((node) => cluster.crash(node));
-    return this.during(forMs, () => nodes.filter((node) => !cluster.has(node)).forEach((node) => cluster.start(node)));
+    return this.endAfter(forMs, () =>
+      nodes.filter((node) => !cluster.has(node)).forEach((node) => cluster.start(node)),
+    );
   }
 
   private storeOutage(forMs: number): Promise<void> {
     const { store } = this.cluster;
     store.out = true;
-    return this.during(forMs, () => store.endOutage());
+    return this.endAfter(forMs, () => store.endOutage());
   }
 
   private slowStore(forMs: number, slowMs: number): Promise<void> {
     const { store } = this.cluster;
     store.slowMs = slowMs;
-    return this.during(forMs, () => (store.slowMs = 0));
+    return this.endAfter(forMs, () => (store.slowMs = 0));
   }
 
   private refuse({ node = 0, forMs }: ScheduledFault): Promise<void> {
-    return this.addWhile(this.cluster.store.refused, [nameOf(node)], forMs);
+    return this.addTemporarily(this.cluster.store.refused, [nodeName(node)], forMs);
   }
 
   private async refuseThenOutage({ node = 0, refusedMs = 0, forMs, withoutPeers }: ScheduledFault): Promise<void> {
     const { clock, partitioned, store } = this.cluster;
-    store.refused.add(nameOf(node));
-    if (withoutPeers === 'alone') void this.addWhile(partitioned, this.gossipLinks(node), refusedMs);
-    if (withoutPeers === 'throughout') void this.addWhile(partitioned, this.gossipLinks(node), refusedMs + forMs);
+    store.refused.add(nodeName(node));
+    if (withoutPeers === 'alone') void this.addTemporarily(partitioned, this.gossipLinks(node), refusedMs);
+    if (withoutPeers === 'throughout') void this.addTemporarily(partitioned, this.gossipLinks(node), refusedMs + forMs);
     await clock.sleep(refusedMs);
     await this.storeOutage(forMs);
-    store.refused.delete(nameOf(node));
+    store.refused.delete(nodeName(node));
   }
 
   private lateHeartbeats(forMs: number, share: number): Promise<void> {
-    this.cluster.lateHeartbeats = { share, lateMs: [2000, LATE_MS] };
-    return this.during(forMs, () => (this.cluster.lateHeartbeats = undefined));
+    this.cluster.lateHeartbeats = { share, lateMs: [2000, MAX_DELAY_MS] };
+    return this.endAfter(forMs, () => (this.cluster.lateHeartbeats = undefined));
   }
 
-  /** A share of the transactions and commands get no answer, and as many reports do not connect. */
+  /** Loses the answers to a share of the transactions and commands, and refuses the same share of heartbeats. */
   private async messageLoss(forMs: number, share: number | undefined): Promise<void> {
     await Promise.all([
       this.withFault(forMs, { to: STORE, path: WRITES, kind: 'answerLost', share }),
@@ -158,7 +163,7 @@
   private suspend(machineIds: readonly string[], forMs: number): Promise<void> {
     const { workers } = this.cluster;
     machineIds.forEach((machineId) => workers.get(machineId)?.suspend());
-    return this.during(forMs, () => machineIds.forEach((machineId) => workers.get(machineId)?.resume()));
+    return this.endAfter(forMs, () => machineIds.forEach((machineId) => workers.get(machineId)?.resume()));
   }
 
   private async changeLeaders({ times = 1, forMs }: ScheduledFault): Promise<void> {
@@ -172,24 +177,24 @@
     const { workers, network } = this.cluster;
     const zone = ZONES[node]!;
     const inside = [...workers].filter(([, worker]) => worker.options.zone === zone);
-    return this.during(forMs, network.split([nameOf(node), ...inside.map(([machineId]) => machineId)]));
+    return this.endAfter(forMs, network.split([nodeName(node), ...inside.map(([machineId]) => machineId)]));
   }
 
   private async delayGossip(node: number, forMs: number): Promise<void> {
-    const cut = (peer: string) => this.cluster.network.cut({ from: nameOf(node), to: peer });
-    await Promise.all(this.peersOf(node).map((peer) => this.during(forMs, cut(peer))));
+    const holdGossipTo = (peer: string) => this.cluster.network.cut({ from: nodeName(node), to: peer });
+    await Promise.all(this.peersOf(node).map((peer) => this.endAfter(forMs, holdGossipTo(peer))));
   }
 
   private pause({ node = 0, path = '.', when = 'sending', forMs }: ScheduledFault): Promise<void> {
-    return this.during(TRAP_MS, this.cluster.freezeAt(node, { path: new RegExp(path), when, forMs }));
+    return this.endAfter(FREEZE_TRIGGER_MS, this.cluster.freezeAt(node, { path: new RegExp(path), when, forMs }));
   }
 
-  /** Users call each job off at the moment at which a task of it is done. */
+  /** Users cancel each job at the moment at which one of its tasks is done. */
   private cancelAtTaskEnd(forMs: number): Promise<void> {
     const { cluster } = this;
-    cluster.onTaskEnd = (taskId, cause) => {
-      if (cause === 'done') void cluster.users.cancelJob(jobIdOf(taskId));
+    cluster.onTaskEnd = (taskId, exitReason) => {
+      if (exitReason === 'done') void cluster.users.cancelJob(jobIdOf(taskId));
     };
-    return this.during(forMs, () => (cluster.onTaskEnd = () => undefined));
+    return this.endAfter(forMs, () => (cluster.onTaskEnd = () => undefined));
   }
 }
--- a/testing/fixtures.ts
+++ b/testing/fixtures.ts
@@ -1,4 +1,4 @@
-/** Settings, jobs and machine types that scenarios start from. */
+/** Default settings, jobs and machine types for scenarios. */
 import type { StandbySettings } from '@dewlatch/standby';
 
 import { parseSettingsFile } from '../src/config/load-settings.js';
@@ -12,7 +12,7 @@
 import type { ProgramVersion } from './program-version.js';
 import { encodeSubmission, type Submission } from './submission-wire-codec.js';
 
-/** A log that keeps nothing. */
+/** A log that discards everything. */
 export const noLog: Log = {
   error: () => undefined,
   warn: () => undefined,
@@ -20,7 +20,7 @@
   debug: () => undefined,
 };
 
-/** What a scenario's cluster is made of. */
+/** Configuration of a scenario's cluster. */
 export interface ClusterOptions {
   nodes?: number;
   teams?: object[];
@@ -28,21 +28,21 @@
   tuning?: Partial<Omit<TuningFile, 'standby'>>;
   /** Settings of the warm standby that differ from the defaults. */
   standby?: Partial<StandbySettings>;
-  /** The same for one node. */
+  /** Further such settings of a single node. */
   standbyOf?: (node: number) => Partial<StandbySettings>;
-  /** Zones of the nodes; all in `a` if left out. */
+  /** Zone of each node; `a` if absent. */
   locations?: readonly string[];
-  /** The cloud's catalogue. */
+  /** The machine types that the cloud offers. */
   machineTypes?: CatalogEntry[];
-  /** Rented machines are up after so many ms; without it they never are. */
+  /** Boot time of rented machines, ms; without it they never come up. */
   bootMs?: number;
-  /** The version of the program that all nodes run at first; the present one if it is not given. */
+  /** The version of the program that all nodes run at first; the current one if absent. */
   version?: ProgramVersion;
-  /** How long tasks run on rented machines. */
+  /** Duration of tasks on rented machines, ms. */
   runMs?: number;
 }
 
-/** A machine type of eight CPUs. */
+/** A machine type with eight CPUs. */
 export const C8: MachineType = {
   name: 'c8',
   cpus: 8,
@@ -56,7 +56,7 @@
   zones: ['a', 'b', 'c'],
 };
 
-/** The settings file of one of the controllers. */
+/** The settings of one of the controllers, as its settings file holds them. */
 export function settingsFileOf(node: number, nodes: number, options: ClusterOptions = {}): SettingsFile {
   const all = Array.from({ length: nodes }, (_, index) => index);
   return parseSettingsFile(
@@ -87,7 +87,7 @@
   );
 }
 
-/** A job of one task, under the field names that `jobOf` takes. */
+/** A submission of one task; `jobOf` overrides its fields. */
 export const DEFAULT_SUBMISSION: Submission = {
   id: 'j-000001',
   jobClass: 'web',
@@ -108,16 +108,16 @@
   checkpointS: 0,
 };
 
-/** The body of a submission, complete but for the fields that a scenario cares for. */
+/** The body of a submission with the given fields; all others have default values. */
 export const jobOf = (fields: Partial<Submission>): object => encodeSubmission({ ...DEFAULT_SUBMISSION, ...fields });
 
-/** The same with fields under their wire names, for tests of raw and malformed bodies. */
+/** The default submission with fields added under their wire names, for tests of raw and malformed bodies. */
 export const rawJobOf = (wireFields: object): object => ({ ...jobOf({}), ...wireFields });
 
-/** The job as the program works with it. */
+/** The decoded spec of a job with the given fields. */
 export const specOf = (fields: Partial<Submission>): JobSpec => decodeJobSpec(jobOf(fields) as WireJobSpec);
 
-/** Room in a transaction, where a test does not care for it. */
+/** Limits of a transaction for tests that do not depend on them. */
 export const anyTransactionLimits = (fields: Partial<TransactionLimits> = {}): TransactionLimits => ({
   writes: 12,
   batchWrites: 12,
--- a/testing/freezer.ts
+++ b/testing/freezer.ts
@@ -1,70 +1,70 @@
-/** Lets a controller stand still in the middle of anything, as a process does that gets no share of its core. */
+/** Freezes a controller at any point of its work, like a process that gets no CPU time. */
 import type { Clock } from '../src/net/clock.js';
 import type { HttpClient, Reply } from '../src/net/http-client.js';
 import type { FakeClock } from './fake-clock.js';
 
-/** When and for how long a node stands still. */
+/** When and for how long a node freezes. */
 export interface Trap {
-  /** Of a request that it sends or answers; for users: submit, poll or cancel. */
+  /** Path of a request that it sends or answers; for requests of users: submit, poll or cancel. */
   path: RegExp;
-  /** Before it sends a request, before it takes in the answer, or before its own answer goes out. */
+  /** Before it sends a request, before it processes the answer, or before it sends its own answer. */
   when: 'sending' | 'answered' | 'answering';
   forMs: number;
-  /** Which requests, by their body; all if left out. */
+  /** Selects requests by their body; all if absent. */
   where?: (body: unknown) => boolean;
 }
 
-/** Stands between a controller and the rest, so that it can stand still in the middle of anything. */
+/** Sits between a controller and its clock, clients and callers, and holds all of them up while it is frozen. */
 export class Freezer {
-  readonly traps = new Set<Trap>();
-  /** The clock as the controller sees it: no wait of a frozen process ends. */
-  readonly thawed: Clock;
-  private until = -Infinity;
+  readonly triggers = new Set<Trap>();
+  /** The clock of the controller's process: no sleep ends while the process is frozen. */
+  readonly processClock: Clock;
+  private frozenUntil = -Infinity;
 
   constructor(private readonly clock: FakeClock) {
-    this.thawed = {
+    this.processClock = {
       now: () => clock.now(),
       wall: () => clock.wall(),
       sleep: async (ms, signal) => {
         await clock.sleep(ms, signal);
-        if (this.isFrozen) await this.pass();
+        if (this.isFrozen) await this.untilThawed();
       },
     };
   }
 
   get isFrozen(): boolean {
-    return this.clock.now() < this.until;
+    return this.clock.now() < this.frozenUntil;
   }
 
   freeze(forMs: number): void {
-    this.until = this.clock.now() + forMs;
+    this.frozenUntil = this.clock.now() + forMs;
   }
 
-  async pass(): Promise<void> {
-    while (this.isFrozen) await this.clock.sleep(this.until - this.clock.now());
+  async untilThawed(): Promise<void> {
+    while (this.isFrozen) await this.clock.sleep(this.frozenUntil - this.clock.now());
   }
 
-  private async pause(when: Trap['when'], path: string, body?: unknown): Promise<void> {
-    const trap = [...this.traps].find(
+  private async pauseAt(when: Trap['when'], path: string, body?: unknown): Promise<void> {
+    const trigger = [...this.triggers].find(
       (each) => each.when === when && each.path.test(path) && (each.where === undefined || each.where(body)),
     );
-    if (trap !== undefined) this.freeze(trap.forMs);
-    this.traps.delete(trap!);
-    await this.pass();
+    if (trigger !== undefined) this.freeze(trigger.forMs);
+    this.triggers.delete(trigger!);
+    await this.untilThawed();
   }
 
-  /** Requests of a process that has ended are never sent, and answers to it never heard. */
-  client(client: HttpClient, ended: AbortSignal): HttpClient {
+  /** Wraps a client. After the process has ended, it sends no request and receives no answer. */
+  wrapClient(client: HttpClient, ended: AbortSignal): HttpClient {
     const never = new Promise<Reply>(() => undefined);
     return {
       // eslint-disable-next-line max-params -- the signature of HttpClient
       call: async (address, method, path, body, options) => {
-        await this.pause('sending', path, body);
+        await this.pauseAt('sending', path, body);
         if (ended.aborted) return never;
         try {
           return await client.call(address, method, path, body, options);
         } finally {
-          await this.pause('answered', path, body);
+          await this.pauseAt('answered', path, body);
           if (ended.aborted) await never;
         }
       },
@@ -72,9 +72,9 @@
   }
 
   async serve<T>(path: string, answer: () => Promise<T> | T): Promise<T> {
-    await this.pass();
+    await this.untilThawed();
     const reply = await answer();
-    await this.pause('answering', path);
+    await this.pauseAt('answering', path);
     return reply;
   }
 }
--- a/testing/heartbeat-sender.ts
+++ b/testing/heartbeat-sender.ts
@@ -1,13 +1,13 @@
-/** When and to which node a stand-in of a worker sends its heartbeats, and what it takes from the answers. */
+/** Sends the heartbeats of a fake worker: when, to which node, and what becomes of the answers. */
 import type { Clock } from '../src/net/clock.js';
 import type { Reply } from '../src/net/http-client.js';
 import { type CommandBatch, decodeCommandBatch, decodeRedirect } from './fake-worker-wire-codec.js';
 
-/** ms for which a worker waits for an answer to its heartbeat, and ms until it then tries the next node. */
-export const ANSWER_MS = 4000;
-const NEXT_NODE_MS = 1000;
+/** How long a worker waits for an answer to its heartbeat, and how long it then waits before it tries the next node. */
+export const ANSWER_TIMEOUT_MS = 4000;
+const NEXT_NODE_DELAY_MS = 1000;
 
-/** Brings a node's answer to a heartbeat; undefined: there is none. */
+/** Sends a heartbeat to a node and returns its answer; undefined if there is none. */
 export type SendHeartbeat = (node: string, heartbeat: object) => Promise<Reply | undefined>;
 
 /** The worker whose heartbeats are sent. */
@@ -16,27 +16,27 @@
   readonly agentEpoch: number;
   composeHeartbeat(): object;
   untilResumed(): Promise<void>;
-  /** Brings the worker's tasks and its lease up to date. */
+  /** Applies the changes of the worker's tasks and lease that are due. */
   processDue(): void;
-  /** The answer to a heartbeat of that agent epoch, sent at that time. */
+  /** Processes the answer to a heartbeat that was sent at `sentAt` in that agent epoch. */
   acceptAnswer(batch: CommandBatch, sentAt: number, agentEpoch: number): void;
 }
 
-/** One heartbeat at a time, to the same node as long as that one answers or redirects. */
+/** Sends one heartbeat at a time, to the same node until it redirects or does not answer in time with success. */
 export class HeartbeatSender {
   private node: string | undefined;
   private isSending = false;
-  /** Until then it waits before it tries another node. */
-  private waitsUntil = -Infinity;
+  /** When the next node is tried after a failure. */
+  private retryAt = -Infinity;
 
   constructor(
     private readonly clock: Clock,
     private readonly source: HeartbeatSource,
   ) {}
 
-  /** Sends one heartbeat, unless one is on its way or a node has just failed to answer. */
+  /** Sends one heartbeat, unless one is in flight, the worker is suspended, or a node has just failed to answer. */
   async send(nodes: readonly string[], send: SendHeartbeat): Promise<void> {
-    if (this.isSending || this.source.isSuspended || this.clock.now() < this.waitsUntil) return;
+    if (this.isSending || this.source.isSuspended || this.clock.now() < this.retryAt) return;
     this.isSending = true;
     await this.sendNow(nodes, send);
     this.isSending = false;
@@ -51,7 +51,7 @@
     const answer = await send(node, heartbeat);
     await this.source.untilResumed();
     this.source.processDue();
-    const reply = this.clock.now() - sentAt > ANSWER_MS ? undefined : answer;
+    const reply = this.clock.now() - sentAt > ANSWER_TIMEOUT_MS ? undefined : answer;
     if (reply?.status === 200) this.source.acceptAnswer(decodeCommandBatch(reply.body), sentAt, agentEpoch);
     else this.chooseNode(nodes, node, reply);
   }
@@ -63,6 +63,6 @@
       return;
     }
     this.node = nodes[(nodes.indexOf(failed) + 1) % nodes.length]!;
-    this.waitsUntil = this.clock.now() + NEXT_NODE_MS;
+    this.retryAt = this.clock.now() + NEXT_NODE_DELAY_MS;
   }
 }
--- a/testing/invariant-checker.ts
+++ b/testing/invariant-checker.ts
@@ -1,6 +1,6 @@
 /**
- * Checks a scenario by the protocol's rules alone: by what ran on the machines and by what users were told. It knows nothing
- * of the product's records.
+ * Checks a scenario against the protocol's rules: only by what ran on the machines and what users were told, never by
+ * the scheduler's own records.
  */
 import type { MachineType } from '../src/domain/machine-type.js';
 import { AnswerChecker, type AnswerRule, type UserAnswer } from './answer-checker.js';
@@ -12,7 +12,7 @@
 import { invalidField } from './submission-wire-schema.js';
 import { jobIdOf, taskIndexOf } from './task-id.js';
 
-/** The rules that a scenario can break. */
+/** The rules that a scenario can violate. */
 export type Rule =
   | AnswerRule
   | 'ran_twice'
@@ -25,35 +25,36 @@
   | 'placed_twice'
   | 'older_token';
 
-/** ms for which a job may wait while there is room for it, once all faults are over. */
-const WAITING_MS = 90_000;
+/** Longest time for which a job may wait while there is room for it, after all faults have ended. */
+const MAX_WAIT_MS = 90_000;
 
-/** What the rules depend on. */
+/** Limits and machine types that the rules refer to. */
 export interface InvariantCheckerOptions {
   teams: readonly TeamLimits[];
   machineTypes: readonly MachineType[];
-  /** s within which a cancelled job must have left all machines. */
+  /** Seconds after a cancellation by which no task of the job may run any more. */
   cancelS: number;
 }
 
-/** Is told all that happens in a scenario, and collects the violations. */
+/** Observes all events of a scenario and collects the rule violations. */
 export class InvariantChecker {
-  /** Every rule that was broken, in the order of finding. */
-  readonly violations: { rule: Rule; at: number; what: string }[] = [];
+  /** All violations, in the order in which they were found. */
+  readonly violations: { rule: Rule; at: number; details: string }[] = [];
   /**
-   * Starts after a confirmed cancellation whose command was on its way by then: allowed, as long as they end in time.
+   * Tasks that started after a confirmed cancellation because their launch command was already in flight: allowed, as
+   * long as they end in time.
    */
   readonly lateStarts: string[] = [];
-  private readonly seen = new Set<string>();
+  private readonly reported = new Set<string>();
   private readonly observed = new ObservedCluster();
   private faultsEndedAt = Infinity;
   private readonly rules: PlacementRules;
   private readonly pipelines: PipelineChecker;
   private readonly answers: AnswerChecker;
-  /** Which launches workers executed, over takeovers. */
+  /** The launches that workers executed, across takeovers. */
   readonly placements = new PlacementHistory(
     (taskId) => this.observed.jobs.get(jobIdOf(taskId))?.spec?.kind === 'gang',
-    (rule, at, what) => this.addViolation(rule, at, what),
+    (rule, at, details) => this.addViolation(rule, at, details),
   );
 
   constructor(private readonly options: InvariantCheckerOptions) {
@@ -65,57 +66,58 @@
       rules: this.rules,
       pipelines: this.pipelines,
       faultsEndedAt: () => this.faultsEndedAt,
-      addViolation: (rule, at, what) => this.addViolation(rule, at, what),
+      addViolation: (rule, at, details) => this.addViolation(rule, at, details),
     });
   }
 
-  /** What was broken, in words; empty if all is well. */
+  /** Runs the periodic checks once more and describes all violations; empty if there are none. */
   verdict(at: number): string[] {
     this.checkNow(at);
-    return this.violations.map((each) => `${each.rule} at ${each.at}: ${each.what}`);
+    return this.violations.map((each) => `${each.rule} at ${each.at}: ${each.details}`);
   }
 
-  private addViolation(rule: Rule, at: number, what: string): void {
-    const key = `${rule} ${what}`;
-    if (this.seen.has(key)) return;
-    this.seen.add(key);
-    this.violations.push({ rule, at, what });
+  private addViolation(rule: Rule, at: number, details: string): void {
+    const key = `${rule} ${details}`;
+    if (this.reported.has(key)) return;
+    this.reported.add(key);
+    this.violations.push({ rule, at, details });
   }
 
-  // What happens on machines.
+  // Events on machines.
 
   machineUp(machineId: string, machine: { machineType: string; zone: string; isSpot: boolean }): void {
     this.observed.machines.set(machineId, { ...machine, isUsable: true, isFaulty: false });
   }
 
-  /** Whether commands and answers reach it now. */
+  /** Records whether the machine can be reached and used for new tasks now. */
   machineUsable(machineId: string, isUsable: boolean): void {
     const machine = this.observed.machines.get(machineId);
     if (machine !== undefined) machine.isUsable = isUsable;
   }
 
-  /** The machine is gone, with all that was on it. */
+  /** The machine no longer exists, nor do the tasks that ran on it. */
   machineGone(at: number, machineId: string): void {
     for (const run of [...this.observed.runs])
       if (run.machineId === machineId) this.taskEnded(at, machineId, run.taskId, 'gone');
     this.observed.machines.delete(machineId);
   }
 
-  /** A task is on a machine: it has its image. `commandedAt`: when the command that led to it was sent. */
+  /** A task has its image and starts on a machine. `commandedAt`: when its launch command was sent. */
   taskStarted(at: number, machineId: string, taskId: string, commandedAt = at): void {
     const jobId = jobIdOf(taskId);
     const run: ObservedRun = { machineId, taskId, jobId };
     const job = this.observed.job(jobId);
     this.checkSingleRun(at, run);
     this.checkNotCancelled(at, run, job, commandedAt);
-    const open = this.pipelines.openPredecessor(job);
-    if (open !== undefined) this.addViolation('too_early', at, `${taskId} on ${machineId}, before ${open} is done`);
-    this.checkPlace(at, run, job);
+    const unfinished = this.pipelines.unfinishedDependency(job);
+    if (unfinished !== undefined)
+      this.addViolation('too_early', at, `${taskId} on ${machineId}, before ${unfinished} is done`);
+    this.checkPlacement(at, run, job);
     this.observed.runs.add(run);
     job.waitingSince = undefined;
     if (job.spec === undefined) return;
-    const why = this.rules.whyOverLimit(job.spec, 0);
-    if (why !== undefined) this.addViolation('quota', at, `${taskId}: ${why}`);
+    const reason = this.rules.quotaViolation(job.spec, 0);
+    if (reason !== undefined) this.addViolation('quota', at, `${taskId}: ${reason}`);
   }
 
   private checkSingleRun(at: number, { machineId, taskId }: ObservedRun): void {
@@ -127,43 +129,43 @@
 
   private checkNotCancelled(at: number, run: ObservedRun, { cancelledAt }: ObservedJob, commandedAt: number): void {
     if (cancelledAt === undefined || at <= cancelledAt) return;
-    const what = `${run.taskId} on ${run.machineId}, ${at - cancelledAt} ms after its cancellation`;
-    if (commandedAt > cancelledAt) this.addViolation('started_cancelled', at, what);
-    else this.lateStarts.push(what);
+    const details = `${run.taskId} on ${run.machineId}, ${at - cancelledAt} ms after its cancellation`;
+    if (commandedAt > cancelledAt) this.addViolation('started_cancelled', at, details);
+    else this.lateStarts.push(details);
   }
 
-  private checkPlace(at: number, { machineId, taskId }: ObservedRun, { spec }: ObservedJob): void {
+  private checkPlacement(at: number, { machineId, taskId }: ObservedRun, { spec }: ObservedJob): void {
     const machine = this.observed.machines.get(machineId);
     if (spec === undefined || machine === undefined) return;
-    const why = this.rules.whyWrongPlace(spec, machine);
-    if (why !== undefined) this.addViolation('wrong_place', at, `${taskId} on ${machineId}: ${why}`);
+    const reason = this.rules.placementViolation(spec, machine);
+    if (reason !== undefined) this.addViolation('wrong_place', at, `${taskId} on ${machineId}: ${reason}`);
   }
 
   taskEnded(at: number, machineId: string, taskId: string, exitReason: string): void {
     const job = this.observed.job(jobIdOf(taskId));
     for (const run of this.observed.runs) {
       if (run.machineId !== machineId || run.taskId !== taskId) continue;
-      this.checkGone(at, run);
+      this.checkStoppedInTime(at, run);
       this.observed.runs.delete(run);
     }
     const machine = this.observed.machines.get(machineId);
     if (machine !== undefined && exitReason === 'error') machine.isFaulty = true;
     if (exitReason !== 'done') return;
     job.done.add(taskIndexOf(taskId));
-    // A gang completes together.
+    // All tasks of a gang finish together.
     if (job.spec?.kind === 'gang') for (let index = 0; index < job.spec.taskCount; index++) job.done.add(index);
   }
 
-  /** Is a task of a cancelled job still on its machine when it should be gone? */
-  private checkGone(at: number, run: ObservedRun): void {
+  /** Adds a violation if a task of a cancelled job is still on its machine after the time allowed. */
+  private checkStoppedInTime(at: number, run: ObservedRun): void {
     const { cancelledAt } = this.observed.job(run.jobId);
     if (cancelledAt === undefined || at - cancelledAt <= this.options.cancelS * 1000) return;
     this.addViolation('ran_cancelled', at, `${run.taskId} on ${run.machineId}, cancelled at ${cancelledAt}`);
   }
 
-  // What users ask and are told.
+  // Requests of users, and the answers to them.
 
-  /** A user sends a job, for the first time or again. */
+  /** A user submits a job, for the first time or as a retry. */
   submitted(body: unknown): void {
     const jobId = decodeSubmittedId(body);
     if (jobId === undefined) return;
@@ -171,27 +173,27 @@
     if (invalidField(body) === undefined) job.spec ??= decodeSubmission(body);
   }
 
-  cancelAsked(at: number, jobId: string): void {
-    // A job that nobody has submitted stays unknown.
+  cancelRequested(at: number, jobId: string): void {
+    // A request for a job that was never submitted is not recorded.
     const job = this.observed.jobs.get(jobId);
-    if (job !== undefined) job.cancelAskedAt ??= at;
+    if (job !== undefined) job.cancelRequestedAt ??= at;
   }
 
-  /** A user has got an answer, or has waited for it in vain. */
-  answered(answer: UserAnswer): void {
-    this.answers.answered(answer);
+  /** A user has received an answer or given up waiting for it. */
+  answerReceived(answer: UserAnswer): void {
+    this.answers.check(answer);
   }
 
-  // What is broken by nothing happening.
+  // Violations by inaction: something that should happen does not.
 
-  /** From now on no fault excuses silence or waiting. */
+  /** The last fault has ended: from now on, requests must be answered and jobs must start in time. */
   faultsEnded(at: number): void {
     this.faultsEndedAt = at;
   }
 
-  /** To be called every second or so, and at the end. */
+  /** Checks for overdue events; to be called about every second, and at the end. */
   checkNow(at: number): void {
-    for (const run of this.observed.runs) this.checkGone(at, run);
+    for (const run of this.observed.runs) this.checkStoppedInTime(at, run);
     if (at < this.faultsEndedAt) return;
     for (const [jobId, job] of this.observed.jobs) {
       if (!this.couldStart(job)) {
@@ -199,16 +201,16 @@
         continue;
       }
       job.waitingSince ??= at;
-      if (at - Math.max(job.waitingSince, this.faultsEndedAt) < WAITING_MS) continue;
+      if (at - Math.max(job.waitingSince, this.faultsEndedAt) < MAX_WAIT_MS) continue;
       this.addViolation('left_waiting', at, `${jobId}, though there is room`);
     }
   }
 
-  /** Does a task of the job (of a gang: all that are missing) wait that could start at once? */
+  /** Could one more task of the job (of a gang: all missing tasks) start right now? */
   private couldStart(job: ObservedJob): boolean {
-    const { spec, acceptedAt, cancelAskedAt, done } = job;
-    if (spec === undefined || acceptedAt === undefined || cancelAskedAt !== undefined) return false;
-    if (this.pipelines.openPredecessor(job) !== undefined || this.pipelines.isCancelled(job)) return false;
+    const { spec, acceptedAt, cancelRequestedAt, done } = job;
+    if (spec === undefined || acceptedAt === undefined || cancelRequestedAt !== undefined) return false;
+    if (this.pipelines.unfinishedDependency(job) !== undefined || this.pipelines.isCancelled(job)) return false;
     const started = new Set(this.observed.runsOf(spec.id).map((run) => run.taskId)).size;
     const missing = spec.taskCount - done.size - started;
     return missing > 0 && this.rules.hasRoom(spec, spec.kind === 'gang' ? missing : 1);
--- a/testing/job-status-wire-codec.ts
+++ b/testing/job-status-wire-codec.ts
@@ -1,9 +1,9 @@
-/** What users are told of a job: the wire names, and their translation. */
+/** The wire format of answers about a job: its wire names and their translation. */
 
-/** The state of a job; other words of a controller stay as they are. */
+/** The state of a job; unknown wire values are kept unchanged. */
 export type JobState = 'queued' | 'running' | 'done' | 'cancelled';
 
-/** What a user is told of a job; the answers to submissions and cancellations lack the counts. */
+/** The status of a job; answers to submissions and cancellations lack the counts. */
 export interface JobStatus {
   id: string;
   state: JobState;
@@ -15,7 +15,7 @@
 
 const decodeState = (wire: string): JobState => (wire === WIRE_CANCELLED ? 'cancelled' : (wire as JobState));
 
-/** The state that an answer tells; undefined: it tells none. */
+/** The job state in an answer; undefined if it has none. */
 export function decodeJobState(body: unknown): JobState | undefined {
   const wire = (body as { Phase?: string } | undefined)?.Phase;
   return wire === undefined ? undefined : decodeState(wire);
@@ -33,7 +33,7 @@
   return { id, state: decodeState(Phase), ...counts };
 }
 
-/** The answer in which a user is told a job's state, for tests of those who read it. */
+/** An answer with a job's state, for tests of code that reads such answers. */
 export const encodeJobState = (id: string, state: JobState): object => ({
   Ref: id,
   Phase: state === 'cancelled' ? WIRE_CANCELLED : state,
--- a/testing/link-faults.ts
+++ b/testing/link-faults.ts
@@ -1,21 +1,21 @@
-/** Lasting losses between the hosts of a cluster, as a scenario sets them. */
+/** Lasting faults of the links between the hosts of a cluster, as a scenario sets them. */
 import type { NetworkFault } from './fake-network.js';
 
-/** Which hosts do not reach which. */
+/** Which hosts cannot reach which others. */
 export class LinkFaults {
-  /** Workers that are dead or cut off from all nodes. */
+  /** Workers that are dead or disconnected from all other hosts. */
   readonly cut = new Set<string>();
-  /** Workers whose heartbeats arrive, but which neither answers nor commands reach. */
+  /** Workers whose heartbeats arrive, but which receive neither answers nor commands. */
   readonly inboundLoss = new Set<string>();
-  /** Workers that reach no node, while direct commands reach them. */
+  /** Workers whose heartbeats reach no node, but which receive and answer direct commands. */
   readonly outboundLoss = new Set<string>();
-  /** Pairs "i-000001>n1" of a worker and a node that it can't reach. */
+  /** Pairs "i-000001>n1" of a worker and a node that it cannot reach. */
   readonly unreachable = new Set<string>();
   /** Pairs "n0>n1" of nodes whose gossip does not arrive. */
   readonly partitioned = new Set<string>();
 
-  /** What is lost between two hosts. */
-  lossBetween(from: string, to: string): NetworkFault['kind'] | undefined {
+  /** The kind of fault between two hosts; undefined if messages get through. */
+  faultBetween(from: string, to: string): NetworkFault['kind'] | undefined {
     const isLost =
       [from, to].some((machineId) => this.cut.has(machineId)) ||
       this.inboundLoss.has(to) ||
@@ -25,7 +25,7 @@
     return this.inboundLoss.has(from) ? 'answerLost' : undefined;
   }
 
-  /** Do commands reach the worker, and its heartbeats some node? */
+  /** Do commands reach the worker, and can its heartbeats reach nodes? */
   isReachable(machineId: string): boolean {
     return ![this.cut, this.inboundLoss, this.outboundLoss].some((machineIds) => machineIds.has(machineId));
   }
--- a/testing/loopback-cluster.ts
+++ b/testing/loopback-cluster.ts
@@ -1,6 +1,6 @@
 /**
- * Real controller processes on the loopback, with the stand-ins of store, cloud and workers served over HTTP. Processes are
- * started by the deploy file's command, and ended, stopped and continued by their ids.
+ * Real controller processes on the loopback interface, with the fakes of store, cloud and workers served over HTTP. The
+ * processes are started by the deploy file's command, and are sent signals to end, stop and continue them.
  */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
@@ -18,19 +18,19 @@
 import { decodeTransaction, type StoreTransaction } from './fake-store-wire-codec.js';
 import { FakeWorker } from './fake-worker.js';
 import { C8, jobOf, settingsFileOf } from './fixtures.js';
-import { ANSWER_MS } from './heartbeat-sender.js';
+import { ANSWER_TIMEOUT_MS } from './heartbeat-sender.js';
 import { InvariantChecker } from './invariant-checker.js';
 import { freeAddress, LoopbackServer } from './loopback-server.js';
 import { decodeSubmission, type Submission } from './submission-wire-codec.js';
 import type { JobDescription } from './worker-environment.js';
 
-/** What a cluster of processes is made of. */
+/** Configuration of a cluster of processes. */
 export interface LoopbackOptions {
   nodes: number;
   machines: number;
-  /** The operators' settings, a file. */
+  /** Path of the tuning file. */
   tuning: string;
-  /** ms that batch tasks run. */
+  /** Duration of batch tasks, ms. */
   runMs: number;
 }
 
@@ -40,29 +40,29 @@
   process: ChildProcess | undefined;
 }
 
-/** Waits of the stand-ins keep no process alive. */
-const idleClock: Clock = {
+/** A clock for the fakes whose waits do not keep the process alive. */
+const unreferencedClock: Clock = {
   ...systemClock,
   sleep: async (ms, signal) => {
-    // Longer waits than a timer takes are for what never comes.
-    const wait = Math.min(ms, LONGEST_WAIT_MS);
-    await delay(wait, undefined, { signal, ref: false }).catch(() => undefined);
+    // Waits longer than the maximum delay of a timer are for events that never happen.
+    const waitMs = Math.min(ms, LONGEST_WAIT_MS);
+    await delay(waitMs, undefined, { signal, ref: false }).catch(() => undefined);
   },
 };
 
 const LONGEST_WAIT_MS = 3_600_000;
 const TICK_MS = 100;
-const EXPIRE_MS = 20;
+const LEASE_EXPIRY_PERIOD_MS = 20;
 const HTTP_SOCKETS = 256;
 
-/** Starts and ends the processes, serves the stand-ins, and checks the rules. */
+/** Starts and ends the processes, serves the fakes, and checks the rules. */
 export class LoopbackCluster {
-  readonly store = new FakeStore(idleClock);
+  readonly store = new FakeStore(unreferencedClock);
   readonly cloud = new FakeCloud([C8]);
   readonly checker = new InvariantChecker({ teams: [{ name: 'red' }], machineTypes: [C8], cancelS: 36 });
-  /** What the controllers write to standard error. */
+  /** The lines that the controllers write to standard error. */
   readonly logLines: string[] = [];
-  /** Called with each transaction that the store has made. */
+  /** Called with each transaction that the store has executed. */
   onTransaction: (transaction: StoreTransaction) => void = () => undefined;
   private readonly folder = mkdtempSync(join(tmpdir(), 'dewlatch-loopback-'));
   private readonly controllers: ControllerProcess[] = [];
@@ -82,7 +82,7 @@
     await this.startControllers(storeAddress, cloudAddress);
     const names = this.controllers.map((_, index) => `n${index}`);
     this.timers.push(
-      setInterval(() => this.store.expire(), EXPIRE_MS),
+      setInterval(() => this.store.expireLeases(), LEASE_EXPIRY_PERIOD_MS),
       setInterval(() => this.sendHeartbeats(names), TICK_MS * 5),
     );
   }
@@ -105,14 +105,14 @@
     const environment = {
       leaseS: 10,
       describe: (jobId: string) => this.jobs.get(jobId),
-      gangs: new FakeGangs(idleClock, 30_000, 4000),
+      gangs: new FakeGangs(unreferencedClock, 30_000, 4000),
       results: new Set<string>(),
     };
     for (let n = 0; n < this.options.machines; n++) {
       const machineId = `i-${String(n).padStart(6, '0')}`;
       const zone = ['a', 'b', 'c'][n % 3]!;
       const { runMs } = this.options;
-      const worker = new FakeWorker(idleClock, { machineId, zone, runMs }, C8, environment);
+      const worker = new FakeWorker(unreferencedClock, { machineId, zone, runMs }, C8, environment);
       worker.endpoint = await this.serve((_method, path, body) => worker.handle(path, body));
       this.watchWorker(worker, machineId, zone);
       this.workers.push(worker);
@@ -123,8 +123,8 @@
     const now = () => systemClock.now();
     this.checker.machineUp(machineId, { machineType: 'c8', zone, isSpot: false });
     this.cloud.machines.set(machineId, { machineType: 'c8', zone, isSpot: false, state: 'running', ageS: 100 });
-    worker.onStart = (taskId, orderedAt) => this.checker.taskStarted(now(), machineId, taskId, orderedAt);
-    worker.onEnd = (taskId, cause) => this.checker.taskEnded(now(), machineId, taskId, cause);
+    worker.onStart = (taskId, commandedAt) => this.checker.taskStarted(now(), machineId, taskId, commandedAt);
+    worker.onEnd = (taskId, exitReason) => this.checker.taskEnded(now(), machineId, taskId, exitReason);
     worker.onLaunch = (taskId, attempt, fencingToken) =>
       this.checker.placements.launched(now(), { machineId, taskId, attempt, fencingToken });
   }
@@ -144,13 +144,13 @@
     }
   }
 
-  /** Starts the controller by the deploy file's command. */
+  /** Starts the controller with the deploy file's command. */
   startController(index: number): void {
     const controller = this.controllers[index]!;
     const deployment = parse(readFileSync('deploy/service.toml', 'utf8')) as { run: string };
     const [command, ...flags] = deployment.run.replace('deploy/tuning.toml', this.options.tuning).split(' ');
     const child = spawn(command!, [...flags, controller.settingsFile], { stdio: ['ignore', 'ignore', 'pipe'] });
-    child.stderr.on('data', (part: Buffer) => this.logLines.push(...part.toString('utf8').trim().split('\n')));
+    child.stderr.on('data', (chunk: Buffer) => this.logLines.push(...chunk.toString('utf8').trim().split('\n')));
     controller.process = child;
   }
 
@@ -163,20 +163,22 @@
     for (const worker of this.workers) {
       void worker.sendHeartbeat([...names], (node, heartbeat) =>
         this.http
-          .call(this.controllers[Number(node.slice(1))]!.address, 'POST', '/hello', heartbeat, { timeoutMs: ANSWER_MS })
+          .call(this.controllers[Number(node.slice(1))]!.address, 'POST', '/hello', heartbeat, {
+            timeoutMs: ANSWER_TIMEOUT_MS,
+          })
           .catch(() => undefined),
       );
     }
   }
 
-  /** A user submits a job to one of the nodes, trying one after the other. */
+  /** A user submits a job, trying one node after the other. */
   async submit(fields: Partial<Submission>): Promise<boolean> {
     const jobId = `j-${String(this.submitted++).padStart(6, '0')}`;
     const body = jobOf({ id: jobId, ...fields });
     this.jobs.set(jobId, decodeSubmission(body));
     this.checker.submitted(body);
-    for (let turn = 0; turn < this.controllers.length * 2; turn++) {
-      const { address } = this.controllers[(this.submitted + turn) % this.controllers.length]!;
+    for (let attempt = 0; attempt < this.controllers.length * 2; attempt++) {
+      const { address } = this.controllers[(this.submitted + attempt) % this.controllers.length]!;
       const reply = await this.http
         .call(address, 'POST', '/v1/jobs', body, { timeoutMs: 1000, connectMs: 500 })
         .catch(() => undefined);
@@ -191,26 +193,26 @@
     return { node: Number((row.value as { node: string }).node.slice(1)), fencingToken: row.modRevision };
   }
 
-  /** Waits for an event, without a fixed time; throws when it has not come about for very long. */
-  async until(condition: () => boolean, what: string, limitMs = 60_000): Promise<void> {
+  /** Waits until the condition holds; throws an error with the description if it does not within the limit. */
+  async until(condition: () => boolean, description: string, limitMs = 60_000): Promise<void> {
     const end = systemClock.now() + limitMs;
     while (!condition()) {
-      if (systemClock.now() > end) throw new Error(`${what}: not within ${limitMs} ms`);
+      if (systemClock.now() > end) throw new Error(`${description}: not within ${limitMs} ms`);
       await systemClock.sleep(2);
     }
   }
 
-  /** Ends all processes and servers; tells which rules were broken. */
+  /** Ends all processes and servers, and describes the violated rules. */
   stop(): string[] {
     for (const timer of this.timers) clearInterval(timer);
     for (const controller of this.controllers) {
       controller.process?.kill('SIGCONT');
       controller.process?.kill('SIGKILL');
     }
-    for (const worker of this.workers) worker.die();
+    for (const worker of this.workers) worker.terminate();
     for (const server of this.servers) server.close();
     this.http.close();
     rmSync(this.folder, { recursive: true, force: true });
-    return this.checker.violations.map(({ rule, what }) => `${rule}: ${what}`);
+    return this.checker.violations.map(({ rule, details }) => `${rule}: ${details}`);
   }
 }
--- a/testing/loopback-server.ts
+++ b/testing/loopback-server.ts
@@ -1,4 +1,4 @@
-/** Serves a stand-in over HTTP on the loopback, by the same handlers that the in-memory network calls. */
+/** Serves a fake over HTTP on the loopback interface, with the handlers that the in-memory network also calls. */
 import { createServer, type IncomingMessage } from 'node:http';
 import type { AddressInfo } from 'node:net';
 
@@ -7,9 +7,9 @@
 export type LoopbackHandler = (method: string, path: string, body: unknown) => Promise<Reply> | Reply;
 
 async function readBody(request: IncomingMessage): Promise<unknown> {
-  const parts: Buffer[] = [];
-  for await (const part of request) parts.push(part as Buffer);
-  const text = Buffer.concat(parts).toString('utf8');
+  const chunks: Buffer[] = [];
+  for await (const chunk of request) chunks.push(chunk as Buffer);
+  const text = Buffer.concat(chunks).toString('utf8');
   return text === '' ? undefined : (JSON.parse(text) as unknown);
 }
 
@@ -29,7 +29,7 @@
     this.server.keepAliveTimeout = 60_000;
   }
 
-  /** Returns the address. */
+  /** Listens on a free port and returns the address. */
   async listen(): Promise<string> {
     await new Promise<void>((resolve) => this.server.listen(0, '127.0.0.1', resolve));
     return `127.0.0.1:${(this.server.address() as AddressInfo).port}`;
@@ -41,7 +41,7 @@
   }
 }
 
-/** A port of the loopback that nobody listens on at this moment. */
+/** An address on the loopback interface whose port is free at the moment. */
 export async function freeAddress(): Promise<string> {
   const server = new LoopbackServer(() => ({ status: 404, body: {} }));
   const address = await server.listen();
--- a/testing/observed-cluster.ts
+++ b/testing/observed-cluster.ts
@@ -1,34 +1,34 @@
-/** What the invariant checker has seen of a scenario: its machines, jobs and running tasks. */
+/** The invariant checker's view of a scenario: its machines, jobs and running tasks. */
 import type { Submission } from './submission-wire-codec.js';
 
-/** A machine, as the cloud and the network show it. */
+/** A machine as seen from outside. */
 export interface ObservedMachine {
   machineType: string;
   zone: string;
   isSpot: boolean;
-  /** Can be reached and is not suspended. */
+  /** It can be reached, is not suspended and has no spot notice. */
   isUsable: boolean;
-  /** A task failed there. */
+  /** A task has failed on it. */
   isFaulty: boolean;
 }
 
-/** A job, as its user and the machines have seen it. */
+/** A job as its user and the machines have observed it. */
 export interface ObservedJob {
-  /** Undefined as long as every submission of it was malformed. */
+  /** Undefined until a well-formed submission of the job has been seen. */
   spec?: Submission;
-  /** Times of the first such answer that its user got. */
+  /** When its user was first told that it is accepted, done or cancelled. */
   acceptedAt?: number;
   doneAt?: number;
   cancelledAt?: number;
-  /** When its user first asked to cancel it. */
-  cancelAskedAt?: number;
-  /** Tasks that are done, by their index. */
+  /** When its user first requested the cancellation. */
+  cancelRequestedAt?: number;
+  /** Indexes of the tasks that are done. */
   done: Set<number>;
   unansweredSince?: number;
   waitingSince?: number;
 }
 
-/** A task on a machine. */
+/** A task that is running on a machine. */
 export interface ObservedRun {
   machineId: string;
   taskId: string;
@@ -41,7 +41,7 @@
   readonly jobs = new Map<string, ObservedJob>();
   readonly runs = new Set<ObservedRun>();
 
-  /** The job, known from now on. */
+  /** The job's state, created on first use. */
   job(jobId: string): ObservedJob {
     const known = this.jobs.get(jobId);
     if (known !== undefined) return known;
--- a/testing/placement-rules.ts
+++ b/testing/placement-rules.ts
@@ -1,23 +1,24 @@
-/** Where tasks may run, by the protocol's rules alone: types, zones, free resources and the limits of teams. */
+/** Where tasks may run according to the protocol: machine types, zones, free resources and team limits. */
 import type { MachineType } from '../src/domain/machine-type.js';
 import { resourcesOf, subtractResources } from '../src/domain/resources.js';
 import type { ObservedCluster, ObservedMachine } from './observed-cluster.js';
 import type { Submission } from './submission-wire-codec.js';
 
-/** Amounts are decimal numbers, so sums may be off by their last digits. */
-const EPS = 1e-6;
+/** Sums of decimal amounts have rounding errors. */
+const ROUNDING_TOLERANCE = 1e-6;
 
-/** A team with its limits, as the settings file names them; 0 or left out: no limit. */
+/** A team with its limits, under their names in the settings file; 0 or absent: no limit. */
 export interface TeamLimits {
   name: string;
   cpus_max?: number;
   gpus_max?: number;
 }
 
-/** Are the amounts that a job needs of something over its team's limit? */
-const isOver = (limit: number, needed: number, used: number): boolean => limit > 0 && needed > 0 && used > limit + EPS;
+/** Does the team's usage exceed its limit on a resource that the job needs? */
+const exceedsLimit = (limit: number, needed: number, used: number): boolean =>
+  limit > 0 && needed > 0 && used > limit + ROUNDING_TOLERANCE;
 
-/** The rules about where tasks may run, for what has been observed. */
+/** Applies the placement rules to the observed cluster. */
 export class PlacementRules {
   constructor(
     private readonly observed: ObservedCluster,
@@ -25,15 +26,15 @@
     private readonly machineTypes: readonly MachineType[],
   ) {}
 
-  /** Why a further task of the job may not run on the machine now; undefined: it may. */
-  whyWrongPlace(spec: Submission, machine: ObservedMachine): string | undefined {
+  /** Why one more task of the job may not run on the machine now; undefined if it may. */
+  placementViolation(spec: Submission, machine: ObservedMachine): string | undefined {
     if (spec.machineTypes?.includes(machine.machineType) === false) return `type ${machine.machineType}`;
     if ((spec.zone ?? machine.zone) !== machine.zone) return `zone ${machine.zone}`;
     if (machine.isSpot && !spec.allowsSpot) return 'a spot machine';
-    return this.whyWrongZone(spec, machine.zone);
+    return this.zoneViolation(spec, machine.zone);
   }
 
-  private whyWrongZone(spec: Submission, zone: string): string | undefined {
+  private zoneViolation(spec: Submission, zone: string): string | undefined {
     const zones = this.observed.runsOf(spec.id).map((run) => this.observed.zoneOf(run));
     const other = zones.find((each) => each !== zone);
     if (spec.singleZone && other !== undefined) return `zone ${zone} beside tasks in ${other}`;
@@ -42,8 +43,8 @@
     return undefined;
   }
 
-  /** Why the job's team would be over its limit with `more` of its tasks; undefined: it would not. */
-  whyOverLimit(spec: Submission, more: number): string | undefined {
+  /** Why the job's team, with `more` more tasks of the job, exceeds its limit; undefined if it does not. */
+  quotaViolation(spec: Submission, more: number): string | undefined {
     let cpus = more * spec.cpus;
     let gpus = more * spec.gpus;
     for (const run of this.observed.runs) {
@@ -53,37 +54,37 @@
       gpus += other.gpus;
     }
     const { cpus_max = 0, gpus_max = 0 } = this.teams.find((each) => each.name === spec.team) ?? {};
-    if (isOver(cpus_max, spec.cpus, cpus)) return `${spec.team} uses ${cpus} CPUs`;
-    if (isOver(gpus_max, spec.gpus, gpus)) return `${spec.team} uses ${gpus} GPUs`;
+    if (exceedsLimit(cpus_max, spec.cpus, cpus)) return `${spec.team} uses ${cpus} CPUs`;
+    if (exceedsLimit(gpus_max, spec.gpus, gpus)) return `${spec.team} uses ${gpus} GPUs`;
     return undefined;
   }
 
-  /** Why a job can never run, or is malformed; undefined: it can. */
-  whyNever(spec: Submission | undefined): string | undefined {
+  /** Why a job is malformed or can never run; undefined if it can. */
+  rejectionReason(spec: Submission | undefined): string | undefined {
     if (spec === undefined) return 'a field is missing or invalid';
     const team = this.teams.find((each) => each.name === spec.team);
     if (team === undefined) return 'unknown team';
-    if (!this.machineTypes.some((each) => isFitting(spec, each))) return 'fits no allowed machine type';
+    if (!this.machineTypes.some((each) => fitsMachineType(spec, each))) return 'fits no allowed machine type';
     const tasks = spec.kind === 'array' ? 1 : spec.taskCount;
     const { cpus_max = 0, gpus_max = 0 } = team;
-    if (isOver(cpus_max, spec.cpus, spec.cpus * tasks)) return "more CPUs than its team's limit";
-    if (isOver(gpus_max, spec.gpus, spec.gpus * tasks)) return "more GPUs than its team's limit";
+    if (exceedsLimit(cpus_max, spec.cpus, spec.cpus * tasks)) return "more CPUs than its team's limit";
+    if (exceedsLimit(gpus_max, spec.gpus, spec.gpus * tasks)) return "more GPUs than its team's limit";
     return undefined;
   }
 
-  /** Could so many more tasks of the job start at once? */
+  /** Could `needed` more tasks of the job start now? */
   hasRoom(spec: Submission, needed: number): boolean {
-    if (this.whyOverLimit(spec, needed) !== undefined) return false;
-    const counts = this.roomByZone(spec);
+    if (this.quotaViolation(spec, needed) !== undefined) return false;
+    const counts = this.freeSlotsByZone(spec);
     const room = spec.singleZone ? Math.max(0, ...counts) : counts.reduce((a, b) => a + b, 0);
     return room >= needed;
   }
 
-  private roomByZone(spec: Submission): number[] {
+  private freeSlotsByZone(spec: Submission): number[] {
     const slots = new Map<string, number>();
     for (const [machineId, machine] of this.observed.machines) {
-      if (!machine.isUsable || machine.isFaulty || this.whyWrongPlace(spec, machine) !== undefined) continue;
-      slots.set(machine.zone, (slots.get(machine.zone) ?? 0) + this.slotsOn(machineId, machine, spec));
+      if (!machine.isUsable || machine.isFaulty || this.placementViolation(spec, machine) !== undefined) continue;
+      slots.set(machine.zone, (slots.get(machine.zone) ?? 0) + this.freeSlotsOn(machineId, machine, spec));
     }
     if (!spec.spreadAcrossZones) return [...slots.values()];
     const half = Math.ceil(spec.taskCount / 2);
@@ -91,8 +92,8 @@
     return [...slots].map(([zone, count]) => Math.min(count, half - zones.filter((each) => each === zone).length));
   }
 
-  /** How many more tasks of that size the machine holds. */
-  private slotsOn(machineId: string, machine: ObservedMachine, spec: Submission): number {
+  /** How many more tasks of the job fit on the machine. */
+  private freeSlotsOn(machineId: string, machine: ObservedMachine, spec: Submission): number {
     const machineType = this.machineTypes.find((each) => each.name === machine.machineType);
     if (machineType === undefined) return 0;
     const free = resourcesOf(machineType);
@@ -101,11 +102,14 @@
       if (other !== undefined) subtractResources(free, other);
     }
     const amounts = (['cpus', 'gpus', 'memoryGb'] as const).filter((amount) => spec[amount] > 0);
-    return Math.max(0, Math.floor(Math.min(...amounts.map((amount) => (free[amount] + EPS) / spec[amount]))));
+    return Math.max(
+      0,
+      Math.floor(Math.min(...amounts.map((amount) => (free[amount] + ROUNDING_TOLERANCE) / spec[amount]))),
+    );
   }
 }
 
-const isFitting = (spec: Submission, machineType: MachineType): boolean =>
+const fitsMachineType = (spec: Submission, machineType: MachineType): boolean =>
   spec.machineTypes?.includes(machineType.name) !== false &&
   machineType.zones.includes(spec.zone ?? machineType.zones[0]!) &&
   spec.cpus <= machineType.cpus &&
--- a/testing/play-loopback.ts
+++ b/testing/play-loopback.ts
@@ -1,28 +1,30 @@
 /**
- * Measures takeovers of real processes: `npm run takeovers-loopback -- COUNT [TUNING]`, COUNT kills and as many freezes of the
- * leader under load. Prints each, then the median, the 95th percentile and the maximum.
+ * Measures takeovers between real processes: `npm run takeovers-loopback -- COUNT [TUNING]`. The leader is killed,
+ * frozen and terminated COUNT times each, under load. Prints each time, then the median, the 95th percentile and the
+ * maximum.
  */
 import { loadavg } from 'node:os';
 
 import { LoopbackCluster } from './loopback-cluster.js';
 import { type LoopbackLoss, type LoopbackTimes, loseLeader, submitUntil } from './loopback-takeover.js';
 
-const JOB_EVERY_MS = 250;
+const JOB_PERIOD_MS = 250;
 const LOSSES: LoopbackLoss[] = ['kill', 'freeze', 'terminate'];
 
 const count = Number(process.argv[2] ?? '30');
 const tuning = process.argv[3] ?? 'deploy/tuning.toml';
 
-function describe(all: readonly number[]): string {
-  const sorted = [...all].sort((a, b) => a - b);
-  const at = (share: number) => Math.round(sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))]!);
-  return `median ${at(0.5)}, 95th percentile ${at(0.95)}, maximum ${Math.round(sorted.at(-1)!)}`;
+function describe(timesMs: readonly number[]): string {
+  const sorted = [...timesMs].sort((a, b) => a - b);
+  const percentile = (share: number) =>
+    Math.round(sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))]!);
+  return `median ${percentile(0.5)}, 95th percentile ${percentile(0.95)}, maximum ${Math.round(sorted.at(-1)!)}`;
 }
 
 const cluster = new LoopbackCluster({ nodes: 3, machines: 12, tuning, runMs: 2000 });
 await cluster.start();
 const load = new AbortController();
-const submitting = submitUntil(cluster, JOB_EVERY_MS, load.signal);
+const submitting = submitUntil(cluster, JOB_PERIOD_MS, load.signal);
 for (const loss of LOSSES) {
   const times: LoopbackTimes[] = [];
   for (let n = 0; n < count; n++) {
@@ -36,6 +38,6 @@
 }
 load.abort();
 await submitting;
-const broken = cluster.stop();
-console.log(broken.length === 0 ? 'nothing was placed twice, no rule was broken' : broken.join('\n'));
-process.exitCode = broken.length === 0 ? 0 : 1;
+const violations = cluster.stop();
+console.log(violations.length === 0 ? 'nothing was placed twice, no rule was broken' : violations.join('\n'));
+process.exitCode = violations.length === 0 ? 0 : 1;
--- a/testing/production-version.ts
+++ b/testing/production-version.ts
@@ -1,4 +1,4 @@
-/** The version in production, as built from the history: its controllers under the names that it has for things. */
+/** Adapts the production version, built from an earlier commit, whose controller has other method names. */
 import { resolve } from 'node:path';
 import { pathToFileURL } from 'node:url';
 
@@ -43,7 +43,7 @@
     return this.controller.duties(signal);
   }
 
-  /** That version knows no planned handover. */
+  /** The production version has no planned handover. */
   handOver(): Promise<void> {
     return Promise.resolve();
   }
@@ -81,7 +81,7 @@
   }
 }
 
-/** `checkout`: the folder of the version, compiled with its tests. */
+/** Loads the production version. `checkout`: the folder of its sources, compiled with its tests. */
 export async function loadProductionVersion(checkout: string): Promise<ProgramVersion> {
   const load = (file: string) =>
     import(pathToFileURL(resolve(checkout, 'target/test/src', file)).href) as Promise<unknown>;
--- a/testing/program-version.ts
+++ b/testing/program-version.ts
@@ -1,4 +1,4 @@
-/** A version of the program, as far as the stand-ins need to know one from another. */
+/** A version of the program behind an interface that is the same for all versions under test. */
 import { decodeSettings, decodeTuning, type SettingsFile, type TuningFile } from '../src/config/settings-file-codec.js';
 import { Controller } from '../src/controller/controller.js';
 import { decodeMessage, encodeMessage } from '../src/gossip/message-codec.js';
@@ -8,12 +8,12 @@
 import type { HttpClient } from '../src/net/http-client.js';
 import { noLog } from './fixtures.js';
 
-/** A message between controllers, in the form of the version that sends or receives it. */
+/** A message between controllers, in the representation of the version that sends or receives it. */
 export type OpaqueMessage = object;
 
-/** A controller of any version, by what is asked of it from outside. */
+/** A controller of any version, as seen from outside. */
 export interface TestedController {
-  /** `send` carries a message to another node; false: there is no way to it. */
+  /** Sets the function that sends a message to another node; it returns false if there is no connection. */
   connect(send: (node: string, message: OpaqueMessage) => boolean): void;
   runDuties(signal: AbortSignal): Promise<void>;
   handOver(): Promise<void>;
@@ -40,8 +40,8 @@
   decodeMessage(bytes: Buffer): OpaqueMessage;
 }
 
-/** The present version. */
-class PresentController implements TestedController {
+/** A controller of the current version. */
+class CurrentController implements TestedController {
   constructor(readonly controller: Controller) {}
 
   connect(send: (node: string, message: OpaqueMessage) => boolean): void {
@@ -89,17 +89,17 @@
   }
 }
 
-/** The controller itself, for tests that look into it; only of the present version. */
-export function presentController(tested: TestedController): Controller {
-  if (!(tested instanceof PresentController)) throw new Error('the node runs another version');
+/** The controller itself, for tests that inspect its internals; only for the current version. */
+export function currentController(tested: TestedController): Controller {
+  if (!(tested instanceof CurrentController)) throw new Error('the node runs another version');
   return tested.controller;
 }
 
-/** The version that this repository holds. */
-export const PRESENT_VERSION: ProgramVersion = {
+/** The version in this repository. */
+export const CURRENT_VERSION: ProgramVersion = {
   // eslint-disable-next-line max-params -- mirrors the released version's constructor
   createController: (settings, tuning, http, clock, seed) =>
-    new PresentController(
+    new CurrentController(
       new Controller({
         ...{ http, clock, seed },
         settings: decodeSettings(settings),
