--- a/testing/random-schedule.ts
+++ b/testing/random-schedule.ts
@@ -1,26 +1,27 @@
 /** Random schedules of faults, generated from a seed. */
 import fc from 'fast-check';
 
-/** How many controllers there are. */
+/** Number of controllers. */
 export const NODES = 3;
-/** A controller each, and the machines in turn. */
+/** Each zone has one controller; the machines are distributed over them in turn. */
 export const ZONES = ['a', 'b', 'c'];
-/** How many machines there are at first, unless the schedule says otherwise. */
+/** Initial number of machines, unless the schedule sets another. */
 export const MACHINES = 9;
 /** ms within which all faults begin. */
 export const FAULT_WINDOW_MS = 20_000;
-/** ms around the begin of a fault in which users cancel jobs. */
+/** Users cancel jobs in a window around the start of a fault: ms before and after it. */
 const CANCEL_BEFORE_MS = 500;
 const CANCEL_AFTER_MS = 8000;
 
 /**
- * The larger scenarios begin when the controllers have held their partitions for longer than a lease and a hold-over: before
- * that no lease can be proved over from the claim alone, and mistakes about what is known of the workers do not show.
+ * In large scenarios, jobs are submitted only after the controllers have held their partitions for longer than a
+ * worker's lease plus the time of degraded serving: before that, no lease can be proved expired from the claim alone,
+ * and wrong assumptions about workers stay hidden.
  */
-const SETTLED_MS = { min: 40_000, max: 60_000 };
-const MACHINES_OF_LARGE = { min: 12, max: 40 };
+const LARGE_SETTLE_MS = { min: 40_000, max: 60_000 };
+const LARGE_MACHINE_COUNT = { min: 12, max: 40 };
 
-/** What can go wrong in a randomized scenario. */
+/** The kinds of faults in a randomized scenario. */
 export type FaultKind =
   | 'storeOutage'
   | 'slowStore'
@@ -50,7 +51,7 @@
   | 'cancelAtTaskEnd'
   | 'oddRequests';
 
-/** A fault of any kind, with the fields of all kinds. */
+/** A fault with the fields of all kinds; each kind uses some of them. */
 export interface ScheduledFault {
   kind: FaultKind;
   atMs: number;
@@ -60,7 +61,9 @@
   share?: number;
   slowMs?: number;
   refusedMs?: number;
-  /** Whether its peers are cut off from the refused node too. */
+  /**
+   * Whether the refused node is also cut off from its peers: never, during the refusal alone, or during the outage too.
+   */
   withoutPeers?: 'never' | 'alone' | 'throughout';
   times?: number;
   count?: number;
@@ -68,20 +71,20 @@
   when?: 'sending' | 'answered' | 'answering';
 }
 
-/** The faults of a scenario and the moments of its cancellations. */
+/** The faults of a scenario and the times of its cancellations. */
 export interface Schedule {
   seed: number;
-  /** How many machines there are at first. */
+  /** Initial number of machines. */
   machines?: number;
   /** ms from the start of the controllers to the first jobs. */
   settleMs?: number;
   faults: ScheduledFault[];
-  /** Users cancel a job each, so long after the begin of a fault. */
+  /** Each entry cancels one job, `afterMs` after the start of a fault. */
   cancels: { fault: number; afterMs: number }[];
 }
 
 const node = fc.integer({ min: 0, max: NODES - 1 });
-/** Which machines, of all that are there in the order of their names. */
+/** Indexes into the machines, sorted by id. */
 const machines = fc.uniqueArray(fc.integer({ min: 0, max: MACHINES - 1 }), { minLength: 1, maxLength: 4 });
 const forMs = fc.integer({ min: 500, max: 25_000 });
 const longMs = fc.integer({ min: 20_000, max: 45_000 });
@@ -128,11 +131,14 @@
   faultOf('cancelAtTaskEnd', { forMs }),
   faultOf('oddRequests', { forMs: fc.constant(0) }),
 ];
-/** A fault of any kind that small scenarios know. */
-export const anyFault = fc.oneof(...smallFaults);
+/** A fault of any kind that occurs in small scenarios. */
+export const smallScenarioFault = fc.oneof(...smallFaults);
 
-/** What the first scenarios lacked: answers and heartbeats lost at random, a store too busy to write, leaders of partitions out of reach. */
-const anyFaultOfLarge = fc.oneof(
+/**
+ * Adds kinds that small scenarios lack: randomly lost answers and heartbeats, a store that is too busy to write,
+ * unreachable leaders of partitions, and delayed gossip.
+ */
+const largeScenarioFault = fc.oneof(
   ...smallFaults.map((arbitrary) => ({ arbitrary, weight: 1 })),
   { arbitrary: faultOf('messageLoss', { share, forMs }), weight: 8 },
   { arbitrary: faultOf('storeOverload', { share: fc.double({ min: 0.5, max: 1, noNaN: true }), forMs }), weight: 3 },
@@ -141,36 +147,36 @@
   { arbitrary: faultOf('restart', { node, forMs: fc.integer({ min: 0, max: 2000 }) }), weight: 3 },
 );
 
-const cancels = (least: number, most: number) =>
+const cancels = (minCount: number, maxCount: number) =>
   fc.array(
     fc.record({
       fault: fc.integer({ min: 0, max: 2 }),
       afterMs: fc.integer({ min: -CANCEL_BEFORE_MS, max: CANCEL_AFTER_MS }),
     }),
-    { minLength: least, maxLength: most },
+    { minLength: minCount, maxLength: maxCount },
   );
 const seed = fc.integer({ min: 1, max: 1_000_000 });
 
-/** Two or three faults and their moments; users cancel jobs close to them. */
+/** Two or three faults at random times, with cancellations around them. */
 export const schedules: fc.Arbitrary<Schedule> = fc.record({
   seed,
-  faults: fc.array(anyFault, { minLength: 2, maxLength: 3 }),
+  faults: fc.array(smallScenarioFault, { minLength: 2, maxLength: 3 }),
   cancels: cancels(2, 6),
 });
 
-/** Tens of machines, controllers that have been up for a while, and more faults at once. */
+/** Tens of machines, controllers that have been up for a while, and more simultaneous faults. */
 export const largeSchedules: fc.Arbitrary<Schedule> = fc.record({
   seed,
-  machines: fc.integer(MACHINES_OF_LARGE),
-  settleMs: fc.integer(SETTLED_MS),
-  faults: fc.array(anyFaultOfLarge, { minLength: 2, maxLength: 5 }),
+  machines: fc.integer(LARGE_MACHINE_COUNT),
+  settleMs: fc.integer(LARGE_SETTLE_MS),
+  faults: fc.array(largeScenarioFault, { minLength: 2, maxLength: 5 }),
   cancels: cancels(4, 12),
 });
 
-/** The schedule that belongs to a seed. */
-export const scheduleOf = (seedOfSchedule: number): Schedule =>
-  fc.sample(schedules, { seed: seedOfSchedule, numRuns: 1 })[0]!;
+/** The schedule generated from a seed. */
+export const scheduleOf = (scheduleSeed: number): Schedule =>
+  fc.sample(schedules, { seed: scheduleSeed, numRuns: 1 })[0]!;
 
-/** The schedule of a larger scenario that belongs to a seed. */
-export const largeScheduleOf = (seedOfSchedule: number): Schedule =>
-  fc.sample(largeSchedules, { seed: seedOfSchedule, numRuns: 1 })[0]!;
+/** The schedule of a large scenario generated from a seed. */
+export const largeScheduleOf = (scheduleSeed: number): Schedule =>
+  fc.sample(largeSchedules, { seed: scheduleSeed, numRuns: 1 })[0]!;
--- a/testing/submission-wire-codec.ts
+++ b/testing/submission-wire-codec.ts
@@ -1,15 +1,15 @@
-/** Submissions of jobs as users send them: the wire names, and their translation. */
+/** The wire format of job submissions: its wire names and their translation. */
 import type { JobKind, JobSpec } from '../src/domain/job.js';
 
 type OptionalField = 'machineTypes' | 'zone' | 'deadlineS';
 
-/** A job as its user describes it. */
+/** A job as its user submits it. */
 export interface Submission extends Omit<JobSpec, OptionalField>, Partial<Pick<JobSpec, OptionalField>> {
-  /** Jobs that have to be done before. */
+  /** Jobs that must be done before this one starts. */
   dependencies?: readonly string[] | null;
 }
 
-/** Some fields of a submission, also with values that no controller accepts. */
+/** Some fields of a submission, possibly with invalid values. */
 export type AnySubmissionFields = { [K in keyof Submission]?: unknown };
 
 const WIRE_NAMES: Record<keyof Submission, string> = {
@@ -46,13 +46,13 @@
 
 const fieldNames = Object.keys(WIRE_NAMES) as (keyof Submission)[];
 
-/** The body, or part of it, with its fields in the order in which they are given. */
+/** Encodes a body or a part of it; keeps the order of the fields. */
 export function encodeSubmission(fields: AnySubmissionFields): object {
   const given = Object.entries(fields) as [keyof Submission, unknown][];
   return Object.fromEntries(given.map(([name, value]) => [WIRE_NAMES[name], encodeValue(name, value)]));
 }
 
-/** The fields of a body as they stand, unchecked; those that it lacks are left out. */
+/** Decodes the fields of a body without validation; absent fields stay absent. */
 export function decodeSubmission(body: unknown): Submission {
   const wire = Object(body) as Record<string, unknown>;
   const known = fieldNames.filter((name) => Object.hasOwn(wire, WIRE_NAMES[name]));
@@ -61,7 +61,7 @@
   ) as unknown as Submission;
 }
 
-/** The job that a body speaks of, whatever else is in it; undefined: none. */
+/** The job id in a body, however malformed the rest is; undefined if there is none. */
 export function decodeSubmittedId(body: unknown): string | undefined {
   const id = (body as { Ref?: unknown } | null)?.Ref;
   return typeof id === 'string' ? id : undefined;
--- a/testing/submission-wire-schema.ts
+++ b/testing/submission-wire-schema.ts
@@ -1,4 +1,4 @@
-/** Which submissions are well-formed, by the protocol's table of fields. */
+/** Validates submissions by the protocol's table of fields. */
 
 const isText = (value: unknown) => typeof value === 'string' && value !== '';
 const isAmount = (value: unknown) => typeof value === 'number' && Number.isFinite(value) && value >= 0;
@@ -31,7 +31,7 @@
   Awaits: orNull((value) => Array.isArray(value) && value.every(isText)),
 };
 
-/** The wire name of the first field that is missing or invalid; undefined: the submission is well-formed. */
+/** The wire name of the first missing or invalid field; undefined if the submission is well-formed. */
 export function invalidField(body: unknown): string | undefined {
   if (typeof body !== 'object' || body === null || Array.isArray(body)) return 'not an object';
   return Object.entries(FIELDS).find(([name, check]) => !check((body as Record<string, unknown>)[name]))?.[0];
--- a/testing/takeover-measurement.ts
+++ b/testing/takeover-measurement.ts
@@ -1,6 +1,6 @@
 /**
- * Measures from outside how a role passes from one controller to another: what the store, the workers and the network of a
- * stand-in cluster show, so that any version of the program can be measured.
+ * Measures the takeover of a role from outside the controllers, by what the store, the workers and the network of an
+ * in-memory cluster show, so that any version of the program can be measured.
  */
 import { Cluster } from './cluster.js';
 import { decodeTransaction } from './fake-store-wire-codec.js';
@@ -8,66 +8,69 @@
 import { encodeSubmission, type Submission } from './submission-wire-codec.js';
 
 /** How a controller loses a role. */
-export type Loss = 'kill' | 'freeze' | 'store partition' | 'terminate';
-/** The role that is lost: that of the cluster, or of a partition. */
+export type RoleLoss = 'kill' | 'freeze' | 'store partition' | 'terminate';
+/** The role that is lost: leader of the cluster, or of a partition. */
 export type MeasuredRole = 'leader' | 'partition';
 
-/** One loss to be measured. */
+/** One takeover to be measured. */
 export interface Trial {
   role: MeasuredRole;
-  loss: Loss;
-  /** Jobs are submitted all the time. */
+  loss: RoleLoss;
+  /** Are jobs submitted throughout the trial? */
   load: boolean;
-  /** ms into the heartbeat at which the loss comes. */
+  /** ms by which the loss is shifted against the heartbeats. */
   offsetMs: number;
 }
 
-/** ms from the loss to each step of the takeover; undefined: it did not come about within `LIMIT_MS`. */
+/** ms from the loss to each step of the takeover; undefined: not reached within `TAKEOVER_LIMIT_MS`. */
 export interface TakeoverTimes {
-  /** The former claim is gone from the store. */
+  /** The former claim has been removed from the store. */
   detected?: number;
-  /** Another controller holds the claim. */
+  /** Another controller holds the claim on the role. */
   claimed?: number;
-  /** Its copy of the records is complete up to the claim. */
+  /** The new holder's replica of the records is complete up to the claim. */
   copied?: number;
-  /** A worker has shown the new token. */
+  /** A worker has reported the new fencing token. */
   answered?: number;
-  /** A transaction under the new claim has been made that changes something else. */
+  /** A transaction with changes was sent to the store on condition of the new claim. */
   decided?: number;
 }
 
-const LIMIT_MS = 20_000;
+const TAKEOVER_LIMIT_MS = 20_000;
 const STEP_MS = 5;
 const MACHINES = 9;
 const WARM_UP_MS = 12_000;
-const JOB_EVERY_MS = 400;
+const JOB_PERIOD_MS = 400;
 
-/** Plays one loss of a role and tells how soon it was taken over, and which rules were broken. */
+/** Runs one loss of a role, and returns the times of its takeover and the violated rules. */
 export async function measureTakeover(trial: Trial, options: ClusterOptions = {}) {
   const cluster = await startCluster(options);
-  const users = new Submitter(cluster, trial.load);
+  const submitter = new Submitter(cluster, trial.load);
   const load = new AbortController();
-  const submitting = users.run(load.signal);
+  const submitting = submitter.run(load.signal);
   await cluster.advance(3000 + trial.offsetMs);
-  const lost = cluster.leader()!;
-  const role = trial.role === 'leader' ? 'leader' : `part-${lost}`;
+  const lostNode = cluster.leader()!;
+  const role = trial.role === 'leader' ? 'leader' : `part-${lostNode}`;
   const key = `live/claim/${role}`;
-  const before = cluster.store.rows.get(key)!.modRevision;
-  const begun = cluster.clock.now();
-  const logFrom = cluster.network.log.length;
-  lose(cluster, lost, trial.loss);
+  const claimRevision = cluster.store.rows.get(key)!.modRevision;
+  const lostAt = cluster.clock.now();
+  const logStart = cluster.network.log.length;
+  injectLoss(cluster, lostNode, trial.loss);
   const times: TakeoverTimes = {};
-  const observed = { cluster, role, key, before, begun, lost, logFrom, times };
-  while (cluster.clock.now() - begun < LIMIT_MS && (times.decided === undefined || times.answered === undefined)) {
+  const observed = { cluster, role, key, claimRevision, lostAt, lostNode, logStart, times };
+  while (
+    cluster.clock.now() - lostAt < TAKEOVER_LIMIT_MS &&
+    (times.decided === undefined || times.answered === undefined)
+  ) {
     await cluster.advance(STEP_MS);
-    // An idle cluster decides something when a job comes.
-    if (!trial.load && times.claimed !== undefined && users.submitted === 0) users.submitOne();
+    // Without load, a job has to be submitted so that the new holder has something to decide.
+    if (!trial.load && times.claimed !== undefined && submitter.submitted === 0) submitter.submitOne();
     observeSteps(observed);
   }
   load.abort();
   await submitting;
   await cluster.advance(15_000);
-  return { times, broken: cluster.verdict() };
+  return { times, violations: cluster.verdict() };
 }
 
 async function startCluster(options: ClusterOptions): Promise<Cluster> {
@@ -79,7 +82,7 @@
   return cluster;
 }
 
-/** Submits jobs one after the other; without load only when asked. */
+/** Submits jobs at a fixed rate; without load, only on request. */
 class Submitter {
   submitted = 0;
 
@@ -90,7 +93,7 @@
 
   submitOne(): void {
     const isGang = !this.hasLoad || this.submitted % 4 === 0;
-    const submission = submissionOf(this.submitted++);
+    const submission = loadSubmission(this.submitted++);
     void this.cluster.users.submit(encodeSubmission(isGang ? { ...submission, kind: 'gang' } : submission));
   }
 
@@ -98,7 +101,7 @@
     if (!this.hasLoad) return;
     while (!signal.aborted) {
       this.submitOne();
-      await this.cluster.clock.sleep(JOB_EVERY_MS, signal);
+      await this.cluster.clock.sleep(JOB_PERIOD_MS, signal);
     }
   }
 }
@@ -106,35 +109,44 @@
 interface ObservedTakeover {
   cluster: Cluster;
   role: string;
-  /** Of the role's record. */
+  /** Store key of the claim on the role. */
   key: string;
-  /** Revision of the role's record before the loss. */
-  before: number;
-  /** When the node was lost. */
-  begun: number;
-  lost: number;
-  /** Length of the network's log at the loss. */
-  logFrom: number;
+  /** Revision of the claim before the loss. */
+  claimRevision: number;
+  /** When the role was lost. */
+  lostAt: number;
+  lostNode: number;
+  /** Length of the network's log at the time of the loss. */
+  logStart: number;
   times: TakeoverTimes;
 }
 
-/** Notes the steps that are seen done and were not before. */
-function observeSteps({ cluster, role, key, before, begun, lost, logFrom, times }: ObservedTakeover): void {
-  const note = (step: keyof TakeoverTimes, isDone: boolean): void => {
-    if (isDone) times[step] ??= cluster.clock.now() - begun;
+/** Records the time of each step that is observed for the first time. */
+function observeSteps({
+  cluster,
+  role,
+  key,
+  claimRevision,
+  lostAt,
+  lostNode,
+  logStart,
+  times,
+}: ObservedTakeover): void {
+  const record = (step: keyof TakeoverTimes, isDone: boolean): void => {
+    if (isDone) times[step] ??= cluster.clock.now() - lostAt;
   };
   const claim = cluster.store.rows.get(key);
-  note('detected', claim?.modRevision !== before);
+  record('detected', claim?.modRevision !== claimRevision);
   if (claim === undefined) return;
   const owner = Number((claim.value as { node: string }).node.slice(1));
-  if (owner === lost || !cluster.has(owner)) return;
-  note('claimed', true);
-  note('copied', cluster.node(owner).replica.revision >= claim.modRevision);
-  note('answered', hasAnswered(cluster, role, claim.modRevision));
-  note('decided', hasDecided(cluster, key, claim.modRevision, logFrom));
+  if (owner === lostNode || !cluster.has(owner)) return;
+  record('claimed', true);
+  record('copied', cluster.node(owner).replica.revision >= claim.modRevision);
+  record('answered', hasAnswered(cluster, role, claim.modRevision));
+  record('decided', hasDecided(cluster, key, claim.modRevision, logStart));
 }
 
-const submissionOf = (n: number): Submission => ({
+const loadSubmission = (n: number): Submission => ({
   id: `j-${String(n).padStart(6, '0')}`,
   jobClass: 'train',
   team: 'red',
@@ -157,12 +169,12 @@
   taskCount: 2,
 });
 
-function lose(cluster: Cluster, node: number, loss: Loss): void {
+function injectLoss(cluster: Cluster, node: number, loss: RoleLoss): void {
   switch (loss) {
     case 'kill':
       return cluster.crash(node);
     case 'freeze':
-      return cluster.freeze(node, LIMIT_MS / 2);
+      return cluster.freeze(node, TAKEOVER_LIMIT_MS / 2);
     case 'store partition':
       cluster.network.fault({ from: `n${node}`, to: 'store:1', kind: 'lose' });
       return;
@@ -175,12 +187,12 @@
   const ofRole = [...cluster.workers.values()].filter(
     ({ options }) => role === 'leader' || cluster.anyNode().workerManager.roleOf(options.machineId) === role,
   );
-  // A leader answers no workers of its own: its first sign is its first decision.
+  // The cluster's leader answers no heartbeats by that role, so this step does not apply to it.
   return role === 'leader' || ofRole.some(({ fencingToken }) => fencingToken >= token);
 }
 
-function hasDecided(cluster: Cluster, key: string, modRevision: number, logFrom: number): boolean {
-  return cluster.network.log.slice(logFrom).some(({ path, body }) => {
+function hasDecided(cluster: Cluster, key: string, modRevision: number, logStart: number): boolean {
+  return cluster.network.log.slice(logStart).some(({ path, body }) => {
     if (path !== '/txn') return false;
     const { conditions, operations } = decodeTransaction(body);
     return operations.length > 0 && conditions.some((each) => each.key === key && each.modRevision === modRevision);
