--- a/packages/standby/src/advisory-log.ts
+++ b/packages/standby/src/advisory-log.ts
@@ -88,11 +88,12 @@
   changesSince(sequence: number): { entry: SentEntry; sequence: number }[] {
     const now = this.now();
     const changed: { entry: SentEntry; sequence: number }[] = [];
-    for (const { entry, sequence: at } of this.entries.values()) {
-      if (at > sequence) changed.push({ entry: { ...toSentEntry(entry, now), isRemoved: false }, sequence: at });
+    for (const { entry, sequence: changeSequence } of this.entries.values()) {
+      if (changeSequence > sequence)
+        changed.push({ entry: { ...toSentEntry(entry, now), isRemoved: false }, sequence: changeSequence });
     }
-    for (const [key, at] of this.removals) {
-      if (at > sequence) changed.push({ entry: toSentRemoval(key), sequence: at });
+    for (const [key, removalSequence] of this.removals) {
+      if (removalSequence > sequence) changed.push({ entry: toSentRemoval(key), sequence: removalSequence });
     }
     return changed.sort((a, b) => a.sequence - b.sequence);
   }
--- a/packages/standby/src/settings.ts
+++ b/packages/standby/src/settings.ts
@@ -13,7 +13,7 @@
   readonly streamBytesPerS: number;
   /** Maximum size of a stream message. */
   readonly messageBytes: number;
-  /** Limit on unacknowledged bytes above which pending changes are dropped in favour of a snapshot. */
+  /** Unacknowledged bytes of a follower from which its pending changes are dropped in favour of a snapshot. */
   readonly unacknowledgedBytes: number;
   /** Time limit for a controller that is shutting down to hand over its roles. */
   readonly handoverMs: number;
--- a/packages/standby/src/stream-follower.ts
+++ b/packages/standby/src/stream-follower.ts
@@ -81,7 +81,7 @@
   private staleReasonOf(batch: StreamBatch, lagMs: number): RefusalReason | undefined {
     if (batch.echo.incarnation !== this.incarnation) return 'other_incarnation';
     if (lagMs > this.maxLagMs || lagMs < 0) return 'too_old';
-    // A terminated incarnation can't answer a later request; for an unknown incarnation this is the only way to tell.
+    // Incarnation numbers have no order, but a terminated incarnation can't answer requests sent after its replacement's answer.
     const isFollowed = batch.incarnation === this.followedIncarnation;
     return !isFollowed && batch.echo.clock <= this.answeredRequestClock ? 'former_incarnation' : undefined;
   }
--- a/packages/standby/src/stream-messages.ts
+++ b/packages/standby/src/stream-messages.ts
@@ -1,8 +1,8 @@
 /** Messages of the advisory stream between a leader and its followers. Their encoding is in src/gossip/stream-codec.ts. */
 
-/** See docs/standby.md, "What is followed". The order is part of the encoding. */
+/** Kinds of advisory entries; docs/standby.md, "What is followed", describes them. The order is part of the encoding. */
 export const ADVISORY_KINDS = ['health', 'moved', 'stopping', 'idle', 'no_capacity'] as const;
-/** The subject of an entry. */
+/** What an entry states about the task, attempt, machine or offer that it names. */
 export type AdvisoryKind = (typeof ADVISORY_KINDS)[number];
 
 /** One entry of the in-memory state of a controller that is not in the records. */
@@ -58,7 +58,7 @@
 /** A message of the advisory stream. */
 export type StreamMessage = { readonly follow: FollowRequest } | { readonly batch: StreamBatch };
 
-/** Encoded bytes of an entry without its name, and of a message without its entries: upper bounds. */
+/** Upper bounds of the encoded bytes of an entry without its name, and of a message without its entries. */
 const ENTRY_BYTES = 24;
 const BATCH_BYTES = 96;
 
--- a/packages/standby/src/takeover-timeline.ts
+++ b/packages/standby/src/takeover-timeline.ts
@@ -13,14 +13,14 @@
   readonly lastSeenAt: number;
 }
 
-/** A finished takeover: the first decision was made, or none was needed within 30 s. */
+/** A finished takeover: the first decision was made, or none was made within 30 s. */
 export interface TakeoverReport extends FormerTerm {
   readonly role: string;
   /** Monotonic ms of each step that was reached. */
   readonly steps: ReadonlyMap<TakeoverStep, number>;
 }
 
-/** ms between the last sign of life of the former leader and each step. */
+/** ms from when the former leader was last heard from to each step. */
 export function stepDurations({ steps, lastSeenAt }: TakeoverReport): Partial<Record<TakeoverStep, number>> {
   const entries = [...steps].map(([step, at]) => [step, Math.round(at - lastSeenAt)] as const);
   return Object.fromEntries(entries);
--- a/packages/standby/test/stream.test.ts
+++ b/packages/standby/test/stream.test.ts
@@ -101,7 +101,7 @@
   fc.record({ do: fc.constant('advance' as const), ms: fc.constantFrom(10, 300, 1000, 2500) }),
 );
 
-/** Found by the property test: the follower kept following the former incarnation and rejected the current one forever. */
+/** With this order of snapshots, the follower kept following the former incarnation and rejected the current one forever. */
 const LATE_SNAPSHOT_OF_A_FORMER_INCARNATION: Command[] = [
   { do: 'request' },
   { do: 'restart' },
--- a/packages/standby/test/tracing.test.ts
+++ b/packages/standby/test/tracing.test.ts
@@ -38,7 +38,7 @@
 }
 
 describe('the timeline of a takeover', () => {
-  it('measures steps from the last sign of life of the former leader, and ignores those before the acquisition', () => {
+  it('measures steps from when the former leader was last heard from, and ignores those before the acquisition', () => {
     const expected = { vacant: 3000, acquired: 3020, records_complete: 3040, decided: 3060 };
     assert.deepEqual(stepDurations(completeTakeover()), expected);
   });
--- a/src/gossip/gossip-exchange.ts
+++ b/src/gossip/gossip-exchange.ts
@@ -18,7 +18,7 @@
 
 /** The queries about this node's roles that gossip uses. */
 export interface GossipedRoles {
-  /** Roles that this node currently does not want to lead. */
+  /** Roles that this node currently does not acquire. */
   avoidedRoles(): string[];
   ledPartitions(): number[];
   partitionOf(machineId: string): number;
@@ -101,7 +101,7 @@
   private misroutedHeartbeats(now: number, peer: string): MisroutedHeartbeat[] {
     const { misroutedWorkers, peerDirectory } = this.dependencies;
     const own = [...misroutedWorkers.entries()].map(([machineId, at]) => ({ machineId, ageMs: now - at }));
-    // After a restart there are hundreds, so they are not relayed to a peer that receives the other nodes' gossip itself.
+    // After a restart there are hundreds, so those of other nodes are not relayed to a peer that receives their gossip itself.
     if (this.nodesUnreachableFrom(peer).size === 0) return own;
     return [...own, ...peerDirectory.recentMisroutedHeartbeats()];
   }
--- a/src/gossip/messages.ts
+++ b/src/gossip/messages.ts
@@ -41,7 +41,7 @@
   unchanged: UnchangedMachineColumns;
   /** Heartbeats received by a node that does not lead the worker's partition: the sender, or a node whose gossip it relays. */
   misroutedHeartbeats: MisroutedHeartbeat[];
-  /** Roles that the sender currently does not want to lead, since their workers can't reach it. */
+  /** Roles that the sender currently does not acquire: it has recently released them, or is shutting down. */
   avoidedRoles: string[];
   /** Machines that the cloud has recently confirmed terminated. */
   terminatedMachines: string[];
--- a/src/gossip/peer-directory.ts
+++ b/src/gossip/peer-directory.ts
@@ -99,7 +99,7 @@
     );
   }
 
-  /** Whether the peer is reachable and currently does not want to lead the role. */
+  /** Whether the peer is reachable and currently does not acquire the role. */
   avoidsRole(node: string, role: string): boolean {
     return this.validStateOf(node)?.gossip.avoidedRoles.includes(role) === true;
   }
--- a/src/inventory/own-machines.ts
+++ b/src/inventory/own-machines.ts
@@ -34,7 +34,7 @@
     for (const machine of peerReports.machines.values()) {
       const ownLeadership = ownLeadershipOver(leadership, machine.machineId);
       if (ownLeadership === undefined || workers.has(machine.machineId)) continue;
-      const lastHeartbeatAt = Math.max(machine.lastHeartbeatAt, ownLeadership.term.at);
+      const lastHeartbeatAt = Math.max(machine.lastHeartbeatAt, ownLeadership.term.acquiredAt);
       machines.push({ ...machine, lastHeartbeatAt, partitionLeader: settings.node });
     }
     return machines;
--- a/src/leadership/advisory-collector.ts
+++ b/src/leadership/advisory-collector.ts
@@ -14,7 +14,7 @@
   clock: Clock;
 }
 
-/** Writes the advisory log. Entries that only the cluster leader maintains are left empty on other nodes. */
+/** Writes the advisory log. The kinds that only the cluster leader maintains have no entries on other nodes. */
 export class AdvisoryCollector {
   constructor(private readonly dependencies: AdvisoryCollectorDependencies) {}
 
--- a/src/leadership/advisory-memory.ts
+++ b/src/leadership/advisory-memory.ts
@@ -1,12 +1,12 @@
 /** Advisory state: kept in memory only, not in the records, and streamed to successors. All times are monotonic ms. */
 
-/** Advisory state of the cluster leader: read to serve its followers, and restored after a takeover from a former leader. */
+/** Advisory state of the cluster leader: streamed to its followers, and restored on its successor after a takeover. */
 export interface LeaderMemory {
   /** Attempts that were recently asked to stop. */
   recentEvictions(): Iterable<{ attempt: string; at: number }>;
-  /** Offers that the cloud has recently refused. */
+  /** Offers that the cloud has recently refused: `<machine type> <zone> <isSpot>`. */
   refusedOffers(): Iterable<{ offer: string; at: number }>;
-  /** Idle machines; `at`: since when each is idle. */
+  /** Idle machines; each has been idle since `at`. */
   idleMachines(): Iterable<{ machineId: string; at: number }>;
   restoreEviction(attempt: string, at: number): void;
   restoreRefusal(offer: string, at: number): void;
--- a/src/leadership/handover.ts
+++ b/src/leadership/handover.ts
@@ -11,8 +11,8 @@
   /** Time limit in ms; roles not released by then become vacant when the store lease expires. */
   limitMs: number;
   leadership: RoleLeadership;
-  /** Stops sending commands, and waits up to `withinMs` for the answers to those in flight. */
-  workerManager: { drain(withinMs: number): Promise<void> };
+  /** Stops sending commands, and waits up to `timeoutMs` for the answers to those in flight. */
+  workerManager: { drain(timeoutMs: number): Promise<void> };
   gossip: GossipSender;
   clock: Clock;
   log: Log;
--- a/src/leadership/leadership-term.ts
+++ b/src/leadership/leadership-term.ts
@@ -8,7 +8,7 @@
   /** Store revision of the acquisition; all writes of former leaders have lower revisions. */
   readonly startRevision: number;
   /** Monotonic ms when the role was acquired. */
-  readonly at: number;
+  readonly acquiredAt: number;
 }
 
 /** The current leadership of a role held by this process. */
--- a/src/leadership/load-tracer.ts
+++ b/src/leadership/load-tracer.ts
@@ -7,7 +7,7 @@
 import type { Log } from '../logging/log.js';
 import type { Clock } from '../net/clock.js';
 
-/** Written by the build next to the program; relative to the working directory, which is the parent folder. */
+/** The build writes the module next to the program. The path is relative to the working directory, which contains `target`. */
 const TRACING_BUNDLE = 'target/tracing.cjs';
 
 /** Falls back to no tracing if the module can't be loaded, since tracing must not prevent the controller from starting. */
--- a/src/leadership/role-barriers.ts
+++ b/src/leadership/role-barriers.ts
@@ -7,7 +7,7 @@
 import type { HeldLeadership } from './leadership-term.js';
 import type { RoleLeadership } from './role-leadership.js';
 
-/** What the barriers of a new leader are assessed from. */
+/** Sources of the state that the barriers are assessed against. */
 export interface RoleBarriersDependencies {
   leadership: RoleLeadership;
   clusterState: ClusterState;
--- a/src/leadership/role-transactions.ts
+++ b/src/leadership/role-transactions.ts
@@ -39,7 +39,7 @@
     const { heldRoles, clusterState, clock, log, replica, succession } = this.dependencies;
     const isRecordOwn = clusterState.leadershipRecords.get(role)?.record.leaseId === heldRoles.storeLeaseId;
     return this.writeRecord(role, isRecordOwn, (revision) => {
-      heldRoles.add(role, { fencingToken: revision, term: { startRevision: revision, at: clock.now() } });
+      heldRoles.add(role, { fencingToken: revision, term: { startRevision: revision, acquiredAt: clock.now() } });
       log.info({ role, fencingToken: revision }, 'leadership acquired');
       succession().acquired(role);
       // Tasks are started only once the replica is complete up to the acquisition.
@@ -57,7 +57,7 @@
   }
 
   /**
-   * `isRecordOwn`: the record must be under this process's lease; otherwise there must be none, or one of a former incarnation.
+   * `isRecordOwn`: the record must be under this process's lease; if false, there must be no record, or one of a former incarnation.
    * `onWritten` runs synchronously after the end of the acquisition, so that the role is always seen as either held or in flight.
    */
   private async writeRecord(role: string, isRecordOwn: boolean, onWritten: (revision: number) => void): Promise<void> {
--- a/src/leadership/standby-announcer.ts
+++ b/src/leadership/standby-announcer.ts
@@ -1,4 +1,7 @@
-/** Announces in the store, under the store lease, that this process reads the stream; nodes of other versions are sent none. */
+/**
+ * Announces in the store, under the store lease, that this process reads the advisory stream. Nodes that announce nothing, such as
+ * those of earlier versions, are sent no stream messages.
+ */
 import { Priority } from '../net/token-bucket.js';
 import { decodeStandbyRecord, encodeStandbyRecord } from '../records/record-codecs.js';
 import { standbyKey } from '../records/record-keys.js';
--- a/src/leadership/standby.ts
+++ b/src/leadership/standby.ts
@@ -55,7 +55,7 @@
   tracer: TakeoverTracer;
 }
 
-/** Ticks between two requests to followed leaders, status lines and collections. */
+/** Ticks between requests to followed leaders, between status lines, and between collections of advisory state. */
 const TICKS_PER_REQUEST = Math.round(FOLLOW_PERIOD_MS / STANDBY_PERIOD_MS);
 const TICKS_PER_STATUS = Math.round(STATUS_PERIOD_MS / STANDBY_PERIOD_MS);
 const TICKS_PER_COLLECTION = Math.round(ADVISORY_COLLECTION_PERIOD_MS / STANDBY_PERIOD_MS);
@@ -125,7 +125,7 @@
     this.timeline.recordStep(role, 'acquired');
   }
 
-  /** A worker of the partition has been answered. */
+  /** Called when a worker of the role's partition is answered. */
   workerAnswered(role: string): void {
     this.timeline.recordStep(role, 'worker_answered');
   }
--- a/src/leadership/store-lease-renewal.ts
+++ b/src/leadership/store-lease-renewal.ts
@@ -17,7 +17,7 @@
   log: Log;
 }
 
-/** A lease that the store no longer renews is replaced by a new one, under which no role is held yet. */
+/** Replaces a lease that the store no longer renews by a new one, under which no role is held yet. */
 export class StoreLeaseRenewal {
   constructor(private readonly dependencies: StoreLeaseRenewalDependencies) {}
 
--- a/src/leadership/vacant-role-selector.ts
+++ b/src/leadership/vacant-role-selector.ts
@@ -1,4 +1,7 @@
-/** Selects the vacant roles to acquire now: the preferred partition at once, others after a delay that favours other nodes. */
+/**
+ * Selects the vacant roles to acquire now: at once the preferred partition and the roles whose designated successor is this node;
+ * others after a delay that gives precedence to their successor, their preferred node, and nodes that lead fewer partitions.
+ */
 import {
   START_GRACE_MS,
   STORE_LEASE_TTL_MS,
@@ -30,8 +33,9 @@
 
 /** Only selects candidates; the transaction decides whether a role is acquired. */
 export class VacantRoleSelector {
-  /** Monotonic ms, by role. */
+  /** Monotonic ms since when this node waits to acquire each vacant role, by role. */
   private readonly vacantSince = new Map<string, number>();
+  /** Monotonic ms until which this node does not acquire each role, by role. */
   private readonly avoidUntil = new Map<string, number>();
   /** Roles that some node has led since this process loaded the records. */
   private readonly rolesSeenLed = new Set<string>();
@@ -43,7 +47,7 @@
     return this.hasStopped;
   }
 
-  /** Avoids all roles for the rest of the process. */
+  /** Acquires no role for the rest of the process. */
   stop(): void {
     this.hasStopped = true;
   }
@@ -59,7 +63,7 @@
     return [...this.avoidUntil].filter(([, until]) => until > now).map(([role]) => role);
   }
 
-  /** The roles to acquire now. Also records since when each role is vacant, so it must be called after each change. */
+  /** The roles to acquire now. Also records since when this node waits for each, so call it after each change of a leadership record. */
   rolesToAcquire(): string[] {
     const { preferences, clock } = this.dependencies;
     const now = clock.now();
@@ -83,7 +87,7 @@
     return now - since >= this.waitMs(role, successor !== undefined);
   }
 
-  /** For a record that names this node: written by a former incarnation, or by a transaction of this one whose answer was lost. */
+  /** For a role whose record names this node: a former incarnation wrote it, or a transaction of this one whose answer was lost. */
   private canReacquire(role: string): boolean {
     const { heldRoles, isAcquiring } = this.dependencies;
     return heldRoles.leadershipOf(role) === undefined && !heldRoles.isReleasing(role) && !isAcquiring(role);
--- a/src/workers/cancellation-enforcer.ts
+++ b/src/workers/cancellation-enforcer.ts
@@ -33,7 +33,7 @@
 
 /**
  * Kills the remaining tasks of cancelled jobs on machines whose leader is without the store and so may not know of the
- * cancellation. While this node is without the store itself, it can't tell, and does so for all leaders.
+ * cancellation. While this node itself is without the store, it can't tell which leaders are, and does so for all.
  * A cancellation is final, and a worker accepts commands from any node under its leader's token. So nothing is decided
  * in the leader's place, and the leader learns of the exits from the next heartbeat. The cancellation deadline does not
  * depend on this component, which only stops the tasks sooner.
@@ -95,8 +95,8 @@
 }
 
 /**
- * The placements of one machine have one agent epoch, or the older ones are over. Returns undefined for one of an older
- * epoch.
+ * The batch for the placement's machine. If the placements of a machine have several agent epochs, the older ones are
+ * over; returns undefined for a placement of an older epoch.
  */
 function batchFor(
   batches: Map<string, KillBatch>,
--- a/src/workers/cancelled-launch-guard.ts
+++ b/src/workers/cancelled-launch-guard.ts
@@ -26,8 +26,8 @@
 /**
  * Lets a worker's lease expire if a launch of a cancelled task may still arrive there, and the store, which is out of
  * reach, gives no new fencing token that would make the worker refuse it. The worker would execute the launch whenever
- * it arrives, so the lease has to expire early enough. The cancellation may be older than its first sight here by one
- * lease (a worker without contact for longer is in a new agent epoch), the age of the replica and a delay.
+ * it arrives, so the lease has to expire early enough. When the guard first finds the cancellation, it may be older by
+ * one lease (a worker without contact for longer is in a new agent epoch), the age of the replica and a delay.
  */
 export class CancelledLaunchGuard {
   constructor(private readonly dependencies: CancelledLaunchGuardDependencies) {}
--- a/src/workers/command-sender.ts
+++ b/src/workers/command-sender.ts
@@ -45,7 +45,7 @@
   private readonly nextSendAt = new Map<string, number>();
   /** Workers with a command request in flight. */
   private readonly inFlight = new Set<Worker>();
-  /** Those of them that need another request, because there was more to send in the meantime. */
+  /** Workers in `inFlight` for which more commands were due in the meantime, so that they need another request. */
   private readonly pendingResends = new Set<Worker>();
   private isDraining = false;
 
@@ -96,8 +96,8 @@
     const result = await sendCommands(http, endpoint, { fencingToken, agentEpoch, commands });
     this.inFlight.delete(worker);
     const mustSendAgain = this.pendingResends.delete(worker);
-    // The partition was lost and acquired again in the meantime: only the new worker object knows what has been sent
-    // since, so no conclusion may be drawn from this result.
+    // The worker was removed in the meantime, or the partition was lost and acquired again: only the new worker object
+    // records what has been sent since, so no conclusion may be drawn from this result.
     if (workers.get(machineId) !== worker) return;
     this.applyResult(worker, { role, fencingToken, launches }, result);
     if (mustSendAgain) this.schedule(machineId);
--- a/src/workers/exit-recorder.ts
+++ b/src/workers/exit-recorder.ts
@@ -36,7 +36,7 @@
   log: Log;
 }
 
-/** Records the release of placements in the store, and derives from each exit what it shows of its machine. */
+/** Records the release of placements in the store, and derives from each exit what it shows about the machine. */
 export class ExitRecorder {
   /** Keys of attempts whose release is being committed, also on machines that this node has had no contact with. */
   private readonly pendingReleases = new Set<string>();
@@ -78,7 +78,7 @@
       'release placement',
       exitPriority(spec),
       (draft) => {
-        // In another term the proof does not cover what another leader has placed here in between.
+        // In another term the proof does not cover what another leader has placed on the machine in between.
         if (!leadership.requireLeadership(draft, role) || leadership.termOf(role) !== term) return false;
         // Nor does it cover a later placement on the same machine, after a transaction without a response has released
         // this one.
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -131,8 +131,8 @@
     const { settings, leadership, clusterState, misroutedWorkers, events, clock } = this.dependencies;
     const node = leadership.leaderOf(role);
     if (node === undefined || node === settings.node) return { kind: 'unavailable', error: 'not entitled' };
-    // Copies of heartbeats may arrive later than a whole lease. They don't show that the worker is alive, and nobody
-    // waits for their response.
+    // A late copy of a heartbeat may arrive more than a lease after the heartbeat was sent. It doesn't show that the
+    // worker is alive, and the worker doesn't wait for a response to it.
     if (events.isLate(workerStatus)) return { kind: 'redirected', node, canForward: false };
     const leaderToken = clusterState.leadershipRecords.get(role)?.modRevision;
     const canForward = misroutedWorkers.recordHeartbeat(workerStatus, leaderToken, clock.now());
--- a/src/workers/heartbeat-service.ts
+++ b/src/workers/heartbeat-service.ts
@@ -13,8 +13,8 @@
   heartbeatForwarder: HeartbeatForwarder;
   log: Log;
   /**
-   * Called at the first heartbeat of a worker that another node leads: the other nodes need to hear of it before they
-   * take the worker for dead.
+   * Called at the first heartbeat of a worker whose partition another node leads: the other nodes must learn of it
+   * before they consider the worker dead.
    */
   onMisrouted: () => void;
 }
@@ -33,8 +33,8 @@
     const wasMisrouted = misroutedWorkers.has(machineId);
     const outcome = workerManager.handleHeartbeat(workerStatus);
     if (!wasMisrouted && misroutedWorkers.has(machineId)) onMisrouted();
-    // The worker was with its leader, or redirected there, and is here again: it can't reach the leader, but this node
-    // may.
+    // The worker was in contact with its leader, or was redirected to it, and now sends a heartbeat to this node: it
+    // can't reach the leader, but this node may.
     if (outcome.kind === 'redirected' && outcome.canForward && outcome.node !== undefined) {
       return this.forward(outcome.node, body);
     }
--- a/src/workers/machine-health.ts
+++ b/src/workers/machine-health.ts
@@ -34,7 +34,7 @@
   }
 
   /**
-   * Ids of jobs that should try other machines first; for a quarantined machine, all whose failures led to the
+   * Ids of jobs that should try other machines first; for a quarantined machine, all jobs whose failures led to the
    * quarantine.
    */
   failedJobs(now: number): string[] {
--- a/src/workers/machine-slowness.ts
+++ b/src/workers/machine-slowness.ts
@@ -24,9 +24,7 @@
     if (areAllSlow) this.slowUntil = now + SLOW_MACHINE_MS;
   }
 
-  /**
-   * Whether the machine counts as slow. It does only for a while, since nothing else would show that it has recovered.
-   */
+  /** Whether the machine counts as slow. This expires, since nothing else would show that the machine has recovered. */
   isSlow(now: number): boolean {
     if (now >= this.slowUntil && this.slowUntil > -Infinity) {
       this.slowUntil = -Infinity;
--- a/src/workers/misrouted-workers.ts
+++ b/src/workers/misrouted-workers.ts
@@ -42,9 +42,9 @@
   }
 
   /**
-   * A worker that reports the present leader's token has been in contact with that leader, and is here because it can't
-   * reach it any more. It is still redirected from time to time, so that it does not stay once the leader is reachable
-   * again.
+   * Returns whether the worker counts as cut off: it reports the present leader's token, so it was in contact with that
+   * leader before, or it sends heartbeats here repeatedly. It is still redirected every REDIRECT_AGAIN_MS, so that it
+   * returns to the leader once that is reachable again.
    */
   private updateCutOff(workerStatus: WorkerStatus, leaderToken: number | undefined, now: number): boolean {
     const { machineId, fencingToken } = workerStatus;
--- a/src/workers/reconciliation.ts
+++ b/src/workers/reconciliation.ts
@@ -13,7 +13,7 @@
   placedTask: PlacedTask;
   /** The job is cancelled: the task's results are not needed any more. */
   isCancelled: boolean;
-  /** A gang member may be placed here again with the same attempt number. */
+  /** The task is a gang member, which may be placed here again with the same attempt number. */
   isInGang: boolean;
 }
 
@@ -195,8 +195,8 @@
 }
 
 /**
- * Launches a missing task. If it is to be stopped, requests a new token where a launch may still arrive, so that it is
- * refused.
+ * Launches a missing task. If the task is to be stopped and a launch sent directly may still arrive, requests a new
+ * token, so that the worker refuses the launch.
  */
 function launchOrAdvanceToken(
   worker: WorkerView,
--- a/src/workers/straggler-detector.ts
+++ b/src/workers/straggler-detector.ts
@@ -47,7 +47,7 @@
   }
 
   /**
-   * Compares running tasks, too: one that runs far longer than its finished siblings shows a slow machine before it
+   * Compares running tasks with their finished siblings: one that runs far longer indicates a slow machine before it
    * ends.
    */
   checkRunning(worker: Worker): void {
@@ -63,9 +63,7 @@
     }
   }
 
-  /**
-   * Evicts batch tasks that would end sooner when started anew elsewhere; services are moved only for their happiness.
-   */
+  /** Evicts batch tasks that would end sooner if restarted elsewhere; services are moved only if their checks fail. */
   evictFromSlowMachines(workers: Iterable<Worker>, roleOf: (machineId: string) => string): void {
     const { leadership, clusterState, clock } = this.dependencies;
     for (const jobId of this.finishedRunTimes.keys()) {
@@ -79,8 +77,8 @@
   }
 
   /**
-   * Whether enough siblings have finished. The first to finish are the short ones: compared with them alone, the other
-   * half would all seem slow.
+   * Whether enough siblings have finished. The first to finish are the short ones: compared with them alone, all tasks
+   * of the other half would seem slow.
    */
   private isComparable(jobId: string, { count }: FinishedRunTimes): boolean {
     if (count < MIN_FINISHED_SIBLINGS) return false;
--- a/src/workers/token-announcer.ts
+++ b/src/workers/token-announcer.ts
@@ -23,8 +23,8 @@
 }
 
 /**
- * Announces this node's fencing token to workers in use that it has had no contact with since it took over their
- * partition.
+ * Announces this node's fencing token to the workers of machines in use with which it has had no contact since it took
+ * over their partition.
  */
 export class TokenAnnouncer {
   constructor(private readonly dependencies: TokenAnnouncerDependencies) {}
--- a/src/workers/worker-manager-dependencies.ts
+++ b/src/workers/worker-manager-dependencies.ts
@@ -27,7 +27,7 @@
 export interface WorkerManagerEvents extends ExitListener {
   /** Called when a worker of the role's partition is being answered. */
   workerAnswered(role: string): void;
-  /** Called at each heartbeat of a worker led here: one health check of each service task on the machine. */
+  /** Called at each heartbeat answered here, except late copies: one health check of each service task on the machine. */
   heartbeatReceived(workerStatus: WorkerStatus): void;
   /** Whether the cloud has confirmed that the machine is terminated. */
   isTerminated(machineId: string): boolean;
--- a/src/workers/worker-reachability.ts
+++ b/src/workers/worker-reachability.ts
@@ -84,10 +84,7 @@
     return !this.hasMissedResponse && this.firstFencingToken !== undefined && reportedToken >= this.firstFencingToken;
   }
 
-  /**
-   * Whether the worker sends heartbeats, but by all they show no response has reached it for so long that its lease has
-   * expired.
-   */
+  /** Whether the worker's heartbeats show that no response has reached it for longer than its lease. */
   hasExpiredDespiteHeartbeats(now: number, leaseMs: number): boolean {
     return this.hasMissedResponse && now > leaseExpiresAt(this.confirmedAt, leaseMs);
   }
--- a/src/workers/worker-registry.ts
+++ b/src/workers/worker-registry.ts
@@ -102,8 +102,8 @@
   /** Monotonic ms after which no other node can have answered a worker that has not yet reported this node's token. */
   private formerLeadersAnsweredUntil(term: LeadershipTerm): number {
     // A former leader's replica may have been complete until its store lease ended, even if only the lease renewals
-    // were lost. Any message from this node after that would have shown it the new leadership record.
-    return term.at + Math.max(REPLICA_FRESH_MS, degradedServingMs(this.timings));
+    // were lost. Any later message from this node would have shown that leader the new leadership record.
+    return term.acquiredAt + Math.max(REPLICA_FRESH_MS, degradedServingMs(this.timings));
   }
 
   private partitionOfMachine(machineId: string): PartitionWorkers | undefined {
--- a/test/workers/exit-recorder.test.ts
+++ b/test/workers/exit-recorder.test.ts
@@ -75,7 +75,7 @@
     },
     accounting: { addExit: () => undefined, teamChangedByExit: () => undefined },
     workers: { get: () => worker },
-    events: { died: () => undefined, completed: () => undefined },
+    events: { taskDied: () => undefined, taskCompleted: () => undefined },
     clock: new FakeClock(),
     log: noLog,
   } as unknown as ExitRecorderDependencies);
@@ -97,8 +97,8 @@
     assert.equal(recordExit(worker)(draftOfPlacements()), true);
   });
 
-  // The store may have applied the first try although its response was lost, and the member may have been placed there
-  // again since.
+  // The store may have applied the first try although its response was lost, and the member may have been placed on the
+  // machine again since.
   it('does not release a later placement on the same machine with the same attempt number', () => {
     const worker = new Worker(MACHINE_ID);
     worker.applyStatus(statusOf(1, [exited]), 0, true);
--- a/test/workers/heartbeats.test.ts
+++ b/test/workers/heartbeats.test.ts
@@ -105,7 +105,7 @@
 });
 
 describe('a late copy of a heartbeat', () => {
-  it('does not count as a sign of life: the machine is scaled in as soon as without the copies', async () => {
+  it('does not show that its worker is alive: the machine is scaled in as soon as without the copies', async () => {
     await startCluster(3, 4);
     await cluster.submit(service);
     const machineId = machineOf('j-svc/0');
@@ -114,7 +114,7 @@
     cluster.rememberWorkers();
     cluster.cut.add(machineId);
     for (let second = 0; second < 12; second++) {
-      // The copy arrives at the leader, and at nodes that would take its worker to be cut off from the leader.
+      // The copy arrives at the leader, and at nodes that would otherwise consider its worker cut off from the leader.
       for (const node of [0, 1, 2]) void cluster.node(node).answerHeartbeat(JSON.parse(JSON.stringify(copy)));
       await cluster.advance(1000);
     }
@@ -146,7 +146,7 @@
     assert.equal((await cluster.node(0).answerHeartbeat(JSON.parse(JSON.stringify(copy)))).status, 200);
     assert.equal(isSchedulable(0, 'i-000000'), false);
     await cluster.advance(1000);
-    assert.ok(isSchedulable(0, 'i-000001'), 'a machine that has shown the new token is open');
+    assert.ok(isSchedulable(0, 'i-000001'), 'a machine whose worker has reported the new token is schedulable');
   });
 });
 
--- a/test/workers/worker-registry.test.ts
+++ b/test/workers/worker-registry.test.ts
@@ -32,16 +32,16 @@
 
 describe('the worker registry', () => {
   it('drops the workers of an ended leadership term, and counts leases from the start of the next one', () => {
-    const { led, registry } = registryFor({ startRevision: 5, at: 1000 });
+    const { led, registry } = registryFor({ startRevision: 5, acquiredAt: 1000 });
     registry.add(workerWithContactAt(500_000));
-    led.term = { startRevision: 9, at: 600_000 };
+    led.term = { startRevision: 9, acquiredAt: 600_000 };
     assert.equal(registry.has(MACHINE_ID), false);
     assert.equal(registry.size, 0);
     assert.ok(registry.leaseExpiresAt(MACHINE_ID, { fencingToken: 9, term: led.term }) > 600_000 + LEASE_MS);
   });
 
   it('keeps the workers when the fencing token is advanced, which starts no new term', () => {
-    const term = { startRevision: 5, at: 1000 };
+    const term = { startRevision: 5, acquiredAt: 1000 };
     const { registry } = registryFor(term);
     registry.add(workerWithContactAt(500_000));
     const advanced = { fencingToken: 12, term };
@@ -49,7 +49,7 @@
   });
 
   it('does not consider the lease of a worker expired because it was forgotten', () => {
-    const term = { startRevision: 5, at: 1000 };
+    const term = { startRevision: 5, acquiredAt: 1000 };
     const { registry } = registryFor(term);
     registry.add(workerWithContactAt(500_000));
     registry.forget(MACHINE_ID);
@@ -58,7 +58,7 @@
   });
 
   it('keeps no worker of a partition that this node does not lead', () => {
-    const { led, registry } = registryFor({ startRevision: 5, at: 1000 });
+    const { led, registry } = registryFor({ startRevision: 5, acquiredAt: 1000 });
     led.term = undefined;
     registry.add(workerWithContactAt(500_000));
     assert.deepEqual([...registry.values()], []);
