--- a/packages/standby/src/pause-guard.ts
+++ b/packages/standby/src/pause-guard.ts
@@ -16,7 +16,7 @@
     this.lastCheckAt = now();
   }
 
-  /** Must be called frequently by a timer. `isConfirmed` checks too, since it may be read after a pause before timers fire. */
+  /** Must be called frequently by a timer. `isLeaseConfirmed` checks too, since it may be read after a pause before timers fire. */
   check(): void {
     const now = this.now();
     if (now - this.lastCheckAt > this.maxPauseMs) this.pausedUntil = now;
@@ -24,7 +24,7 @@
   }
 
   /** Records that the store has confirmed the lease; `sentAt`: monotonic ms when the request was sent. */
-  confirm(sentAt: number): void {
+  recordLeaseConfirmation(sentAt: number): void {
     this.check();
     this.confirmedAt = Math.max(this.confirmedAt, sentAt);
   }
@@ -35,13 +35,13 @@
   }
 
   /** Whether there was no pause since the last confirmation of the lease; checks the clock. */
-  get isConfirmed(): boolean {
+  get isLeaseConfirmed(): boolean {
     this.check();
-    return this.wasConfirmed;
+    return this.wasLeaseConfirmed;
   }
 
   /** As of the last check, without reading the clock: for callers that run thousands of times a second and send nothing. */
-  get wasConfirmed(): boolean {
+  get wasLeaseConfirmed(): boolean {
     return this.confirmedAt >= this.pausedUntil;
   }
 }
--- a/packages/standby/test/takeover-barrier.test.ts
+++ b/packages/standby/test/takeover-barrier.test.ts
@@ -36,7 +36,7 @@
 
   constructor(private readonly hasGuard: boolean) {
     this.guard = new PauseGuard(() => this.time, STORE_LEASE_TTL_MS);
-    this.guard.confirm(0);
+    this.guard.recordLeaseConfirmation(0);
   }
 
   readonly actions: Record<string, () => void> = {
@@ -50,7 +50,7 @@
       if (this.time >= this.leaseUntil) return;
       this.leaseUntil = this.time + STORE_LEASE_TTL_MS;
       this.freshOfA = this.time;
-      this.guard.confirm(this.time);
+      this.guard.recordLeaseConfirmation(this.time);
     },
     // The answer to a read that was in flight when A froze: it does not confirm the lease, but makes the replica appear fresh.
     lateRead: () => void (this.freshOfA = this.time),
@@ -69,7 +69,7 @@
   private assessA(): BarrierOutcome {
     return this.barrierOfA.assess({
       term: this.termOfA,
-      isLeaseConfirmed: !this.hasGuard || this.guard.isConfirmed,
+      isLeaseConfirmed: !this.hasGuard || this.guard.isLeaseConfirmed,
       isReplicaFresh: this.time - this.freshOfA < REPLICA_FRESH_MS,
       replicaRevision: 5,
     });
--- a/src/inventory/own-machines.ts
+++ b/src/inventory/own-machines.ts
@@ -52,7 +52,7 @@
       agentEpoch: worker.agentEpoch,
       sequence: worker.sequence,
       lastHeartbeatAt: worker.lastHeartbeatAt,
-      spotTerminationAt: worker.spotNoticeUntil,
+      spotTerminationAt: worker.spotTerminationAt,
       isQuarantined: worker.isQuarantined(now),
       isBackingOff: now < worker.backoffUntil,
       isUnreached: !worker.isReached,
--- a/src/leadership/advisory-restorer.ts
+++ b/src/leadership/advisory-restorer.ts
@@ -23,7 +23,7 @@
   log: Log;
 }
 
-/** An optimization only: entries that the records contradict are skipped, and no decision depends on a restored entry. */
+/** An optimization only: entries that the records contradict are skipped, and no decision needs a restored entry to be correct. */
 export class AdvisoryRestorer {
   constructor(private readonly dependencies: AdvisoryRestorerDependencies) {}
 
--- a/src/leadership/held-roles.ts
+++ b/src/leadership/held-roles.ts
@@ -57,7 +57,7 @@
   leadershipOf(role: string): HeldLeadership | undefined {
     const { clusterState, succession } = this.dependencies;
     // After a long pause another process may lead the role, even if this replica does not show it yet.
-    if (this.releasing.has(role) || !succession().wasConfirmed) return undefined;
+    if (this.releasing.has(role) || !succession().wasLeaseConfirmed) return undefined;
     const held = this.leaderships.get(role);
     const stored = clusterState.leadershipRecords.get(role);
     if (held === undefined || stored === undefined) return undefined;
@@ -65,7 +65,7 @@
   }
 
   confirmedLeadershipOf(role: string): HeldLeadership | undefined {
-    return this.dependencies.succession().isConfirmed ? this.leadershipOf(role) : undefined;
+    return this.dependencies.succession().isLeaseConfirmed ? this.leadershipOf(role) : undefined;
   }
 
   termOf(role: string): LeadershipTerm | undefined {
--- a/src/leadership/role-barriers.ts
+++ b/src/leadership/role-barriers.ts
@@ -32,7 +32,7 @@
     const outcome = this.barrierOf(role).assess({
       term: held.term,
       // The caller has just checked for a pause when it determined that this process leads the role.
-      isLeaseConfirmed: guard.wasConfirmed,
+      isLeaseConfirmed: guard.wasLeaseConfirmed,
       isReplicaFresh: leadership.hasRecentStoreContact,
       replicaRevision: replica.revision,
     });
--- a/src/leadership/role-leadership.ts
+++ b/src/leadership/role-leadership.ts
@@ -201,7 +201,7 @@
 
   private canAcquire(): boolean {
     if (this.storeLeaseId === undefined || !this.dependencies.replica.isLoaded) return false;
-    return this.hasRecentStoreContact && this.succession.isConfirmed && !this.selector.isStopped;
+    return this.hasRecentStoreContact && this.succession.isLeaseConfirmed && !this.selector.isStopped;
   }
 
   /** Renews the store lease and acquires vacant roles until the signal is aborted. */
--- a/src/leadership/role-transactions.ts
+++ b/src/leadership/role-transactions.ts
@@ -41,7 +41,7 @@
     return this.writeRecord(role, isRecordOwn, (revision) => {
       heldRoles.add(role, { fencingToken: revision, term: { startRevision: revision, acquiredAt: clock.now() } });
       log.info({ role, fencingToken: revision }, 'leadership acquired');
-      succession().acquired(role);
+      succession().roleAcquired(role);
       // Tasks are started only once the replica is complete up to the acquisition.
       void replica.refresh();
     });
--- a/src/leadership/standby.ts
+++ b/src/leadership/standby.ts
@@ -99,16 +99,16 @@
     return this.designation.successorOf(role);
   }
 
-  get isConfirmed(): boolean {
-    return this.guard.isConfirmed;
+  get isLeaseConfirmed(): boolean {
+    return this.guard.isLeaseConfirmed;
   }
 
-  get wasConfirmed(): boolean {
-    return this.guard.wasConfirmed;
+  get wasLeaseConfirmed(): boolean {
+    return this.guard.wasLeaseConfirmed;
   }
 
-  confirm(sentAt: number): void {
-    this.guard.confirm(sentAt);
+  recordLeaseConfirmation(sentAt: number): void {
+    this.guard.recordLeaseConfirmation(sentAt);
   }
 
   isReady(role: string, held: HeldLeadership): boolean {
@@ -121,7 +121,7 @@
     return isReady;
   }
 
-  acquired(role: string): void {
+  roleAcquired(role: string): void {
     this.timeline.recordStep(role, 'acquired');
   }
 
--- a/src/leadership/store-lease-renewal.ts
+++ b/src/leadership/store-lease-renewal.ts
@@ -33,7 +33,7 @@
       sentAt = clock.now();
       heldRoles.startLease(await client.createLease(STORE_LEASE_TTL_MS));
     }
-    succession().confirm(sentAt);
+    succession().recordLeaseConfirmation(sentAt);
     await leaseConfirmed();
   }
 }
--- a/src/leadership/successor-designation.ts
+++ b/src/leadership/successor-designation.ts
@@ -55,7 +55,7 @@
     const own: Candidate = {
       node: settings.node,
       zone: settings.zone,
-      isServing: leadership.hasRecentStoreContact && guard.isConfirmed,
+      isServing: leadership.hasRecentStoreContact && guard.isLeaseConfirmed,
       avoidsRole: leadership.avoidedRoles().includes(role),
       ledRoleCount: ledRoleCountOf(settings.node),
     };
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -50,7 +50,7 @@
     const { leadership, events } = this.dependencies;
     const { machineId } = workerStatus;
     // Heartbeats of a terminated machine are late copies, and must not register it again.
-    if (events.isTerminated(machineId)) return { kind: 'redirected', node: undefined, canForward: false };
+    if (events.isTerminated(machineId)) return { kind: 'redirected', node: undefined, shouldForward: false };
     const role = machineRole(leadership, machineId);
     const held = leadership.servingLeadershipOf(role);
     // A worker that has seen a higher token has a new leader, which this node can't know of while it is cut off from
@@ -133,9 +133,9 @@
     if (node === undefined || node === settings.node) return { kind: 'unavailable', error: 'not entitled' };
     // A late copy of a heartbeat may arrive more than a lease after the heartbeat was sent. It doesn't show that the
     // worker is alive, and the worker doesn't wait for a response to it.
-    if (events.isLate(workerStatus)) return { kind: 'redirected', node, canForward: false };
+    if (events.isLate(workerStatus)) return { kind: 'redirected', node, shouldForward: false };
     const leaderToken = clusterState.leadershipRecords.get(role)?.modRevision;
-    const canForward = misroutedWorkers.recordHeartbeat(workerStatus, leaderToken, clock.now());
-    return { kind: 'redirected', node, canForward };
+    const shouldForward = misroutedWorkers.recordHeartbeat(workerStatus, leaderToken, clock.now());
+    return { kind: 'redirected', node, shouldForward };
   }
 }
--- a/src/workers/heartbeat-service.ts
+++ b/src/workers/heartbeat-service.ts
@@ -35,7 +35,7 @@
     if (!wasMisrouted && misroutedWorkers.has(machineId)) onMisrouted();
     // The worker was in contact with its leader, or was redirected to it, and now sends a heartbeat to this node: it
     // can't reach the leader, but this node may.
-    if (outcome.kind === 'redirected' && outcome.canForward && outcome.node !== undefined) {
+    if (outcome.kind === 'redirected' && outcome.shouldForward && outcome.node !== undefined) {
       return this.forward(outcome.node, body);
     }
     return encodeOutcome(outcome);
@@ -45,7 +45,7 @@
   private async forward(leader: string, body: unknown): Promise<HttpAnswer> {
     const response = await this.dependencies.heartbeatForwarder.forward(leader, body);
     const leaderResponse = response?.status === 200 ? parseJson(response.body) : undefined;
-    if (leaderResponse === undefined) return encodeOutcome({ kind: 'redirected', node: leader, canForward: false });
+    if (leaderResponse === undefined) return encodeOutcome({ kind: 'redirected', node: leader, shouldForward: false });
     return { status: 200, body: leaderResponse };
   }
 
--- a/src/workers/straggler-detector.ts
+++ b/src/workers/straggler-detector.ts
@@ -63,7 +63,7 @@
     }
   }
 
-  /** Evicts batch tasks that would end sooner if restarted elsewhere; services are moved only if their checks fail. */
+  /** Evicts batch tasks that would end sooner if restarted elsewhere; services move only if their health checks fail. */
   evictFromSlowMachines(workers: Iterable<Worker>, roleOf: (machineId: string) => string): void {
     const { leadership, clusterState, clock } = this.dependencies;
     for (const jobId of this.finishedRunTimes.keys()) {
--- a/src/workers/worker-manager-dependencies.ts
+++ b/src/workers/worker-manager-dependencies.ts
@@ -16,10 +16,10 @@
   /** The response renews the worker's lease. */
   | { kind: 'answered'; fencingToken: number; commands: readonly WireCommand[] }
   /**
-   * Another node leads the worker's partition, or, if `node` is undefined, the machine is terminated. `canForward`: the
+   * Another node leads the worker's partition, or, if `node` is undefined, the machine is terminated. `shouldForward`: the
    * worker seems to be cut off from that node, so its heartbeat should be forwarded.
    */
-  | { kind: 'redirected'; node: string | undefined; canForward: boolean }
+  | { kind: 'redirected'; node: string | undefined; shouldForward: boolean }
   /** This node must not renew the lease, and knows of no node that may. */
   | { kind: 'unavailable'; error: string };
 
--- a/src/workers/worker-wire-codec.ts
+++ b/src/workers/worker-wire-codec.ts
@@ -48,7 +48,7 @@
 export interface WorkerStatus extends MachineIdentity {
   /** Highest fencing token that the worker has seen. */
   fencingToken: number;
-  /** Seconds until the cloud takes the machine away; null without a spot notice. */
+  /** Seconds until the cloud reclaims the machine; null without a spot notice. */
   spotNoticeS: number | null;
   /** By task id. */
   tasks: Map<string, ReportedTask>;
--- a/src/workers/worker.ts
+++ b/src/workers/worker.ts
@@ -23,8 +23,8 @@
   fencingToken = 0;
   /** Monotonic ms when the newest status arrived, in a heartbeat or a command response. */
   lastContactAt = -Infinity;
-  /** Monotonic ms when the cloud takes the machine away; null without a spot notice. */
-  spotNoticeUntil: number | null = null;
+  /** Monotonic ms when the cloud reclaims the machine; null without a spot notice. */
+  spotTerminationAt: number | null = null;
 
   readonly reachability = new WorkerReachability();
   readonly launches = new PendingLaunches();
@@ -56,7 +56,7 @@
     this.isSpot = workerStatus.isSpot;
     this.fencingToken = Math.max(this.fencingToken, workerStatus.fencingToken);
     this.tasks = workerStatus.tasks;
-    this.spotNoticeUntil = workerStatus.spotNoticeS === null ? null : now + workerStatus.spotNoticeS * 1000;
+    this.spotTerminationAt = workerStatus.spotNoticeS === null ? null : now + workerStatus.spotNoticeS * 1000;
     this.lastContactAt = now;
     if (isFirstContact) this.reachability.lastHeartbeatAt = now;
     const presentAttempts = this.runTimes.update(this.tasks, now, isFirstContact);
