--- a/src/leadership/role-barriers.ts
+++ b/src/leadership/role-barriers.ts
@@ -7,7 +7,7 @@
 import type { HeldLeadership } from './leadership-term.js';
 import type { RoleLeadership } from './role-leadership.js';
 
-/** What the barriers of a new leader are assessed from. */
+/** Sources of the state that the barriers are assessed against. */
 export interface RoleBarriersDependencies {
   leadership: RoleLeadership;
   clusterState: ClusterState;
@@ -32,7 +32,7 @@
     const outcome = this.barrierOf(role).assess({
       term: held.term,
       // The caller has just checked for a pause when it determined that this process leads the role.
-      isLeaseConfirmed: guard.wasConfirmed,
+      isLeaseConfirmed: guard.wasLeaseConfirmed,
       isReplicaFresh: leadership.hasRecentStoreContact,
       replicaRevision: replica.revision,
     });
--- a/src/leadership/standby.ts
+++ b/src/leadership/standby.ts
@@ -55,7 +55,7 @@
   tracer: TakeoverTracer;
 }
 
-/** Ticks between two requests to followed leaders, status lines and collections. */
+/** Ticks between requests to followed leaders, between status lines, and between collections of advisory state. */
 const TICKS_PER_REQUEST = Math.round(FOLLOW_PERIOD_MS / STANDBY_PERIOD_MS);
 const TICKS_PER_STATUS = Math.round(STATUS_PERIOD_MS / STANDBY_PERIOD_MS);
 const TICKS_PER_COLLECTION = Math.round(ADVISORY_COLLECTION_PERIOD_MS / STANDBY_PERIOD_MS);
@@ -99,16 +99,16 @@
     return this.designation.successorOf(role);
   }
 
-  get isConfirmed(): boolean {
-    return this.guard.isConfirmed;
+  get isLeaseConfirmed(): boolean {
+    return this.guard.isLeaseConfirmed;
   }
 
-  get wasConfirmed(): boolean {
-    return this.guard.wasConfirmed;
+  get wasLeaseConfirmed(): boolean {
+    return this.guard.wasLeaseConfirmed;
   }
 
-  confirm(sentAt: number): void {
-    this.guard.confirm(sentAt);
+  recordLeaseConfirmation(sentAt: number): void {
+    this.guard.recordLeaseConfirmation(sentAt);
   }
 
   isReady(role: string, held: HeldLeadership): boolean {
@@ -121,11 +121,11 @@
     return isReady;
   }
 
-  acquired(role: string): void {
+  roleAcquired(role: string): void {
     this.timeline.recordStep(role, 'acquired');
   }
 
-  /** A worker of the partition has been answered. */
+  /** Called when a worker of the role's partition is answered. */
   workerAnswered(role: string): void {
     this.timeline.recordStep(role, 'worker_answered');
   }
