--- a/src/autoscaling/autoscaler.ts
+++ b/src/autoscaling/autoscaler.ts
@@ -54,7 +54,7 @@
    */
   private readonly rentalRefusedAtMs = new Map<string, number>();
   private sequence = 0;
-  /** Maximum records changed by one transaction, valid before and after an announced change of the store's limits. */
+  /** Maximum of records changed by one transaction, valid before and after an announced change of the store's limits. */
   private readonly maxRecordsPerTransaction: number;
 
   constructor(private readonly dependencies: AutoscalerDependencies) {
@@ -63,7 +63,7 @@
     this.rentalRecords = new RentalRecords(dependencies);
   }
 
-  /** Offers that the cloud has recently refused; `at`: refused at, monotonic ms. */
+  /** Offers that the cloud has recently refused; `at`: time of the refusal, monotonic ms. */
   recentlyRefusedOffers(): Iterable<{ offer: string; at: number }> {
     return this.refusedOffers.recent();
   }
@@ -74,15 +74,16 @@
   }
 
   /**
-   * Runs one round of scale-out. True: requests were repeated, not granted in full, or left for another transaction, so
-   * that another round may request more.
+   * Runs one round of scale-out. Resolves to true if another round may request more, since requests were repeated, were not
+   * granted in full, or were left for another transaction.
    */
   async round(): Promise<boolean> {
     const { clusterState, inventory, clock } = this.dependencies;
     const rentals = [...clusterState.rentals.values()];
     const wallMs = clock.wall();
     const machines = inventory.machines();
-    // Requests of a former leader or without a response are repeated first: the same rental id gets the same machines.
+    // Requests without a recorded response, also those of a former leader, are repeated first: the same rental id gets the same
+    // machines.
     const unanswered = rentals.filter((rental) => rental.machineIds === null);
     if (unanswered.length > 0) {
       await this.repeatRequests(unanswered);
@@ -155,7 +156,7 @@
     }));
   }
 
-  /** All of the cloud's offers except those that it has recently refused. */
+  /** All offers in the catalog, except those that the cloud has recently refused. */
   private availableOffers(): MachineOffer[] {
     const offers: MachineOffer[] = [];
     for (const machineType of this.dependencies.inventory.catalog.values()) {
@@ -195,7 +196,7 @@
     return areGrantedInFull.includes(false) || wanted.length > this.maxRecordsPerTransaction;
   }
 
-  /** True: the request was granted in full. */
+  /** Resolves to true if the request was granted in full. */
   private async requestMachines(record: RentalRecord): Promise<boolean> {
     const { cloud, clock, log } = this.dependencies;
     const { rentalId, machineType, zone, count } = record;
--- a/src/autoscaling/capacity-needs.ts
+++ b/src/autoscaling/capacity-needs.ts
@@ -43,8 +43,9 @@
 }
 
 /**
- * A job whose tasks fail repeatedly is not worth more than one machine to retry on, but must have one that it may use. A
- * gang needs machines for all its tasks, and its next attempts use the added machines as well.
+ * Number of the job's pending tasks that machines are added for. A job whose tasks fail repeatedly gets at most one to retry
+ * on, and only if it may use none of the schedulable machines. A gang needs machines for all its tasks, and its next attempts
+ * use the added machines as well.
  */
 function countTasksToScaleOutFor(
   spec: JobSpec,
--- a/src/autoscaling/cluster-leader.ts
+++ b/src/autoscaling/cluster-leader.ts
@@ -22,7 +22,7 @@
   peerDirectory: PeerDirectory;
 }
 
-/** Runs each duty periodically while this node is the leader; on a follower it only holds the advisory state. */
+/** Runs each duty periodically while this node is the cluster leader; on other nodes it only holds the advisory state. */
 export class ClusterLeader {
   private readonly evictionMarker: EvictionMarker;
   private readonly preemptor: Preemptor;
@@ -62,13 +62,13 @@
     };
   }
 
-  /** Endpoint of a machine that has sent this node no heartbeat; undefined: unknown to peers and to the cloud's list. */
+  /** Endpoint of a machine that has sent this node no heartbeat; undefined if neither peers nor the cloud's list have it. */
   endpointOf(machineId: string): string | undefined {
     const { inventory } = this.dependencies;
     return inventory.peerStateOf(machineId)?.endpoint ?? this.machineList.machines.get(machineId)?.endpoint;
   }
 
-  /** Runs the duties until the signal fires. */
+  /** Runs the duties until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     await Promise.all([
       this.repeatWhileLeading(SCALE_OUT_PERIOD_MS / 4, signal, () => this.machineTypes.read()),
@@ -97,7 +97,7 @@
     }
   }
 
-  /** After a refusal, other offers are requested at once, since a machine takes long enough to boot. */
+  /** After a refusal, requests other offers at once, since a machine takes long to boot in any case. */
   private async scaleOut(): Promise<void> {
     for (let round = 0; round < SCALE_OUT_ROUNDS; round++) {
       const mayFindMore = await this.autoscaler.round();
--- a/src/autoscaling/idle-machine-detector.ts
+++ b/src/autoscaling/idle-machine-detector.ts
@@ -30,7 +30,7 @@
     return this.check(nowMs);
   }
 
-  /** Machines that were idle at the last check; `at`: idle since, monotonic ms. */
+  /** Machines that were idle at the last check; `at`: since when, monotonic ms. */
   recentlyIdle(): Iterable<{ machineId: string; at: number }> {
     return [...this.idleSinceMs].map(([machineId, at]) => ({ machineId, at }));
   }
--- a/src/autoscaling/machine-scale-in.ts
+++ b/src/autoscaling/machine-scale-in.ts
@@ -29,7 +29,7 @@
   log: Log;
 }
 
-/** Scales in machines. A machine takes no new tasks from the request on; if the request fails, it takes them again. */
+/** Scales in machines. A machine takes no new tasks once its return is requested; if the request fails, it takes them again. */
 export class MachineScaleIn {
   /** Ids of machines with an in-flight request to the cloud. */
   private readonly inFlight = new Set<string>();
--- a/src/autoscaling/refused-offers.ts
+++ b/src/autoscaling/refused-offers.ts
@@ -14,7 +14,7 @@
 
 /** Tracks refusals by offer; the next leader takes over this state. */
 export class RefusedOffers {
-  /** Monotonic ms by offer key. */
+  /** Monotonic ms until which an offer is not requested again, by offer key. */
   private readonly refusedUntilMs = new Map<string, number>();
 
   constructor(private readonly clock: Clock) {}
@@ -28,7 +28,7 @@
     return (this.refusedUntilMs.get(offerKey(offer)) ?? -Infinity) > this.clock.now();
   }
 
-  /** The refusals that still count; `at`: refused at, monotonic ms. */
+  /** The refusals that still count; `at`: time of the refusal, monotonic ms. */
   *recent(): Iterable<{ offer: string; at: number }> {
     for (const [offer, untilMs] of this.refusedUntilMs)
       if (untilMs > this.clock.now()) yield { offer, at: untilMs - NO_CAPACITY_MS };
--- a/src/autoscaling/rental-records.ts
+++ b/src/autoscaling/rental-records.ts
@@ -18,14 +18,14 @@
 export class RentalRecords {
   constructor(private readonly dependencies: RentalRecordsDependencies) {}
 
-  /** Writes all in one transaction. False: none was written, or the outcome is unknown. */
+  /** Writes all records in one transaction. Resolves to false if none was written or the outcome is unknown. */
   put(rentals: readonly RentalRecord[]): Promise<boolean> {
     return this.commit((draft) => {
       for (const rental of rentals) draft.set(rentalKey(rental.rentalId), encodeRentalRecord(rental));
     });
   }
 
-  /** Deletes all in one transaction. False: none was deleted, or the outcome is unknown. */
+  /** Deletes all records in one transaction. Resolves to false if none was deleted or the outcome is unknown. */
   delete(rentals: readonly RentalRecord[]): Promise<boolean> {
     return this.commit((draft) => {
       for (const rental of rentals) draft.delete(rentalKey(rental.rentalId));
--- a/src/autoscaling/scale-out-decision.ts
+++ b/src/autoscaling/scale-out-decision.ts
@@ -92,7 +92,7 @@
     if (cheapest.length === 0) return;
     let unplacedTasks = taskCount;
     while (unplacedTasks > 0 && this.remainingMachines > 0) {
-      // Of equally cheap offers, the one wanted least so far is taken, so that the loss of a zone costs less.
+      // Of equally cheap offers, the one with the fewest machines so far is taken, so that the loss of a zone affects fewer.
       const offer = cheapest.reduce((a, b) => (this.wantedCountOf(b) < this.wantedCountOf(a) ? b : a));
       const machine = planMachine(offer);
       this.addWanted(offer);
--- a/src/autoscaling/spot-notice-evictor.ts
+++ b/src/autoscaling/spot-notice-evictor.ts
@@ -16,7 +16,7 @@
 export class SpotNoticeEvictor {
   constructor(private readonly dependencies: SpotNoticeEvictorDependencies) {}
 
-  /** Marks the tasks for eviction that benefit from it. The grace period is the checkpoint time, or 0 if less is left. */
+  /** Evicts the tasks that benefit from it. The grace period is the time to save a checkpoint, or 0 if less time is left. */
   evict(machines: ReadonlyMap<string, MachineInfo>): void {
     const nowMs = this.dependencies.clock.now();
     for (const { machineId, spotTerminationAt } of machines.values()) {
--- a/src/autoscaling/unresponsive-machine-detector.ts
+++ b/src/autoscaling/unresponsive-machine-detector.ts
@@ -21,7 +21,7 @@
   clock: Clock;
 }
 
-/** Monitors heartbeats; tracks which zones were recently isolated and when each role got its current leader. */
+/** Monitors heartbeats, and tracks which zones were recently isolated and when each role got its current leader. */
 export class UnresponsiveMachineDetector {
   /** By role: when its current leader was first seen. */
   private readonly leaderSince = new Map<string, { leaseId: number; atMs: number }>();
@@ -97,7 +97,7 @@
     }
   }
 
-  /** undefined: the partition's leader is unreachable, or the machine holds no task. */
+  /** The state of an unreported machine; undefined if the partition's leader is unreachable or the machine holds no task. */
   private describeUnreported(machineId: string, nowMs: number): MonitoredMachine | undefined {
     const { settings, leadership, clusterState, peerDirectory } = this.dependencies;
     const { workers } = settings.cluster;
--- a/src/autoscaling/unresponsive-machines.ts
+++ b/src/autoscaling/unresponsive-machines.ts
@@ -9,7 +9,7 @@
   zone: string;
   /** ms without any sign that the machine is up and reachable; 0: it counts as responsive. */
   unresponsiveMs: number;
-  /** Whether its next heartbeat is late, or it is unresponsive. */
+  /** Whether the machine's next heartbeat is late, or the machine is unresponsive. */
   isLate: boolean;
 }
 
--- a/src/cloud/cloud-client.ts
+++ b/src/cloud/cloud-client.ts
@@ -31,7 +31,7 @@
 /** Calls with side effects, by the names that the standby package uses to decide whether to withhold them. */
 export type CloudChange = 'cloud_rent' | 'cloud_return';
 
-/** How to reach the cloud, and when a call may be sent. */
+/** How to reach the cloud, its rate limit, and when a call may be sent. */
 export interface CloudClientOptions {
   http: HttpClient;
   /** Host and port. */
@@ -87,7 +87,7 @@
     }
   }
 
-  /** True: the machines and all tasks on them have ended. False: the outcome is unknown. */
+  /** Resolves to true once the machines and all tasks on them have ended, and to false if the outcome is unknown. */
   async scaleIn(machineIds: readonly string[]): Promise<boolean> {
     const body = encodeScaleInRequest(machineIds);
     const outcome = await this.change('cloud_return', '/rentals/return', body, Priority.cancel);
@@ -124,7 +124,7 @@
     return reply === undefined ? { kind: 'no_response' } : { kind: 'answered', reply };
   }
 
-  /** undefined: there was no response, whatever the reason. */
+  /** Resolves to undefined if there was no response, whatever the reason. */
   private async send(method: string, path: string, body: unknown, priority: Priority): Promise<Reply | undefined> {
     const { http, address } = this.options;
     try {
--- a/src/config/least-limits.ts
+++ b/src/config/least-limits.ts
@@ -1,4 +1,4 @@
-/** Checks that the platform's limits suffice for a controller, so that small ones are rejected at startup, not found in an outage. */
+/** Finds limits of the platform that are too small for a controller, so that they are rejected at startup, not found in an outage. */
 import {
   MIN_CPU_SHARE,
   MIN_MEMORY_MB,
@@ -12,7 +12,7 @@
 
 /** A limit set by the platform, and the minimum that a controller needs. */
 interface Limit {
-  /** Its path in the settings file. */
+  /** The limit's path in the settings file. */
   field: string;
   value: number;
   minimum: number;
--- a/src/config/load-settings.ts
+++ b/src/config/load-settings.ts
@@ -19,7 +19,7 @@
 } from './settings-file-codec.js';
 import type { Tuning } from './tuning.js';
 
-/** A settings file is invalid; the message names the file and the field. */
+/** Thrown for an invalid settings file; the message names the file and the field. */
 export class SettingsError extends Error {
   readonly code = 'settings_invalid';
 }
--- a/src/constants/api.ts
+++ b/src/constants/api.ts
@@ -12,7 +12,7 @@
  */
 export const POLL_GATHER_MS = 250;
 
-/** Maximum attempts of such a transaction for one poll; after each, the records whose conditions failed are read again. */
+/** Maximum attempts to confirm the records of a poll by a transaction of conditions; records that have changed are read again. */
 export const POLL_COMPARISONS = 3;
 
 /** Maximum of user requests in progress: more are refused with 429 at once, which bounds memory. */
@@ -34,8 +34,8 @@
 export const REQUEST_TIMEOUT_MS = 5000;
 
 /**
- * Shares of the sockets that the platform allows: for connections of users and workers, and for calls to the store, the cloud
- * and workers. The rest is left for connections with other controllers.
+ * Shares of the sockets that the platform allows: the first for connections from users and workers, the second for calls to the
+ * store, the cloud and workers. The rest is left for connections with other controllers.
  */
 export const HTTP_SERVER_SOCKET_SHARE = 0.6;
 export const HTTP_CLIENT_SOCKET_SHARE = 0.25;
--- a/src/constants/autoscaling.ts
+++ b/src/constants/autoscaling.ts
@@ -3,31 +3,31 @@
 /** Timeout of a cloud request, ms: scaling out takes longer than a store request. */
 export const CLOUD_TIMEOUT_MS = 5000;
 
-/** Pause after a 429 of the cloud, ms: its limit is a few calls per second. Urgent requests are retried after a fifth of it. */
+/** Pause after a 429 of the cloud, ms: its limit is a few calls per second. Urgent requests are retried after a fifth of this. */
 export const CLOUD_BUSY_PAUSE_MS = 2000;
 
-/** Failures of a task up to which its whole job counts as demand: more failures are usually the job's fault, not a machine's. */
+/** Failures of a task up to which all pending tasks of its job count as demand: more are usually the job's own fault. */
 export const FAILURES_WORTH_SCALING_OUT = 2;
 
 /** ms for which a machine must seem faulty before it is scaled in: by then the same jobs have run on other machines. */
 export const QUARANTINE_PATIENCE_MS = 4000;
 
-/** Share of a zone's machines silent at the same time above which the zone counts as cut off by a network partition. */
+/** Share of a zone's machines with late heartbeats above which the zone counts as isolated by a network partition. */
 export const ZONE_CUT_SHARE = 0.5;
 
-/** Multiple of the silence limit after which a machine that no leader has heard from since a failover is scaled in. */
+/** Multiple of the usual limit (`unresponsiveAfterMs`) after which a machine without heartbeats since a failover is scaled in. */
 export const UNSEEN_SILENCE_LIMITS = 2;
 
-/** ms for which a zone's machines are kept after most of them have reconnected: the last ones try other nodes first. */
+/** ms for which an isolated zone's machines are kept after most of them have reconnected: the last ones try other nodes first. */
 export const ZONE_HEAL_MS = 30_000;
 
-/** ms for which the machines of a partitioned zone are kept: longer than most partitions and than scaling out elsewhere take. */
+/** ms for which an isolated zone's unresponsive machines are kept: longer than most partitions and scaling out elsewhere take. */
 export const ZONE_PATIENCE_MS = 120_000;
 
-/** Multiple of its boot time after which a machine that has never sent a heartbeat is scaled in. */
+/** Multiple of its type's boot time after which a machine that has never sent a heartbeat is scaled in. */
 export const BOOT_PATIENCE = 3;
 
-/** ms for which an idle machine beyond the reserve is kept, so that it is not soon replaced by scaling out again. */
+/** ms for which an idle machine beyond the reserve is kept, so that scaling out does not have to replace it soon afterwards. */
 export const IDLE_SCALE_IN_MS = 180_000;
 
 /** ms between checks for idle machines. */
--- a/src/constants/inventory.ts
+++ b/src/constants/inventory.ts
@@ -5,7 +5,8 @@
 
 /**
  * A job counts as faulty, and its failures no longer count against machines, once it has failed on this share of all machines,
- * and on this number at least. The share is that large because a few faulty machines among many must not make a job look faulty.
+ * and on at least this number of machines. The share is that large because a few faulty machines among many must not make a job
+ * look faulty.
  */
 export const FAULTY_JOB_SHARE = 0.4;
 export const FAULTY_JOB_LEAST = 2;
--- a/src/constants/leadership.ts
+++ b/src/constants/leadership.ts
@@ -9,7 +9,7 @@
 /** Maximum ms since the replica and the leadership were confirmed for new starts and other decisions to be made. */
 export const REPLICA_FRESH_MS = 2000;
 
-/** ms subtracted from the time of degraded serving: a worker accepts a response up to 4 s after it sent its heartbeat. */
+/** ms by which degraded serving ends early: a worker accepts a response up to 4 s after it sent its heartbeat. */
 export const DEGRADED_SERVING_MARGIN_MS = 2000;
 
 /** Minimum ms between advances of a partition's fencing token: each makes every worker of the partition send a heartbeat. */
@@ -33,7 +33,7 @@
 /** ms between checks whether the responses to commands have arrived. */
 export const DRAIN_CHECK_PERIOD_MS = 20;
 
-/** Share of a handover's time limit that may be spent waiting for responses to commands in flight. */
+/** Share of a handover's time limit that may be spent on waiting for responses to in-flight commands. */
 export const DRAIN_SHARE = 1 / 3;
 
 /**
--- a/src/constants/records.ts
+++ b/src/constants/records.ts
@@ -1,6 +1,6 @@
 /** Sizes of records in the store, and periods of their maintenance. */
 
-/** Minimum writes at the end of a job: its final record, and the deletion of its live record. */
+/** Writes that every end of a job needs: its final record, and the deletion of its live record. */
 export const END_WRITES = 2;
 
 /** Upper bound of one task's placement in a chunk, bytes; used to size chunks. */
--- a/src/constants/store.ts
+++ b/src/constants/store.ts
@@ -32,7 +32,7 @@
 /** Maximum of pending mutations of one priority in a node: bounds memory in a store outage; above one task per machine. */
 export const MAX_PENDING_MUTATIONS = 10_000;
 
-/** Maximum of in-flight transactions of one urgent priority: one may hang without delaying the next. */
+/** Maximum of in-flight transactions of one urgent priority: with two, one may hang without delaying the next. */
 export const MAX_IN_FLIGHT_TRANSACTIONS = 2;
 
 /**
@@ -57,7 +57,7 @@
 /** ms of waiting after which a batch request no longer leaves a reserve of tokens. */
 export const BATCH_RESERVE_DECAY_MS = 1000;
 
-/** Pause of batch requests after a 429, ms, and the share of it after which urgent requests are retried. */
+/** Pause of batch requests after a 429, ms, and the share of that pause after which urgent requests are retried. */
 export const BUSY_PAUSE_MS = 150;
 export const URGENT_RETRY_SHARE = 0.2;
 
@@ -72,11 +72,11 @@
 
 /**
  * Maximum of writes in a transaction of several mutations, as a share of the writes per second. The store refuses a large
- * transaction while small ones of other nodes use up its rate, and here too it would wait for a token bucket that is never full.
+ * transaction while small ones of other nodes use up its rate, and the node's own token bucket would rarely hold enough tokens.
  */
 export const BATCH_TRANSACTION_SHARE = 0.3;
 
-/** Writes that such a transaction may always contain: two jobs with their teams. */
+/** Writes that a transaction of several mutations may always contain: two jobs with their teams. */
 export const MIN_BATCH_TRANSACTION_WRITES = 4;
 
 /** Maximum of conditions in a transaction, per write that a transaction may contain: the store's limit. */
--- a/src/constants/workers.ts
+++ b/src/constants/workers.ts
@@ -47,7 +47,7 @@
 /** Number of different jobs with failures on a machine, without a success in between, from which it is quarantined. */
 export const QUARANTINE_ERRORS = 2;
 
-/** ms for which a quarantined machine gets no new tasks, if it can't be replaced. */
+/** ms for which a quarantined machine gets no new tasks, unless it is replaced earlier. */
 export const QUARANTINE_MS = 120_000;
 
 /**
@@ -81,10 +81,10 @@
  */
 export const STRAGGLER_FACTOR = 2.3;
 
-/** Multiple of the mean beyond which a task stays on its slow machine: it will end there sooner than if it were restarted. */
+/** Multiple of that mean beyond which a task stays on its slow machine: it will end there sooner than if it were restarted. */
 export const EVICT_STRAGGLER_FACTOR = 3;
 
-/** Multiple of the mean of their jobs' tasks beyond which a machine's last tasks make it count as slow, for the same reason. */
+/** Multiple of their jobs' mean run times beyond which a machine's last tasks make it count as slow; see `STRAGGLER_FACTOR`. */
 export const SLOW_MACHINE_FACTOR = 2.3;
 
 /** ms between checks for workers that have sent no heartbeat since a failover. */
--- a/src/domain/machine-state.ts
+++ b/src/domain/machine-state.ts
@@ -5,7 +5,7 @@
   machineId: string;
   /** 'host:port' where its agent takes commands. */
   endpoint: string;
-  /** The name of its type in the cloud's catalogue. */
+  /** The name of its type in the cloud's catalog. */
   machineType: string;
   zone: string;
   isSpot: boolean;
--- a/src/domain/machine-type.ts
+++ b/src/domain/machine-type.ts
@@ -2,7 +2,7 @@
 import type { JobSpec } from './job.js';
 import { countFittingTasks, type Resources } from './resources.js';
 
-/** A machine type of the cloud's catalogue. */
+/** A machine type of the cloud's catalog. */
 export interface MachineType {
   name: string;
   cpus: number;
--- a/src/domain/machine.ts
+++ b/src/domain/machine.ts
@@ -3,7 +3,7 @@
 /** A machine as seen by the placement rules. */
 export interface Machine {
   machineId: string;
-  /** The name of its type in the cloud's catalogue. */
+  /** The name of its type in the cloud's catalog. */
   machineType: string;
   zone: string;
   isSpot: boolean;
--- a/src/domain/settings.ts
+++ b/src/domain/settings.ts
@@ -21,7 +21,7 @@
   workerLeaseMs: number;
   /** Time within which a gang must be complete, or its tasks exit. */
   gangStartTimeoutMs: number;
-  /** Time within which the tasks of a running gang notice a lost peer, and within which an orderly stop must have reached all. */
+  /** Time within which the tasks of a running gang notice a lost peer; an orderly stop must reach all of them within it. */
   gangPeerTimeoutMs: number;
   /** Time within which no task of a cancelled job may be left on any machine. */
   cancelDeadlineMs: number;
@@ -39,7 +39,7 @@
 
 /** The store's rate limit and write limits. */
 export interface StoreSettings {
-  /** For all controllers together. */
+  /** The store's rate limit for all controllers together. */
   requestsPerSecond: number;
   /** The limits in force when the process starts. */
   present: StoreLimits;
--- a/src/domain/team.ts
+++ b/src/domain/team.ts
@@ -9,9 +9,9 @@
 /** A team and its share of the cluster. */
 export interface Team {
   name: string;
-  /** While all unfinished jobs of the team together fit, they do not wait for other teams; 0: nothing is guaranteed. */
+  /** While all unfinished jobs of the team together fit these amounts, they do not wait for other teams; 0: no guarantee. */
   guaranteed: QuotaAmounts;
-  /** Maximum that the team's tasks use together; 0: no limit. */
+  /** Maximum that the team's tasks may use together; 0: no limit. */
   limit: QuotaAmounts;
 }
 
--- a/src/net/clock.ts
+++ b/src/net/clock.ts
@@ -6,7 +6,7 @@
 export interface Clock {
   /** Monotonic time in ms from an arbitrary origin: comparable only within one process. */
   now(): number;
-  /** Wall-clock time in ms since 1970: only for records that people read and for ages across processes. */
+  /** Wall-clock time in ms since 1970, for stored timestamps, deadlines, and ages across processes; never for leases. */
   wall(): number;
   /** Resolves after `ms`, or earlier, without an error, when the signal aborts. */
   sleep(ms: number, signal?: AbortSignal): Promise<void>;
--- a/src/net/http-client.ts
+++ b/src/net/http-client.ts
@@ -10,7 +10,7 @@
   body: unknown;
 }
 
-/** There was no usable response. `wasSent`: the request may have reached the server, and may still be carried out. */
+/** Thrown if there is no usable response. `wasSent`: the request may have reached the server, and may still be carried out. */
 export class NoResponseError extends Error {
   readonly code = 'NO_RESPONSE';
 
--- a/src/net/periodic.ts
+++ b/src/net/periodic.ts
@@ -1,8 +1,8 @@
-/** Periodic tasks that run until they are aborted. */
+/** Periodic work that runs until a signal aborts. */
 import type { Log } from '../logging/log.js';
 import type { Clock } from './clock.js';
 
-/** Dependencies of `runPeriodically`. */
+/** Dependencies of `runPeriodically`, and the signal that ends it. */
 export interface PeriodicDependencies {
   clock: Clock;
   log: Log;
--- a/src/net/token-bucket.ts
+++ b/src/net/token-bucket.ts
@@ -10,8 +10,9 @@
 import type { Clock } from './clock.js';
 
 /**
- * Priorities of requests: lower numbers go first. `start` is for starting services and gangs, and for the evictions that make
- * room for them; `record` for exits of batch tasks, and for reads; `background` for starts of batch tasks.
+ * Priorities of requests: lower numbers go first, except as stated at `queueRankOf`. `accept` is for accepting submissions;
+ * `start` for starting services and gangs, and for the evictions that make room for them; `record` for exits of batch tasks, and
+ * for reads; `background` for starts of batch tasks.
  */
 export const Priority = { lease: 0, cancel: 1, accept: 2, start: 3, record: 4, background: 5 } as const;
 /** One of the priorities. */
@@ -28,9 +29,9 @@
 
 interface Waiter {
   priority: Priority;
-  /** Tokens. */
+  /** Number of tokens to take. */
   cost: number;
-  /** Monotonic ms. */
+  /** Arrival of the request, monotonic ms. */
   waitingSince: number;
   grant: () => void;
 }
@@ -65,8 +66,8 @@
   }
 
   /**
-   * Call after a 429, by which the service reports that the limit shared by all nodes is reached. Batch requests of every node
-   * that receives a 429 then pause for `ms`; urgent requests retry much sooner, and so get the tokens left by the others.
+   * To be called after a 429, by which the service reports that the limit shared by all nodes is reached. Batch requests of every
+   * node that receives a 429 then pause for `ms`; urgent requests retry much sooner, and so get the tokens left by the others.
    */
   backOff(ms: number, priority: Priority): void {
     const now = this.clock.now();
@@ -107,8 +108,8 @@
   }
 
   /**
-   * Batch requests leave a reserve of tokens for urgent requests. The reserve shrinks with their waiting time: under steady load
-   * the bucket never fills up, and they would otherwise wait forever.
+   * Tokens that the request still lacks. Batch requests leave a reserve of tokens for urgent requests. The reserve shrinks with
+   * their waiting time: under steady load the bucket never fills up, and they would otherwise wait forever.
    */
   private missingTokens(cost: number, priority: Priority, waitingSince: number): number {
     const reserveShare = Math.max(0, 1 - (this.refilledAt - waitingSince) / BATCH_RESERVE_DECAY_MS);
--- a/src/records/cluster-state.ts
+++ b/src/records/cluster-state.ts
@@ -32,7 +32,7 @@
 
 /** The decoded live records, updated with every change of the replica. */
 export class ClusterState {
-  /** Jobs that are not over. */
+  /** Jobs that have not ended. */
   readonly jobs = new Map<string, JobView>();
   /** The dependency graph of the waiting jobs. */
   readonly dependencies = new JobDependencies((jobId, urgency) => this.applyUrgency(jobId, urgency));
@@ -90,7 +90,10 @@
     return isComplete ? this.teams.usageOf(team) : undefined;
   }
 
-  /** Hint for a task's start or exit: it writes the task's chunk and, if the job counts against a limit of `team`, its record. */
+  /**
+   * Hint for a task's start or exit, which writes the task's chunk and, if the job counts against a limit of `team`, the team's
+   * record.
+   */
   batchingHintFor(jobId: string, taskIndex: number, team?: Team): BatchingHint | undefined {
     const view = this.jobs.get(jobId);
     if (view === undefined) return undefined;
--- a/src/records/dependency-mutations.ts
+++ b/src/records/dependency-mutations.ts
@@ -10,7 +10,7 @@
   return value !== undefined && decodeFinalJobRecord(value).state === 'done';
 }
 
-/** Releases a waiting job if all its dependencies are done. `nowMs`: time of day. */
+/** Releases a waiting job if all its dependencies are done. `nowMs`: wall-clock time. */
 export function releaseJob(draft: TransactionDraft, jobId: string, nowMs: number): boolean {
   const job = readJob(draft, jobId);
   if (job?.state !== 'waiting' || job.dependencies?.every((dependency) => isDone(draft, dependency)) !== true)
--- a/src/records/format-upgrade.ts
+++ b/src/records/format-upgrade.ts
@@ -13,7 +13,7 @@
 import { FORMAT_COMPLETE_KEY, formatKey } from './record-keys.js';
 import { type FormatRecord, RECORD_FORMAT } from './records.js';
 
-/** What `FormatUpgrade` needs from the controller. */
+/** The controllers, their records in the store, and this process's store lease. */
 export interface FormatUpgradeDependencies {
   node: string;
   /** All known controllers, including this one. */
--- a/src/records/job-dependencies.ts
+++ b/src/records/job-dependencies.ts
@@ -9,7 +9,7 @@
 export interface Urgency {
   /** Index in `JOB_PRIORITIES` of the highest priority among direct and indirect dependents. */
   priorityIndex: number;
-  /** Time of day, ms, by which the job must be complete for all dependents to meet their deadlines; Infinity: no deadline. */
+  /** Wall-clock time, ms, by which the job must be complete for all dependents to meet their deadlines; Infinity: no deadline. */
   finishByMs: number;
 }
 
@@ -17,7 +17,7 @@
 const NO_DEPENDENTS: ReadonlySet<string> = new Set();
 const NO_URGENCY: Urgency = { priorityIndex: JOB_PRIORITIES.length, finishByMs: Infinity };
 
-/** The job's own deadline as time of day, ms; Infinity: none. */
+/** The job's own deadline as wall-clock time, ms; Infinity: none. */
 const deadlineAtMs = ({ spec, submittedAtMs }: JobRecord): number =>
   spec.deadlineS === null ? Infinity : submittedAtMs + spec.deadlineS * MS_PER_S;
 
--- a/src/records/job-view.ts
+++ b/src/records/job-view.ts
@@ -14,7 +14,7 @@
   placed = 0;
   private queuedTasks: number[] | undefined;
   private effectiveRecord: JobRecord;
-  /** Time of day, ms, by which the job must be complete for its dependents to meet their deadlines; Infinity: no deadline. */
+  /** Wall-clock time, ms, by which the job must be complete for its dependents to meet their deadlines; Infinity: no deadline. */
   finishBy = Infinity;
   private inheritedPriorityIndex = JOB_PRIORITIES.length;
 
--- a/src/records/machine-placements.ts
+++ b/src/records/machine-placements.ts
@@ -14,7 +14,7 @@
 
 /** Index of the placed tasks by machine. */
 export class MachinePlacements {
-  /** By machine id, then by task. */
+  /** By machine id, then by task id. */
   private readonly tasksByMachine = new Map<string, Map<string, PlacedTask>>();
   private readonly usedResourcesByMachine = new Map<string, Resources>();
 
--- a/src/records/placement-codec.ts
+++ b/src/records/placement-codec.ts
@@ -135,8 +135,9 @@
 }
 
 /**
- * The same chunk with the name of each zone stored once, which takes about 25 bytes per placement instead of 40. Shrinks chunks
- * of a version that expected a higher size limit of values. Only versions that read `RECORD_FORMAT` 2 can decode the result.
+ * The same chunk with the name of each zone stored once, which takes about 25 bytes per placement instead of 40. Chunks written
+ * by a version that expected a higher size limit of values may need it. Only versions that read `RECORD_FORMAT` 2 can decode the
+ * result.
  */
 export function compactChunk(value: unknown): unknown {
   const placements = decodeChunk(value, (value as RawChunk).s.length);
--- a/src/records/placement-mutations.ts
+++ b/src/records/placement-mutations.ts
@@ -152,7 +152,7 @@
 
 /**
  * Replaces the record of a job whose tasks have all ended with its final record. The chunks need no conditions: a done task
- * stays done, and no task of a cancelled job can start. For a cancelled job, the caller must have seen all changes before the
+ * stays done, and no task of a cancelled job can start. For a cancelled job, the replica must hold all changes made before the
  * cancellation. Chunks beyond `maxWrites`, the limit of one transaction, are deleted later.
  */
 export function endJob(draft: TransactionDraft, jobId: string, maxWrites: number): boolean {
--- a/src/records/placement-rules.ts
+++ b/src/records/placement-rules.ts
@@ -37,7 +37,7 @@
   (limit.cpus === 0 || cpus === 0 || usage.cpus + cpus <= limit.cpus + TOLERANCE) &&
   (limit.gpus === 0 || gpus === 0 || usage.gpus + gpus <= limit.gpus + TOLERANCE);
 
-/** Whether the job counts against any limit of its team; the usage of jobs that do not is not recorded. */
+/** Whether the job counts against any limit of its team. The usage of other jobs is not recorded. */
 export const isQuotaLimited = ({ limit }: Team, job: JobSpec): boolean =>
   (limit.cpus > 0 && job.cpus > 0) || (limit.gpus > 0 && job.gpus > 0);
 
--- a/src/records/record-keys.ts
+++ b/src/records/record-keys.ts
@@ -10,7 +10,7 @@
 export const LEADERSHIP_PREFIX = `${LIVE_PREFIX}claim/`;
 export const leadershipKey = (role: string): string => `${LEADERSHIP_PREFIX}${role}`;
 
-/** Jobs that are not over. */
+/** Jobs that have not ended. */
 export const JOB_PREFIX = `${LIVE_PREFIX}job/`;
 export const jobKey = (jobId: string): string => `${JOB_PREFIX}${jobId}`;
 
@@ -34,7 +34,7 @@
 export const RENTAL_PREFIX = `${LIVE_PREFIX}hire/`;
 export const rentalKey = (rentalId: string): string => `${RENTAL_PREFIX}${rentalId}`;
 
-/** Jobs that are over. */
+/** Jobs that have ended. */
 export const FINAL_JOB_PREFIX = 'ended/';
 export const finalJobKey = (jobId: string): string => `${FINAL_JOB_PREFIX}${jobId}`;
 
--- a/src/records/records.ts
+++ b/src/records/records.ts
@@ -4,25 +4,25 @@
 /** Version of the record format that this program reads; version 2 added compact chunks of task placements. */
 export const RECORD_FORMAT = 2;
 
-/** A job that is not over. */
+/** A job that has not ended. */
 export interface JobRecord {
   spec: JobSpec;
   /** `waiting`: not all dependencies are done. Versions that don't support dependencies can't decode it, so they start no task. */
   state: 'waiting' | 'active' | 'cancelled';
-  /** Time of day, ms, of the submission; used to order jobs and to compute deadlines, but safety does not depend on it. */
+  /** Wall-clock time, ms, of the submission; used to order jobs and to compute deadlines, but safety does not depend on it. */
   submittedAtMs: number;
   /** Number of tasks in one chunk of this job's placements. */
   tasksPerChunk: number;
   /** Ids of the jobs that must be done before this one may start; set while the job waits for them. */
   dependencies?: readonly string[];
-  /** Time of day, ms, when the job was released because all its dependencies were done; absent if it never waited. */
+  /** Wall-clock time, ms, when the job was released because all its dependencies were done; absent if it never waited. */
   releasedAtMs?: number;
 }
 
-/** Time of day, ms, since when the job may run. */
+/** Wall-clock time, ms, since when the job may run. */
 export const runnableSinceMs = (job: JobRecord): number => job.releasedAtMs ?? job.submittedAtMs;
 
-/** A job that is over. */
+/** A job that has ended. */
 export interface FinalJobRecord {
   state: 'done' | 'cancelled';
   taskCount: number;
@@ -56,7 +56,7 @@
   zone: string;
   isSpot: boolean;
   count: number;
-  /** Time of day, ms. */
+  /** Wall-clock time, ms. */
   requestedAtMs: number;
   /** null: the cloud has not answered yet. */
   machineIds: string[] | null;
--- a/src/records/team-accounting.ts
+++ b/src/records/team-accounting.ts
@@ -55,7 +55,7 @@
     draft.set(teamKey(team.name), encodeTeamUsage(adjustUsage(this.usageOf(draft, team, spec), spec, 1)));
   }
 
-  /** Subtracts an exited task from its team's record, unless that can be deferred to the team's next start. */
+  /** Subtracts an exited task from its team's record, unless this can be deferred to the team's next start. */
   addExit(draft: TransactionDraft, spec: JobSpec): void {
     const team = this.teams.get(spec.team);
     if (team === undefined || !isQuotaLimited(team, spec) || this.isDeferred(draft, team)) return;
--- a/src/scheduling/cached-image-wait.ts
+++ b/src/scheduling/cached-image-wait.ts
@@ -6,7 +6,7 @@
 import type { Clock } from '../net/clock.js';
 import type { ClusterState, JobView } from '../records/cluster-state.js';
 
-/** What the wait is decided by. */
+/** The jobs and tasks that the wait depends on, and the clock that limits it. */
 export interface CachedImageWaitDependencies {
   clusterState: ClusterState;
   clock: Clock;
--- a/src/scheduling/decisions/happiness.ts
+++ b/src/scheduling/decisions/happiness.ts
@@ -45,7 +45,7 @@
     return checks.filter((check) => check.isHealthy).length / checks.length;
   }
 
-  /** Tasks with unhealthy checks in the window. A successor can't learn these from the next heartbeats. */
+  /** Tasks with unhealthy checks in the window. A new leader can't learn of those checks from heartbeats. */
   *tasksWithUnhealthyChecks(nowMs: number): Iterable<TaskCheckCounts> {
     for (const [task, checks] of this.checks) {
       const recent = this.recentChecks(checks, nowMs);
--- a/src/scheduling/decisions/job-matching.ts
+++ b/src/scheduling/decisions/job-matching.ts
@@ -52,7 +52,7 @@
   return best;
 }
 
-/** Where a service's replicas are placed and its image is cached. */
+/** Where a service's replicas are placed and where its image is cached. */
 export interface ReplicaState {
   /** Machine ids of the placed replicas, one entry per replica. */
   placedMachineIds: Iterable<string>;
--- a/src/scheduling/decisions/matching.ts
+++ b/src/scheduling/decisions/matching.ts
@@ -5,7 +5,7 @@
 export interface MatchingTask {
   id: string;
   group: string;
-  /** What the task uses: its share, by request, of its machine's usage, or its request if that usage is not known. */
+  /** What the task uses: a share of its machine's usage in proportion to its request, or its request if that usage is unknown. */
   usage: Resources;
   /** The task's request: the most that it may use. */
   requested: Resources;
@@ -234,7 +234,7 @@
  * Task-optimal many-to-one stable matching by deferred acceptance. Each task proposes to the machines of its preference list in
  * order. A machine admits tasks while it has free resources; when it is full, a preferred task displaces the tasks of lowest
  * preference, which propose to their next choice. Tasks differ in size, so a rejected task may fit after a displacement or a
- * departure; it is reconsidered then, since otherwise blocking pairs could remain, which prefer each other to their matches.
+ * departure. It is then reconsidered: otherwise a blocking pair could remain, which prefer each other to their matches.
  * All machines order tasks alike, so each reconsideration settles the most preferred task that it concerns, and the proposals
  * terminate.
  *
--- a/src/scheduling/decisions/plan-rest.ts
+++ b/src/scheduling/decisions/plan-rest.ts
@@ -2,6 +2,6 @@
 
 import { LEAST_PLAN_REST_FACTOR, MAX_PLAN_REST_MS } from '../../constants/scheduling.js';
 
-/** ms from the end of a plan to the next, by its duration and the share (0 to 1) of the time that plans should take at most. */
+/** ms from the end of a plan to the next, by its duration and the maximum share (0 to 1) of the time that plans should take. */
 export const planPauseMs = (tookMs: number, timeShare: number): number =>
   Math.max(Math.min(MAX_PLAN_REST_MS, tookMs * (1 / timeShare - 1)), tookMs * LEAST_PLAN_REST_FACTOR);
--- a/src/scheduling/decisions/queue-order.ts
+++ b/src/scheduling/decisions/queue-order.ts
@@ -97,7 +97,7 @@
     compareUrgency(a, b) ||
     (isArray(a) ? a.remainingCpuS - b.remainingCpuS : 0) ||
     runnableSinceMs(a.record) - runnableSinceMs(b.record) ||
-    // Every node computes the whole plan. If orders differed, each would leave a team's quota to a job that another places.
+    // Every node computes the whole plan. If their orders differed, each could leave a team's quota to a job that another places.
     (a.record.spec.id < b.record.spec.id ? -1 : 1)
   );
 }
--- a/src/scheduling/eviction-marker.ts
+++ b/src/scheduling/eviction-marker.ts
@@ -12,7 +12,7 @@
 import type { TransactionDraft } from '../store/transaction-draft.js';
 import { attemptKeyOf } from '../workers/attempt-key.js';
 
-/** What evictions are committed through, and the state that they are read from. */
+/** The state that tasks are read from, and the transactions in which they are marked. */
 export interface EvictionMarkerDependencies {
   leadership: RoleLeadership;
   clusterState: ClusterState;
--- a/src/scheduling/gang-attempts.ts
+++ b/src/scheduling/gang-attempts.ts
@@ -1,4 +1,4 @@
-/** Determines the attempt of a gang's missing members: a new one, or the current one for replacements before it starts. */
+/** Determines the attempt of a gang's missing members: a new one, or the current one for replacements before the gang starts. */
 import type { WorkerTimings } from '../domain/settings.js';
 import type { MachineInventory } from '../inventory/machine-inventory.js';
 import type { Clock } from '../net/clock.js';
--- a/src/scheduling/health-checks.ts
+++ b/src/scheduling/health-checks.ts
@@ -5,7 +5,7 @@
 import type { WorkerStatus } from '../workers/worker-wire-codec.js';
 import type { Happiness } from './decisions/happiness.js';
 
-/** Where checks are recorded, and the state that identifies service tasks. */
+/** The recorder of the checks, and the state that identifies service tasks. */
 export interface HealthChecksDependencies {
   clusterState: ClusterState;
   happiness: Happiness;
--- a/src/scheduling/job-queue.ts
+++ b/src/scheduling/job-queue.ts
@@ -21,7 +21,7 @@
 import type { RunTimeRatios } from './run-time-ratios.js';
 import type { PendingTask } from './task-placer.js';
 
-/** What determines a job's position in the queue and which of its tasks may start. */
+/** The state and settings that determine a job's position in the queue and which of its tasks may start. */
 export interface JobQueueDependencies {
   objectives: readonly ServiceLevelObjective[];
   teams: ReadonlyMap<string, Team>;
--- a/src/scheduling/placement-planner.ts
+++ b/src/scheduling/placement-planner.ts
@@ -133,7 +133,7 @@
     return this.usage.freeResources(machines);
   }
 
-  /** Usage by team, by placed tasks and in-flight starts together. The caller owns the result. */
+  /** Usage of each team's placed tasks and in-flight starts. The caller owns the result. */
   teamUsages(): Map<string, TeamUsage> {
     return this.usage.teamUsages();
   }
--- a/src/scheduling/preemption-round.ts
+++ b/src/scheduling/preemption-round.ts
@@ -1,4 +1,4 @@
-/** One round of preemption: for each job in turn, chooses the machines where eviction costs least. */
+/** One round of preemption: for each job in turn, evicts tasks from the machines where this costs least. */
 import { IMAGE_FETCH_COST } from '../constants/scheduling.js';
 import type { JobSpec } from '../domain/job.js';
 import type { MachineInfo } from '../domain/machine-state.js';
--- a/src/scheduling/preemptor.ts
+++ b/src/scheduling/preemptor.ts
@@ -1,4 +1,4 @@
-/** Preemption on the cluster leader: for which pending tasks others may be evicted, and how often the search runs. */
+/** Preemption on the cluster leader: decides for which pending tasks others may be evicted, and how often to search for them. */
 import { PLANNING_TIME_SHARE, PREEMPT_PERIOD_MS } from '../constants/scheduling.js';
 import { subtractResources } from '../domain/resources.js';
 import type { Settings } from '../domain/settings.js';
@@ -16,7 +16,7 @@
 /** Number of failures above which a pending task is not worth evicting others for. */
 const MAX_FAILURES = 1;
 
-/** The state that preemption decides by, and the marker that carries out the evictions. */
+/** The state that preemption is decided on, and the marker that carries out the evictions. */
 export interface PreemptorDependencies {
   settings: Settings;
   clusterState: ClusterState;
--- a/src/scheduling/rescheduler.ts
+++ b/src/scheduling/rescheduler.ts
@@ -17,7 +17,7 @@
 import { rematchServices, type RunningTask } from './decisions/service-rematching.js';
 import type { PlacementPlanner } from './placement-planner.js';
 
-/** The state that the rescheduler reads, and what moves are made through. */
+/** The state that the rescheduler reads, and the planner and transactions that move tasks. */
 export interface ReschedulerDependencies {
   tuning: ReschedulingSettings;
   leadership: RoleLeadership;
--- a/src/scheduling/resource-usage.ts
+++ b/src/scheduling/resource-usage.ts
@@ -50,7 +50,7 @@
     return free !== undefined && isNonNegative(free);
   }
 
-  /** Usage by team, by placed tasks and in-flight starts together. The caller owns the result and may change it. */
+  /** Usage of each team's placed tasks and in-flight starts. The caller owns the result and may change it. */
   teamUsages(): Map<string, TeamUsage> {
     const { clusterState, inFlight } = this.dependencies;
     const usages = new Map<string, TeamUsage>();
--- a/src/scheduling/start-committer.ts
+++ b/src/scheduling/start-committer.ts
@@ -25,7 +25,7 @@
   attempt: number;
 }
 
-/** What starts are checked against and written through, and the callbacks for their outcome. */
+/** The state that starts are checked against, the transactions that write them, and the callbacks for their outcome. */
 export interface StartCommitterDependencies {
   teams: ReadonlyMap<string, Team>;
   leadership: RoleLeadership;
--- a/src/scheduling/task-placer.ts
+++ b/src/scheduling/task-placer.ts
@@ -31,7 +31,7 @@
   random: Random;
 }
 
-/** The machines that have resources for a task of the job and on which it has not failed lately. */
+/** The machines that have resources for a task of the job and on which the job has not failed recently. */
 interface UsableMachines {
   machines: MachineInfo[];
   /** Number of tasks that fit on all usable machines together, at most the number requested. */
@@ -43,7 +43,7 @@
 /** Finds machines for pending tasks. It reserves nothing: the caller updates the free resources. */
 export class TaskPlacer {
   private readonly cachedImageWait: CachedImageWait;
-  /** Target machine of each moved task, machine id by task id. */
+  /** Ids of the target machines of moved tasks, by task id. */
   private readonly preferredMachines = new Map<string, string>();
   /** Number of tasks matched in the current plan. */
   private matchedCount = 0;
--- a/src/scheduling/team-settlement.ts
+++ b/src/scheduling/team-settlement.ts
@@ -10,7 +10,7 @@
 import type { Replica } from '../store/replica.js';
 import type { TransactionBatcher } from '../store/transaction-batcher.js';
 
-/** The teams, their usage records, and what the records are corrected through. */
+/** The teams, their usage records, and the transactions that correct the records. */
 export interface TeamSettlementDependencies {
   teams: readonly { name: string }[];
   leadership: RoleLeadership;
--- a/src/store/batch-packer.ts
+++ b/src/store/batch-packer.ts
@@ -10,7 +10,7 @@
   draft: TransactionDraft;
 }
 
-/** The records, limits and keys in flight that a batch is packed against. */
+/** The records, limits and keys in flight that determine what a batch may contain. */
 export interface PackingContext {
   readonly read: (key: string) => StoredValue;
   readonly resize: Resize;
@@ -40,8 +40,8 @@
   readonly draft: TransactionDraft;
   /** Keys that deferred mutations will write: later mutations of these keys must not overtake them. */
   private readonly blockedKeys = new Set<string>();
-  /** The one record written by all nodes that this batch may write; undefined while it writes none. */
-  private sharedKey: string | undefined;
+  /** The one record shared by all nodes that this batch may write, as named by the hints; undefined while it writes none. */
+  private sharedRecord: string | undefined;
   private evaluatedCount = 0;
   /** Mutations deferred because they did not fit. */
   private oversizedCount = 0;
@@ -57,14 +57,14 @@
   }
 
   /**
-   * A record that all nodes write may conflict and make the whole transaction fail, and a failed transaction counts as much
-   * against the rate limit as a successful one; so a batch writes at most one such record.
+   * A write of a record that all nodes write may conflict and make the whole transaction fail, and a failed transaction counts
+   * as much against the rate limit as a successful one; so a batch writes at most one such record.
    */
   private isIncompatible({ mustBeSentAlone, batchingHint }: PendingMutation): boolean {
     const first = this.mutations[0];
     if (first !== undefined && (mustBeSentAlone || first.mustBeSentAlone)) return true;
     const shared = batchingHint?.shared;
-    return this.sharedKey !== undefined && shared !== undefined && shared !== this.sharedKey;
+    return this.sharedRecord !== undefined && shared !== undefined && shared !== this.sharedRecord;
   }
 
   /**
@@ -80,7 +80,7 @@
   private evaluate(mutation: PendingMutation): void {
     this.evaluatedCount++;
     const candidate = this.draft.createChild();
-    const hasChange = mutation.decide(candidate) && candidate.writes.size > 0;
+    const hasChange = mutation.apply(candidate) && candidate.writes.size > 0;
     if (!hasChange) mutation.resolve({ kind: 'void' });
     else if (this.isBlocked(candidate)) this.deferBlocked(mutation, candidate);
     else if (this.fits(candidate)) this.accept(mutation, candidate);
@@ -110,7 +110,7 @@
   private accept(mutation: PendingMutation, candidate: TransactionDraft): void {
     this.draft.merge(candidate);
     this.mutations.push(mutation);
-    this.sharedKey ??= mutation.batchingHint?.shared;
+    this.sharedRecord ??= mutation.batchingHint?.shared;
   }
 
   /** Defers the mutation, or gives it up if it does not fit even into an empty transaction. */
--- a/src/store/json-size.ts
+++ b/src/store/json-size.ts
@@ -16,7 +16,7 @@
   return length;
 }
 
-/** Stores the length of a value whose caller derived it from a measured value and knows by how much the lengths differ. */
+/** Caches the length of a value that the caller derived from a measured one, with a known difference in length. */
 export function noteLength(value: object, length: number): void {
   knownLengths.set(value, length);
 }
--- a/src/store/pending-mutation.ts
+++ b/src/store/pending-mutation.ts
@@ -20,23 +20,23 @@
 
 /** Determines which other mutations a mutation may share a transaction with. */
 export interface BatchingHint {
-  /** A key that the mutation will write: it is batched with other mutations of this key. */
+  /** A key that the mutation will write; mutations of the same key are batched with each other. */
   key: string;
-  /** The key of a record that all nodes write: a transaction writes only one such record. */
+  /** Identifies a record that all nodes write, such as a team's by the team's name: a transaction writes only one of these. */
   shared: string | undefined;
 }
 
 /** A mutation in the queue of its priority. */
 export interface PendingMutation {
-  /** Its purpose, for log messages. */
+  /** The mutation's purpose, for log messages. */
   readonly name: string;
   priority: Priority;
-  readonly decide: Mutation;
-  /** Monotonic ms at which it is given up. */
+  readonly apply: Mutation;
+  /** Monotonic ms at which the mutation is given up. */
   readonly deadlineMs: number;
   readonly resolve: (outcome: CommitOutcome) => void;
   readonly batchingHint: BatchingHint | undefined;
-  /** Set once the store has rejected a transaction that contained it: it is then sent in a transaction of its own. */
+  /** Set once the store has rejected a transaction that contained the mutation and others: it is then sent alone. */
   mustBeSentAlone: boolean;
 }
 
--- a/src/store/replica.ts
+++ b/src/store/replica.ts
@@ -114,7 +114,7 @@
     if (this.isLoaded && change.modRevision > this.revision) this.apply(change);
   }
 
-  /** Marks the replica as complete up to the revision: all changes up to it came from the store or from a peer's replica. */
+  /** Marks the replica as complete up to the revision: all changes up to it were received from the store or from a peer. */
   completeTo(revision: number): void {
     if (revision <= this.revision) return;
     this.revision = revision;
@@ -157,8 +157,8 @@
   }
 
   /**
-   * The revision up to which another replica is complete that was complete up to `from` and has applied all later changes held
-   * here.
+   * For another replica that was complete up to `from` and has since applied all later changes held here: the revision up to
+   * which that replica is now complete.
    */
   completeFrom(from: number): number {
     // Deletions after `from` may have been compacted here, so the other replica may lack them.
@@ -236,7 +236,7 @@
     }
   }
 
-  /** Keeps the replica up to date until aborted. */
+  /** Keeps the replica up to date until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       if (!this.isLoaded) {
--- a/src/store/store-client.ts
+++ b/src/store/store-client.ts
@@ -26,7 +26,7 @@
   type Write,
 } from './store-wire-codec.js';
 
-/** ms for which writes are throttled after a 429, before jitter; the pause of the request rate is shorter by the divisor. */
+/** ms for which writes pause after a 429, before jitter; requests of all kinds pause for this time divided by the divisor. */
 const THROTTLE_PAUSE_MS = 120;
 const REQUEST_THROTTLE_DIVISOR = 4;
 /** Minimum burst of writes, even at the lowest rate. */
@@ -51,7 +51,7 @@
 const unexpectedStatusError = (operation: string, { status }: Reply): StoreError =>
   new StoreError(`${operation} failed: the store answered ${status}`, status);
 
-/** A request, its priority, and the number of writes that it takes from the rate limit. */
+/** A request, its priority, and the number of writes that count against the rate limit. */
 interface Call {
   method: 'GET' | 'POST';
   path: string;
@@ -70,7 +70,7 @@
   revision?: number;
 }
 
-/** Address and rate limits of the store. */
+/** Dependencies of `StoreClient`, and the address and rate limits of the store. */
 export interface StoreClientOptions {
   http: HttpClient;
   /** HOST:PORT. */
--- a/src/store/transaction-batcher.ts
+++ b/src/store/transaction-batcher.ts
@@ -57,7 +57,7 @@
 }
 
 /** The pending mutations and in-flight transactions of one priority. */
-interface PriorityQueue {
+interface MutationQueue {
   readonly priority: Priority;
   readonly pending: PendingMutation[];
   inFlightCount: number;
@@ -75,7 +75,7 @@
 
 /** Combines mutations into transactions, and retries those whose conditions failed. */
 export class TransactionBatcher {
-  private readonly queues: ReadonlyMap<Priority, PriorityQueue> = new Map(
+  private readonly queues: ReadonlyMap<Priority, MutationQueue> = new Map(
     Object.values(Priority).map((priority) => [
       priority,
       { priority, pending: [], inFlightCount: 0, pausedUntilMs: -Infinity },
@@ -114,14 +114,14 @@
   commit(
     name: string,
     priority: Priority,
-    decide: Mutation,
+    apply: Mutation,
     { timeoutMs = DEFAULT_COMMIT_TIMEOUT_MS, batchingHint }: CommitOptions = {},
   ): Promise<CommitOutcome> {
     const queue = this.queueOf(priority);
     if (queue.pending.length >= MAX_PENDING_MUTATIONS) return Promise.resolve({ kind: 'expired' });
     const deadlineMs = this.options.clock.now() + timeoutMs;
     return new Promise((resolve) => {
-      queue.pending.push({ name, priority, decide, deadlineMs, resolve, batchingHint, mustBeSentAlone: false });
+      queue.pending.push({ name, priority, apply, deadlineMs, resolve, batchingHint, mustBeSentAlone: false });
       // Starts are sent at once: other nodes can't see the resources that they take until they are recorded.
       if (priority !== Priority.record) this.scheduleSending();
       else if (queue.pending.length === 1) this.scheduleBatching(queue);
@@ -143,12 +143,12 @@
     return key.startsWith(this.options.prefix);
   }
 
-  private queueOf(priority: Priority): PriorityQueue {
+  private queueOf(priority: Priority): MutationQueue {
     return this.queues.get(priority)!;
   }
 
   /** Delays sending for `batchingMs`, so that exits of batch tasks share transactions. */
-  private scheduleBatching(queue: PriorityQueue): void {
+  private scheduleBatching(queue: MutationQueue): void {
     const { clock } = this.options;
     const now = clock.now();
     if (now < queue.pausedUntilMs) return;
@@ -175,7 +175,7 @@
     }
   }
 
-  private sendQueue(queue: PriorityQueue): void {
+  private sendQueue(queue: MutationQueue): void {
     while (queue.pending.length > 0 && queue.inFlightCount < maxInFlight(queue.priority)) {
       const batch = this.pack(queue);
       if (batch === undefined) return;
@@ -183,12 +183,12 @@
     }
   }
 
-  private pack(queue: PriorityQueue): PackedBatch | undefined {
+  private pack(queue: MutationQueue): PackedBatch | undefined {
     const { read, resize, limits, keysInFlight } = this;
     return packBatch(queue.pending, { read, resize, limits, keysInFlight, nowMs: this.options.clock.now() });
   }
 
-  private async send(queue: PriorityQueue, { mutations, draft }: PackedBatch): Promise<void> {
+  private async send(queue: MutationQueue, { mutations, draft }: PackedBatch): Promise<void> {
     queue.inFlightCount++;
     const keys = [...draft.writes.keys()];
     for (const key of keys) this.keysInFlight.add(key);
@@ -204,21 +204,21 @@
     this.scheduleNext(queue);
   }
 
-  private scheduleNext(queue: PriorityQueue): void {
+  private scheduleNext(queue: MutationQueue): void {
     const { clock } = this.options;
     const remainingPauseMs = queue.pausedUntilMs - clock.now();
     if (remainingPauseMs > 0) void clock.sleep(remainingPauseMs + 1).then(() => this.scheduleSending());
     this.scheduleSending();
   }
 
-  /** Refreshes the records that the next attempt depends on; undefined: there is nothing to read. */
+  /** Refreshes the records that the next attempt depends on; undefined: there is nothing to refresh. */
   private refreshBeforeRetry(result: TransactionResult): Promise<unknown> | undefined {
     if (result.kind === 'conflict') return this.readChangedRecords(result.failed ?? []);
     return result.kind === 'unknown' ? this.options.replica.refresh() : undefined;
   }
 
   private settle(
-    queue: PriorityQueue,
+    queue: MutationQueue,
     mutations: PendingMutation[],
     writes: readonly Write[],
     result: TransactionResult,
@@ -245,7 +245,7 @@
     }
   }
 
-  private handleRefusal(queue: PriorityQueue, mutations: PendingMutation[], status: number): void {
+  private handleRefusal(queue: MutationQueue, mutations: PendingMutation[], status: number): void {
     const isBusy = status === 429;
     this.pause(queue, isBusy);
     // Users get a refusal other than 429 at once, instead of waiting for the deadline of the mutation.
@@ -257,7 +257,7 @@
    * Handles a transaction rejected because the store's limits have changed or because a mutation is never acceptable. Each
    * mutation is retried in a transaction of its own, within the announced limits; one that is rejected again is given up.
    */
-  private handleRejection(queue: PriorityQueue, mutations: PendingMutation[], reason: string): void {
+  private handleRejection(queue: MutationQueue, mutations: PendingMutation[], reason: string): void {
     this.limits = { ...this.limits, valueBytes: this.limits.lastingValueBytes };
     if (mutations.length > 1) {
       for (const mutation of mutations) mutation.mustBeSentAlone = true;
@@ -268,7 +268,7 @@
     resolveAll(mutations, { kind: 'rejected', reason });
   }
 
-  private pause(queue: PriorityQueue, isBusy: boolean): void {
+  private pause(queue: MutationQueue, isBusy: boolean): void {
     const busyPauseMs = isBatch(queue.priority) ? BUSY_PAUSE_MS : BUSY_PAUSE_MS * URGENT_RETRY_SHARE;
     const { clock, random } = this.options;
     const now = clock.now();
--- a/src/store/transaction-draft.ts
+++ b/src/store/transaction-draft.ts
@@ -25,7 +25,7 @@
 
 /**
  * Limits that also hold after an announced change of the store's limits, except that `valueBytes` is the current limit: values
- * that are already stored may be larger than the announced one.
+ * that are already stored may be larger than the announced limit.
  */
 export function transactionLimits({ present, lasting }: StoreSettings): TransactionLimits {
   const { transactionWrites, writesPerSecond } = lasting;
@@ -97,7 +97,7 @@
     return row.value;
   }
 
-  /** Reads a record without adding a condition: only for records that can no longer change. */
+  /** Reads a record without adding a condition: for records that can't change any more, or where a stale value is acceptable. */
   peek(key: string): unknown {
     const writer = this.findWriter(key);
     return writer !== undefined ? writer.writes.get(key) : this.read(key).value;
--- a/test/records/team-accounting.test.ts
+++ b/test/records/team-accounting.test.ts
@@ -40,7 +40,7 @@
     assert.equal(draft.conditions.get(KEY), REVISION);
   });
 
-  it('is preferred to the placements if the replica may lack a start that it counts', () => {
+  it('is preferred to the placements if it counts a start that the replica may lack', () => {
     const { accounting, draft, written } = prepare({ completeTo: REVISION - 1 });
     accounting.addStart(draft, team, spec);
     assert.equal(written(), 12);
@@ -64,7 +64,7 @@
     assert.equal(early.written(), 8);
   });
 
-  it('is settled if it shows more usage than the placements of a complete replica', () => {
+  it('is lowered to the usage of the placements if it shows more and the replica is complete', () => {
     const { accounting, draft, written } = prepare();
     assert.ok(accounting.isOverstated('red'));
     assert.ok(accounting.settle(draft, 'red'));
