--- a/src/api/api-server.ts
+++ b/src/api/api-server.ts
@@ -4,16 +4,16 @@
 
 import { KEEP_ALIVE_MS, MAX_OPEN_REQUESTS, REQUEST_TIMEOUT_MS, RETRY_AFTER_S } from '../constants/api.js';
 import type { Log } from '../logging/log.js';
-import type { HttpAnswer } from '../net/http-answer.js';
+import type { JsonResponse } from '../net/http-answer.js';
 import { readBody } from './request-body.js';
 import { type Handlers, type Route, Routes } from './routes.js';
 
-const NO_SUCH_PATH: HttpAnswer = { status: 404, body: { error: 'no such path' } };
-const WRONG_METHOD: HttpAnswer = { status: 405, body: { error: 'wrong method' } };
-const BUSY: HttpAnswer = { status: 429, body: { error: 'busy' }, retryAfter: RETRY_AFTER_S };
-const NOT_JSON: HttpAnswer = { status: 400, body: { error: 'not JSON' } };
-const TOO_LARGE: HttpAnswer = { status: 400, body: { error: 'body over 64 KiB' } };
-const INTERNAL_ERROR: HttpAnswer = { status: 503, body: { error: 'internal' }, retryAfter: RETRY_AFTER_S };
+const NO_SUCH_PATH: JsonResponse = { status: 404, body: { error: 'no such path' } };
+const WRONG_METHOD: JsonResponse = { status: 405, body: { error: 'wrong method' } };
+const BUSY: JsonResponse = { status: 429, body: { error: 'busy' }, retryAfter: RETRY_AFTER_S };
+const NOT_JSON: JsonResponse = { status: 400, body: { error: 'not JSON' } };
+const TOO_LARGE: JsonResponse = { status: 400, body: { error: 'body over 64 KiB' } };
+const INTERNAL_ERROR: JsonResponse = { status: 503, body: { error: 'internal' }, retryAfter: RETRY_AFTER_S };
 
 /** Routes requests to their handlers. Limits the number of open users' requests, so that memory use is bounded. */
 export class ApiServer {
@@ -87,7 +87,7 @@
     });
   }
 
-  private refusalFor(route: Route, method: string | undefined): HttpAnswer | undefined {
+  private refusalFor(route: Route, method: string | undefined): JsonResponse | undefined {
     if (route.method !== method) return WRONG_METHOD;
     return route.isConcurrencyLimited && this.openUserRequests >= MAX_OPEN_REQUESTS ? BUSY : undefined;
   }
@@ -107,7 +107,7 @@
   }
 
   private handle(route: Route, body: unknown, response: ServerResponse, release: (() => void) | undefined): void {
-    let answer: HttpAnswer | Promise<HttpAnswer>;
+    let answer: JsonResponse | Promise<JsonResponse>;
     try {
       answer = route.handle(body);
     } catch (error) {
@@ -126,20 +126,20 @@
       });
   }
 
-  private logFailure(error: unknown): HttpAnswer {
+  private logFailure(error: unknown): JsonResponse {
     this.log.error({ error: (error as Error).stack ?? String(error) }, 'request failed');
     return INTERNAL_ERROR;
   }
 }
 
 /** Responds without reading the body. */
-function sendWithoutReading(request: IncomingMessage, response: ServerResponse, answer: HttpAnswer): void {
+function sendWithoutReading(request: IncomingMessage, response: ServerResponse, answer: JsonResponse): void {
   request.resume();
   send(response, answer);
 }
 
 /** `onSent`: called when the response has been handed to the socket; if given, the connection is closed afterwards. */
-function send(response: ServerResponse, answer: HttpAnswer, onSent?: () => void): void {
+function send(response: ServerResponse, answer: JsonResponse, onSent?: () => void): void {
   const body = JSON.stringify(answer.body);
   const { status } = answer;
   const headers = ['Content-Type', 'application/json', 'Content-Length', String(Buffer.byteLength(body))];
--- a/src/api/job-acceptance.ts
+++ b/src/api/job-acceptance.ts
@@ -36,7 +36,7 @@
   private readonly tasksPerChunk: number;
 
   constructor(private readonly dependencies: JobAcceptanceDependencies) {
-    this.tasksPerChunk = tasksPerChunkFor(dependencies.settings.cluster.store.lasting.valueBytes);
+    this.tasksPerChunk = tasksPerChunkFor(dependencies.settings.cluster.store.strictest.valueBytes);
   }
 
   /** Gives up after the deadline for submissions. */
--- a/src/api/job-admission.ts
+++ b/src/api/job-admission.ts
@@ -5,7 +5,7 @@
 import type { Settings } from '../domain/settings.js';
 import type { Team } from '../domain/team.js';
 import type { DependencyStates } from '../jobs/dependency-states.js';
-import type { HttpAnswer } from '../net/http-answer.js';
+import type { JsonResponse } from '../net/http-answer.js';
 import { Priority } from '../net/token-bucket.js';
 import type { ClusterState } from '../records/cluster-state.js';
 import type { Replica } from '../store/replica.js';
@@ -36,12 +36,12 @@
 /** Why a submission is not admitted. */
 export type Rejection =
   /** The node can't accept any submission now, and does not look up the job either. */
-  | { kind: 'node_unavailable'; answer: HttpAnswer }
+  | { kind: 'node_unavailable'; answer: JsonResponse }
   /** The submission is rejected unless the job is already known; then the response is the job's status. */
-  | { kind: 'rejected'; answer: HttpAnswer };
+  | { kind: 'rejected'; answer: JsonResponse };
 
-const nodeUnavailable = (answer: HttpAnswer): Rejection => ({ kind: 'node_unavailable', answer });
-const rejected = (answer: HttpAnswer): Rejection => ({ kind: 'rejected', answer });
+const nodeUnavailable = (answer: JsonResponse): Rejection => ({ kind: 'node_unavailable', answer });
+const rejected = (answer: JsonResponse): Rejection => ({ kind: 'rejected', answer });
 
 /** Checks the state of the node, then the job by itself, then the write backlog, then the jobs that it depends on. */
 export class JobAdmission {
@@ -52,7 +52,7 @@
   constructor(private readonly dependencies: JobAdmissionDependencies) {
     const { teams, store } = dependencies.settings.cluster;
     this.teams = new Map(teams.map((team) => [team.name, team]));
-    this.maxRecordBytes = store.lasting.valueBytes;
+    this.maxRecordBytes = store.strictest.valueBytes;
   }
 
   /** Returns undefined if the submission is admitted. */
@@ -84,7 +84,7 @@
   /** Rejects at once if the writes queued ahead of this one take over 1 s; `Retry-After` is the time that they take. */
   private checkBacklog(): Rejection | undefined {
     const { settings, transactions } = this.dependencies;
-    const backlogS = transactions.backlog(Priority.accept) / settings.cluster.store.present.writesPerSecond;
+    const backlogS = transactions.backlog(Priority.accept) / settings.cluster.store.current.writesPerSecond;
     if (backlogS <= 1) return undefined;
     const retryAfter = Math.min(MAX_RETRY_AFTER_S, Math.ceil(backlogS));
     return nodeUnavailable({ status: 429, body: { error: 'busy' }, retryAfter });
--- a/src/api/job-lookup.ts
+++ b/src/api/job-lookup.ts
@@ -1,7 +1,7 @@
 /** Looks up the status of jobs: final states are taken from memory, all others are confirmed by the store. */
-import { POLL_COMPARISONS, POLL_DEADLINE_MS, POLL_GATHER_MS } from '../constants/api.js';
+import { MAX_POLL_ATTEMPTS, POLL_BATCHING_MS, POLL_DEADLINE_MS } from '../constants/api.js';
 import { REPLICA_FRESH_MS } from '../constants/leadership.js';
-import { QUEUED_FRESH_SHARE } from '../constants/records.js';
+import { QUEUED_REPLICA_AGE_SHARE } from '../constants/records.js';
 import type { DependencyStates } from '../jobs/dependency-states.js';
 import type { Clock } from '../net/clock.js';
 import { Priority } from '../net/token-bucket.js';
@@ -61,13 +61,13 @@
   /** Known without a request: the store has refused or not answered this node for a while, and has not answered since. */
   get isStoreUnavailable(): boolean {
     const { client, replica, clock } = this.dependencies;
-    return client.lastRefusedAt > client.lastAnsweredAt && clock.now() - replica.freshAt > REPLICA_FRESH_MS;
+    return client.lastUnavailableAt > client.lastAnsweredAt && clock.now() - replica.freshAt > REPLICA_FRESH_MS;
   }
 
   /** Whether the replica holds every cancellation that must by now have taken effect on the dependents of the cancelled job. */
   get hasCurrentCancellations(): boolean {
     const { replica, clock, cancelDeadlineMs } = this.dependencies;
-    return clock.now() - replica.freshAt < cancelDeadlineMs * QUEUED_FRESH_SHARE;
+    return clock.now() - replica.freshAt < cancelDeadlineMs * QUEUED_REPLICA_AGE_SHARE;
   }
 
   /** The final status of the job, which never changes, if this node has it in memory. */
@@ -108,7 +108,7 @@
   private async resolvePendingAfterDelay(): Promise<void> {
     if (this.isResolutionScheduled) return;
     this.isResolutionScheduled = true;
-    await this.dependencies.clock.sleep(POLL_GATHER_MS);
+    await this.dependencies.clock.sleep(POLL_BATCHING_MS);
     this.isResolutionScheduled = false;
     const maxLookups = Math.floor(this.dependencies.limits.conditions / 2);
     while (this.pending.length > 0) void this.resolveBatch(this.pending.splice(0, maxLookups));
@@ -117,7 +117,7 @@
   private async resolveBatch(batch: readonly PendingLookup[]): Promise<void> {
     const { client, clock, states } = this.dependencies;
     let unresolved = batch;
-    for (let attempt = 0; attempt < POLL_COMPARISONS && unresolved.length > 0; attempt++) {
+    for (let attempt = 0; attempt < MAX_POLL_ATTEMPTS && unresolved.length > 0; attempt++) {
       await states.loadFinalStates(unresolved.flatMap(({ jobId }) => this.dependenciesInUnknownState(jobId)));
       const nowMs = clock.now();
       for (const lookup of unresolved) if (nowMs > lookup.deadlineMs) lookup.resolve(UNAVAILABLE);
@@ -159,7 +159,7 @@
     const view = clusterState.jobs.get(jobId);
     // A live record that can't be decoded still proves that the job was accepted.
     if (view === undefined) return replica.get(jobKey(jobId)).value === undefined ? NOT_FOUND : UNAVAILABLE;
-    const { done, placed: running } = view;
+    const { doneCount: done, placedCount: running } = view;
     if (view.record.state === 'waiting') return this.waitingResult(view);
     if (view.record.state === 'cancelled') return foundJob({ jobId, state: 'cancelled', done, running: 0 });
     return foundJob({ jobId, state: running > 0 ? 'running' : 'queued', done, running });
--- a/src/api/job-service.ts
+++ b/src/api/job-service.ts
@@ -1,6 +1,6 @@
 /** Handles users' requests about jobs (submission, status, cancellation) and encodes the responses. */
 import type { JobSpec } from '../domain/job.js';
-import type { HttpAnswer } from '../net/http-answer.js';
+import type { JsonResponse } from '../net/http-answer.js';
 import { JobAcceptance, type JobAcceptanceDependencies } from './job-acceptance.js';
 import { JobAdmission, type JobAdmissionDependencies } from './job-admission.js';
 import { noSuchJob, stateResponse, statusResponse, storeUnavailable } from './job-answers.js';
@@ -23,7 +23,7 @@
   }
 
   /** 201 for a new job, 200 for a known one, otherwise the reason for the rejection. Idempotent. */
-  async submit(body: unknown): Promise<HttpAnswer> {
+  async submit(body: unknown): Promise<JsonResponse> {
     const parsed = parseSubmission(body);
     if (!parsed.ok) return this.rejectMalformed(parsed);
     const { spec, dependencies } = parsed;
@@ -35,7 +35,7 @@
     return this.accept(spec, dependencies);
   }
 
-  private async accept(spec: JobSpec, dependencies: readonly string[]): Promise<HttpAnswer> {
+  private async accept(spec: JobSpec, dependencies: readonly string[]): Promise<JsonResponse> {
     const outcome = await this.acceptance.accept(spec, dependencies);
     switch (outcome.kind) {
       case 'accepted': {
@@ -50,12 +50,12 @@
   }
 
   /** The status of a job. */
-  async poll(jobId: string): Promise<HttpAnswer> {
+  async poll(jobId: string): Promise<JsonResponse> {
     return this.statusOrElse(jobId, noSuchJob());
   }
 
   /** 200 with the state in which the job has ended or will end. Idempotent. */
-  async cancel(jobId: string): Promise<HttpAnswer> {
+  async cancel(jobId: string): Promise<JsonResponse> {
     const outcome = await this.cancellation.cancel(jobId);
     switch (outcome.kind) {
       case 'ended':
@@ -70,13 +70,13 @@
   private rejectMalformed({
     error,
     jobId,
-  }: Extract<ParsedSubmission, { ok: false }>): Promise<HttpAnswer> | HttpAnswer {
-    const malformed: HttpAnswer = { status: 400, body: { error } };
+  }: Extract<ParsedSubmission, { ok: false }>): Promise<JsonResponse> | JsonResponse {
+    const malformed: JsonResponse = { status: 400, body: { error } };
     return jobId === undefined ? malformed : this.statusOrElse(jobId, malformed);
   }
 
   /** The status of the job if it is known, otherwise `fallback`. */
-  private async statusOrElse(jobId: string, fallback: HttpAnswer): Promise<HttpAnswer> {
+  private async statusOrElse(jobId: string, fallback: JsonResponse): Promise<JsonResponse> {
     const result = await this.dependencies.lookup.find(jobId);
     switch (result.kind) {
       case 'found':
--- a/src/api/routes.ts
+++ b/src/api/routes.ts
@@ -1,15 +1,15 @@
 /** Maps the path of a request to its method and handler. */
-import type { HttpAnswer } from '../net/http-answer.js';
+import type { JsonResponse } from '../net/http-answer.js';
 
 /** The handlers of requests from users, workers and health checks. */
 export interface Handlers {
   /** Submission of a job. */
-  submit(body: unknown): Promise<HttpAnswer>;
+  submit(body: unknown): Promise<JsonResponse>;
   /** Status of a job. */
-  poll(jobId: string): Promise<HttpAnswer>;
-  cancel(jobId: string): Promise<HttpAnswer>;
-  answerHeartbeat(body: unknown): HttpAnswer | Promise<HttpAnswer>;
-  answerHealthCheck(): HttpAnswer;
+  poll(jobId: string): Promise<JsonResponse>;
+  cancel(jobId: string): Promise<JsonResponse>;
+  answerHeartbeat(body: unknown): JsonResponse | Promise<JsonResponse>;
+  answerHealthCheck(): JsonResponse;
 }
 
 /** How one path is served. */
@@ -19,7 +19,7 @@
   isConcurrencyLimited: boolean;
   /** The handler takes the request's JSON body; otherwise the body is discarded. */
   readsBody: boolean;
-  handle(body: unknown): HttpAnswer | Promise<HttpAnswer>;
+  handle(body: unknown): JsonResponse | Promise<JsonResponse>;
 }
 
 const JOBS_PATH = '/v1/jobs';
--- a/src/autoscaling/autoscaler.ts
+++ b/src/autoscaling/autoscaler.ts
@@ -58,7 +58,7 @@
   private readonly maxRecordsPerTransaction: number;
 
   constructor(private readonly dependencies: AutoscalerDependencies) {
-    this.maxRecordsPerTransaction = dependencies.settings.cluster.store.lasting.transactionWrites;
+    this.maxRecordsPerTransaction = dependencies.settings.cluster.store.strictest.transactionWrites;
     this.refusedOffers = new RefusedOffers(dependencies.clock);
     this.rentalRecords = new RentalRecords(dependencies);
   }
--- a/src/autoscaling/capacity-needs.ts
+++ b/src/autoscaling/capacity-needs.ts
@@ -1,5 +1,5 @@
 /** Finds the capacity that pending tasks need, by job. */
-import { FAILURES_WORTH_SCALING_OUT } from '../constants/autoscaling.js';
+import { MAX_FAILURES_FOR_SCALE_OUT } from '../constants/autoscaling.js';
 import type { JobSpec } from '../domain/job.js';
 import type { MachineInventory } from '../inventory/machine-inventory.js';
 import type { ClusterState } from '../records/cluster-state.js';
@@ -52,7 +52,7 @@
   pendingTasks: readonly PendingTask[],
   inventory: Pick<MachineInventory, 'schedulableMachines'>,
 ): number {
-  const isFailing = pendingTasks.some((task) => task.placement.failures > FAILURES_WORTH_SCALING_OUT);
+  const isFailing = pendingTasks.some((task) => task.placement.failures > MAX_FAILURES_FOR_SCALE_OUT);
   if (!isFailing || spec.kind === 'gang') return pendingTasks.length;
   return inventory.schedulableMachines().some((machine) => isAllowedOn(spec, machine)) ? 0 : 1;
 }
--- a/src/autoscaling/cluster-leader.ts
+++ b/src/autoscaling/cluster-leader.ts
@@ -2,7 +2,7 @@
 import { LIST_PERIOD_MS, SCALE_OUT_PERIOD_MS, SCALE_OUT_ROUNDS, STATUS_PERIOD_MS } from '../constants/autoscaling.js';
 import { PREEMPT_PERIOD_MS } from '../constants/scheduling.js';
 import type { PeerDirectory } from '../gossip/peer-directory.js';
-import type { LeaderMemory } from '../leadership/advisory-memory.js';
+import type { LeaderAdvisoryState } from '../leadership/advisory-memory.js';
 import type { TeamAccounting } from '../records/team-accounting.js';
 import { EvictionMarker } from '../scheduling/eviction-marker.js';
 import { Preemptor } from '../scheduling/preemptor.js';
@@ -51,7 +51,7 @@
   }
 
   /** The advisory state that the leader keeps besides the records, for the next leader to take over. */
-  get memory(): LeaderMemory {
+  get advisoryState(): LeaderAdvisoryState {
     return {
       recentEvictions: () => this.evictionMarker.recentEvictions(),
       refusedOffers: () => this.autoscaler.recentlyRefusedOffers(),
@@ -65,7 +65,7 @@
   /** Endpoint of a machine that has sent this node no heartbeat; undefined if neither peers nor the cloud's list have it. */
   endpointOf(machineId: string): string | undefined {
     const { inventory } = this.dependencies;
-    return inventory.peerStateOf(machineId)?.endpoint ?? this.machineList.machines.get(machineId)?.endpoint;
+    return inventory.peerReportOf(machineId)?.endpoint ?? this.machineList.machines.get(machineId)?.endpoint;
   }
 
   /** Runs the duties until the signal aborts. */
@@ -89,7 +89,7 @@
     const { leadership, clock, log } = this.dependencies;
     while (!signal.aborted) {
       try {
-        if (leadership.isLeader) await duty();
+        if (leadership.isClusterLeader) await duty();
       } catch (error) {
         log.error({ error: (error as Error).stack }, 'leader duty failed');
       }
--- a/src/autoscaling/refused-offers.ts
+++ b/src/autoscaling/refused-offers.ts
@@ -1,5 +1,5 @@
 /** Offers that the cloud has refused, for lack of capacity or as invalid; they are not requested again for a while. */
-import { NO_CAPACITY_MS } from '../constants/autoscaling.js';
+import { NO_CAPACITY_BACKOFF_MS } from '../constants/autoscaling.js';
 import type { Clock } from '../net/clock.js';
 
 /** A machine type in a zone, on demand or spot. */
@@ -21,7 +21,7 @@
 
   /** Records that the cloud has just refused the offer, or granted fewer machines than requested. */
   add(offer: OfferId): void {
-    this.refusedUntilMs.set(offerKey(offer), this.clock.now() + NO_CAPACITY_MS);
+    this.refusedUntilMs.set(offerKey(offer), this.clock.now() + NO_CAPACITY_BACKOFF_MS);
   }
 
   has(offer: OfferId): boolean {
@@ -31,12 +31,12 @@
   /** The refusals that still count; `at`: time of the refusal, monotonic ms. */
   *recent(): Iterable<{ offer: string; at: number }> {
     for (const [offer, untilMs] of this.refusedUntilMs)
-      if (untilMs > this.clock.now()) yield { offer, at: untilMs - NO_CAPACITY_MS };
+      if (untilMs > this.clock.now()) yield { offer, at: untilMs - NO_CAPACITY_BACKOFF_MS };
   }
 
   /** Takes over a refusal from a former leader; a later refusal known here is kept. */
   restore(offer: string, atMs: number): void {
-    const untilMs = Math.min(atMs, this.clock.now()) + NO_CAPACITY_MS;
+    const untilMs = Math.min(atMs, this.clock.now()) + NO_CAPACITY_BACKOFF_MS;
     this.refusedUntilMs.set(offer, Math.max(untilMs, this.refusedUntilMs.get(offer) ?? -Infinity));
   }
 }
--- a/src/autoscaling/scale-out-decision.ts
+++ b/src/autoscaling/scale-out-decision.ts
@@ -1,5 +1,5 @@
 /** Decides which machines to add for pending tasks. */
-import { BOOT_PATIENCE, RESERVE_SHARE } from '../constants/autoscaling.js';
+import { BOOT_TIMEOUT_FACTOR, RESERVE_SHARE } from '../constants/autoscaling.js';
 import type { JobSpec } from '../domain/job.js';
 import { type MachineType, resourcesOfMachineType, tasksPerMachine } from '../domain/machine-type.js';
 import { fits, type Resources, subtractResources } from '../domain/resources.js';
@@ -38,7 +38,7 @@
 
 /** ms after its request at which a machine without a heartbeat counts as failed to boot. */
 export const bootTimeoutMs = (machineType: MachineType | undefined): number =>
-  (machineType?.bootS ?? DEFAULT_BOOT_S) * 1000 * BOOT_PATIENCE;
+  (machineType?.bootS ?? DEFAULT_BOOT_S) * 1000 * BOOT_TIMEOUT_FACTOR;
 
 /** Whether the free CPUs of a group of machines are below the reserve for bursts. */
 export const isBelowReserve = (freeCpus: number, totalCpus: number): boolean =>
--- a/src/autoscaling/unresponsive-machine-detector.ts
+++ b/src/autoscaling/unresponsive-machine-detector.ts
@@ -1,5 +1,5 @@
 /** Finds machines that have stopped responding, based on the partition leaders' reports of their heartbeats. */
-import { UNSEEN_SILENCE_LIMITS, ZONE_HEAL_MS } from '../constants/autoscaling.js';
+import { UNSEEN_MACHINE_SILENCE_FACTOR, ZONE_RECOVERY_MS } from '../constants/autoscaling.js';
 import type { MachineInfo } from '../domain/machine-state.js';
 import { partitionRole } from '../domain/role.js';
 import type { Settings } from '../domain/settings.js';
@@ -36,7 +36,7 @@
     const monitored = [...this.collectReported(machines, nowMs), ...this.collectUnreported(machines, nowMs)];
     for (const zone of findIsolatedZones(monitored)) this.zoneIsolatedAtMs.set(zone, nowMs);
     for (const [zone, atMs] of this.zoneIsolatedAtMs)
-      if (nowMs - atMs > ZONE_HEAL_MS) this.zoneIsolatedAtMs.delete(zone);
+      if (nowMs - atMs > ZONE_RECOVERY_MS) this.zoneIsolatedAtMs.delete(zone);
     return findMachinesToReplace(monitored, new Set(this.zoneIsolatedAtMs.keys()));
   }
 
@@ -52,7 +52,7 @@
   private isReportedByItsLeader({ machineId, partitionLeader }: MachineInfo): boolean {
     const { leadership, inventory } = this.dependencies;
     const leader = leadership.leaderOf(partitionRole(leadership.partitionOf(machineId)));
-    return partitionLeader === leader && !inventory.terminated.has(machineId) && inventory.isCurrent(machineId);
+    return partitionLeader === leader && !inventory.terminated.has(machineId) && inventory.hasCurrentState(machineId);
   }
 
   private describeReported(machine: MachineInfo, nowMs: number): MonitoredMachine {
@@ -107,7 +107,7 @@
     if (!this.isReachable(leadership.leaderOf(role)) || placedTask === undefined) return undefined;
     const ageMs = nowMs - this.leaderSince.get(role)!.atMs;
     const isUnresponsive =
-      ageMs > UNSEEN_SILENCE_LIMITS * unresponsiveAfterMs(workers) &&
+      ageMs > UNSEEN_MACHINE_SILENCE_FACTOR * unresponsiveAfterMs(workers) &&
       !peerDirectory.hasMisroutedHeartbeatSince(machineId, -Infinity);
     return {
       machineId,
--- a/src/autoscaling/unresponsive-machines.ts
+++ b/src/autoscaling/unresponsive-machines.ts
@@ -1,6 +1,6 @@
 /** Decides which unresponsive machines to replace, and which to keep because the machines are not at fault. */
-import { ZONE_CUT_SHARE, ZONE_PATIENCE_MS } from '../constants/autoscaling.js';
-import { SELF_SUSPECT_SHARE } from '../constants/leadership.js';
+import { ISOLATED_ZONE_RETENTION_MS, ZONE_ISOLATION_SHARE } from '../constants/autoscaling.js';
+import { LEADER_FAULT_SHARE } from '../constants/leadership.js';
 
 /** How responsive a machine is, as far as known from the leader of its partition. */
 export interface MonitoredMachine {
@@ -39,7 +39,7 @@
 /** Zones that count as isolated from the network, since most of their machines are late. */
 export function findIsolatedZones(machines: readonly MonitoredMachine[]): string[] {
   const zones = countLateBy(machines, (machine) => machine.zone);
-  return [...zones].filter(([, zone]) => !isMinority(zone, ZONE_CUT_SHARE)).map(([zone]) => zone);
+  return [...zones].filter(([, zone]) => !isMinority(zone, ZONE_ISOLATION_SHARE)).map(([zone]) => zone);
 }
 
 /**
@@ -57,8 +57,8 @@
   const partitions = countLateBy(machines, (machine) => machine.partition);
   return machines
     .filter(({ partition, zone, unresponsiveMs }) => {
-      if (unresponsiveMs <= 0 || !isMinority(partitions.get(partition)!, SELF_SUSPECT_SHARE)) return false;
-      return !recentlyIsolatedZones.has(zone) || unresponsiveMs > ZONE_PATIENCE_MS;
+      if (unresponsiveMs <= 0 || !isMinority(partitions.get(partition)!, LEADER_FAULT_SHARE)) return false;
+      return !recentlyIsolatedZones.has(zone) || unresponsiveMs > ISOLATED_ZONE_RETENTION_MS;
     })
     .map(({ machineId }) => machineId);
 }
--- a/src/autoscaling/unusable-machine-detector.ts
+++ b/src/autoscaling/unusable-machine-detector.ts
@@ -1,6 +1,6 @@
 /** Finds unusable machines: those that failed, didn't boot, or have been quarantined for long. */
 import type { ListedMachine } from '../cloud/cloud-wire-codec.js';
-import { QUARANTINE_PATIENCE_MS } from '../constants/autoscaling.js';
+import { FAULTY_MACHINE_SCALE_IN_MS } from '../constants/autoscaling.js';
 import type { MachineInfo } from '../domain/machine-state.js';
 import type { MachineInventory } from '../inventory/machine-inventory.js';
 import type { Clock } from '../net/clock.js';
@@ -50,7 +50,8 @@
       if (!isQuarantined || inventory.terminated.has(machineId)) continue;
       const sinceMs = this.quarantinedSinceMs.get(machineId) ?? nowMs;
       this.quarantinedSinceMs.set(machineId, sinceMs);
-      if (nowMs - sinceMs >= QUARANTINE_PATIENCE_MS && clusterState.taskCountOn(machineId) === 0) found.push(machineId);
+      if (nowMs - sinceMs >= FAULTY_MACHINE_SCALE_IN_MS && clusterState.taskCountOn(machineId) === 0)
+        found.push(machineId);
     }
     return found;
   }
--- a/src/cloud/cloud-client.ts
+++ b/src/cloud/cloud-client.ts
@@ -1,7 +1,7 @@
 /** Client of the cloud's API: catalog, list of machines, scale-out and scale-in. */
 import { CLOUD_BUSY_PAUSE_MS, CLOUD_TIMEOUT_MS } from '../constants/autoscaling.js';
 import type { Clock } from '../net/clock.js';
-import type { HttpClient, Reply } from '../net/http-client.js';
+import type { HttpClient, HttpResponse } from '../net/http-client.js';
 import { Priority, TokenBucket } from '../net/token-bucket.js';
 import {
   decodeCatalog,
@@ -47,7 +47,7 @@
 }
 
 type ChangeOutcome =
-  | { kind: 'answered'; reply: Reply }
+  | { kind: 'answered'; reply: HttpResponse }
   /** The call was not sent. */
   | { kind: 'withheld' }
   | { kind: 'no_response' };
@@ -110,7 +110,7 @@
     }
   }
 
-  private async read(path: string): Promise<Reply | undefined> {
+  private async read(path: string): Promise<HttpResponse | undefined> {
     await this.bucket.take(1, Priority.start);
     return this.send('GET', path, undefined, Priority.start);
   }
@@ -125,7 +125,12 @@
   }
 
   /** Resolves to undefined if there was no response, whatever the reason. */
-  private async send(method: string, path: string, body: unknown, priority: Priority): Promise<Reply | undefined> {
+  private async send(
+    method: string,
+    path: string,
+    body: unknown,
+    priority: Priority,
+  ): Promise<HttpResponse | undefined> {
     const { http, address } = this.options;
     try {
       const reply = await http.call(address, method, path, body, {
@@ -140,7 +145,7 @@
   }
 }
 
-function scaleOutResultOf({ status, body }: Reply): ScaleOutResult {
+function scaleOutResultOf({ status, body }: HttpResponse): ScaleOutResult {
   if (status === 200) return { kind: 'rented', machineIds: decodeRentedMachines(body) };
   if (status === 400) return { kind: 'malformed' };
   return status === 503 && isNoCapacity(body) ? { kind: 'no_capacity' } : { kind: 'refused' };
--- a/src/config/settings-file-codec.ts
+++ b/src/config/settings-file-codec.ts
@@ -131,8 +131,8 @@
 /** Converts the store's limits, current and announced. */
 export const decodeStoreSettings = (store: StoreSection): StoreSettings => ({
   requestsPerSecond: store.rps,
-  present: currentLimits(store),
-  lasting: strictestLimits(store),
+  current: currentLimits(store),
+  strictest: strictestLimits(store),
 });
 
 /** Converts the platform's settings to the names and units of the program. */
--- a/src/constants/api.ts
+++ b/src/constants/api.ts
@@ -10,10 +10,10 @@
  * ms for which polls are collected before one transaction of conditions serves them all: users wait 2 s, and about a hundred
  * users who poll every 5 s would otherwise cost one store request for each poll.
  */
-export const POLL_GATHER_MS = 250;
+export const POLL_BATCHING_MS = 250;
 
 /** Maximum attempts to confirm the records of a poll by a transaction of conditions; records that have changed are read again. */
-export const POLL_COMPARISONS = 3;
+export const MAX_POLL_ATTEMPTS = 3;
 
 /** Maximum of user requests in progress: more are refused with 429 at once, which bounds memory. */
 export const MAX_OPEN_REQUESTS = 200;
--- a/src/constants/autoscaling.ts
+++ b/src/constants/autoscaling.ts
@@ -7,25 +7,25 @@
 export const CLOUD_BUSY_PAUSE_MS = 2000;
 
 /** Failures of a task up to which all pending tasks of its job count as demand: more are usually the job's own fault. */
-export const FAILURES_WORTH_SCALING_OUT = 2;
+export const MAX_FAILURES_FOR_SCALE_OUT = 2;
 
 /** ms for which a machine must seem faulty before it is scaled in: by then the same jobs have run on other machines. */
-export const QUARANTINE_PATIENCE_MS = 4000;
+export const FAULTY_MACHINE_SCALE_IN_MS = 4000;
 
 /** Share of a zone's machines with late heartbeats above which the zone counts as isolated by a network partition. */
-export const ZONE_CUT_SHARE = 0.5;
+export const ZONE_ISOLATION_SHARE = 0.5;
 
 /** Multiple of the usual limit (`unresponsiveAfterMs`) after which a machine without heartbeats since a failover is scaled in. */
-export const UNSEEN_SILENCE_LIMITS = 2;
+export const UNSEEN_MACHINE_SILENCE_FACTOR = 2;
 
 /** ms for which an isolated zone's machines are kept after most of them have reconnected: the last ones try other nodes first. */
-export const ZONE_HEAL_MS = 30_000;
+export const ZONE_RECOVERY_MS = 30_000;
 
 /** ms for which an isolated zone's unresponsive machines are kept: longer than most partitions and scaling out elsewhere take. */
-export const ZONE_PATIENCE_MS = 120_000;
+export const ISOLATED_ZONE_RETENTION_MS = 120_000;
 
 /** Multiple of its type's boot time after which a machine that has never sent a heartbeat is scaled in. */
-export const BOOT_PATIENCE = 3;
+export const BOOT_TIMEOUT_FACTOR = 3;
 
 /** ms for which an idle machine beyond the reserve is kept, so that scaling out does not have to replace it soon afterwards. */
 export const IDLE_SCALE_IN_MS = 180_000;
@@ -55,7 +55,7 @@
 export const SCALE_OUT_PERIOD_MS = 2000;
 
 /** ms for which an offer (machine type, zone, spot or not) without capacity is not requested again. */
-export const NO_CAPACITY_MS = 15_000;
+export const NO_CAPACITY_BACKOFF_MS = 15_000;
 
 /** ms for which a refused rental is remembered: store writes may be delayed by seconds, and by minutes in a network partition. */
 export const REFUSED_RENTAL_KEPT_MS = 600_000;
--- a/src/constants/gossip.ts
+++ b/src/constants/gossip.ts
@@ -13,7 +13,7 @@
 export const GOSSIP_PERIOD_MS = 1000;
 
 /** ms for which a summary of a node's own machines is reused for all peers, whose links send at different times. */
-export const GOSSIP_VIEW_MS = 900;
+export const GOSSIP_SUMMARY_REUSE_MS = 900;
 
 /** ms by which a peer's replica must be fresher to show that only this node is cut off: more than two lease renewals. */
 export const PEER_LAG_MS = 2200;
@@ -32,13 +32,13 @@
  * Step between the positions at which consecutive messages start in the list of other nodes' machines, if one message can't hold
  * all; a prime, so that the positions cover the whole list.
  */
-export const FORWARDED_MACHINES_STEP = 997;
+export const RELAYED_MACHINES_STEP = 997;
 
 /** ms without a message after which a peer's connection is closed. */
 export const PEER_LINK_IDLE_MS = 5000;
 
 /** ms for which urgent gossip is collected before it is sent. */
-export const GOSSIP_SOON_MS = 100;
+export const URGENT_GOSSIP_BATCHING_MS = 100;
 
 /** Maximum size of the records in one delta to a peer whose replica lags, bytes: they take a few milliseconds of CPU time. */
 export const DELTA_BYTES = 200_000;
@@ -47,4 +47,4 @@
 export const GOSSIP_STALE_MS = 4000;
 
 /** ms for which changes are collected before they are sent to peers. */
-export const DELTA_GATHER_MS = 10;
+export const DELTA_BATCHING_MS = 10;
--- a/src/constants/inventory.ts
+++ b/src/constants/inventory.ts
@@ -1,7 +1,7 @@
 /** Limits of the inventory of machines. */
 
 /** ms for which a view of all machines is reused; less than the time between two plans. */
-export const INVENTORY_VIEW_MS = 100;
+export const INVENTORY_VIEW_REUSE_MS = 100;
 
 /**
  * A job counts as faulty, and its failures no longer count against machines, once it has failed on this share of all machines,
@@ -9,7 +9,7 @@
  * look faulty.
  */
 export const FAULTY_JOB_SHARE = 0.4;
-export const FAULTY_JOB_LEAST = 2;
+export const MIN_FAULTY_JOB_MACHINES = 2;
 
 /** Workers whose last misrouted heartbeat is kept to detect late copies: more than the 4,000 machines of a large cluster. */
 export const MISROUTED_WORKERS_KEPT = 20_000;
--- a/src/constants/leadership.ts
+++ b/src/constants/leadership.ts
@@ -16,10 +16,10 @@
 export const TOKEN_ADVANCE_PAUSE_MS = 5000;
 
 /** Share of a partition's machines silent at the same time above which the fault is assumed to be the leader's, not theirs. */
-export const SELF_SUSPECT_SHARE = 0.4;
+export const LEADER_FAULT_SHARE = 0.4;
 
 /** Minimum of silent workers from which a fault of the node itself is considered. */
-export const LEAST_SILENT_WORKERS = 2;
+export const MIN_SILENT_WORKERS = 2;
 
 /** Minimum uptime of a partition's preferred node before the partition is handed over to it, ms. */
 export const PREFERRED_NODE_UP_MS = 3000;
@@ -34,7 +34,7 @@
 export const DRAIN_CHECK_PERIOD_MS = 20;
 
 /** Share of a handover's time limit that may be spent on waiting for responses to in-flight commands. */
-export const DRAIN_SHARE = 1 / 3;
+export const DRAIN_TIME_SHARE = 1 / 3;
 
 /**
  * ms that a node waits before it acquires a vacant role, for each partition that it already leads, and as the maximum of an
--- a/src/constants/records.ts
+++ b/src/constants/records.ts
@@ -1,7 +1,7 @@
 /** Sizes of records in the store, and periods of their maintenance. */
 
 /** Writes that every end of a job needs: its final record, and the deletion of its live record. */
-export const END_WRITES = 2;
+export const MIN_JOB_END_WRITES = 2;
 
 /** Upper bound of one task's placement in a chunk, bytes; used to size chunks. */
 export const PLACEMENT_BYTES = 64;
@@ -22,13 +22,13 @@
 export const MAX_CHUNK_TASKS = 64;
 
 /** ms between sweeps for finished jobs: `done` may be reported up to 3 s late. */
-export const FINISH_PERIOD_MS = 700;
+export const FINISHED_JOB_SWEEP_PERIOD_MS = 700;
 
 /** ms between checks of the record formats that the controllers read, until all are known to read the current one. */
 export const FORMAT_CHECK_PERIOD_MS = 2000;
 
 /** ms between sweeps over jobs that wait for others: they only catch what the events have missed. */
-export const DEPENDENCY_SWEEP_MS = 1000;
+export const DEPENDENCY_SWEEP_PERIOD_MS = 1000;
 
 /** Maximum age of a complete replica for reporting a waiting job as queued, as a share of the cancellation deadline. */
-export const QUEUED_FRESH_SHARE = 0.5;
+export const QUEUED_REPLICA_AGE_SHARE = 0.5;
--- a/src/constants/scheduling.ts
+++ b/src/constants/scheduling.ts
@@ -1,10 +1,10 @@
 /** Planning, preemption and rescheduling. */
 
 /** ms between planner runs when there are no events. */
-export const PLAN_TICK_MS = 500;
+export const PLAN_PERIOD_MS = 500;
 
 /** ms for which events are collected before the planner runs. */
-export const PLAN_GATHER_MS = 20;
+export const PLAN_BATCHING_MS = 20;
 
 /** Machines sampled for each kind of task once `MAX_PLAN_TASKS` tasks have been matched in a planner run. */
 export const SAMPLE_MACHINES = 64;
@@ -54,10 +54,10 @@
  * Maximum pause between two planner runs, ms: the first runs of a process take many times as long as later ones, and the whole
  * cluster waits for them when all nodes have restarted at once.
  */
-export const MAX_PLAN_REST_MS = 800;
+export const MAX_PLAN_PAUSE_MS = 800;
 
 /** Minimum pause after a planner run, as a multiple of its duration: a node short of CPU time must serve heartbeats meanwhile. */
-export const LEAST_PLAN_REST_FACTOR = 2;
+export const MIN_PLAN_PAUSE_FACTOR = 2;
 
 /** ms between preemption rounds, so that the exits caused by the previous round have been observed. */
 export const PREEMPT_PERIOD_MS = 200;
--- a/src/constants/store.ts
+++ b/src/constants/store.ts
@@ -39,7 +39,7 @@
  * Share of the heartbeat interval for which exits of batch tasks are collected before they are packed: tasks run for tens of
  * seconds, and each transaction costs requests, writes of shared records, and messages to every node.
  */
-export const BATCH_GATHER_SHARE = 0.06;
+export const EXIT_BATCHING_SHARE = 0.06;
 
 /** Number of mutations that did not fit after which a transaction counts as full. */
 export const MAX_OVERSIZED_MUTATIONS = 4;
--- a/src/constants/workers.ts
+++ b/src/constants/workers.ts
@@ -7,13 +7,13 @@
  * Share of the heartbeat interval for which launches of batch tasks wait for others on the same machine, or for its next
  * heartbeat: a busy machine sends several in an interval, and the response carries the launches at no cost.
  */
-export const BATCH_PUSH_GATHER_SHARE = 0.1;
+export const LAUNCH_BATCHING_SHARE = 0.1;
 
 /** Number of leases after its last contact until a worker without tasks is forgotten: its agent epoch has ended long before. */
 export const WORKER_RETENTION_LEASES = 10;
 
 /** ms between sweeps for worker leases that have provably expired, for roles to be released, and for cancelled tasks. */
-export const SWEEP_MS = 500;
+export const SWEEP_PERIOD_MS = 500;
 
 /** ms after which a worker whose heartbeats are forwarded is redirected to its leader again, in case it can reach it by then. */
 export const REDIRECT_AGAIN_MS = 60_000;
@@ -29,11 +29,11 @@
  * the machines in use. Hundreds of connections in one tick would delay heartbeats, but all workers must be reached within a few
  * seconds.
  */
-export const MAX_TOKEN_ANNOUNCEMENTS = 24;
+export const MAX_CONCURRENT_TOKEN_ANNOUNCEMENTS = 24;
 export const TOKEN_ANNOUNCEMENTS_SHARE = 0.05;
 
 /** Minimum ms between announcements of the fencing token to one worker, so that all that send no heartbeat get their turn. */
-export const TOKEN_ANNOUNCE_AGAIN_MS = 5000;
+export const TOKEN_REANNOUNCE_DELAY_MS = 5000;
 
 /** Timeout of a command to a worker, ms: workers respond at once, unless the machine hangs. */
 export const COMMAND_TIMEOUT_MS = 1500;
@@ -45,7 +45,7 @@
 export const MAX_COMMANDS_BYTES = 60_000;
 
 /** Number of different jobs with failures on a machine, without a success in between, from which it is quarantined. */
-export const QUARANTINE_ERRORS = 2;
+export const MIN_FAILED_JOBS_FOR_QUARANTINE = 2;
 
 /** ms for which a quarantined machine gets no new tasks, unless it is replaced earlier. */
 export const QUARANTINE_MS = 120_000;
@@ -58,7 +58,7 @@
 export const FAILED_JOB_BACKOFF_MAX_MS = 60_000;
 
 /** Consecutive missed heartbeats after which a machine counts as silent and gets no new tasks. */
-export const SILENT_HEARTBEATS = 3;
+export const SILENT_AFTER_MISSED_HEARTBEATS = 3;
 
 /**
  * ms beyond the heartbeat interval after which a silent machine is scaled in, which releases its tasks at once: a worker that
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -17,7 +17,7 @@
 import type { Log } from '../logging/log.js';
 import { parseAddress } from '../net/address.js';
 import type { Clock } from '../net/clock.js';
-import type { HttpAnswer } from '../net/http-answer.js';
+import type { JsonResponse } from '../net/http-answer.js';
 import type { HttpClient } from '../net/http-client.js';
 import { Random } from '../net/random.js';
 import type { ClusterState } from '../records/cluster-state.js';
@@ -178,7 +178,7 @@
     log.info({ address: settings.apiAddress }, 'listening');
     const links = this.createLinks();
     this.send = (node, message) => links.send(node, message);
-    await Promise.all([links.run(signal), this.runDuties(signal)]);
+    await Promise.all([links.run(signal), this.runBackgroundLoops(signal)]);
   }
 
   private createHandlers(): ConstructorParameters<typeof ApiServer>[0] {
@@ -187,7 +187,7 @@
       poll: (jobId) => this.jobs.poll(jobId),
       cancel: (jobId) => this.jobs.cancel(jobId),
       answerHeartbeat: (body) => this.answerHeartbeat(body),
-      answerHealthCheck: () => this.up(),
+      answerHealthCheck: () => this.answerHealthCheck(),
     };
   }
 
@@ -202,7 +202,7 @@
   }
 
   /** Runs the background loops, without opening sockets. */
-  async runDuties(signal: AbortSignal): Promise<void> {
+  async runBackgroundLoops(signal: AbortSignal): Promise<void> {
     await runBackgroundLoops(
       {
         ...this.environment,
@@ -224,13 +224,13 @@
   }
 
   /** The response to a health check of the load balancer. */
-  up(): HttpAnswer {
+  answerHealthCheck(): JsonResponse {
     const isServing = !this.handover.isUnderway && this.leadershipParts.health.isServing;
     return { status: isServing ? 200 : 503, body: { up: isServing } };
   }
 
   /** Answers a worker's heartbeat. */
-  answerHeartbeat(body: unknown): HttpAnswer | Promise<HttpAnswer> {
+  answerHeartbeat(body: unknown): JsonResponse | Promise<JsonResponse> {
     return this.workerParts.heartbeats.answer(body);
   }
 
--- a/src/controller/duties.ts
+++ b/src/controller/duties.ts
@@ -1,14 +1,14 @@
 /** The background loops of a controller, which all run until one signal is aborted. */
 import type { ClusterLeader } from '../autoscaling/cluster-leader.js';
 import {
-  DEPENDENCY_SWEEP_MS,
-  FINISH_PERIOD_MS,
+  DEPENDENCY_SWEEP_PERIOD_MS,
+  FINISHED_JOB_SWEEP_PERIOD_MS,
   FORMAT_CHECK_PERIOD_MS,
   TEAM_SETTLEMENT_PERIOD_MS,
 } from '../constants/records.js';
-import { SWEEP_MS, TOKEN_ANNOUNCE_PERIOD_MS } from '../constants/workers.js';
+import { SWEEP_PERIOD_MS, TOKEN_ANNOUNCE_PERIOD_MS } from '../constants/workers.js';
 import type { MachineInventory } from '../inventory/machine-inventory.js';
-import type { DependencyProgress } from '../jobs/dependency-progress.js';
+import type { WaitingJobAdvancer } from '../jobs/dependency-progress.js';
 import type { JobCompletion } from '../jobs/job-completion.js';
 import type { RoleLeadership } from '../leadership/role-leadership.js';
 import type { RoleRebalancer } from '../leadership/role-rebalancer.js';
@@ -44,7 +44,7 @@
   rescheduler: Rescheduler;
   teamSettlement: TeamSettlement;
   completion: JobCompletion;
-  waitingJobAdvancer: DependencyProgress;
+  waitingJobAdvancer: WaitingJobAdvancer;
   roleRebalancer: RoleRebalancer;
   /** undefined: the warm standby is switched off. */
   standby: Standby | undefined;
@@ -75,12 +75,12 @@
     leader.run(signal),
     dependencies.standby?.run(signal),
     dependencies.rescheduler.run(signal),
-    repeat(FINISH_PERIOD_MS, () => cleanUp(dependencies)),
-    repeat(SWEEP_MS, () => dependencies.roleRebalancer.rebalance()),
-    repeat(SWEEP_MS, () => dependencies.cancellationEnforcer.sweep()),
+    repeat(FINISHED_JOB_SWEEP_PERIOD_MS, () => cleanUp(dependencies)),
+    repeat(SWEEP_PERIOD_MS, () => dependencies.roleRebalancer.rebalance()),
+    repeat(SWEEP_PERIOD_MS, () => dependencies.cancellationEnforcer.sweep()),
     repeat(TOKEN_ANNOUNCE_PERIOD_MS, () => announcer.announce()),
-    repeat(DEPENDENCY_SWEEP_MS, () => dependencies.waitingJobAdvancer.sweep()),
-    repeat(TEAM_SETTLEMENT_PERIOD_MS, () => dependencies.teamSettlement.settleQuietTeams()),
+    repeat(DEPENDENCY_SWEEP_PERIOD_MS, () => dependencies.waitingJobAdvancer.sweep()),
+    repeat(TEAM_SETTLEMENT_PERIOD_MS, () => dependencies.teamSettlement.settleIdleTeams()),
     repeat(FORMAT_CHECK_PERIOD_MS, () => dependencies.formatUpgrade.check()),
   ]);
 }
--- a/src/controller/job-duties.ts
+++ b/src/controller/job-duties.ts
@@ -1,7 +1,7 @@
 /** Builds the parts that handle the life cycle of jobs: users' requests, completion, and the release of dependents. */
 import { JobLookup, type JobLookupDependencies } from '../api/job-lookup.js';
 import { JobService, type JobServiceDependencies } from '../api/job-service.js';
-import { DependencyProgress } from '../jobs/dependency-progress.js';
+import { WaitingJobAdvancer } from '../jobs/dependency-progress.js';
 import { DependencyStates, type DependencyStatesDependencies } from '../jobs/dependency-states.js';
 import { JobCompletion, type JobCompletionDependencies } from '../jobs/job-completion.js';
 import { JobChangeHandler, type JobChangeHandlerDependencies } from '../jobs/job-reactions.js';
@@ -24,14 +24,14 @@
   readonly jobs: JobService;
   readonly completion: JobCompletion;
   readonly changeHandler: JobChangeHandler;
-  readonly waitingJobAdvancer: DependencyProgress;
+  readonly waitingJobAdvancer: WaitingJobAdvancer;
 }
 
 /** Builds the job parts on top of the records, the leadership, the workers and the scheduling. */
 export function createJobParts(dependencies: JobPartsDependencies): JobParts {
   const states = new DependencyStates(dependencies);
   const completion = new JobCompletion({ ...dependencies, states });
-  const waitingJobAdvancer = new DependencyProgress({ ...dependencies, states });
+  const waitingJobAdvancer = new WaitingJobAdvancer({ ...dependencies, states });
   const changeHandler = new JobChangeHandler({ ...dependencies, completion, waitingJobAdvancer });
   const { cancelDeadlineMs } = dependencies.settings.cluster.workers;
   const lookup = new JobLookup({ ...dependencies, states, cancelDeadlineMs });
--- a/src/controller/node-health.ts
+++ b/src/controller/node-health.ts
@@ -16,11 +16,11 @@
   /** Whether this node reaches the store, or is cut off from it along with a peer, so that no other node would serve better. */
   get isServing(): boolean {
     if (!this.replica.isLoaded) return false;
-    return this.leadership.hasRecentStoreContact || (this.isWithoutStore && this.peerDirectory.isAnyWithoutStore());
+    return this.leadership.hasRecentStoreContact || (this.isWithoutStore && this.peerDirectory.isAnyPeerWithoutStore());
   }
 
   /** Whether the store refuses this node's requests or does not respond to them. */
   get isWithoutStore(): boolean {
-    return !this.leadership.hasRecentStoreContact && this.client.lastRefusedAt > this.client.lastAnsweredAt;
+    return !this.leadership.hasRecentStoreContact && this.client.lastUnavailableAt > this.client.lastAnsweredAt;
   }
 }
--- a/src/controller/record-parts.ts
+++ b/src/controller/record-parts.ts
@@ -1,12 +1,12 @@
 /** Builds the store client and the parts on top of it: the replica, the cluster state and transactions. */
-import { BATCH_GATHER_SHARE } from '../constants/store.js';
+import { EXIT_BATCHING_SHARE } from '../constants/store.js';
 import { PeerDirectory } from '../gossip/peer-directory.js';
 import { RecordBroadcast } from '../gossip/record-broadcast.js';
 import { ReplicaFreshness } from '../gossip/replica-freshness.js';
 import { watchPauseMs } from '../gossip/watch-pause.js';
 import { ClusterState, type ClusterStateListener } from '../records/cluster-state.js';
 import { LIVE_PREFIX } from '../records/record-keys.js';
-import { recordSizer } from '../records/record-sizer.js';
+import { createRecordSizer } from '../records/record-sizer.js';
 import { TeamAccounting } from '../records/team-accounting.js';
 import { Replica } from '../store/replica.js';
 import { StoreClient } from '../store/store-client.js';
@@ -49,10 +49,10 @@
   const transactions = new TransactionBatcher({
     ...{ client, replica, limits, clock, random },
     prefix: LIVE_PREFIX,
-    gatherMs: cluster.workers.heartbeatIntervalMs * BATCH_GATHER_SHARE,
+    batchingMs: cluster.workers.heartbeatIntervalMs * EXIT_BATCHING_SHARE,
     onCommitted: (changes) => broadcast.announce(changes),
     onRejected: (mutation, reason) => log.error({ mutation, reason }, 'transaction rejected'),
-    resize: recordSizer(cluster.store.lasting.valueBytes, isFormatComplete),
+    resize: createRecordSizer(cluster.store.strictest.valueBytes, isFormatComplete),
   });
   const replicaFreshness = new ReplicaFreshness({
     node: settings.node,
--- a/src/controller/scheduling-parts.ts
+++ b/src/controller/scheduling-parts.ts
@@ -31,7 +31,7 @@
   const { clusterState, transactions } = records;
   const planner = new PlacementPlanner({ ...environment, ...records, leadership, inventory });
   const canSend = (call: Parameters<typeof maySend>[0]): boolean =>
-    !tuning.standby.enabled || maySend(call, () => leadership.isLeader);
+    !tuning.standby.enabled || maySend(call, () => leadership.isClusterLeader);
   const cloud = new CloudClient({
     ...{ http, clock },
     address: cloudAddress,
--- a/src/controller/worker-manager-events.ts
+++ b/src/controller/worker-manager-events.ts
@@ -26,8 +26,8 @@
   return {
     isTerminated: (machineId) => inventory().terminated.has(machineId),
     isLate: (workerStatus) => inventory().isLate(workerStatus),
-    knownImages: (machineId) => inventory().peerStateOf(machineId)?.images ?? [],
-    cacheGb: (machineType) => inventory().catalog.get(machineType)?.imageCacheGb ?? Infinity,
+    knownImages: (machineId) => inventory().peerReportOf(machineId)?.images ?? [],
+    imageCacheGb: (machineType) => inventory().catalog.get(machineType)?.imageCacheGb ?? Infinity,
     workerAnswered,
     heartbeatReceived: (workerStatus) => healthChecks.heartbeatReceived(workerStatus),
     taskCompleted: (placedTask, ranS) => {
--- a/src/domain/settings.ts
+++ b/src/domain/settings.ts
@@ -42,12 +42,12 @@
   /** The store's rate limit for all controllers together. */
   requestsPerSecond: number;
   /** The limits in force when the process starts. */
-  present: StoreLimits;
+  current: StoreLimits;
   /**
    * Limits that hold both before and after a change that the platform has announced. The change takes effect without notice, so
    * all writes must fit both.
    */
-  lasting: StoreLimits;
+  strictest: StoreLimits;
 }
 
 /** Settings that all controllers of the cluster share. */
--- a/src/gossip/gossip-exchange.ts
+++ b/src/gossip/gossip-exchange.ts
@@ -1,5 +1,5 @@
 /** Composes this node's periodic gossip to each peer, and applies the gossip received from peers. */
-import { GOSSIP_VIEW_MS } from '../constants/gossip.js';
+import { GOSSIP_SUMMARY_REUSE_MS } from '../constants/gossip.js';
 import type { MachineInfo, MachineRefresh } from '../domain/machine-state.js';
 import { partitionRole } from '../domain/role.js';
 import type { Settings } from '../domain/settings.js';
@@ -108,7 +108,7 @@
 
   /** The machines of the partitions that this node leads, described once for all peers. */
   private ownMachines(now: number): OwnMachineSummaries {
-    if (now - this.cachedOwnMachines.describedAt < GOSSIP_VIEW_MS) return this.cachedOwnMachines;
+    if (now - this.cachedOwnMachines.describedAt < GOSSIP_SUMMARY_REUSE_MS) return this.cachedOwnMachines;
     const { leadership, inventory } = this.dependencies;
     // A node that must not answer a partition's workers does not report their machines either.
     const partitions = leadership
--- a/src/gossip/gossip-sender.ts
+++ b/src/gossip/gossip-sender.ts
@@ -1,5 +1,5 @@
 /** Sends this node's gossip to all peers between the periodic messages. */
-import { GOSSIP_SOON_MS } from '../constants/gossip.js';
+import { URGENT_GOSSIP_BATCHING_MS } from '../constants/gossip.js';
 import type { Clock } from '../net/clock.js';
 import type { Gossip, Message } from './messages.js';
 
@@ -18,11 +18,11 @@
 
   constructor(private readonly dependencies: GossipSenderDependencies) {}
 
-  /** Sends after GOSSIP_SOON_MS, so that several calls share one message. */
+  /** Sends after URGENT_GOSSIP_BATCHING_MS, so that several calls share one message. */
   sendSoon(): void {
     if (this.isScheduled) return;
     this.isScheduled = true;
-    void this.dependencies.clock.sleep(GOSSIP_SOON_MS).then(() => {
+    void this.dependencies.clock.sleep(URGENT_GOSSIP_BATCHING_MS).then(() => {
       this.isScheduled = false;
       this.sendNow();
     });
--- a/src/gossip/peer-directory.ts
+++ b/src/gossip/peer-directory.ts
@@ -1,5 +1,10 @@
 /** The last gossip of each other controller, and the state derived from it. All times are monotonic ms of this node's clock. */
-import { GOSSIP_SOON_MS, MISROUTED_HEARTBEAT_VALID_MS, PEER_LAG_MS, PEER_STATE_VALID_MS } from '../constants/gossip.js';
+import {
+  MISROUTED_HEARTBEAT_VALID_MS,
+  PEER_LAG_MS,
+  PEER_STATE_VALID_MS,
+  URGENT_GOSSIP_BATCHING_MS,
+} from '../constants/gossip.js';
 import { REPLICA_FRESH_MS } from '../constants/leadership.js';
 import type { Clock } from '../net/clock.js';
 import type { Gossip, MisroutedHeartbeat } from './messages.js';
@@ -80,7 +85,9 @@
    */
   hasMisroutedHeartbeatSince(machineId: string, leaderContactAt: number): boolean {
     const sentAt = this.misroutedHeartbeats.lastSentAtOf(machineId);
-    return this.clock.now() - sentAt < MISROUTED_HEARTBEAT_VALID_MS && sentAt > leaderContactAt + GOSSIP_SOON_MS;
+    return (
+      this.clock.now() - sentAt < MISROUTED_HEARTBEAT_VALID_MS && sentAt > leaderContactAt + URGENT_GOSSIP_BATCHING_MS
+    );
   }
 
   /** The recent misrouted heartbeats that peers have reported, to be relayed to other peers. */
@@ -92,7 +99,7 @@
    * Whether a peer reaches the store while this node does not. In a store outage, all nodes lose the store within one lease renewal
    * period of each other, so a peer's replica that is fresher by less than PEER_LAG_MS proves nothing.
    */
-  isAnyPeerWithStore(): boolean {
+  canOnlyPeersReachStore(): boolean {
     const ownFreshAt = this.ownReplicaFreshAt();
     return this.nodes.some(
       (node) => this.reachesStore(node) && this.validStateOf(node)!.replicaFreshAt > ownFreshAt + PEER_LAG_MS,
@@ -110,7 +117,7 @@
   }
 
   /** Whether any peer reports that it can't use the store, or there are no peers. */
-  isAnyWithoutStore(): boolean {
+  isAnyPeerWithoutStore(): boolean {
     return this.nodes.length === 0 || this.nodes.some((node) => this.isWithoutStore(node));
   }
 }
--- a/src/gossip/record-broadcast.ts
+++ b/src/gossip/record-broadcast.ts
@@ -1,5 +1,5 @@
 /** Sends the records that this node's transactions have changed to the peers, and applies the changes received from peers. */
-import { DELTA_GATHER_MS } from '../constants/gossip.js';
+import { DELTA_BATCHING_MS } from '../constants/gossip.js';
 import type { Log } from '../logging/log.js';
 import type { Clock } from '../net/clock.js';
 import { isStoredCancellation } from '../records/record-codecs.js';
@@ -27,7 +27,7 @@
   constructor(private readonly dependencies: RecordBroadcastDependencies) {}
 
   /**
-   * Sends committed changes, collected for DELTA_GATHER_MS. A cancellation is sent immediately, before its user gets an answer:
+   * Sends committed changes, collected for DELTA_BATCHING_MS. A cancellation is sent immediately, before its user gets an answer:
    * until the partition's leader has received it, the leader may still launch a task that was placed just before.
    */
   announce(changes: readonly Change[]): void {
@@ -36,7 +36,7 @@
     const isScheduled = this.pendingChanges.length > 0;
     this.pendingChanges.push(...changes);
     if (changes.some(({ key, value }) => isStoredCancellation(key, value))) this.flush();
-    else if (!isScheduled) void clock.sleep(DELTA_GATHER_MS).then(() => this.flush());
+    else if (!isScheduled) void clock.sleep(DELTA_BATCHING_MS).then(() => this.flush());
   }
 
   private flush(): void {
--- a/src/gossip/replica-freshness.ts
+++ b/src/gossip/replica-freshness.ts
@@ -103,7 +103,7 @@
     const { node, incarnation, replica, send } = this.dependencies;
     if (!replica.isLoaded) return;
     const { version } = replica;
-    const completeRevision = replica.completeFrom(fromRevision);
+    const completeRevision = replica.completeRevisionAfter(fromRevision);
     const { last: lastRevision, isComplete, changes } = replica.changesSince(afterRevision, DELTA_BYTES);
     send(requester, {
       kind: 'replica_delta',
@@ -138,7 +138,7 @@
     const { node, incarnation, version, fromRevision, afterRevision, lastRevision } = delta;
     if (delta.isComplete) {
       this.pendingDeltas.delete(node);
-      this.dependencies.replica.completeTo(delta.completeRevision);
+      this.dependencies.replica.markCompleteTo(delta.completeRevision);
       this.mergedVersions.set(node, { incarnation, version });
     } else if (lastRevision > afterRevision) {
       this.pendingDeltas.set(node, { incarnation, version, afterRevision: lastRevision });
--- a/src/gossip/sent-machine-updates.ts
+++ b/src/gossip/sent-machine-updates.ts
@@ -3,7 +3,7 @@
  * cost bytes in proportion to machines times nodes; so only changed machines are sent in full, and the others as a short number with
  * the last heartbeat.
  */
-import { FORWARDED_MACHINES_STEP, MACHINES_IN_GOSSIP_BYTES } from '../constants/gossip.js';
+import { MACHINES_IN_GOSSIP_BYTES, RELAYED_MACHINES_STEP } from '../constants/gossip.js';
 import { maxBytesOf, stableContentOf } from './machine-update-content.js';
 import type { Gossip, MachineUpdate, UnchangedMachineColumns } from './messages.js';
 
@@ -149,7 +149,7 @@
  */
 function selectRelayed(relayed: readonly MachineUpdate[], maxBytes: number, messageNumber: number): MachineUpdate[] {
   const selected: MachineUpdate[] = [];
-  const start = relayed.length === 0 ? 0 : (messageNumber * FORWARDED_MACHINES_STEP) % relayed.length;
+  const start = relayed.length === 0 ? 0 : (messageNumber * RELAYED_MACHINES_STEP) % relayed.length;
   let bytesLeft = maxBytes;
   for (const update of [...relayed.slice(start), ...relayed.slice(0, start)]) {
     bytesLeft -= maxBytesOf(update, stableContentOf(update));
--- a/src/inventory/faulty-jobs.ts
+++ b/src/inventory/faulty-jobs.ts
@@ -1,6 +1,6 @@
 /** Distinguishes faulty jobs from faulty machines. */
-import { FAULTY_JOB_LEAST, FAULTY_JOB_SHARE } from '../constants/inventory.js';
-import { QUARANTINE_ERRORS } from '../constants/workers.js';
+import { FAULTY_JOB_SHARE, MIN_FAULTY_JOB_MACHINES } from '../constants/inventory.js';
+import { MIN_FAILED_JOBS_FOR_QUARANTINE } from '../constants/workers.js';
 import type { MachineInfo } from '../domain/machine-state.js';
 
 /**
@@ -9,11 +9,12 @@
  */
 export function clearQuarantineOfFaultyJobs(machines: Map<string, MachineInfo>): void {
   const failedMachineCounts = countMachinesByFailedJob(machines.values());
-  const minFaultyMachines = Math.max(FAULTY_JOB_LEAST, Math.ceil(machines.size * FAULTY_JOB_SHARE));
+  const minFaultyMachines = Math.max(MIN_FAULTY_JOB_MACHINES, Math.ceil(machines.size * FAULTY_JOB_SHARE));
   for (const [machineId, machine] of machines) {
     if (!machine.isQuarantined) continue;
     const relevantFailures = machine.failedJobs.filter((jobId) => failedMachineCounts.get(jobId)! < minFaultyMachines);
-    if (relevantFailures.length < QUARANTINE_ERRORS) machines.set(machineId, { ...machine, isQuarantined: false });
+    if (relevantFailures.length < MIN_FAILED_JOBS_FOR_QUARANTINE)
+      machines.set(machineId, { ...machine, isQuarantined: false });
   }
 }
 
--- a/src/inventory/machine-availability.ts
+++ b/src/inventory/machine-availability.ts
@@ -1,6 +1,6 @@
 /** Decides whether new tasks may be placed on a machine, and if not, for which reason. */
 import { GOSSIP_STALE_MS } from '../constants/gossip.js';
-import { SILENT_HEARTBEATS } from '../constants/workers.js';
+import { SILENT_AFTER_MISSED_HEARTBEATS } from '../constants/workers.js';
 import type { MachineInfo } from '../domain/machine-state.js';
 import type { MachineType } from '../domain/machine-type.js';
 import type { Settings } from '../domain/settings.js';
@@ -41,7 +41,7 @@
   /** Whether the machine's last known heartbeat is older than allowed, including the delay of gossip for other nodes' machines. */
   isSilent({ machineId, lastHeartbeatAt, partitionLeader }: MachineInfo): boolean {
     const { settings, leadership, peerReports, clock } = this.dependencies;
-    const allowedMs = SILENT_HEARTBEATS * settings.cluster.workers.heartbeatIntervalMs;
+    const allowedMs = SILENT_AFTER_MISSED_HEARTBEATS * settings.cluster.workers.heartbeatIntervalMs;
     const now = clock.now();
     if (ownLeadershipOver(leadership, machineId) !== undefined) return now - lastHeartbeatAt > allowedMs;
     const reportedAt = peerReports.reportedAtOf(machineId);
--- a/src/inventory/machine-inventory.ts
+++ b/src/inventory/machine-inventory.ts
@@ -1,6 +1,6 @@
 /** All known machines, from their workers' heartbeats and from the peers' gossip. */
 import { GOSSIP_STALE_MS } from '../constants/gossip.js';
-import { INVENTORY_VIEW_MS } from '../constants/inventory.js';
+import { INVENTORY_VIEW_REUSE_MS } from '../constants/inventory.js';
 import type { MachineInfo, MachineRefresh } from '../domain/machine-state.js';
 import type { MachineType } from '../domain/machine-type.js';
 import type { Settings } from '../domain/settings.js';
@@ -59,7 +59,7 @@
   }
 
   /** Whether this node leads the machine's partition or has a report about the machine newer than GOSSIP_STALE_MS. */
-  isCurrent(machineId: string): boolean {
+  hasCurrentState(machineId: string): boolean {
     if (ownLeadershipOver(this.leadership, machineId) !== undefined) return true;
     return this.clock.now() - this.peerReports.reportedAtOf(machineId) < GOSSIP_STALE_MS;
   }
@@ -85,7 +85,7 @@
   }
 
   /** The machine as last reported by a peer. */
-  peerStateOf(machineId: string): MachineInfo | undefined {
+  peerReportOf(machineId: string): MachineInfo | undefined {
     return this.peerReports.machines.get(machineId);
   }
 
@@ -95,15 +95,15 @@
   }
 
   agentEpochOf(machineId: string): number | undefined {
-    return (this.workerManager.workers.get(machineId) ?? this.peerStateOf(machineId))?.agentEpoch;
+    return (this.workerManager.workers.get(machineId) ?? this.peerReportOf(machineId))?.agentEpoch;
   }
 
   /** One machine in its current state, not from the cached view. */
   get(machineId: string): MachineInfo | undefined {
-    return this.own.get(machineId) ?? this.peerStateOf(machineId);
+    return this.own.get(machineId) ?? this.peerReportOf(machineId);
   }
 
-  /** Every machine, from heartbeats received here or else from peers' reports. Callers within INVENTORY_VIEW_MS share one view. */
+  /** Every machine, from heartbeats received here or else from peers' reports. Callers within INVENTORY_VIEW_REUSE_MS share one view. */
   machines(): ReadonlyMap<string, MachineInfo> {
     return this.currentView().machines;
   }
@@ -123,7 +123,7 @@
     const peerReportCount = this.peerReports.machines.size;
     const last = this.cachedView;
     const isSameCount = last.workerCount === workerCount && last.peerReportCount === peerReportCount;
-    if (now - last.createdAt < INVENTORY_VIEW_MS && isSameCount) return last;
+    if (now - last.createdAt < INVENTORY_VIEW_REUSE_MS && isSameCount) return last;
     const machines = new Map(this.peerReports.machines);
     for (const machine of this.ownMachines()) machines.set(machine.machineId, machine);
     clearQuarantineOfFaultyJobs(machines);
@@ -149,7 +149,7 @@
 
   /** Whether a heartbeat received here, although another node leads the worker's partition, is a delayed copy. */
   isLate(workerStatus: WorkerStatus): boolean {
-    return this.lateHeartbeats.isLate(workerStatus, this.peerStateOf(workerStatus.machineId));
+    return this.lateHeartbeats.isLate(workerStatus, this.peerReportOf(workerStatus.machineId));
   }
 
   /** Removes peers' reports about machines that no leader has reported for long. */
--- a/src/jobs/dependency-progress.ts
+++ b/src/jobs/dependency-progress.ts
@@ -15,7 +15,7 @@
 import type { DependencyStates } from './dependency-states.js';
 
 /** What advancing waiting jobs needs from the other parts. */
-export interface DependencyProgressDependencies {
+export interface WaitingJobAdvancerDependencies {
   leadership: RoleLeadership;
   clusterState: ClusterState;
   transactions: TransactionBatcher;
@@ -25,11 +25,11 @@
 }
 
 /** Takes at most one step at a time for each job. */
-export class DependencyProgress {
+export class WaitingJobAdvancer {
   /** Jobs with a step in flight. */
   private readonly inFlight = new Set<string>();
 
-  constructor(private readonly dependencies: DependencyProgressDependencies) {}
+  constructor(private readonly dependencies: WaitingJobAdvancerDependencies) {}
 
   /** Must be called when the record of a job has changed or has been deleted. */
   jobChanged(jobId: string): void {
--- a/src/jobs/job-completion.ts
+++ b/src/jobs/job-completion.ts
@@ -1,5 +1,5 @@
 /** Records the end of jobs whose tasks have all ended, and deletes leftover placement chunks of ended jobs. */
-import { END_WRITES } from '../constants/records.js';
+import { MIN_JOB_END_WRITES } from '../constants/records.js';
 import { CLUSTER_LEADER_ROLE } from '../domain/role.js';
 import { isResponsibleFor } from '../leadership/responsibility.js';
 import type { RoleLeadership } from '../leadership/role-leadership.js';
@@ -30,7 +30,7 @@
 
 /** Whether no task of the job is running or still has to run, so that the job's end can be recorded. */
 export const hasJobEnded = (view: JobView): boolean =>
-  view.placed === 0 && (view.record.state === 'cancelled' || view.isComplete);
+  view.placedCount === 0 && (view.record.state === 'cancelled' || view.isComplete);
 
 /** Records the end of each job once. */
 export class JobCompletion {
@@ -73,7 +73,7 @@
     };
     const released: string[] = [];
     for (const dependent of dependencyGraph.dependentsOf(jobId)) {
-      if (released.length === maxTransactionWrites - END_WRITES) break;
+      if (released.length === maxTransactionWrites - MIN_JOB_END_WRITES) break;
       if (waitsForThisJobOnly(dependent)) released.push(dependent);
     }
     return released;
@@ -84,7 +84,7 @@
     const { clusterState, leadership } = this.dependencies;
     for (const [jobId, view] of clusterState.jobs)
       if (hasJobEnded(view) && isResponsibleFor(leadership, jobId)) void this.complete(jobId);
-    if (leadership.isLeader) this.deleteLeftoverChunks();
+    if (leadership.isClusterLeader) this.deleteLeftoverChunks();
   }
 
   /** Deletes the remaining placement chunks of ended jobs; they can't change any more, since the job's record is deleted. */
@@ -97,7 +97,7 @@
         // The previous sweep may have deleted some or all of them in the meantime.
         const remaining = chunks
           .map((chunk) => placementChunkKey(jobId, chunk))
-          .filter((key) => draft.peek(key) !== undefined);
+          .filter((key) => draft.getWithoutCondition(key) !== undefined);
         for (const key of remaining.slice(0, maxTransactionWrites)) draft.delete(key);
         return remaining.length > 0;
       });
--- a/src/jobs/job-reactions.ts
+++ b/src/jobs/job-reactions.ts
@@ -1,18 +1,18 @@
 /** Reacts to changes of a job's records: sends launches and stops, triggers plans, ends the job, advances its dependents. */
-import { BATCH_PUSH_GATHER_SHARE } from '../constants/workers.js';
+import { LAUNCH_BATCHING_SHARE } from '../constants/workers.js';
 import { isPlacedByLeader } from '../domain/job.js';
 import { CLUSTER_LEADER_ROLE, partitionRole } from '../domain/role.js';
 import { taskIdOf } from '../domain/task.js';
 import { isResponsibleFor } from '../leadership/responsibility.js';
 import type { RoleLeadership } from '../leadership/role-leadership.js';
 import type { ClusterState, JobView } from '../records/cluster-state.js';
-import type { DependencyProgress } from './dependency-progress.js';
+import type { WaitingJobAdvancer } from './dependency-progress.js';
 import { hasJobEnded, type JobCompletion } from './job-completion.js';
 
 /** The workers of this node's partitions, and how to send them commands. */
 export interface WorkerCommandPusher {
   readonly workers: { get(machineId: string): { tasks: ReadonlyMap<string, { attempt: number }> } | undefined };
-  /** Sends the machine's worker the commands that have changed, after `gatherMs` at most. */
+  /** Sends the machine's worker the commands that have changed, after `batchingMs` at most. */
   pushCommands(machineId: string, gatherMs?: number): void;
 }
 
@@ -29,7 +29,7 @@
   workerManager: WorkerCommandPusher;
   planner: PlanTrigger;
   completion: JobCompletion;
-  waitingJobAdvancer: DependencyProgress;
+  waitingJobAdvancer: WaitingJobAdvancer;
   /** ms between two heartbeats of a worker. */
   reportPeriodMs: number;
 }
@@ -45,7 +45,7 @@
     if (taskIndexes === undefined) waitingJobAdvancer.jobChanged(jobId);
     planner.planSoon(view !== undefined && this.isUrgent(view));
     if (view === undefined) return;
-    for (const taskIndex of taskIndexes ?? [...view.knownPlacements()].map(([index]) => index))
+    for (const taskIndex of taskIndexes ?? [...view.storedPlacements()].map(([index]) => index))
       this.pushCommands(view, taskIndex);
     // All nodes see the end at the same time, so only the responsible one records it: a lost race costs a transaction too.
     if (hasJobEnded(view) && isResponsibleFor(leadership, jobId)) void completion.complete(jobId);
@@ -66,13 +66,13 @@
     }
     if (reportedTask?.attempt === placement.attempt) return;
     const isBatch = view.record.spec.kind === 'array';
-    workerManager.pushCommands(placement.machineId, isBatch ? reportPeriodMs * BATCH_PUSH_GATHER_SHARE : undefined);
+    workerManager.pushCommands(placement.machineId, isBatch ? reportPeriodMs * LAUNCH_BATCHING_SHARE : undefined);
   }
 
   /** Whether the job has queued tasks that may wait for seconds at most and that this node places. */
-  private isUrgent({ jobId, record, queued }: JobView): boolean {
+  private isUrgent({ jobId, record, queuedTaskIndexes }: JobView): boolean {
     const { leadership } = this.dependencies;
-    if (record.spec.kind === 'array' || record.state === 'waiting' || queued.length === 0) return false;
+    if (record.spec.kind === 'array' || record.state === 'waiting' || queuedTaskIndexes.length === 0) return false;
     const role = isPlacedByLeader(record.spec) ? CLUSTER_LEADER_ROLE : partitionRole(leadership.partitionOf(jobId));
     return leadership.leadershipOf(role) !== undefined;
   }
--- a/src/leadership/advisory-collector.ts
+++ b/src/leadership/advisory-collector.ts
@@ -2,7 +2,7 @@
 import type { AdvisoryKind, AdvisoryLog } from '@dewlatch/standby';
 
 import type { Clock } from '../net/clock.js';
-import type { HealthAdvisoryState, LeaderMemory } from './advisory-memory.js';
+import type { HealthAdvisoryState, LeaderAdvisoryState } from './advisory-memory.js';
 import type { RoleLeadership } from './role-leadership.js';
 
 /** Sources of the advisory state, and the log that it is written to. */
@@ -10,7 +10,7 @@
   advisoryLog: AdvisoryLog;
   leadership: RoleLeadership;
   happiness: HealthAdvisoryState;
-  leader: { readonly memory: LeaderMemory };
+  leader: { readonly advisoryState: LeaderAdvisoryState };
   clock: Clock;
 }
 
@@ -21,13 +21,15 @@
   /** Collects recent moves, evictions and refused offers; cheap enough to run on every tick. */
   collectEvents(): void {
     const { leadership, happiness, leader } = this.dependencies;
-    const { memory } = leader;
-    const isLeader = leadership.isLeader;
+    const { advisoryState } = leader;
+    const isLeader = leadership.isClusterLeader;
     const recentMoves = [...happiness.recentMoves()].map(({ task, at }) => ({ name: task, at }));
     const recentEvictions = isLeader
-      ? [...memory.recentEvictions()].map(({ attempt, at }) => ({ name: attempt, at }))
+      ? [...advisoryState.recentEvictions()].map(({ attempt, at }) => ({ name: attempt, at }))
+      : [];
+    const refusedOffers = isLeader
+      ? [...advisoryState.refusedOffers()].map(({ offer, at }) => ({ name: offer, at }))
       : [];
-    const refusedOffers = isLeader ? [...memory.refusedOffers()].map(({ offer, at }) => ({ name: offer, at })) : [];
     this.replaceTimedEntries('moved', recentMoves);
     this.replaceTimedEntries('stopping', recentEvictions);
     this.replaceTimedEntries('no_capacity', refusedOffers);
@@ -36,7 +38,7 @@
   /** Collects idle machines and the counts of health checks; called less often than `collectEvents`. */
   collectCounts(): void {
     const { advisoryLog, leadership, happiness, leader, clock } = this.dependencies;
-    const idle = leadership.isLeader ? [...leader.memory.idleMachines()] : [];
+    const idle = leadership.isClusterLeader ? [...leader.advisoryState.idleMachines()] : [];
     this.replaceTimedEntries(
       'idle',
       idle.map(({ machineId, at }) => ({ name: machineId, at })),
--- a/src/leadership/advisory-memory.ts
+++ b/src/leadership/advisory-memory.ts
@@ -1,7 +1,7 @@
 /** Advisory state: kept in memory only, not in the records, and streamed to successors. All times are monotonic ms. */
 
 /** Advisory state of the cluster leader: streamed to its followers, and restored on its successor after a takeover. */
-export interface LeaderMemory {
+export interface LeaderAdvisoryState {
   /** Attempts that were recently asked to stop. */
   recentEvictions(): Iterable<{ attempt: string; at: number }>;
   /** Offers that the cloud has recently refused: `<machine type> <zone> <isSpot>`. */
--- a/src/leadership/advisory-restorer.ts
+++ b/src/leadership/advisory-restorer.ts
@@ -6,7 +6,7 @@
 import type { Log } from '../logging/log.js';
 import type { Clock } from '../net/clock.js';
 import type { ClusterState } from '../records/cluster-state.js';
-import type { HealthAdvisoryState, LeaderMemory } from './advisory-memory.js';
+import type { HealthAdvisoryState, LeaderAdvisoryState } from './advisory-memory.js';
 import type { AdvisoryStream } from './advisory-stream.js';
 import type { LeadershipHistory } from './leadership-history.js';
 
@@ -18,7 +18,7 @@
   leadership: { partitionOf(machineId: string): number };
   clusterState: ClusterState;
   happiness: HealthAdvisoryState;
-  leader: { readonly memory: LeaderMemory };
+  leader: { readonly advisoryState: LeaderAdvisoryState };
   clock: Clock;
   log: Log;
 }
@@ -42,13 +42,13 @@
   /** Returns the number of restored entries. */
   private restoreLeader(follower: StreamFollower): number {
     const { leader, clusterState } = this.dependencies;
-    const { memory } = leader;
+    const { advisoryState } = leader;
     const stopping = follower.entries('stopping');
     const refused = follower.entries('no_capacity');
     const idle = follower.entries('idle').filter(({ name }) => clusterState.taskCountOn(name) === 0);
-    for (const { name, at } of stopping) memory.restoreEviction(name, at);
-    for (const { name, at } of refused) memory.restoreRefusal(name, at);
-    for (const { name, at } of idle) memory.restoreIdle(name, at);
+    for (const { name, at } of stopping) advisoryState.restoreEviction(name, at);
+    for (const { name, at } of refused) advisoryState.restoreRefusal(name, at);
+    for (const { name, at } of idle) advisoryState.restoreIdle(name, at);
     return stopping.length + refused.length + idle.length;
   }
 
--- a/src/leadership/handover.ts
+++ b/src/leadership/handover.ts
@@ -1,6 +1,6 @@
 /** Planned handover: a controller that shuts down releases its roles to its successors instead of letting them expire. */
-import { DELTA_GATHER_MS } from '../constants/gossip.js';
-import { DRAIN_SHARE } from '../constants/leadership.js';
+import { DELTA_BATCHING_MS } from '../constants/gossip.js';
+import { DRAIN_TIME_SHARE } from '../constants/leadership.js';
 import type { GossipSender } from '../gossip/gossip-sender.js';
 import type { Log } from '../logging/log.js';
 import type { Clock } from '../net/clock.js';
@@ -41,9 +41,9 @@
 
   private async releaseRoles(): Promise<void> {
     const { limitMs, leadership, workerManager, clock } = this.dependencies;
-    await workerManager.drain(limitMs * DRAIN_SHARE);
+    await workerManager.drain(limitMs * DRAIN_TIME_SHARE);
     await leadership.releaseAll('shutdown');
     // Changed records reach peers only after a batching delay; otherwise they learn of the vacant roles only by their next watch.
-    await clock.sleep(2 * DELTA_GATHER_MS);
+    await clock.sleep(2 * DELTA_BATCHING_MS);
   }
 }
--- a/src/leadership/responsibility.ts
+++ b/src/leadership/responsibility.ts
@@ -6,5 +6,5 @@
 export function isResponsibleFor(leadership: RoleLeadership, jobId: string): boolean {
   const role = partitionRole(leadership.partitionOf(jobId));
   const isLedHere = leadership.leadershipOf(role) !== undefined;
-  return isLedHere || (leadership.isLeader && leadership.leaderOf(role) === undefined);
+  return isLedHere || (leadership.isClusterLeader && leadership.leaderOf(role) === undefined);
 }
--- a/src/leadership/role-leadership.ts
+++ b/src/leadership/role-leadership.ts
@@ -34,7 +34,7 @@
   /** Whether the peer is currently up and reaches the store. */
   reachesStore(node: string): boolean;
   /** Whether some peer reaches the store while this node does not. */
-  isAnyPeerWithStore(): boolean;
+  canOnlyPeersReachStore(): boolean;
 }
 
 /** Collaborators needed to acquire and hold roles. */
@@ -139,7 +139,7 @@
     if (held === undefined) return undefined;
     if (this.hasRecentStoreContact) return held;
     // A node that reaches the store will take over; rejected workers switch to it sooner.
-    if (peerDirectory.isAnyPeerWithStore()) return undefined;
+    if (peerDirectory.canOnlyPeersReachStore()) return undefined;
     // Any cancellation missing from this replica was confirmed after `completeAsOf`: see "Time" in docs/design.md.
     return clock.now() < replicaFreshness.completeAsOf() + this.degradedServingMs ? held : undefined;
   }
@@ -149,7 +149,7 @@
   }
 
   /** Whether this node leads the cluster and may currently make decisions. */
-  get isLeader(): boolean {
+  get isClusterLeader(): boolean {
     const held = this.confirmedLeadershipOf(CLUSTER_LEADER_ROLE);
     return held !== undefined && this.hasRecentStoreContact && this.succession.isReady(CLUSTER_LEADER_ROLE, held);
   }
--- a/src/leadership/role-rebalancer.ts
+++ b/src/leadership/role-rebalancer.ts
@@ -1,9 +1,9 @@
 /** Releases partitions to their preferred nodes, and to other nodes if their workers can't reach this one. */
 import {
   AVOID_ROLE_MS,
-  LEAST_SILENT_WORKERS,
+  LEADER_FAULT_SHARE,
+  MIN_SILENT_WORKERS,
   PREFERRED_NODE_UP_MS,
-  SELF_SUSPECT_SHARE,
   STORE_LEASE_TTL_MS,
 } from '../constants/leadership.js';
 import { partitionRole } from '../domain/role.js';
@@ -62,7 +62,7 @@
     const limitMs = unresponsiveAfterMs(settings.cluster.workers);
     const partitionWorkers = [...workers.ofPartition(partition)];
     const silent = partitionWorkers.filter((worker) => now - worker.lastHeartbeatAt > limitMs);
-    if (silent.length < LEAST_SILENT_WORKERS || silent.length <= partitionWorkers.length * SELF_SUSPECT_SHARE)
+    if (silent.length < MIN_SILENT_WORKERS || silent.length <= partitionWorkers.length * LEADER_FAULT_SHARE)
       return false;
     const seenElsewhere = silent.filter((worker) =>
       peerDirectory.hasMisroutedHeartbeatSince(worker.machineId, worker.lastHeartbeatAt),
--- a/src/leadership/standby.ts
+++ b/src/leadership/standby.ts
@@ -25,7 +25,7 @@
 import type { Replica } from '../store/replica.js';
 import type { TransactionBatcher } from '../store/transaction-batcher.js';
 import { AdvisoryCollector } from './advisory-collector.js';
-import type { HealthAdvisoryState, LeaderMemory } from './advisory-memory.js';
+import type { HealthAdvisoryState, LeaderAdvisoryState } from './advisory-memory.js';
 import { AdvisoryRestorer } from './advisory-restorer.js';
 import { AdvisoryStream } from './advisory-stream.js';
 import { LeadershipHistory } from './leadership-history.js';
@@ -48,7 +48,7 @@
   replica: Replica;
   transactions: TransactionBatcher;
   happiness: HealthAdvisoryState;
-  leader: { readonly memory: LeaderMemory };
+  leader: { readonly advisoryState: LeaderAdvisoryState };
   clock: Clock;
   log: Log;
   send: (node: string, message: { kind: 'standby_stream'; payload: StreamMessage }) => void;
--- a/src/net/http-answer.ts
+++ b/src/net/http-answer.ts
@@ -1,5 +1,5 @@
 /** A response of this program to an HTTP request: a status and a JSON body. */
-export interface HttpAnswer {
+export interface JsonResponse {
   status: number;
   /** Encoded as JSON. */
   body: unknown;
--- a/src/net/http-client.ts
+++ b/src/net/http-client.ts
@@ -4,7 +4,7 @@
 import { parseAddress } from './address.js';
 
 /** A response of any status. */
-export interface Reply {
+export interface HttpResponse {
   status: number;
   /** Decoded from JSON; undefined: the response had no body. */
   body: unknown;
@@ -36,7 +36,7 @@
 /** The interface for all outgoing HTTP calls; tests implement it with a fake network. */
 export interface HttpClient {
   /** `address` is 'host:port'; `body` is sent as JSON, or not at all if undefined. Rejects only with NoResponseError. */
-  call(address: string, method: string, path: string, body: unknown, options: CallOptions): Promise<Reply>;
+  call(address: string, method: string, path: string, body: unknown, options: CallOptions): Promise<HttpResponse>;
 }
 
 /** Maximum of idle connections to one address. */
@@ -65,10 +65,10 @@
   }
 
   // eslint-disable-next-line max-params -- every client and test double implements this signature, and each call needs all five
-  call(address: string, method: string, path: string, body: unknown, options: CallOptions): Promise<Reply> {
+  call(address: string, method: string, path: string, body: unknown, options: CallOptions): Promise<HttpResponse> {
     const payload = body === undefined ? undefined : JSON.stringify(body);
     const headers = payload === undefined ? {} : jsonHeaders(payload);
-    return new Promise<Reply>((resolve, reject) => {
+    return new Promise<HttpResponse>((resolve, reject) => {
       const clientRequest = request({ agent: this.agent, ...parseAddress(address), method, path, headers });
       const description = `${method} ${address}${path}`;
       new PendingCall({ request: clientRequest, description, options, resolve, reject }).start(payload);
@@ -86,7 +86,7 @@
   /** Identifies the call in error messages. */
   description: string;
   options: CallOptions;
-  resolve: (reply: Reply) => void;
+  resolve: (reply: HttpResponse) => void;
   reject: (error: NoResponseError) => void;
 }
 
--- a/src/net/random.ts
+++ b/src/net/random.ts
@@ -18,7 +18,7 @@
   }
 
   /** An integer from 0 to `bound` - 1. */
-  below(bound: number): number {
+  intBelow(bound: number): number {
     return uniformInt(this.generator, 0, bound - 1);
   }
 
@@ -33,7 +33,7 @@
     const candidates = [...items.keys()];
     const selected: number[] = [];
     for (let drawn = 0; drawn < count; drawn++) {
-      const position = this.below(candidates.length);
+      const position = this.intBelow(candidates.length);
       selected.push(candidates[position]!);
       candidates[position] = candidates[candidates.length - 1]!;
       candidates.pop();
--- a/src/records/cluster-state.ts
+++ b/src/records/cluster-state.ts
@@ -62,7 +62,7 @@
   }
 
   /** Resources used by the tasks placed on a machine; undefined: no task is placed there. */
-  usedOn(machineId: string): Readonly<Resources> | undefined {
+  usedResourcesOn(machineId: string): Readonly<Resources> | undefined {
     return this.machines.usedResourcesOn(machineId);
   }
 
@@ -100,7 +100,7 @@
     const isTeamCounted = team !== undefined && isQuotaLimited(team, view.record.spec);
     return {
       key: placementChunkKey(jobId, Math.floor(taskIndex / view.record.tasksPerChunk)),
-      shared: isTeamCounted ? team.name : undefined,
+      sharedRecord: isTeamCounted ? team.name : undefined,
     };
   }
 
--- a/src/records/dependency-mutations.ts
+++ b/src/records/dependency-mutations.ts
@@ -6,7 +6,7 @@
 
 /** A job that is done stays done, so its final record needs no condition. */
 function isDone(draft: TransactionDraft, jobId: string): boolean {
-  const value = draft.peek(finalJobKey(jobId));
+  const value = draft.getWithoutCondition(finalJobKey(jobId));
   return value !== undefined && decodeFinalJobRecord(value).state === 'done';
 }
 
--- a/src/records/job-view.ts
+++ b/src/records/job-view.ts
@@ -10,12 +10,12 @@
   /** Placements by chunk index; the tasks of a missing chunk were never placed. */
   readonly chunks = new Map<number, readonly TaskPlacement[]>();
   /** Number of tasks that are done, and number of tasks that are placed on a machine. */
-  done = 0;
-  placed = 0;
+  doneCount = 0;
+  placedCount = 0;
   private queuedTasks: number[] | undefined;
   private effectiveRecord: JobRecord;
   /** Wall-clock time, ms, by which the job must be complete for its dependents to meet their deadlines; Infinity: no deadline. */
-  finishBy = Infinity;
+  finishByMs = Infinity;
   private inheritedPriorityIndex = JOB_PRIORITIES.length;
 
   constructor(
@@ -38,7 +38,7 @@
 
   /** Applies the urgency inherited from the job's dependents. */
   inheritUrgency({ priorityIndex, finishByMs }: Urgency): void {
-    this.finishBy = finishByMs;
+    this.finishByMs = finishByMs;
     this.inheritedPriorityIndex = priorityIndex;
     this.applyInheritedPriority();
   }
@@ -70,12 +70,12 @@
   }
 
   private count(placement: TaskPlacement | undefined, delta: 1 | -1): void {
-    if (placement?.kind === 'done') this.done += delta;
-    if (placement?.kind === 'placed') this.placed += delta;
+    if (placement?.kind === 'done') this.doneCount += delta;
+    if (placement?.kind === 'placed') this.placedCount += delta;
   }
 
   /** Indexes of the tasks that wait for a machine, in ascending order; cached until placements change. */
-  get queued(): readonly number[] {
+  get queuedTaskIndexes(): readonly number[] {
     this.queuedTasks ??= this.listQueuedTasks();
     return this.queuedTasks;
   }
@@ -95,7 +95,7 @@
   }
 
   /** Placements of the tasks in all stored chunks, with the task indexes. */
-  *knownPlacements(): Generator<[taskIndex: number, TaskPlacement]> {
+  *storedPlacements(): Generator<[taskIndex: number, TaskPlacement]> {
     for (const [chunkIndex, placements] of this.chunks) {
       const firstTaskIndex = chunkIndex * this.record.tasksPerChunk;
       for (const [offset, placement] of placements.entries()) yield [firstTaskIndex + offset, placement];
@@ -106,12 +106,12 @@
   get tasksPerZone(): Map<string, number> {
     const { spreadAcrossZones, singleZone } = this.record.spec;
     if (!spreadAcrossZones && !singleZone) return new Map();
-    return countTasksPerZone([...this.knownPlacements()].map(([, placement]) => placement));
+    return countTasksPerZone([...this.storedPlacements()].map(([, placement]) => placement));
   }
 
   /** Whether all tasks are done. A gang completes as a whole: tasks lost before the others' exits were recorded are done too. */
   get isComplete(): boolean {
     const { kind, taskCount } = this.record.spec;
-    return this.done === taskCount || (kind === 'gang' && this.done > 0 && this.placed === 0);
+    return this.doneCount === taskCount || (kind === 'gang' && this.doneCount > 0 && this.placedCount === 0);
   }
 }
--- a/src/records/placement-codec.ts
+++ b/src/records/placement-codec.ts
@@ -4,7 +4,7 @@
  * `[attempt, failures, machine, agent epoch, grace period in s or -1, zone]` for a placed task.
  */
 import type { ActivePlacement, TaskPlacement } from '../domain/task.js';
-import { jsonLength, noteLength } from '../store/json-size.js';
+import { cacheJsonLength, jsonLength } from '../store/json-size.js';
 import { CorruptRecordError, isNonNegativeInteger } from './records.js';
 
 const NEVER_PLACED: TaskPlacement = { kind: 'queued', attempt: 0, failures: 0 };
@@ -130,7 +130,7 @@
   placements[offset] = placement;
   const next: RawChunk = { ...stored, s: raw };
   decodedChunks.set(next, placements);
-  noteLength(next, jsonLength(stored) + jsonLength(raw[offset]) - jsonLength(previousRaw));
+  cacheJsonLength(next, jsonLength(stored) + jsonLength(raw[offset]) - jsonLength(previousRaw));
   return next;
 }
 
--- a/src/records/placement-mutations.ts
+++ b/src/records/placement-mutations.ts
@@ -1,5 +1,5 @@
 /** Mutations that start, release and stop tasks, and that end jobs. */
-import { END_WRITES } from '../constants/records.js';
+import { MIN_JOB_END_WRITES } from '../constants/records.js';
 import type { Machine } from '../domain/machine.js';
 import type { ActivePlacement, TaskPlacement } from '../domain/task.js';
 import type { Team } from '../domain/team.js';
@@ -160,13 +160,13 @@
   if (job === undefined) return false;
   const keys = Array.from({ length: chunkCount(job) }, (_, chunkIndex) => placementChunkKey(jobId, chunkIndex));
   const readAllPlacements = (): TaskPlacement[] =>
-    keys.flatMap((key, chunkIndex) => decodeChunk(draft.peek(key), chunkSize(job, chunkIndex)));
+    keys.flatMap((key, chunkIndex) => decodeChunk(draft.getWithoutCondition(key), chunkSize(job, chunkIndex)));
   if (!isFinished(job, readAllPlacements)) return false;
   const state = job.state === 'cancelled' ? 'cancelled' : 'done';
   draft.set(finalJobKey(jobId), encodeFinalJobRecord({ state, taskCount: job.spec.taskCount }));
   draft.delete(jobKey(jobId));
-  const storedKeys = keys.filter((key) => draft.peek(key) !== undefined);
-  for (const key of storedKeys.slice(0, maxWrites - END_WRITES)) draft.delete(key);
+  const storedKeys = keys.filter((key) => draft.getWithoutCondition(key) !== undefined);
+  for (const key of storedKeys.slice(0, maxWrites - MIN_JOB_END_WRITES)) draft.delete(key);
   return true;
 }
 
--- a/src/records/record-sizer.ts
+++ b/src/records/record-sizer.ts
@@ -10,7 +10,7 @@
 import { JOB_PREFIX, PLACEMENT_PREFIX } from './record-keys.js';
 
 /** Shrinks records above `valueBytes`, where possible. `canReadCompact`: whether all controllers read compact chunks. */
-export function recordSizer(valueBytes: number, canReadCompact: () => boolean): Resize {
+export function createRecordSizer(valueBytes: number, canReadCompact: () => boolean): Resize {
   return (key, value) => {
     if (value === undefined || jsonLength(value) <= valueBytes) return value;
     if (key.startsWith(JOB_PREFIX)) return withoutMachineTypes(value);
--- a/src/records/team-accounting.ts
+++ b/src/records/team-accounting.ts
@@ -43,7 +43,7 @@
   usageOf(draft: TransactionDraft, team: Team, spec: JobSpec): TeamUsage {
     if (!isQuotaLimited(team, spec)) return { cpus: 0, gpus: 0 };
     const key = teamKey(team.name);
-    const isWritten = draft.hasWritten(key);
+    const isWritten = draft.writesKey(key);
     const recorded = decodeTeamUsage(draft.get(key));
     if (isWritten) return recorded;
     return this.usageUpperBound(team.name, recorded, draft.conditions.get(key) ?? Infinity);
@@ -66,8 +66,8 @@
     const key = teamKey(team.name);
     return (
       this.dependencies.canDeferExits() &&
-      !draft.hasWritten(key) &&
-      isFarBelowLimit(decodeTeamUsage(draft.peek(key)), team)
+      !draft.writesKey(key) &&
+      isFarBelowLimit(decodeTeamUsage(draft.getWithoutCondition(key)), team)
     );
   }
 
@@ -79,7 +79,7 @@
   /** Lowers a team's record to the usage of its placements, if that is less. */
   settle(draft: TransactionDraft, team: string): boolean {
     const key = teamKey(team);
-    if (draft.hasWritten(key)) return false;
+    if (draft.writesKey(key)) return false;
     const value = draft.get(key);
     const usage = this.findLowerUsage(team, { value, modRevision: draft.conditions.get(key) ?? Infinity });
     if (usage === undefined) return false;
--- a/src/scheduling/cached-image-wait.ts
+++ b/src/scheduling/cached-image-wait.ts
@@ -26,7 +26,7 @@
   prune(): void {
     for (const jobId of this.waitingSinceMs.keys()) {
       const view = this.dependencies.clusterState.jobs.get(jobId);
-      if (view === undefined || view.placed === view.record.spec.taskCount) this.waitingSinceMs.delete(jobId);
+      if (view === undefined || view.placedCount === view.record.spec.taskCount) this.waitingSinceMs.delete(jobId);
     }
   }
 
--- a/src/scheduling/eviction-marker.ts
+++ b/src/scheduling/eviction-marker.ts
@@ -65,7 +65,7 @@
   /** All placed members of the task's gang. A gang stops as a whole: each must be told within the peer timeout of the first. */
   private gangMembersOf({ jobId, placement: { attempt } }: PlacedTask): PlacedTask[] {
     const members: PlacedTask[] = [];
-    for (const [taskIndex, placement] of this.dependencies.clusterState.jobs.get(jobId)?.knownPlacements() ?? []) {
+    for (const [taskIndex, placement] of this.dependencies.clusterState.jobs.get(jobId)?.storedPlacements() ?? []) {
       if (placement.kind === 'placed' && placement.attempt === attempt) members.push({ jobId, taskIndex, placement });
     }
     return members;
--- a/src/scheduling/gang-attempts.ts
+++ b/src/scheduling/gang-attempts.ts
@@ -23,7 +23,7 @@
   attemptFor(view: JobView): number | undefined {
     const { inventory } = this.dependencies;
     const lastHeartbeatAtMsOf = (machineId: string) => inventory.get(machineId)?.lastHeartbeatAt ?? -Infinity;
-    const state = gangStateOf(view.knownPlacements(), lastHeartbeatAtMsOf);
+    const state = gangStateOf(view.storedPlacements(), lastHeartbeatAtMsOf);
     switch (state.kind) {
       case 'unsettled':
         return undefined;
--- a/src/scheduling/job-queue.ts
+++ b/src/scheduling/job-queue.ts
@@ -34,7 +34,7 @@
   clock: Clock;
 }
 
-const isFullyPlaced = (view: JobView): boolean => view.done + view.placed === view.record.spec.taskCount;
+const isFullyPlaced = (view: JobView): boolean => view.doneCount + view.placedCount === view.record.spec.taskCount;
 
 const hasTasksToPlace = (view: JobView): boolean => view.record.state === 'active' && !isFullyPlaced(view);
 
@@ -69,7 +69,7 @@
     const inFlightIndexes = this.dependencies.inFlight.taskIndexesOf(view.jobId);
     const isGang = view.record.spec.kind === 'gang';
     const pendingTasks: PendingTask[] = [];
-    for (const taskIndex of view.queued) {
+    for (const taskIndex of view.queuedTaskIndexes) {
       if (pendingTasks.length >= maxTasks && !isGang) break;
       const placement = view.placementOf(taskIndex);
       const isPending = placement.kind === 'queued' && inFlightIndexes?.has(taskIndex) !== true;
@@ -83,7 +83,7 @@
   private queuedJobOf(view: JobView, team: Team, teamUsage: TeamUsage, nowMs: number): QueuedJob {
     const { record } = view;
     const { spec } = record;
-    const remainingTasks = spec.taskCount - view.done - view.placed;
+    const remainingTasks = spec.taskCount - view.doneCount - view.placedCount;
     const expectedRunS = this.dependencies.runTimeRatios.expectedRunS(spec);
     const hasNotBegun = remainingTasks === spec.taskCount;
     return {
@@ -92,7 +92,7 @@
       isFeasible: isFeasible(targetsOf(record, this.dependencies.objectives), expectedRunS, nowMs),
       remainingCpuS: remainingTasks * spec.cpus * expectedRunS,
       isOverdue: spec.kind === 'array' && hasNotBegun && nowMs - runnableSinceMs(record) > OVERDUE_START_MS,
-      startByMs: startByOf(record, view.finishBy, expectedRunS),
+      startByMs: startByOf(record, view.finishByMs, expectedRunS),
     };
   }
 
--- a/src/scheduling/placement-planner.ts
+++ b/src/scheduling/placement-planner.ts
@@ -150,7 +150,7 @@
 
   private ledRoles(): LedRoles {
     const { leadership } = this.dependencies;
-    return { isClusterLeader: leadership.isLeader, partitions: new Set(leadership.ledPartitions()) };
+    return { isClusterLeader: leadership.isClusterLeader, partitions: new Set(leadership.ledPartitions()) };
   }
 
   private placeQueuedJobs(ledRoles: LedRoles): void {
--- a/src/scheduling/plan-timer.ts
+++ b/src/scheduling/plan-timer.ts
@@ -1,7 +1,7 @@
 /** Schedules the plans: shortly after events, with a pause in proportion to the duration of the previous plan. */
 import {
-  PLAN_GATHER_MS,
-  PLAN_TICK_MS,
+  PLAN_BATCHING_MS,
+  PLAN_PERIOD_MS,
   PLANNING_TIME_SHARE,
   URGENT_PLANNING_TIME_SHARE,
 } from '../constants/scheduling.js';
@@ -29,7 +29,7 @@
   async run(signal: AbortSignal): Promise<void> {
     this.signal = signal;
     while (!signal.aborted) {
-      await this.dependencies.clock.sleep(PLAN_TICK_MS, signal);
+      await this.dependencies.clock.sleep(PLAN_PERIOD_MS, signal);
       this.planSoon();
     }
   }
@@ -38,7 +38,7 @@
   planSoon(isUrgent = false): void {
     if (this.signal === undefined || this.signal.aborted) return;
     const nowMs = this.dependencies.clock.now();
-    const atMs = Math.max(nowMs + PLAN_GATHER_MS, isUrgent ? this.urgentPausedUntilMs : this.pausedUntilMs);
+    const atMs = Math.max(nowMs + PLAN_BATCHING_MS, isUrgent ? this.urgentPausedUntilMs : this.pausedUntilMs);
     if (atMs >= this.nextPlanAtMs) return;
     this.nextPlanAtMs = atMs;
     void this.dependencies.clock.sleep(atMs - nowMs, this.signal).then(() => {
--- a/src/scheduling/preemptor.ts
+++ b/src/scheduling/preemptor.ts
@@ -100,7 +100,7 @@
   private lowestPriorityIndex(): number {
     let lowest = -1;
     for (const view of this.dependencies.clusterState.jobs.values()) {
-      if (view.placed > 0) lowest = Math.max(lowest, priorityIndexOf(view.record.spec));
+      if (view.placedCount > 0) lowest = Math.max(lowest, priorityIndexOf(view.record.spec));
     }
     return lowest;
   }
@@ -110,7 +110,7 @@
     const demands = new Map<string, TeamUsage>();
     for (const view of this.dependencies.clusterState.jobs.values()) {
       const { spec, state } = view.record;
-      const remaining = state === 'active' ? spec.taskCount - view.done : view.placed;
+      const remaining = state === 'active' ? spec.taskCount - view.doneCount : view.placedCount;
       const demand = demands.get(spec.team) ?? { cpus: 0, gpus: 0 };
       demands.set(spec.team, { cpus: demand.cpus + remaining * spec.cpus, gpus: demand.gpus + remaining * spec.gpus });
     }
--- a/src/scheduling/rescheduler.ts
+++ b/src/scheduling/rescheduler.ts
@@ -52,8 +52,8 @@
   private hasUnplacedBacklog(): boolean {
     const { clusterState, tuning } = this.dependencies;
     let unplaced = 0;
-    for (const { record, placed } of clusterState.jobs.values()) {
-      if (record.spec.kind === 'service' && record.state === 'active') unplaced += record.spec.taskCount - placed;
+    for (const { record, placedCount } of clusterState.jobs.values()) {
+      if (record.spec.kind === 'service' && record.state === 'active') unplaced += record.spec.taskCount - placedCount;
     }
     return unplaced > tuning.movesPerRound;
   }
@@ -110,7 +110,7 @@
       runningTasks,
       machines,
       freeByMachine: planner.freeResources(machines),
-      placementsOf: (jobId) => clusterState.jobs.get(jobId)!.knownPlacements(),
+      placementsOf: (jobId) => clusterState.jobs.get(jobId)!.storedPlacements(),
     });
   }
 
@@ -121,8 +121,8 @@
   /** Only one replica of a service moves at a time: a stopping or pending replica counts as moving. */
   private isMoving(jobId: string): boolean {
     const view = this.dependencies.clusterState.jobs.get(jobId);
-    if (view === undefined || view.placed < view.record.spec.taskCount) return true;
-    for (const [, placement] of view.knownPlacements()) {
+    if (view === undefined || view.placedCount < view.record.spec.taskCount) return true;
+    for (const [, placement] of view.storedPlacements()) {
       if (placement.kind === 'placed' && placement.gracePeriodS !== null) return true;
     }
     return false;
--- a/src/scheduling/resource-usage.ts
+++ b/src/scheduling/resource-usage.ts
@@ -29,7 +29,7 @@
       const machineType = inventory.catalog.get(machine.machineType);
       if (machineType === undefined) continue;
       const free = resourcesOfMachineType(machineType);
-      const used = clusterState.usedOn(machine.machineId);
+      const used = clusterState.usedResourcesOn(machine.machineId);
       if (used !== undefined) subtractResources(free, used);
       freeByMachine.set(machine.machineId, free);
     }
--- a/src/scheduling/task-placer.ts
+++ b/src/scheduling/task-placer.ts
@@ -155,7 +155,7 @@
   }
 
   private *machinesOfPlacedTasks(jobId: string): Iterable<string> {
-    for (const [, placement] of this.dependencies.clusterState.jobs.get(jobId)?.knownPlacements() ?? []) {
+    for (const [, placement] of this.dependencies.clusterState.jobs.get(jobId)?.storedPlacements() ?? []) {
       if (placement.kind === 'placed') yield placement.machineId;
     }
   }
--- a/src/scheduling/team-settlement.ts
+++ b/src/scheduling/team-settlement.ts
@@ -27,9 +27,9 @@
   constructor(private readonly dependencies: TeamSettlementDependencies) {}
 
   /** Corrects the records that have not changed since the previous call; to be called periodically. */
-  settleQuietTeams(): void {
+  settleIdleTeams(): void {
     const { teams, leadership, replica, transactions, accounting } = this.dependencies;
-    if (!leadership.isLeader) return;
+    if (!leadership.isClusterLeader) return;
     for (const { name } of teams) {
       const { modRevision } = replica.get(teamKey(name));
       const isQuiet = this.lastModRevisions.get(name) === modRevision;
--- a/src/store/batch-packer.ts
+++ b/src/store/batch-packer.ts
@@ -63,7 +63,7 @@
   private isIncompatible({ mustBeSentAlone, batchingHint }: PendingMutation): boolean {
     const first = this.mutations[0];
     if (first !== undefined && (mustBeSentAlone || first.mustBeSentAlone)) return true;
-    const shared = batchingHint?.shared;
+    const shared = batchingHint?.sharedRecord;
     return this.sharedRecord !== undefined && shared !== undefined && shared !== this.sharedRecord;
   }
 
@@ -110,7 +110,7 @@
   private accept(mutation: PendingMutation, candidate: TransactionDraft): void {
     this.draft.merge(candidate);
     this.mutations.push(mutation);
-    this.sharedRecord ??= mutation.batchingHint?.shared;
+    this.sharedRecord ??= mutation.batchingHint?.sharedRecord;
   }
 
   /** Defers the mutation, or gives it up if it does not fit even into an empty transaction. */
--- a/src/store/json-size.ts
+++ b/src/store/json-size.ts
@@ -17,6 +17,6 @@
 }
 
 /** Caches the length of a value that the caller derived from a measured one, with a known difference in length. */
-export function noteLength(value: object, length: number): void {
+export function cacheJsonLength(value: object, length: number): void {
   knownLengths.set(value, length);
 }
--- a/src/store/pending-mutation.ts
+++ b/src/store/pending-mutation.ts
@@ -23,7 +23,7 @@
   /** A key that the mutation will write; mutations of the same key are batched with each other. */
   key: string;
   /** Identifies a record that all nodes write, such as a team's by the team's name: a transaction writes only one of these. */
-  shared: string | undefined;
+  sharedRecord: string | undefined;
 }
 
 /** A mutation in the queue of its priority. */
--- a/src/store/replica.ts
+++ b/src/store/replica.ts
@@ -115,7 +115,7 @@
   }
 
   /** Marks the replica as complete up to the revision: all changes up to it were received from the store or from a peer. */
-  completeTo(revision: number): void {
+  markCompleteTo(revision: number): void {
     if (revision <= this.revision) return;
     this.revision = revision;
     this.compactTombstones();
@@ -160,7 +160,7 @@
    * For another replica that was complete up to `from` and has since applied all later changes held here: the revision up to
    * which that replica is now complete.
    */
-  completeFrom(from: number): number {
+  completeRevisionAfter(from: number): number {
     // Deletions after `from` may have been compacted here, so the other replica may lack them.
     return from < this.compactedRevision ? from : Math.max(from, this.revision);
   }
@@ -228,7 +228,7 @@
         return true;
       }
       for (const change of watched.changes) this.apply(change);
-      this.completeTo(watched.revision);
+      this.markCompleteTo(watched.revision);
       this.freshAt = Math.max(this.freshAt, sentAtMs);
       return true;
     } catch {
--- a/src/store/store-client.ts
+++ b/src/store/store-client.ts
@@ -2,7 +2,7 @@
 import { NODE_RATE_SHARE, RETRY_JITTER_SHARE, STORE_TIMEOUT_MS } from '../constants/store.js';
 import type { StoreSettings } from '../domain/settings.js';
 import type { Clock } from '../net/clock.js';
-import { type HttpClient, NoResponseError, type Reply } from '../net/http-client.js';
+import { type HttpClient, type HttpResponse, NoResponseError } from '../net/http-client.js';
 import type { Random } from '../net/random.js';
 import { Priority, TokenBucket } from '../net/token-bucket.js';
 import {
@@ -48,7 +48,7 @@
   }
 }
 
-const unexpectedStatusError = (operation: string, { status }: Reply): StoreError =>
+const unexpectedStatusError = (operation: string, { status }: HttpResponse): StoreError =>
   new StoreError(`${operation} failed: the store answered ${status}`, status);
 
 /** A request, its priority, and the number of writes that count against the rate limit. */
@@ -92,15 +92,15 @@
   private readonly random: Random;
   /** Monotonic ms of the last response other than 503, and of the last 503 or missing response. */
   lastAnsweredAt = -Infinity;
-  lastRefusedAt = -Infinity;
+  lastUnavailableAt = -Infinity;
 
   constructor({ http, address, settings, nodeCount, clock, random }: StoreClientOptions) {
     this.http = http;
     this.address = address;
     this.clock = clock;
     this.random = random;
-    const { requestsPerSecond, present } = settings;
-    const { writesPerSecond } = present;
+    const { requestsPerSecond, current } = settings;
+    const { writesPerSecond } = current;
     const requests = requestsPerSecond * NODE_RATE_SHARE;
     this.requestBucket = new TokenBucket(clock, requests, requests, Math.min(requests, requestsPerSecond / nodeCount));
     const writes = writesPerSecond * NODE_RATE_SHARE;
@@ -109,17 +109,17 @@
   }
 
   /** Sends the request once the rate limits allow it. Throws the errors of the HTTP client. */
-  private async call({ method, path, body, priority, timeoutMs, writes = 0 }: Call): Promise<Reply> {
+  private async call({ method, path, body, priority, timeoutMs, writes = 0 }: Call): Promise<HttpResponse> {
     if (writes > 0) await this.writeBucket.take(writes, priority);
     await this.requestBucket.take(1, priority);
-    let reply: Reply;
+    let reply: HttpResponse;
     try {
       reply = await this.http.call(this.address, method, path, body, { timeoutMs, connectMs: STORE_TIMEOUT_MS });
     } catch (error) {
-      if (error instanceof NoResponseError) this.lastRefusedAt = this.clock.now();
+      if (error instanceof NoResponseError) this.lastUnavailableAt = this.clock.now();
       throw error;
     }
-    if (reply.status === 503) this.lastRefusedAt = this.clock.now();
+    if (reply.status === 503) this.lastUnavailableAt = this.clock.now();
     else this.lastAnsweredAt = this.clock.now();
     if (reply.status === 429) this.backOff(priority, { hasWrites: writes > 0 });
     return reply;
@@ -131,7 +131,7 @@
     this.requestBucket.backOff(pauseMs / REQUEST_THROTTLE_DIVISOR, priority);
   }
 
-  private async callOrThrow(call: Call): Promise<Reply> {
+  private async callOrThrow(call: Call): Promise<HttpResponse> {
     try {
       return await this.call(call);
     } catch (error) {
@@ -140,7 +140,7 @@
     }
   }
 
-  private read(path: string, priority: Priority, timeoutMs = STORE_TIMEOUT_MS): Promise<Reply> {
+  private read(path: string, priority: Priority, timeoutMs = STORE_TIMEOUT_MS): Promise<HttpResponse> {
     return this.callOrThrow({ method: 'GET', path, priority, timeoutMs });
   }
 
@@ -183,7 +183,7 @@
   ): Promise<TransactionResult> {
     const body = encodeTransaction(conditions, writes);
     const call: Call = { method: 'POST', path: '/txn', body, priority, timeoutMs: STORE_TIMEOUT_MS };
-    let reply: Reply;
+    let reply: HttpResponse;
     try {
       reply = await this.call({ ...call, writes: writes.length });
     } catch (error) {
@@ -207,7 +207,7 @@
     return true;
   }
 
-  private leaseCall(path: string, body: unknown): Promise<Reply> {
+  private leaseCall(path: string, body: unknown): Promise<HttpResponse> {
     return this.callOrThrow({ method: 'POST', path, body, priority: Priority.lease, timeoutMs: STORE_TIMEOUT_MS });
   }
 }
--- a/src/store/transaction-batcher.ts
+++ b/src/store/transaction-batcher.ts
@@ -40,7 +40,7 @@
   clock: Clock;
   random: Random;
   /** ms for which mutations of the priority `record` are collected before they are sent; 0 by default. */
-  gatherMs?: number;
+  batchingMs?: number;
   /** Called with the changes of each transaction that this node has committed. */
   onCommitted?: (changes: Change[]) => void;
   /** Called when the store rejects a mutation that was sent in a transaction of its own. */
@@ -90,7 +90,7 @@
 
   constructor(private readonly options: TransactionBatcherOptions) {
     this.limits = options.limits;
-    this.batchingMs = options.gatherMs ?? 0;
+    this.batchingMs = options.batchingMs ?? 0;
     this.resize = options.resize ?? ((_, value) => value);
   }
 
@@ -258,7 +258,7 @@
    * mutation is retried in a transaction of its own, within the announced limits; one that is rejected again is given up.
    */
   private handleRejection(queue: MutationQueue, mutations: PendingMutation[], reason: string): void {
-    this.limits = { ...this.limits, valueBytes: this.limits.lastingValueBytes };
+    this.limits = { ...this.limits, valueBytes: this.limits.strictestValueBytes };
     if (mutations.length > 1) {
       for (const mutation of mutations) mutation.mustBeSentAlone = true;
       queue.pending.unshift(...mutations);
--- a/src/store/transaction-draft.ts
+++ b/src/store/transaction-draft.ts
@@ -20,23 +20,23 @@
   /** Bytes of one value, as currently limited. */
   valueBytes: number;
   /** Bytes of one value that are allowed both now and after an announced change of the limit. */
-  lastingValueBytes: number;
+  strictestValueBytes: number;
 }
 
 /**
  * Limits that also hold after an announced change of the store's limits, except that `valueBytes` is the current limit: values
  * that are already stored may be larger than the announced limit.
  */
-export function transactionLimits({ present, lasting }: StoreSettings): TransactionLimits {
-  const { transactionWrites, writesPerSecond } = lasting;
+export function transactionLimits({ current, strictest }: StoreSettings): TransactionLimits {
+  const { transactionWrites, writesPerSecond } = strictest;
   const maxBatchWrites = Math.max(MIN_BATCH_TRANSACTION_WRITES, Math.floor(writesPerSecond * BATCH_TRANSACTION_SHARE));
   return {
     writes: transactionWrites,
     batchWrites: Math.min(transactionWrites, maxBatchWrites),
     conditions: transactionWrites * CONDITIONS_PER_WRITE,
     bytes: MAX_TRANSACTION_BYTES,
-    valueBytes: present.valueBytes,
-    lastingValueBytes: lasting.valueBytes,
+    valueBytes: current.valueBytes,
+    strictestValueBytes: strictest.valueBytes,
   };
 }
 
@@ -84,7 +84,7 @@
   }
 
   /** Whether this draft or one of its bases writes the key. */
-  hasWritten(key: string): boolean {
+  writesKey(key: string): boolean {
     return this.findWriter(key) !== undefined;
   }
 
@@ -98,7 +98,7 @@
   }
 
   /** Reads a record without adding a condition: for records that can't change any more, or where a stale value is acceptable. */
-  peek(key: string): unknown {
+  getWithoutCondition(key: string): unknown {
     const writer = this.findWriter(key);
     return writer !== undefined ? writer.writes.get(key) : this.read(key).value;
   }
--- a/src/workers/cancellation-enforcer.ts
+++ b/src/workers/cancellation-enforcer.ts
@@ -1,4 +1,4 @@
-import { MAX_TOKEN_ANNOUNCEMENTS, TOKEN_ANNOUNCE_AGAIN_MS } from '../constants/workers.js';
+import { MAX_CONCURRENT_TOKEN_ANNOUNCEMENTS, TOKEN_REANNOUNCE_DELAY_MS } from '../constants/workers.js';
 import { type ActivePlacement, taskIdOf } from '../domain/task.js';
 import type { RoleLeadership } from '../leadership/role-leadership.js';
 import type { Log } from '../logging/log.js';
@@ -48,14 +48,19 @@
   /** Sends kills to each such machine, and repeats them after a pause while tasks remain there. */
   sweep(): void {
     const now = this.dependencies.clock.now();
-    for (const [machineId, at] of this.sentAt) if (now - at > TOKEN_ANNOUNCE_AGAIN_MS) this.sentAt.delete(machineId);
+    for (const [machineId, at] of this.sentAt) if (now - at > TOKEN_REANNOUNCE_DELAY_MS) this.sentAt.delete(machineId);
     for (const [machineId, batch] of this.remainingTasksByMachine()) this.send(machineId, batch, now);
   }
 
   private send(machineId: string, batch: KillBatch, now: number): void {
     const { inventory, http, log } = this.dependencies;
     const endpoint = inventory.get(machineId)?.endpoint;
-    if (endpoint === undefined || this.sentAt.has(machineId) || this.inFlightCount >= MAX_TOKEN_ANNOUNCEMENTS) return;
+    if (
+      endpoint === undefined ||
+      this.sentAt.has(machineId) ||
+      this.inFlightCount >= MAX_CONCURRENT_TOKEN_ANNOUNCEMENTS
+    )
+      return;
     this.sentAt.set(machineId, now);
     this.inFlightCount++;
     log.info({ machineId, taskCount: batch.commands.length }, 'killing tasks of cancelled jobs for their leader');
@@ -66,13 +71,13 @@
   private remainingTasksByMachine(): Map<string, KillBatch> {
     const remaining = new Map<string, KillBatch>();
     for (const view of this.dependencies.clusterState.jobs.values()) {
-      if (view.record.state === 'cancelled' && view.placed > 0) this.addTasksOf(view, remaining);
+      if (view.record.state === 'cancelled' && view.placedCount > 0) this.addTasksOf(view, remaining);
     }
     return remaining;
   }
 
   private addTasksOf(view: JobView, remaining: Map<string, KillBatch>): void {
-    for (const [taskIndex, placement] of view.knownPlacements()) {
+    for (const [taskIndex, placement] of view.storedPlacements()) {
       if (placement.kind !== 'placed') continue;
       const fencingToken = this.leaderTokenForKill(placement.machineId);
       if (fencingToken === undefined) continue;
--- a/src/workers/command-client.ts
+++ b/src/workers/command-client.ts
@@ -1,5 +1,5 @@
 import { COMMAND_TIMEOUT_MS, CONNECT_TIMEOUT_MS } from '../constants/workers.js';
-import { type HttpClient, NoResponseError, type Reply } from '../net/http-client.js';
+import { type HttpClient, type HttpResponse, NoResponseError } from '../net/http-client.js';
 import {
   decodeWorkerStatus,
   type DirectCommands,
@@ -48,7 +48,7 @@
   }
 }
 
-function classifyResponse({ status, body }: Reply): CommandResult {
+function classifyResponse({ status, body }: HttpResponse): CommandResult {
   switch (status) {
     case 200:
       return { kind: 'done', workerStatus: decodeWorkerStatus(body) };
--- a/src/workers/command-sender.ts
+++ b/src/workers/command-sender.ts
@@ -1,5 +1,5 @@
 import { DRAIN_CHECK_PERIOD_MS } from '../constants/leadership.js';
-import { COMMAND_BATCHING_MS, SILENT_HEARTBEATS } from '../constants/workers.js';
+import { COMMAND_BATCHING_MS, SILENT_AFTER_MISSED_HEARTBEATS } from '../constants/workers.js';
 import type { WorkerTimings } from '../domain/settings.js';
 import type { HeldLeadership, RoleLeadership } from '../leadership/role-leadership.js';
 import type { Log } from '../logging/log.js';
@@ -131,7 +131,7 @@
   private isReachabilityUncertain(worker: Worker): boolean {
     const { timings, leadership, clock } = this.dependencies;
     if (!leadership.hasRecentStoreContact || worker.reachability.forwardedBy !== undefined) return true;
-    return clock.now() - worker.lastHeartbeatAt > SILENT_HEARTBEATS * timings.heartbeatIntervalMs;
+    return clock.now() - worker.lastHeartbeatAt > SILENT_AFTER_MISSED_HEARTBEATS * timings.heartbeatIntervalMs;
   }
 
   private applyResult(worker: Worker, { role, fencingToken, launches }: SentCommands, result: CommandResult): void {
--- a/src/workers/fencing-token-sender.ts
+++ b/src/workers/fencing-token-sender.ts
@@ -1,4 +1,8 @@
-import { MAX_TOKEN_ANNOUNCEMENTS, TOKEN_ANNOUNCE_AGAIN_MS, TOKEN_ANNOUNCEMENTS_SHARE } from '../constants/workers.js';
+import {
+  MAX_CONCURRENT_TOKEN_ANNOUNCEMENTS,
+  TOKEN_ANNOUNCEMENTS_SHARE,
+  TOKEN_REANNOUNCE_DELAY_MS,
+} from '../constants/workers.js';
 import type { LeadershipTerm, RoleLeadership } from '../leadership/role-leadership.js';
 import type { Clock } from '../net/clock.js';
 import type { HttpClient } from '../net/http-client.js';
@@ -50,7 +54,7 @@
 
   /** Forgets announcements that are old enough to be repeated. */
   prune(now: number): void {
-    for (const [machineId, at] of this.sentAt) if (now - at > TOKEN_ANNOUNCE_AGAIN_MS) this.sentAt.delete(machineId);
+    for (const [machineId, at] of this.sentAt) if (now - at > TOKEN_REANNOUNCE_DELAY_MS) this.sentAt.delete(machineId);
   }
 
   /**
@@ -60,9 +64,12 @@
   private reserveSlot(machineId: string): boolean {
     const { clusterState, clock } = this.dependencies;
     const now = clock.now();
-    const maxInFlight = Math.max(MAX_TOKEN_ANNOUNCEMENTS, clusterState.usedMachineCount * TOKEN_ANNOUNCEMENTS_SHARE);
+    const maxInFlight = Math.max(
+      MAX_CONCURRENT_TOKEN_ANNOUNCEMENTS,
+      clusterState.usedMachineCount * TOKEN_ANNOUNCEMENTS_SHARE,
+    );
     if (this.inFlightCount >= maxInFlight) return false;
-    if (now - (this.sentAt.get(machineId) ?? -Infinity) < TOKEN_ANNOUNCE_AGAIN_MS) return false;
+    if (now - (this.sentAt.get(machineId) ?? -Infinity) < TOKEN_REANNOUNCE_DELAY_MS) return false;
     this.sentAt.set(machineId, now);
     return true;
   }
--- a/src/workers/heartbeat-service.ts
+++ b/src/workers/heartbeat-service.ts
@@ -1,7 +1,7 @@
 import type { HeartbeatForwarder } from '../gossip/heartbeat-forwarder.js';
 import type { ForwardedHeartbeat, ForwardedHeartbeatAnswer } from '../gossip/messages.js';
 import type { Log } from '../logging/log.js';
-import type { HttpAnswer } from '../net/http-answer.js';
+import type { JsonResponse } from '../net/http-answer.js';
 import type { WorkerManager } from './worker-manager.js';
 import type { HeartbeatOutcome } from './worker-manager-dependencies.js';
 import { decodeWorkerStatus, encodeHeartbeatResponse, encodeRedirect } from './worker-wire-codec.js';
@@ -24,7 +24,7 @@
   constructor(private readonly dependencies: HeartbeatServiceDependencies) {}
 
   /** Responds to a heartbeat that a worker sent to this node; 400 if the body is not a worker status. */
-  answer(body: unknown): HttpAnswer | Promise<HttpAnswer> {
+  answer(body: unknown): JsonResponse | Promise<JsonResponse> {
     const { workerManager, onMisrouted } = this.dependencies;
     const workerStatus = decodeWorkerStatus(body);
     if (workerStatus === undefined) return { status: 400, body: { error: 'not a report' } };
@@ -42,7 +42,7 @@
   }
 
   /** Returns the leader's own response, or a redirect if the leader does not respond with 200 in time. */
-  private async forward(leader: string, body: unknown): Promise<HttpAnswer> {
+  private async forward(leader: string, body: unknown): Promise<JsonResponse> {
     const response = await this.dependencies.heartbeatForwarder.forward(leader, body);
     const leaderResponse = response?.status === 200 ? parseJson(response.body) : undefined;
     if (leaderResponse === undefined) return encodeOutcome({ kind: 'redirected', node: leader, shouldForward: false });
@@ -62,7 +62,7 @@
   }
 }
 
-function encodeOutcome(outcome: HeartbeatOutcome): HttpAnswer {
+function encodeOutcome(outcome: HeartbeatOutcome): JsonResponse {
   switch (outcome.kind) {
     case 'answered':
       return { status: 200, body: encodeHeartbeatResponse(outcome.fencingToken, outcome.commands) };
--- a/src/workers/machine-health.ts
+++ b/src/workers/machine-health.ts
@@ -1,7 +1,7 @@
 import {
   FAILED_JOB_BACKOFF_BASE_MS,
   FAILED_JOB_BACKOFF_MAX_MS,
-  QUARANTINE_ERRORS,
+  MIN_FAILED_JOBS_FOR_QUARANTINE,
   QUARANTINE_MS,
 } from '../constants/workers.js';
 
@@ -58,6 +58,6 @@
     const count = (previous?.count ?? 0) + 1;
     const backoffUntil = now + Math.min(FAILED_JOB_BACKOFF_MAX_MS, FAILED_JOB_BACKOFF_BASE_MS * 2 ** (count - 1));
     this.failures.set(jobId, { count, lastFailureAt: now, backoffUntil });
-    if (this.failures.size >= QUARANTINE_ERRORS) this.quarantinedUntil = now + QUARANTINE_MS;
+    if (this.failures.size >= MIN_FAILED_JOBS_FOR_QUARANTINE) this.quarantinedUntil = now + QUARANTINE_MS;
   }
 }
--- a/src/workers/straggler-detector.ts
+++ b/src/workers/straggler-detector.ts
@@ -83,7 +83,7 @@
   private isComparable(jobId: string, { count }: FinishedRunTimes): boolean {
     if (count < MIN_FINISHED_SIBLINGS) return false;
     const view = this.dependencies.clusterState.jobs.get(jobId);
-    return view !== undefined && view.done * 2 >= view.record.spec.taskCount;
+    return view !== undefined && view.doneCount * 2 >= view.record.spec.taskCount;
   }
 
   private evictSlowTasks(worker: Worker, role: string, now: number): void {
--- a/src/workers/worker-manager-dependencies.ts
+++ b/src/workers/worker-manager-dependencies.ts
@@ -36,7 +36,7 @@
   /** Images on the machine according to the former leader of its partition. */
   knownImages(machineId: string): readonly string[];
   /** Size in GB of the image cache of a machine of this type. */
-  cacheGb(machineType: string): number;
+  imageCacheGb(machineType: string): number;
 }
 
 /** Components of the controller that the manager passes on to its own components. */
--- a/src/workers/worker-manager.ts
+++ b/src/workers/worker-manager.ts
@@ -1,4 +1,4 @@
-import { SWEEP_MS, WORKER_RETENTION_LEASES } from '../constants/workers.js';
+import { SWEEP_PERIOD_MS, WORKER_RETENTION_LEASES } from '../constants/workers.js';
 import { CancelledLaunchGuard } from './cancelled-launch-guard.js';
 import { CommandSender } from './command-sender.js';
 import { ExitRecorder } from './exit-recorder.js';
@@ -37,7 +37,7 @@
     const exitRecorder = new ExitRecorder({ ...dependencies, workers, stragglerDetector });
     const releaser = new PlacementReleaser({ ...dependencies, workers, exitRecorder });
     const tokenAdvancer = new FencingTokenAdvancer({ leadership, clock });
-    const imageCacheGb = (machineType: string) => events.cacheGb(machineType);
+    const imageCacheGb = (machineType: string) => events.imageCacheGb(machineType);
     const reconciler = new WorkerReconciler({ ...dependencies, releaser, tokenAdvancer, imageCacheGb });
     const cancelledLaunchGuard = new CancelledLaunchGuard({ leadership, timings, clock });
     const { misroutedWorkers } = this;
@@ -84,7 +84,7 @@
   /** Sweeps periodically until the signal is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await this.dependencies.clock.sleep(SWEEP_MS, signal);
+      await this.dependencies.clock.sleep(SWEEP_PERIOD_MS, signal);
       this.sweep();
     }
   }
--- a/test/api/api-server.test.ts
+++ b/test/api/api-server.test.ts
@@ -6,7 +6,7 @@
 import { ApiServer } from '../../src/api/api-server.js';
 import type { Handlers } from '../../src/api/routes.js';
 import { MAX_BODY_BYTES, MAX_OPEN_REQUESTS } from '../../src/constants/api.js';
-import type { HttpAnswer } from '../../src/net/http-answer.js';
+import type { JsonResponse } from '../../src/net/http-answer.js';
 import { noLog } from '../../testing/fixtures.js';
 
 function createTestServer(handlers: Partial<Handlers>): { open: () => Duplex; openBoth: () => [Duplex, Duplex] } {
@@ -108,8 +108,8 @@
   });
 
   it("rejects users' requests at once while too many are open, and accepts them again afterwards", async () => {
-    let resolveAll: (answer: HttpAnswer) => void = () => undefined;
-    const pendingAnswer = new Promise<HttpAnswer>((resolve) => (resolveAll = resolve));
+    let resolveAll: (answer: JsonResponse) => void = () => undefined;
+    const pendingAnswer = new Promise<JsonResponse>((resolve) => (resolveAll = resolve));
     const { open } = createTestServer({
       poll: () => pendingAnswer,
       answerHeartbeat: () => ({ status: 200, body: {} }),
--- a/test/api/submissions.test.ts
+++ b/test/api/submissions.test.ts
@@ -5,7 +5,7 @@
 import { type ClusterOptions, rawJobOf } from '../../testing/fixtures.js';
 
 let cluster: Cluster;
-afterEach(() => assert.deepEqual(cluster.verdict(), []));
+afterEach(() => assert.deepEqual(cluster.stopAndCheck(), []));
 
 async function startCluster(options: ClusterOptions = {}, machines = 2): Promise<Cluster> {
   cluster = new Cluster(options);
@@ -17,7 +17,7 @@
 }
 
 const bodyOf = (answer: { body: unknown }) => answer.body as { Phase: string; done: number };
-const send = (sent: unknown, node = 0) => cluster.during(cluster.post(sent, node));
+const send = (sent: unknown, node = 0) => cluster.advanceUntilSettled(cluster.post(sent, node));
 const submit = (wireFields: object, node = 0) => send(rawJobOf(wireFields), node);
 const withoutField = (fields: object, name: string): object =>
   Object.fromEntries(Object.entries(fields).filter(([key]) => key !== name));
@@ -134,7 +134,7 @@
     await startCluster();
     assert.equal((await submit({ Ref: 'j-again', Shape: 'service' })).status, 201);
     cluster.crash(0);
-    cluster.store.out = true;
+    cluster.store.isUnavailable = true;
     cluster.start(0);
     await cluster.advance(3000);
     const answer = await send({ Ref: 'j-again' });
@@ -156,7 +156,7 @@
       const answer = await cluster.cancelJob('j-done', node);
       assert.deepEqual([answer.status, bodyOf(answer).Phase], [200, 'done']);
     }
-    cluster.store.out = true;
+    cluster.store.isUnavailable = true;
     await cluster.advance(5000);
     const answer = await cluster.cancelJob('j-done', 1);
     assert.deepEqual([answer.status, bodyOf(answer).Phase], [200, 'done']);
@@ -168,7 +168,7 @@
     await startCluster({ nodes: 3 });
     assert.equal((await cluster.poll('j-nobody')).status, 404);
     assert.equal((await cluster.cancelJob('j-nobody')).status, 404);
-    cluster.store.out = true;
+    cluster.store.isUnavailable = true;
     await cluster.advance(4000);
     for (const ask of [
       () => cluster.requestStatus('j-nobody', 1),
@@ -176,7 +176,7 @@
       () => cluster.post(rawJobOf({ Ref: 'j-nobody' }), 1),
       () => cluster.post({ Ref: 'j-nobody' }, 1),
     ]) {
-      const answer = await cluster.during(ask(), 10);
+      const answer = await cluster.advanceUntilSettled(ask(), 10);
       assert.equal(answer.status, 503);
       assert.ok((answer.retryAfter ?? 0) >= 1);
     }
@@ -184,7 +184,7 @@
 
   it('gets 503 instead of 404 from a node whose requests to the store are lost', async () => {
     await startCluster({ nodes: 3 });
-    cluster.network.fault({ from: 'n1', to: 'store:1', kind: 'lose' });
+    cluster.network.addFault({ from: 'n1', to: 'store:1', kind: 'lose' });
     for (let turn = 0; turn < 4; turn++) {
       assert.equal((await cluster.poll('j-nobody', 1)).status, 503);
       assert.equal((await cluster.cancelJob('j-nobody', 1)).status, 503);
--- a/test/cloud/cloud-client.test.ts
+++ b/test/cloud/cloud-client.test.ts
@@ -2,13 +2,13 @@
 import { describe, it } from 'node:test';
 
 import { CloudClient } from '../../src/cloud/cloud-client.js';
-import { NoResponseError, type Reply } from '../../src/net/http-client.js';
+import { type HttpResponse, NoResponseError } from '../../src/net/http-client.js';
 import { answering } from '../../testing/answering-http-client.js';
 import { FakeClock } from '../../testing/fake-clock.js';
 
 describe('the cloud client', () => {
   const rental = { rentalId: 'r-1-1', machineType: 'c8', zone: 'a', isSpot: false, count: 1 };
-  const scaleOutWithReply = (reply: Reply | NoResponseError) =>
+  const scaleOutWithReply = (reply: HttpResponse | NoResponseError) =>
     new CloudClient({ http: answering(reply), address: 'x:1', requestsPerSecond: 8, clock: new FakeClock() }).scaleOut(
       rental,
     );
@@ -29,7 +29,7 @@
     let isLeader = true;
     let sentCount = 0;
     const http = {
-      call: async (): Promise<Reply> => {
+      call: async (): Promise<HttpResponse> => {
         sentCount++;
         return { status: 200, body: { Hosts: ['i-1'] } };
       },
--- a/test/gossip/replica-freshness.test.ts
+++ b/test/gossip/replica-freshness.test.ts
@@ -15,7 +15,7 @@
 function createReplica(revision = 0): Replica {
   const replica = new Replica({} as unknown as StoreClient, 'live/', clock);
   replica.isLoaded = true;
-  replica.completeTo(revision);
+  replica.markCompleteTo(revision);
   return replica;
 }
 
@@ -70,12 +70,12 @@
     const peer = createReplica();
     const own = createReplica();
     for (const each of [peer, own]) each.apply(put('job/a', 1));
-    own.completeTo(1);
+    own.markCompleteTo(1);
     // Two changes of each revision are sent together. The peer knows the last change only from its own transaction's answer.
     for (let modRevision = 2; modRevision < 40; modRevision++)
       for (const key of ['x', 'y']) peer.apply(put(`${key}/${modRevision}`, modRevision));
     peer.apply(deletion('job/a', 40));
-    peer.completeTo(40);
+    peer.markCompleteTo(40);
     peer.apply(put('job/z', 45));
     assert.ok(updateFromPeer(own, peer) > 5);
     assert.equal(own.revision, 40);
@@ -88,9 +88,9 @@
     const peer = createReplica();
     const own = createReplica();
     for (const each of [peer, own]) each.apply(put('job/old', 1));
-    own.completeTo(1);
+    own.markCompleteTo(1);
     for (let n = 0; n <= TOMBSTONES_KEPT; n++) peer.apply(deletion(n === 0 ? 'job/old' : `job/${n}`, n + 2));
-    peer.completeTo(TOMBSTONES_KEPT + 2);
+    peer.markCompleteTo(TOMBSTONES_KEPT + 2);
     peer.apply(put('job/new', TOMBSTONES_KEPT + 3));
     // The peer's changes after its complete revision take several messages too.
     for (let n = 4; n < 30; n++) peer.apply(put(`job/n${n}`, TOMBSTONES_KEPT + n));
@@ -103,14 +103,14 @@
     const peer = createReplica();
     const own = createReplica();
     peer.apply(put('job/a', 3));
-    peer.completeTo(3);
+    peer.markCompleteTo(3);
     const delayed: Message[] = [];
     createFreshness('n1', 7, peer, (_, message) => delayed.push(message)).answerDeltaRequest({
       node: 'n0',
       fromRevision: 0,
       afterRevision: 0,
     });
-    own.completeTo(9);
+    own.markCompleteTo(9);
     for (const message of delayed) {
       if (message.kind === 'replica_delta') createFreshness('n0', 5, own, () => undefined).applyDelta(message.payload);
     }
@@ -123,7 +123,7 @@
     const peer = createReplica();
     const own = createReplica();
     for (let modRevision = 1; modRevision < 30; modRevision++) peer.apply(put(`job/${modRevision}`, modRevision));
-    peer.completeTo(30);
+    peer.markCompleteTo(30);
     updateFromPeer(own, peer, (message) => {
       if (message.kind === 'replica_delta' && message.payload.afterRevision > 0)
         peer.applyFromPeer(put('job/late', 31));
--- a/test/jobs/dependencies.test.ts
+++ b/test/jobs/dependencies.test.ts
@@ -6,7 +6,7 @@
 import type { Submission } from '../../testing/submission-wire-codec.js';
 
 let cluster: Cluster;
-afterEach(() => assert.deepEqual(cluster.verdict(), []));
+afterEach(() => assert.deepEqual(cluster.stopAndCheck(), []));
 
 const ANNOUNCED_LIMITS = { value_kb: 2, txn_ops: 4, write_rps: 15 };
 
@@ -72,10 +72,10 @@
   it('is accepted by a node that does not know its dependency yet, but gets 503 there while the store is unreachable', async () => {
     await startCluster(2);
     cluster.partitioned.add('n0>n1');
-    cluster.network.fault({ from: 'n1', to: 'store:1', path: /^\/watch/, kind: 'lose' });
+    cluster.network.addFault({ from: 'n1', to: 'store:1', path: /^\/watch/, kind: 'lose' });
     assert.equal(await submit('j-a', null, {}, 0), 201);
     assert.equal(await submit('j-b', ['j-a'], {}, 1), 201);
-    cluster.store.refused.add('n1');
+    cluster.store.refusedNodes.add('n1');
     assert.equal(await submit('j-c', ['j-new'], {}, 1), 503);
   });
 
@@ -121,7 +121,7 @@
     assert.equal(await submit('j-a', null), 201);
     assert.equal(await submit('j-b', ['j-a'], {}, 1), 201);
     cluster.partitioned.add('n0>n1');
-    cluster.network.fault({ from: 'n1', to: 'store:1', path: /^\/watch/, kind: 'lose' });
+    cluster.network.addFault({ from: 'n1', to: 'store:1', path: /^\/watch/, kind: 'lose' });
     await cluster.advance(3000);
     // The cancellation is the only write that the store accepts, so the dependents keep their records.
     cluster.store.limits = { valueBytes: 2048, transactionWrites: 4, writesPerSecond: 1 };
@@ -135,7 +135,7 @@
       await cluster.poll('j-b', 1);
     }
     cluster.store.limits = undefined;
-    cluster.network.heal();
+    cluster.network.clearFaults();
     cluster.partitioned.clear();
     await cluster.advance(20_000);
     assert.equal(await phaseOf('j-b', 1), 'withdrawn');
@@ -151,7 +151,7 @@
       const confirmedPhase = ((await cluster.cancelJob('j-a', 2)).body as { Phase: string }).Phase;
       await cluster.advance(8000);
       assert.equal(await phaseOf('j-b', 1), confirmedPhase);
-      assert.deepEqual(cluster.verdict(), []);
+      assert.deepEqual(cluster.stopAndCheck(), []);
     }
   });
 
@@ -164,8 +164,8 @@
     for (const node of ['n1', 'n2']) cluster.partitioned.add(`n0>${node}`);
     const cancelled = cluster.requestCancellation('j-a', 0);
     await cluster.until(() => recordOf('j-a')?.phase === 'withdrawn', 2000);
-    cluster.store.out = true;
-    await cluster.during(cancelled, 100);
+    cluster.store.isUnavailable = true;
+    await cluster.advanceUntilSettled(cancelled, 100);
     for (let s = 0; s < 40; s += 5) {
       await cluster.advance(3000);
       for (const node of [1, 2]) await cluster.poll('j-c', node);
@@ -206,7 +206,7 @@
     for (const node of [0, 1, 2]) cluster.start(node);
     await cluster.advance(30_000);
     assert.equal(await phaseOf('j-c', 2), 'done');
-    assert.equal(cluster.store.tooLarge, 0);
+    assert.equal(cluster.store.tooLargeCount, 0);
   });
 });
 
@@ -219,9 +219,9 @@
     assert.equal(priorityOf('j-a'), 'low');
     assert.equal(await submit('j-c', ['j-b'], { priority: 'high', deadlineS: 300, estimatedRunS: 10 }), 201);
     assert.equal(priorityOf('j-a'), 'high');
-    const { finishBy } = cluster.node(0).clusterState.jobs.get('j-a')!;
+    const { finishByMs } = cluster.node(0).clusterState.jobs.get('j-a')!;
     const { submittedAtMs } = cluster.node(0).clusterState.jobs.get('j-c')!.record;
-    assert.equal(finishBy, submittedAtMs + (300 - 10 - 30) * 1000);
+    assert.equal(finishByMs, submittedAtMs + (300 - 10 - 30) * 1000);
     assert.equal((await cluster.cancelJob('j-c')).status, 200);
     assert.equal(priorityOf('j-a'), 'low');
   });
--- a/test/leadership/role-leadership.test.ts
+++ b/test/leadership/role-leadership.test.ts
@@ -5,7 +5,7 @@
 
 let cluster: Cluster;
 afterEach(() => {
-  assert.deepEqual(cluster.verdict(), []);
+  assert.deepEqual(cluster.stopAndCheck(), []);
   cluster.stop();
 });
 
--- a/test/leadership/standby-schedules.test.ts
+++ b/test/leadership/standby-schedules.test.ts
@@ -32,9 +32,9 @@
 function inject(cluster: Cluster, { kind, node, forMs }: Step): void {
   const index = node === 'leader' ? (cluster.leader() ?? 0) : node;
   const name = `n${index}`;
-  const isStopped = !cluster.has(index);
+  const isStopped = !cluster.isUp(index);
   const startUnlessRunning = () => {
-    if (!cluster.has(index)) cluster.start(index);
+    if (!cluster.isUp(index)) cluster.start(index);
   };
   const restart = () => cluster.clock.after(forMs, startUnlessRunning);
   switch (kind) {
@@ -49,11 +49,11 @@
     case 'freeze':
       return cluster.freeze(index, forMs);
     case 'no store':
-      return void cluster.clock.after(forMs, cluster.network.fault({ from: name, to: 'store:1', kind: 'lose' }));
+      return void cluster.clock.after(forMs, cluster.network.addFault({ from: name, to: 'store:1', kind: 'lose' }));
     case 'no peers':
-      return void cluster.clock.after(forMs, cluster.network.cut({ from: name, path: /^$/ }));
+      return void cluster.clock.after(forMs, cluster.network.holdMessages({ from: name, path: /^$/ }));
     case 'late': {
-      const heal = cluster.network.fault({ from: name, path: /^\/(txn|commands|rentals)/, kind: 'late' });
+      const heal = cluster.network.addFault({ from: name, path: /^\/(txn|commands|rentals)/, kind: 'late' });
       cluster.clock.after(forMs, heal);
     }
   }
@@ -80,7 +80,7 @@
   await cluster.advance(FAULT_WINDOW_MS + 10_000);
   cluster.checker.faultsEnded(cluster.clock.now());
   await cluster.advance(RECOVERY_MS);
-  const violations = cluster.verdict();
+  const violations = cluster.stopAndCheck();
   return cluster.leader() === undefined ? [...violations, 'no node leads'] : violations;
 }
 
--- a/test/leadership/standby-stream.test.ts
+++ b/test/leadership/standby-stream.test.ts
@@ -38,7 +38,7 @@
 
 const awaitNewLeader = async (former: number): Promise<number> => {
   await cluster.until(() => cluster.leader() !== undefined && cluster.leader() !== former, 8000);
-  await cluster.until(() => cluster.node(cluster.leader()!).leadership.isLeader, 2000);
+  await cluster.until(() => cluster.node(cluster.leader()!).leadership.isClusterLeader, 2000);
   return cluster.leader()!;
 };
 
@@ -46,14 +46,14 @@
   it('is restored on its successor, with refused offers and the idle times of machines', async () => {
     await startCluster();
     const leader = cluster.leader()!;
-    const { memory } = cluster.node(leader).leader;
+    const { advisoryState } = cluster.node(leader).leader;
     await cluster.advance(12_000);
-    memory.restoreRefusal(OFFER, cluster.clock.now());
+    advisoryState.restoreRefusal(OFFER, cluster.clock.now());
     await cluster.advance(2000);
-    const idleSince = new Map([...memory.idleMachines()].map(({ machineId, at }) => [machineId, at]));
+    const idleSince = new Map([...advisoryState.idleMachines()].map(({ machineId, at }) => [machineId, at]));
     assert.equal(idleSince.size, 6);
     cluster.crash(leader);
-    const successor = cluster.node(await awaitNewLeader(leader)).leader.memory;
+    const successor = cluster.node(await awaitNewLeader(leader)).leader.advisoryState;
     assert.ok([...successor.refusedOffers()].some(({ offer }) => offer === OFFER));
     const restored = [...successor.idleMachines()];
     assert.equal(restored.length, 6);
@@ -64,11 +64,11 @@
   it('is restored after a planned handover, with the attempts that were recently asked to stop', async () => {
     await startCluster();
     const leader = cluster.leader()!;
-    cluster.node(leader).leader.memory.restoreEviction('j-y/0#3', cluster.clock.now());
+    cluster.node(leader).leader.advisoryState.restoreEviction('j-y/0#3', cluster.clock.now());
     await cluster.advance(600);
     void cluster.terminate(leader);
-    const { memory } = cluster.node(await awaitNewLeader(leader)).leader;
-    assert.ok([...memory.recentEvictions()].some(({ attempt }) => attempt === 'j-y/0#3'));
+    const { advisoryState } = cluster.node(await awaitNewLeader(leader)).leader;
+    assert.ok([...advisoryState.recentEvictions()].some(({ attempt }) => attempt === 'j-y/0#3'));
   });
 
   it('does not delay a takeover when the stream is cut but the store answers', async () => {
@@ -81,7 +81,7 @@
     cluster.crash(leader);
     await awaitNewLeader(leader);
     assert.ok(cluster.clock.now() - crashedAt < 5000);
-    assert.deepEqual(cluster.verdict(), []);
+    assert.deepEqual(cluster.stopAndCheck(), []);
   });
 
   it('is followed again after links have flapped every second', async () => {
@@ -92,12 +92,12 @@
       await cluster.advance(1000);
     }
     await cluster.advance(4000);
-    cluster.node(leader).leader.memory.restoreRefusal(OFFER, cluster.clock.now());
+    cluster.node(leader).leader.advisoryState.restoreRefusal(OFFER, cluster.clock.now());
     await cluster.advance(2000);
     cluster.crash(leader);
-    const { memory } = cluster.node(await awaitNewLeader(leader)).leader;
-    assert.ok([...memory.refusedOffers()].some(({ offer }) => offer === OFFER));
-    assert.deepEqual(cluster.verdict(), []);
+    const { advisoryState } = cluster.node(await awaitNewLeader(leader)).leader;
+    assert.ok([...advisoryState.refusedOffers()].some(({ offer }) => offer === OFFER));
+    assert.deepEqual(cluster.stopAndCheck(), []);
   });
 });
 
@@ -137,7 +137,7 @@
       await cluster.advance(6000);
     }
     assert.equal(counts.get(1), 0);
-    assert.deepEqual(cluster.verdict(), []);
+    assert.deepEqual(cluster.stopAndCheck(), []);
   });
 });
 
--- a/test/leadership/standby.test.ts
+++ b/test/leadership/standby.test.ts
@@ -3,7 +3,7 @@
 
 import { Cluster } from '../../testing/cluster.js';
 import { type ClusterOptions, jobOf } from '../../testing/fixtures.js';
-import type { Trap } from '../../testing/freezer.js';
+import type { FreezeTrigger } from '../../testing/freezer.js';
 
 let cluster: Cluster;
 afterEach(() => cluster.stop());
@@ -41,12 +41,12 @@
 async function assertStillServes(): Promise<void> {
   cluster.checker.faultsEnded(cluster.clock.now());
   await cluster.advance(20_000);
-  const node = NODES.find((each) => cluster.has(each))!;
+  const node = NODES.find((each) => cluster.isUp(each))!;
   await cluster.submit({ id: 'j-last', taskCount: 2 }, node);
   await cluster.advance(8000);
   const answer = await cluster.poll('j-last', node);
   assert.equal((answer.body as { Phase: string }).Phase, 'done');
-  assert.deepEqual(cluster.verdict(), []);
+  assert.deepEqual(cluster.stopAndCheck(), []);
 }
 
 describe('a role whose leader crashes', () => {
@@ -98,7 +98,7 @@
     submitJobsFor(9000);
     cluster.crash(leader);
     await cluster.advance(5000);
-    const leading = nodesExcept(leader).filter((node) => cluster.node(node).leadership.isLeader);
+    const leading = nodesExcept(leader).filter((node) => cluster.node(node).leadership.isClusterLeader);
     assert.equal(leading.length, 1);
     await assertStillServes();
   });
@@ -126,7 +126,7 @@
 });
 
 describe('a leader that freezes during a decision and resumes', () => {
-  const FREEZE_POINTS: [where: string, trap: Trap][] = [
+  const FREEZE_POINTS: [where: string, trap: FreezeTrigger][] = [
     ['before its transaction', { path: /^\/txn/, when: 'sending', forMs: 6000 }],
     ['after its transaction', { path: /^\/txn/, when: 'answered', forMs: 6000 }],
     ['before a start command', { path: /^\/commands/, when: 'sending', forMs: 6000 }],
@@ -149,7 +149,7 @@
     const leader = cluster.leader()!;
     // Only transactions that write records of scale-out requests contain this key.
     const isRental = (body: unknown) => JSON.stringify(body).includes('live/hire/');
-    cluster.freezeAt(leader, { path: /^\/txn/, when: 'answered', where: isRental, forMs: 6000 });
+    cluster.freezeAt(leader, { path: /^\/txn/, when: 'answered', matchesBody: isRental, forMs: 6000 });
     await cluster.submit({ id: 'j-big', taskCount: 12, cpus: 8 }, nodesExcept(leader)[0]);
     const recorded = () => [...cluster.store.rows.keys()].some((key) => key.startsWith('live/hire/'));
     await cluster.until(recorded, 10_000);
@@ -172,7 +172,7 @@
     for (const other of nodesExcept(node)) cluster.crash(other);
     await cluster.advance(3500);
     cluster.freeze(node, 4000);
-    cluster.network.fault({ from: `n${node}`, to: 'store:1', kind: 'lose' });
+    cluster.network.addFault({ from: `n${node}`, to: 'store:1', kind: 'lose' });
     await cluster.advance(4001);
     const worker = [...cluster.workers.values()].find(
       ({ options }) => cluster.node(node).workerManager.roleOf(options.machineId) === `part-${node}`,
@@ -195,7 +195,7 @@
     cluster.freezeAt(successor, {
       when: 'answered',
       path: /^\/txn/,
-      where: (body) => JSON.stringify(body).includes('claim/leader'),
+      matchesBody: (body) => JSON.stringify(body).includes('claim/leader'),
       forMs: 8000,
     });
     const [third] = nodesExcept(leader, successor);
@@ -221,7 +221,7 @@
       const held = leadership.leadershipOf('leader');
       const isBehind = held !== undefined && replica.revision < held.term.startRevision;
       if (isBehind) stepsBehind++;
-      if (isBehind && leadership.isLeader) decidedEarly.push(ms);
+      if (isBehind && leadership.isClusterLeader) decidedEarly.push(ms);
     }
     cluster.store.slowMs = 0;
     assert.ok(stepsBehind > 0);
@@ -235,7 +235,7 @@
     const leader = cluster.leader()!;
     cluster.crash(leader);
     await cluster.advance(2000);
-    cluster.store.out = true;
+    cluster.store.isUnavailable = true;
     await cluster.advance(8000);
     cluster.store.endOutage();
     await cluster.until(() => leadershipRecordOf('leader') !== undefined && leaderOf('leader') !== leader, 8000);
@@ -265,7 +265,7 @@
     assert.ok(elapsedMsSince(stopRequestedAt) < 100, `${elapsedMsSince(stopRequestedAt)} ms`);
     await cluster.advance(4000);
     await stopped;
-    assert.ok(!cluster.has(leader));
+    assert.ok(!cluster.isUp(leader));
     assert.deepEqual(
       NODES.map((n) => cluster.runs(`j-svc/${n}`).length),
       running,
@@ -276,10 +276,10 @@
   it('terminates within its time limit even if the store does not answer', async () => {
     await startCluster();
     const leader = cluster.leader()!;
-    cluster.network.fault({ from: `n${leader}`, to: 'store:1', kind: 'lose' });
+    cluster.network.addFault({ from: `n${leader}`, to: 'store:1', kind: 'lose' });
     const stopRequestedAt = cluster.clock.now();
     void cluster.terminate(leader);
-    await cluster.until(() => !cluster.has(leader), 4000);
+    await cluster.until(() => !cluster.isUp(leader), 4000);
     assert.ok(elapsedMsSince(stopRequestedAt) <= 3100, `${elapsedMsSince(stopRequestedAt)} ms`);
     await assertStillServes();
   });
--- a/test/records/job-dependencies.test.ts
+++ b/test/records/job-dependencies.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test';
 
 import { JOB_PRIORITIES } from '../../src/domain/job.js';
-import { DependencyProgress, type DependencyProgressDependencies } from '../../src/jobs/dependency-progress.js';
+import { WaitingJobAdvancer, type WaitingJobAdvancerDependencies } from '../../src/jobs/dependency-progress.js';
 import { JobDependencies } from '../../src/records/job-dependencies.js';
 import type { JobRecord } from '../../src/records/records.js';
 import { noLog, specOf } from '../../testing/fixtures.js';
@@ -73,7 +73,7 @@
     for (let n = 1; n <= length; n++) index.update(`j-${n}`, waiting([`j-${n - 1}`]));
     let checkedDependencies = 0;
     const committedMutations: string[] = [];
-    const progress = new DependencyProgress({
+    const progress = new WaitingJobAdvancer({
       leadership: { hasRecentStoreContact: true, partitionOf: () => 0, leadershipOf: () => ({}) },
       clusterState: { dependencies: index, jobs: new Map() },
       transactions: {
@@ -90,7 +90,7 @@
       },
       clock: { wall: () => 0 },
       log: noLog,
-    } as unknown as DependencyProgressDependencies);
+    } as unknown as WaitingJobAdvancerDependencies);
     progress.sweep();
     assert.equal(checkedDependencies, length);
     assert.deepEqual(committedMutations, ['release']);
--- a/test/records/record-formats.test.ts
+++ b/test/records/record-formats.test.ts
@@ -21,7 +21,7 @@
   PLACEMENT_PREFIX,
   placementChunkKey,
 } from '../../src/records/record-keys.js';
-import { recordSizer } from '../../src/records/record-sizer.js';
+import { createRecordSizer } from '../../src/records/record-sizer.js';
 import { CorruptRecordError, type JobRecord } from '../../src/records/records.js';
 import { jsonLength } from '../../src/store/json-size.js';
 import { Cluster } from '../../testing/cluster.js';
@@ -106,7 +106,7 @@
     const value = createChunk(64);
     const key = placementChunkKey('j-000001', 0);
     let isComplete = false;
-    const resize = recordSizer(2048, () => isComplete);
+    const resize = createRecordSizer(2048, () => isComplete);
     assert.equal(resize(key, value), value);
     isComplete = true;
     assert.ok(jsonLength(resize(key, value)) <= 2048);
@@ -119,7 +119,7 @@
   it('is written without its machine types once the job is cancelled, and not before', () => {
     const spec = jobOf({ machineTypes: Array.from({ length: 60 }, (_, n) => `type-${n}-${'x'.repeat(40)}`) });
     const job = { spec, phase: 'active', at: 0, chunk: 64 } as unknown as JobRecord;
-    const resize = recordSizer(2048, () => false);
+    const resize = createRecordSizer(2048, () => false);
     const key = jobKey('j-000001');
     assert.equal(resize(key, job), job);
     const withdrawn = resize(key, { ...job, phase: 'withdrawn' }) as JobRecord;
@@ -149,6 +149,6 @@
     for (const node of [0, 1, 2]) cluster.crash(node);
     await cluster.advance(12_000);
     assert.ok(formatKeys(cluster).includes(FORMAT_COMPLETE_KEY));
-    assert.deepEqual(cluster.verdict(), []);
+    assert.deepEqual(cluster.stopAndCheck(), []);
   });
 });
--- a/test/scenarios/cluster.test.ts
+++ b/test/scenarios/cluster.test.ts
@@ -6,7 +6,7 @@
 import { decodeJobStatus } from '../../testing/job-status-wire-codec.js';
 
 let cluster: Cluster;
-afterEach(() => assert.deepEqual(cluster.verdict(), []));
+afterEach(() => assert.deepEqual(cluster.stopAndCheck(), []));
 
 async function startCluster(options: ClusterOptions = {}, machines = 2): Promise<Cluster> {
   cluster = new Cluster(options);
@@ -74,7 +74,7 @@
     await startCluster({ nodes: 3 });
     await cluster.submit({ ...service, taskCount: 1 });
     // Node 2 receives no more changes from its watch.
-    cluster.network.fault({ from: 'n2', path: /^\/watch/, kind: 'lose' });
+    cluster.network.addFault({ from: 'n2', path: /^\/watch/, kind: 'lose' });
     await cluster.cancelJob('j-svc', 0);
     assert.equal(statusOf(await cluster.poll('j-svc', 2)).state, 'cancelled');
   });
@@ -86,7 +86,7 @@
     assert.equal((await cluster.submit({ ...service, taskCount: 3 })).status, 422, "over the team's limit");
     assert.equal((await cluster.submit({ id: 'x' })).status, 400);
     assert.equal((await cluster.submit({ taskCount: 0 })).status, 400);
-    cluster.store.out = true;
+    cluster.store.isUnavailable = true;
     const answer = await cluster.submit({});
     assert.equal(answer.status, 503);
     assert.ok((answer.retryAfter ?? 0) >= 1);
@@ -94,7 +94,7 @@
 
   it('accepted in a transaction whose answer is lost are known when submitted again', async () => {
     await startCluster();
-    cluster.network.fault({ path: /^\/txn/, kind: 'answerLost', times: 1 });
+    cluster.network.addFault({ path: /^\/txn/, kind: 'answerLost', times: 1 });
     const first = await cluster.submit({ ...service, taskCount: 1 });
     assert.ok(first.status === 201 || first.status === 200 || first.status === 503);
     assert.equal((await cluster.submit({ ...service, taskCount: 1 })).status, 200);
@@ -107,35 +107,35 @@
     await cluster.submit({ ...service, taskCount: 1 });
     const [run] = cluster.runs('j-svc/0');
     cluster.rememberWorkers();
-    cluster.cut.add(run!.machineId);
+    cluster.disconnected.add(run!.machineId);
     await cluster.advance(9000);
-    assert.ok(cluster.cloud.returned.includes(run!.machineId));
+    assert.ok(cluster.cloud.returnedMachineIds.includes(run!.machineId));
     assert.equal(cluster.runs('j-svc/0').length, 2);
-    assert.equal(cluster.overlaps('j-svc/0'), 0);
+    assert.equal(cluster.countOverlaps('j-svc/0'), 0);
   });
 
   it('of a machine that is cut off during a cloud outage starts again only after the lease has expired', async () => {
     await startCluster({}, 3);
     await cluster.submit({ ...service, taskCount: 1 });
     const [run] = cluster.runs('j-svc/0');
-    cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
-    cluster.cut.add(run!.machineId);
+    cluster.network.addFault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
+    cluster.disconnected.add(run!.machineId);
     await cluster.advance(8000);
     assert.equal(cluster.runs('j-svc/0').length, 1, 'it may still run on the first machine');
     await cluster.advance(8000);
     assert.equal(cluster.runs('j-svc/0').length, 2);
-    assert.equal(cluster.overlaps('j-svc/0'), 0);
+    assert.equal(cluster.countOverlaps('j-svc/0'), 0);
   });
 
   it('whose launch is delayed runs only once, since it is not forgotten while the launch may still arrive', async () => {
     await startCluster({}, 1);
     const worker = cluster.workers.get('i-000000')!;
-    const heal = cluster.network.fault({ to: worker.endpoint, path: /^\/commands/, kind: 'hold' });
+    const heal = cluster.network.addFault({ to: worker.endpoint, path: /^\/commands/, kind: 'hold' });
     await cluster.submit({ id: 'j-late' });
     await cluster.advance(9000);
     heal();
     // Whether the held copy arrives before or after the task was done, recorded and forgotten, it starts no second run.
-    cluster.network.release();
+    cluster.network.deliverHeld();
     await cluster.advance(5000);
     assert.equal(cluster.runs('j-late/0').length, 1);
     assert.equal(statusOf(await cluster.poll('j-late')).state, 'done');
@@ -213,10 +213,11 @@
     assert.deepEqual([...new Set(started.map((worker) => worker.options.zone))], ['b']);
     // One member's machine is cut off: while the others may still run, nothing starts in another zone or attempt.
     cluster.rememberWorkers();
-    cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
-    cluster.cut.add(started[0]!.options.machineId);
+    cluster.network.addFault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
+    cluster.disconnected.add(started[0]!.options.machineId);
     await cluster.advance(40_000);
-    for (let taskIndex = 0; taskIndex < 6; taskIndex++) assert.equal(cluster.overlaps(`j-svc-gang/${taskIndex}`), 0);
+    for (let taskIndex = 0; taskIndex < 6; taskIndex++)
+      assert.equal(cluster.countOverlaps(`j-svc-gang/${taskIndex}`), 0);
     const zones = [...cluster.workers.values()].filter((worker) => worker.history.length > 0);
     assert.deepEqual([...new Set(zones.map((worker) => worker.options.zone))], ['b']);
   });
@@ -242,13 +243,13 @@
     const lost = waiting.filter((name) => cluster.runs(name)[0]!.machineId === cluster.runs(waiting[0]!)[0]!.machineId);
     cluster.rememberWorkers();
     cluster.addWorker({ machineId: 'i-000009' });
-    cluster.cut.add(cluster.runs(waiting[0]!)[0]!.machineId);
+    cluster.disconnected.add(cluster.runs(waiting[0]!)[0]!.machineId);
     await cluster.advance(25_000);
     for (const name of taskIds) {
       const runs = cluster.runs(name);
       assert.equal(runs.length, lost.includes(name) ? 2 : 1);
       assert.ok(runs.every((run) => run.attempt === 1));
-      assert.equal(cluster.overlaps(name), 0);
+      assert.equal(cluster.countOverlaps(name), 0);
     }
   });
 
@@ -275,7 +276,7 @@
     );
     cluster.addWorker({ machineId: 'i-000001' });
     cluster.addWorker({ machineId: 'i-000002', zone: 'b' });
-    cluster.cloud.full.add('a').add('b').add('c');
+    cluster.cloud.fullZones.add('a').add('b').add('c');
     await cluster.advance(3000);
     await cluster.submit({ id: 'j-r1', taskCount: 8 });
     await cluster.submit({ id: 'j-b1', team: 'blue', taskCount: 4 });
@@ -297,7 +298,7 @@
     ];
     await startCluster({ teams, machineTypes: [{ ...C8, gpus: 4 }] }, 0);
     cluster.addWorker({ machineId: 'i-000001' });
-    cluster.cloud.full.add('a').add('b').add('c');
+    cluster.cloud.fullZones.add('a').add('b').add('c');
     await cluster.advance(3000);
     await cluster.submit({ id: 'j-cards', cpus: 1, gpus: 1, taskCount: 4 });
     await cluster.submit({ ...service, taskCount: 2, spreadAcrossZones: false });
@@ -335,17 +336,17 @@
 
   it('that alone does not reach the store stops serving while its peers reach it, and one of them takes over', async () => {
     await startCluster({ nodes: 3 }, 3);
-    cluster.network.fault({ from: 'n0', to: 'store:1', kind: 'status', status: 503 });
+    cluster.network.addFault({ from: 'n0', to: 'store:1', kind: 'status', status: 503 });
     await cluster.advance(6000);
     assert.equal(cluster.node(0).leadership.servingLeadershipOf('part-0'), undefined);
-    assert.equal(cluster.node(0).up().status, 503);
+    assert.equal(cluster.node(0).answerHealthCheck().status, 503);
     await cluster.advance(4000);
     assert.ok(['n1', 'n2'].includes(cluster.node(1).leadership.leaderOf('part-0')!));
   });
 
   it('cut off from the store and its peers serves no longer than the cancellation deadline allows', async () => {
     await startCluster({ nodes: 3 }, 3);
-    cluster.network.fault({ from: 'n0', to: 'store:1', kind: 'lose' });
+    cluster.network.addFault({ from: 'n0', to: 'store:1', kind: 'lose' });
     for (const pair of ['n0>n1', 'n0>n2', 'n1>n0', 'n2>n0']) cluster.partitioned.add(pair);
     await cluster.advance(15_000);
     assert.notEqual(cluster.node(0).leadership.servingLeadershipOf('part-0'), undefined);
@@ -369,7 +370,7 @@
     const [run] = cluster.runs('j-svc/0');
     const partitionLeader = cluster.node(0).leadership.leaderOf(cluster.node(0).workerManager.roleOf(run!.machineId));
     cluster.unreachable.add(`${run!.machineId}>${partitionLeader}`);
-    cluster.network.fault({ from: partitionLeader, to: `${run!.machineId}:9000`, kind: 'lose' });
+    cluster.network.addFault({ from: partitionLeader, to: `${run!.machineId}:9000`, kind: 'lose' });
     await cluster.advance(40_000);
     assert.equal(cluster.runs('j-svc/0').length, 1);
     assert.equal(cluster.runs('j-svc/0')[0]!.to, undefined);
@@ -384,19 +385,19 @@
     const [run] = cluster.runs('j-svc0/0');
     cluster.rememberWorkers();
     for (const node of [0, 1, 2]) cluster.crash(node);
-    cluster.cut.add(run!.machineId);
+    cluster.disconnected.add(run!.machineId);
     for (const node of [0, 1, 2]) cluster.start(node);
     await cluster.advance(20_000);
-    assert.ok(cluster.cloud.returned.includes(run!.machineId));
-    assert.equal(cluster.cloud.returned.length, 1);
+    assert.ok(cluster.cloud.returnedMachineIds.includes(run!.machineId));
+    assert.equal(cluster.cloud.returnedMachineIds.length, 1);
     assert.equal(cluster.runs('j-svc0/0').length, 2);
-    for (let n = 0; n < 6; n++) assert.equal(cluster.overlaps(`j-svc${n}/0`), 0);
+    for (let n = 0; n < 6; n++) assert.equal(cluster.countOverlaps(`j-svc${n}/0`), 0);
   });
 
   it('keeps serving through a store outage, however long, and no task ends', async () => {
     await startCluster({ nodes: 3 }, 3);
     await cluster.submit({ ...service, taskCount: 3 });
-    cluster.store.out = true;
+    cluster.store.isUnavailable = true;
     await cluster.advance(60_000);
     cluster.store.endOutage();
     await cluster.advance(5000);
@@ -411,7 +412,7 @@
 describe('machines', () => {
   it('are rented once for tasks without a machine, in another zone if one has no capacity', async () => {
     await startCluster({}, 0);
-    cluster.cloud.full.add('a');
+    cluster.cloud.fullZones.add('a');
     await cluster.submit({ taskCount: 8 });
     await cluster.advance(20_000);
     const machineIds = [...cluster.cloud.rentals.values()].flat();
@@ -421,7 +422,7 @@
 
   it('are not rented twice when the answer of the cloud is lost', async () => {
     await startCluster({}, 0);
-    cluster.network.fault({ to: 'cloud:1', path: /^\/rentals$/, kind: 'answerLost', times: 1 });
+    cluster.network.addFault({ to: 'cloud:1', path: /^\/rentals$/, kind: 'answerLost', times: 1 });
     await cluster.submit({ taskCount: 4 });
     await cluster.advance(25_000);
     assert.equal([...cluster.cloud.rentals.values()].flat().length, 1);
@@ -445,9 +446,9 @@
 
   it('are not returned because their former leader, cut off from the store, reports them as silent', async () => {
     await startCluster({ nodes: 3 }, 9);
-    cluster.network.fault({ from: 'n0', to: 'store:1', kind: 'status', status: 503 });
+    cluster.network.addFault({ from: 'n0', to: 'store:1', kind: 'status', status: 503 });
     await cluster.advance(40_000);
-    assert.deepEqual(cluster.cloud.returned, []);
+    assert.deepEqual(cluster.cloud.returnedMachineIds, []);
   });
 
   it('that do not reach their partition leader, which also leads the cluster, are not returned while other nodes hear them', async () => {
@@ -463,7 +464,7 @@
     for (const machineId of machineIds) cluster.unreachable.add(`${machineId}>n${leader}`);
     cluster.partitioned.add(`n${farNode}>n${leader}`).add(`n${leader}>n${farNode}`);
     await cluster.advance(30_000);
-    assert.deepEqual(cluster.cloud.returned, []);
+    assert.deepEqual(cluster.cloud.returnedMachineIds, []);
   });
 
   it('that fail all their tasks are distinguished from jobs that fail everywhere, and returned', async () => {
@@ -473,7 +474,7 @@
     await cluster.advance(3000);
     for (let n = 0; n < 4; n++) await cluster.submit({ id: `j-s${n}`, taskCount: 2, cpus: 8 });
     await cluster.advance(15_000);
-    assert.ok(cluster.cloud.returned.includes('i-000001'));
-    assert.ok(!cluster.cloud.returned.includes('i-000002'));
+    assert.ok(cluster.cloud.returnedMachineIds.includes('i-000001'));
+    assert.ok(!cluster.cloud.returnedMachineIds.includes('i-000002'));
   });
 });
--- a/test/scenarios/combined-faults-jobs.test.ts
+++ b/test/scenarios/combined-faults-jobs.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { afterEach, describe, it } from 'node:test';
 
-import type { HttpAnswer } from '../../src/net/http-answer.js';
+import type { JsonResponse } from '../../src/net/http-answer.js';
 import { Cluster } from '../../testing/cluster.js';
 import { encodeTransaction, type StoreOperation } from '../../testing/fake-store-wire-codec.js';
 import { type ClusterOptions, jobOf } from '../../testing/fixtures.js';
@@ -10,7 +10,7 @@
 
 /** Jobs under two faults at a time; each scenario ends with the result of the invariant checker. */
 let cluster: Cluster;
-afterEach(() => assert.deepEqual(cluster.verdict(), []));
+afterEach(() => assert.deepEqual(cluster.stopAndCheck(), []));
 
 async function startCluster(options: ClusterOptions = {}, machines = 3, runMs = 5000): Promise<Cluster> {
   isStoreSlow = false;
@@ -26,7 +26,7 @@
   return cluster;
 }
 
-const statusOf = (answer: HttpAnswer) => decodeJobStatus(answer.body);
+const statusOf = (answer: JsonResponse) => decodeJobStatus(answer.body);
 const jobState = async (jobId: string, node = 0) => statusOf(await cluster.poll(jobId, node)).state;
 const service = { kind: 'service', priority: 'prod', estimatedRunS: 0 } as const;
 const runningTasks = (jobId: string) =>
@@ -54,12 +54,12 @@
 function endFaults(): void {
   isStoreSlow = false;
   cluster.store.slowMs = 0;
-  cluster.network.heal();
+  cluster.network.clearFaults();
 }
 
 /** Users poll the jobs every 5 s, each time at another node, for `forMs`. */
-function pollAll(jobIds: readonly string[], forMs: number): Map<string, HttpAnswer[]> {
-  const answers = new Map<string, HttpAnswer[]>(jobIds.map((jobId) => [jobId, []]));
+function pollAll(jobIds: readonly string[], forMs: number): Map<string, JsonResponse[]> {
+  const answers = new Map<string, JsonResponse[]>(jobIds.map((jobId) => [jobId, []]));
   for (const [at, jobId] of jobIds.entries()) {
     for (let turn = 0; turn * 5000 < forMs; turn++) {
       schedule(turn * 5000 + ((at * 370) % 5000), async () =>
@@ -76,7 +76,7 @@
     'and lost answers': () => {
       for (let n = 0; n < 8; n++) {
         schedule(4500 + n * 550, () =>
-          cluster.network.fault({
+          cluster.network.addFault({
             from: `n${n % 3}`,
             path: /^\/txn/,
             kind: 'answerLost',
@@ -88,14 +88,14 @@
     'and transactions that are executed late': () => {
       for (let n = 0; n < 6; n++) {
         schedule(4500 + n * 700, () =>
-          cluster.network.fault({
+          cluster.network.addFault({
             from: `n${n % 3}`,
             path: /^\/txn/,
             kind: 'hold',
             times: 1,
           }),
         );
-        schedule(7500 + n * 1900, () => cluster.network.release());
+        schedule(7500 + n * 1900, () => cluster.network.deliverHeld());
       }
     },
     'and a slow store': () => {
@@ -150,20 +150,20 @@
       for (let n = 0; n < 3; n++) await cluster.submit({ ...service, id: `j-svc${n}` }, n);
       for (let n = 0; n < 4; n++) await cluster.submit({ id: `j-more${n}`, taskCount: 2 }, n % 3);
       const lost = [0, 1].map((n) => cluster.runs(`j-svc${n}/0`)[0]!.machineId);
-      const cloudBack = cluster.network.fault({
+      const cloudBack = cluster.network.addFault({
         to: 'cloud:1',
         kind: 'status',
         status: 503,
         body: { error: 'trouble' },
       });
       cluster.rememberWorkers();
-      for (const machineId of lost) cluster.cut.add(machineId);
+      for (const machineId of lost) cluster.disconnected.add(machineId);
       for (let turn = 0; turn < 3; turn++) {
         const formerLeader = cluster.leader()!;
         // The answers to the other nodes' transactions are lost while they take over; one node's transactions are held back.
         for (let n = 0; n < 3; n++) {
           if (n !== formerLeader)
-            cluster.network.fault({
+            cluster.network.addFault({
               from: `n${n}`,
               path: /^\/txn/,
               kind: n === turn ? 'hold' : 'answerLost',
@@ -174,13 +174,13 @@
         schedule(cancelAt, () => cluster.requestCancellation(`j-svc${turn}`, (formerLeader + 1) % 3));
         schedule(cancelAt + 2500, () => cluster.requestCancellation(`j-svc${turn}`, (formerLeader + 2) % 3));
         await cluster.advance(4000);
-        cluster.network.release();
+        cluster.network.deliverHeld();
         cluster.start(formerLeader);
         await cluster.advance(6000);
-        cluster.network.release();
+        cluster.network.deliverHeld();
       }
       cloudBack();
-      for (const machineId of lost) cluster.cut.delete(machineId);
+      for (const machineId of lost) cluster.disconnected.delete(machineId);
       await cluster.advance(5000);
       for (let n = 0; n < 3; n++) await cluster.cancelJob(`j-svc${n}`, n);
       cluster.checker.faultsEnded(cluster.clock.now());
@@ -224,7 +224,7 @@
       await startCluster({
         teams: [{ name: 'red' }, { name: 'blue', cpus: 8, cpus_max: 16 }],
       });
-      for (const zone of ['a', 'b', 'c']) cluster.cloud.full.add(zone);
+      for (const zone of ['a', 'b', 'c']) cluster.cloud.fullZones.add(zone);
       const leaders = () =>
         ['leader', 'part-0', 'part-1', 'part-2'].map((role) => cluster.node(0).leadership.leaderOf(role));
       const before = leaders();
@@ -246,7 +246,7 @@
       let healthyCount = 0;
       for (let turn = 0; turn < 80; turn++) {
         schedule(turn * 250, () => {
-          for (const node of [0, 1, 2]) if (cluster.node(node).up().status === 200) healthyCount++;
+          for (const node of [0, 1, 2]) if (cluster.node(node).answerHealthCheck().status === 200) healthyCount++;
         });
       }
       const answers = pollAll(jobIds, 150_000);
@@ -293,7 +293,7 @@
         const zone = cluster.workers.get(first!.machineId)!.options.zone!;
         const lost = [...cluster.workers.values()].filter((worker) => worker.options.zone === zone);
         const cloudBack = cloudDown
-          ? cluster.network.fault({
+          ? cluster.network.addFault({
               to: 'cloud:1',
               kind: 'status',
               status: 503,
@@ -302,7 +302,7 @@
           : () => undefined;
         cluster.rememberWorkers();
         // The machines are cut off: their tasks go on until the leases expire.
-        for (const { options } of lost) cluster.cut.add(options.machineId);
+        for (const { options } of lost) cluster.disconnected.add(options.machineId);
         const formerLeader = cluster.leader()!;
         cluster.crash(formerLeader);
         await cluster.advance(9000);
@@ -338,9 +338,9 @@
       slowDownStore(...slow);
       await cluster.advance(6000);
       const alone = `n${cluster.leader()!}`;
-      cluster.store.refused.add(alone);
+      cluster.store.refusedNodes.add(alone);
       // The store executes one cancellation, but the answer is lost.
-      cluster.network.fault({
+      cluster.network.addFault({
         from: `n${(cluster.leader()! + 1) % 3}`,
         path: /^\/txn/,
         kind: 'answerLost',
@@ -352,8 +352,8 @@
         }
       }
       await cluster.advance(2600);
-      cluster.store.out = true;
-      const late: HttpAnswer[] = [];
+      cluster.store.isUnavailable = true;
+      const late: JsonResponse[] = [];
       for (let n = 0; n < 20; n++) {
         schedule(4000 + n * 1500, async () => {
           const began = cluster.clock.now();
@@ -365,13 +365,13 @@
       for (const answer of late) {
         assert.ok(answer.status === 503 && (answer.retryAfter ?? 0) >= 1, JSON.stringify(answer));
       }
-      cluster.store.refused.clear();
+      cluster.store.refusedNodes.clear();
       cluster.store.endOutage();
       endFaults();
       cluster.checker.faultsEnded(cluster.clock.now());
       await cluster.advance(4000);
       for (const node of [0, 1, 2]) {
-        const known = await cluster.during(
+        const known = await cluster.advanceUntilSettled(
           Promise.all(jobIds.map((jobId) => cluster.requestStatus(jobId, node))),
           1000,
         );
@@ -389,7 +389,7 @@
   it('a job whose tasks failed on every machine runs, and no machine stays closed to it', async () => {
     await startCluster({ teams: [{ name: 'red' }] });
     for (const worker of cluster.workers.values()) worker.options.failsAllTasks = true;
-    for (const zone of ['a', 'b', 'c']) cluster.cloud.full.add(zone);
+    for (const zone of ['a', 'b', 'c']) cluster.cloud.fullZones.add(zone);
     await cluster.submit({
       ...service,
       id: 'j-svc-f',
@@ -404,7 +404,7 @@
 
   it('machines are rented again for a job whose tasks have often failed', async () => {
     await startCluster({ teams: [{ name: 'red' }] }, 0);
-    for (const zone of ['a', 'b', 'c']) cluster.cloud.full.add(zone);
+    for (const zone of ['a', 'b', 'c']) cluster.cloud.fullZones.add(zone);
     for (let n = 0; n < 4; n++) {
       cluster.addWorker({ machineId: `i-00001${n}`, runMs: 5000, failsAllTasks: true });
       await cluster.advance(4000);
@@ -412,22 +412,22 @@
       await cluster.advance(12_000);
     }
     assert.ok(cluster.runs('j-svc-r/0').length > 2, 'it has failed more than twice');
-    for (const machineId of [...cluster.workers.keys()]) cluster.kill(machineId);
-    cluster.cloud.full.clear();
+    for (const machineId of [...cluster.workers.keys()]) cluster.killMachine(machineId);
+    cluster.cloud.fullZones.clear();
     await cluster.advance(90_000);
     assert.equal([...cluster.cloud.rentals.values()].flat().length, 1);
   });
 
   it('jobs that fail everywhere do not close the machines to other jobs', async () => {
     await startCluster({ teams: [{ name: 'red' }] });
-    for (const zone of ['a', 'b', 'c']) cluster.cloud.full.add(zone);
+    for (const zone of ['a', 'b', 'c']) cluster.cloud.fullZones.add(zone);
     for (const worker of cluster.workers.values()) worker.options.failsTask = (taskId) => taskId.startsWith('j-bad');
     for (let n = 0; n < 3; n++) await cluster.submit({ id: `j-bad${n}`, taskCount: 6 }, n);
     await cluster.advance(10_000);
     for (let n = 0; n < 6; n++) await cluster.submit({ id: `j-good${n}`, taskCount: 4, priority: 'low' }, n % 3);
     await cluster.advance(60_000);
     for (let n = 0; n < 6; n++) assert.equal(await jobState(`j-good${n}`), 'done');
-    assert.deepEqual(cluster.cloud.returned, []);
+    assert.deepEqual(cluster.cloud.returnedMachineIds, []);
   });
 
   it('a gang is done though one machine was returned before another reported the end', async () => {
@@ -443,21 +443,21 @@
     const end = first!.from + 12_000;
     cluster.rememberWorkers();
     await cluster.advance(end - 4000 - cluster.clock.now());
-    cluster.cut.add(first!.machineId);
+    cluster.disconnected.add(first!.machineId);
     await cluster.advance(3200);
-    cluster.cut.add(second!.machineId);
-    while (!cluster.cloud.returned.includes(first!.machineId)) await cluster.advance(100);
+    cluster.disconnected.add(second!.machineId);
+    while (!cluster.cloud.returnedMachineIds.includes(first!.machineId)) await cluster.advance(100);
     assert.ok(cluster.clock.now() > end, 'its task has finished by then');
     await cluster.advance(200);
-    cluster.cut.delete(second!.machineId);
+    cluster.disconnected.delete(second!.machineId);
     await cluster.advance(5000);
-    assert.deepEqual(cluster.cloud.returned, [first!.machineId]);
+    assert.deepEqual(cluster.cloud.returnedMachineIds, [first!.machineId]);
     assert.equal(await jobState('j-gang'), 'done');
   });
 
   it('a gang waits for the backoff of a member that has failed, and starts as a whole', async () => {
     await startCluster({ teams: [{ name: 'red' }] }, 0);
-    for (const zone of ['a', 'b', 'c']) cluster.cloud.full.add(zone);
+    for (const zone of ['a', 'b', 'c']) cluster.cloud.fullZones.add(zone);
     await cluster.submit({
       id: 'j-gang',
       kind: 'gang',
--- a/test/scenarios/combined-faults-leaders.test.ts
+++ b/test/scenarios/combined-faults-leaders.test.ts
@@ -22,14 +22,14 @@
   await cluster.advance(5000);
 }
 
-const someNode = () => NODES.map((node) => cluster.has(node)).indexOf(true);
+const someNode = () => NODES.map((node) => cluster.isUp(node)).indexOf(true);
 const roleOf = (machineId: string) => cluster.node(someNode()).workerManager.roleOf(machineId);
 /** The node that leads a role, according to some node that is up. */
 const leaderOf = (role: string) => Number(cluster.node(someNode()).leadership.leaderOf(role)?.slice(1));
 const statusOf = (answer: { body: unknown }) => decodeJobStatus(answer.body);
 const jobState = async (jobId: string, node = 0) => statusOf(await cluster.poll(jobId, node)).state;
 const startCloudOutage = () =>
-  cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
+  cluster.network.addFault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
 
 /** The ids of `count` machines of the role's partition. */
 function machinesOf(role: string, count: number): string[] {
@@ -48,7 +48,7 @@
 }
 
 function assertNoViolations(): void {
-  assert.deepEqual(cluster.verdict(), []);
+  assert.deepEqual(cluster.stopAndCheck(), []);
 }
 
 describe('jobs of two or three tasks that end far apart', () => {
@@ -60,7 +60,7 @@
     await cluster.advance(4000);
     await cluster.submit({ id: 'j-three', taskCount: 3, cpus: 8 });
     // The tasks run one after the other on the only machine of their zone, which at times takes no new tasks.
-    for (const zone of ['a', 'b', 'c']) cluster.cloud.full.add(zone);
+    for (const zone of ['a', 'b', 'c']) cluster.cloud.fullZones.add(zone);
     await cluster.submit({ id: 'j-next', taskCount: 3, cpus: 8, zone: 'a' });
     cluster.rememberWorkers();
     for (let round = 0; round < 9; round++) {
@@ -98,17 +98,17 @@
     await cluster.advance(kept!.from + 19_800 - cluster.clock.now());
     // Both tasks end. One machine dies before it reports that; the other's leader gets no answers from the store for a while.
     cluster.rememberWorkers();
-    cluster.cut.add(lost!.machineId);
-    const heal = cluster.network.fault({
+    cluster.disconnected.add(lost!.machineId);
+    const heal = cluster.network.addFault({
       from: `n${partitionLeader}`,
       path: /^\/txn/,
-      where: (transact) => JSON.stringify(transact).includes('j-gang'),
+      matchesBody: (transact) => JSON.stringify(transact).includes('j-gang'),
       kind: 'lose',
     });
     await cluster.advance(20_000);
     heal();
     await cluster.advance(5000);
-    assert.ok(cluster.cloud.returned.includes(lost!.machineId));
+    assert.ok(cluster.cloud.returnedMachineIds.includes(lost!.machineId));
     cluster.checker.faultsEnded(cluster.clock.now());
     assert.equal(await jobState('j-gang'), 'done');
     assertNoViolations();
@@ -121,7 +121,7 @@
     await cluster.submit(gang);
     const [lost] = [...cluster.workers].find(([, worker]) => worker.tasks.has('j-gang/1'))!;
     cluster.rememberWorkers();
-    cluster.cut.add(lost);
+    cluster.disconnected.add(lost);
     await cluster.advance(45_000);
     const [again] = cluster.runs('j-gang/1');
     assert.notEqual(again!.machineId, lost);
@@ -148,7 +148,7 @@
     await cluster.submit(gang);
     startCloudOutage();
     const [here] = cluster.runs('j-gang/0');
-    cluster.cut.add(cluster.runs('j-gang/1')[0]!.machineId);
+    cluster.disconnected.add(cluster.runs('j-gang/1')[0]!.machineId);
     await cluster.advance(4000);
     cluster.workers.get(here!.machineId)!.end('j-gang/0', 'peer_lost');
     cluster.crash(leaderOf('leader'));
@@ -165,7 +165,7 @@
   it('keep serving while a store outage prevents a handover, however long, and no task ends', async () => {
     await startCluster(6);
     for (let n = 0; n < 4; n++) await cluster.submit({ ...service, id: `j-svc${n}`, taskCount: 3 });
-    cluster.store.out = true;
+    cluster.store.isUnavailable = true;
     for (const node of NODES) void cluster.node(node).leadership.release(`part-${node}`, 'scenario', 3000);
     await cluster.advance(45_000);
     cluster.store.endOutage();
@@ -195,9 +195,9 @@
       await cluster.submit({ id: 'j-batch', taskCount: 12 });
       for (let round = 0; round < 6; round++) {
         const from = leaderOf(`part-${round % 3}`);
-        if (!cluster.has(from)) continue;
+        if (!cluster.isUp(from)) continue;
         void cluster.node(from).leadership.release(`part-${round % 3}`, 'scenario', 500);
-        if (cluster.has(leaderOf('leader')))
+        if (cluster.isUp(leaderOf('leader')))
           void cluster.node(leaderOf('leader')).leadership.release('leader', 'scenario', 500);
         await cluster.advance(300);
         cluster.crash(from);
@@ -207,12 +207,12 @@
       }
       // Some machines can't be reached meanwhile, and the cloud can't confirm that they are gone.
       const heal = startCloudOutage();
-      for (const taskIndex of [0, 1]) cluster.cut.add(cluster.runs(`j-svc/${taskIndex}`).at(-1)!.machineId);
+      for (const taskIndex of [0, 1]) cluster.disconnected.add(cluster.runs(`j-svc/${taskIndex}`).at(-1)!.machineId);
       for (const node of NODES) cluster.crash(node);
       await cluster.advance(awayMs);
       cluster.start(1);
       await cluster.advance(Math.max(4000, 8500 - awayMs));
-      cluster.cut.clear();
+      cluster.disconnected.clear();
       heal();
       await cluster.poll('j-batch', 1);
       cluster.start(0);
@@ -254,7 +254,7 @@
       ],
     );
     const heal = startCloudOutage();
-    cluster.cut.add(early);
+    cluster.disconnected.add(early);
     cluster.crash(leader);
     cluster.addWorker({ machineId: machinesOf(`part-${(leader + 1) % 3}`, 2)[1]! });
     await cluster.advance(5000);
@@ -262,7 +262,7 @@
     assert.notEqual(partitionLeader, leader);
     cluster.node(partitionLeader).answerHeartbeat(JSON.parse(JSON.stringify(held)));
     await cluster.advance(20_000);
-    cluster.cut.clear();
+    cluster.disconnected.clear();
     heal();
     await cluster.advance(20_000);
     assertNoViolations();
@@ -323,7 +323,7 @@
     it(`no task starts twice and none is lost${lostCommands ? ', even if commands are held back meanwhile' : ''}`, async () => {
       await startCluster(8, {}, 25_000);
       cluster.rememberWorkers();
-      const release = lostCommands ? cluster.network.cut({ path: /^\/commands/ }) : () => undefined;
+      const release = lostCommands ? cluster.network.holdMessages({ path: /^\/commands/ }) : () => undefined;
       await cluster.submit({ ...service, taskCount: 4, spreadAcrossZones: true });
       await cluster.submit({ ...gang, cpus: 4, taskCount: 3 });
       await cluster.submit({ id: 'j-batch', taskCount: 8 });
@@ -332,7 +332,7 @@
       assert.equal(confirmed.status, 200);
       for (const node of NODES) cluster.crash(node);
       const [dead] = cluster.runs('j-svc/0');
-      cluster.cut.add(dead!.machineId);
+      cluster.disconnected.add(dead!.machineId);
       await cluster.advance(15_000);
       for (const worker of cluster.workers.values()) assert.equal(worker.tasks.size, 0);
       cluster.start(2);
@@ -370,16 +370,16 @@
       await cluster.submit({ id: 'j-batch', taskCount: 16 });
       const heal = startCloudOutage();
       const [, one] = cluster.runs('j-svc/0').concat(cluster.runs('j-svc/1'));
-      cluster.cut.add(one!.machineId);
+      cluster.disconnected.add(one!.machineId);
       for (let round = 0; round < 10; round++) {
-        const leader = NODES.find((node) => cluster.has(node) && node === leaderOf('leader')) ?? round % 3;
-        if (round === 4 && outageMs > 0) cluster.store.out = true;
+        const leader = NODES.find((node) => cluster.isUp(node) && node === leaderOf('leader')) ?? round % 3;
+        if (round === 4 && outageMs > 0) cluster.store.isUnavailable = true;
         cluster.crash(leader);
         await cluster.advance([300, 4000, 900][round % 3]!);
         cluster.start(leader);
         await cluster.submit({ id: `j-more${round}`, taskCount: 2 }, (leader + 1) % 3);
         await cluster.advance(4000);
-        if (round === 2) cluster.cut.clear();
+        if (round === 2) cluster.disconnected.clear();
         if (round === 4 && outageMs > 0) {
           await cluster.advance(outageMs);
           cluster.store.endOutage();
@@ -409,7 +409,7 @@
     it(`break no invariant and leave no records, at a share of ${share * 100} %${options === unlimitedTeam ? ', without team limits' : ''}`, async () => {
       await startCluster(8, options);
       cluster.rememberWorkers();
-      const heal = cluster.network.fault({ to: 'store:1', path: /^\/(txn|holds)/, kind: 'late', share });
+      const heal = cluster.network.addFault({ to: 'store:1', path: /^\/(txn|holds)/, kind: 'late', share });
       for (let round = 0; round < 8; round++) {
         for (let n = 0; n < 3; n++) {
           void cluster.users.submit(jobOf({ id: `j-a${round}${n}`, taskCount: 3, cpus: 4 }));
@@ -423,9 +423,9 @@
         if (round % 2 === 1) void cluster.users.cancelJob(`j-a${round}0`);
         const part = `part-${round % 3}`;
         const [partitionLeader, leader] = [leaderOf(part), leaderOf('leader')];
-        if (round % 3 === 0 && cluster.has(partitionLeader))
+        if (round % 3 === 0 && cluster.isUp(partitionLeader))
           void cluster.node(partitionLeader).leadership.release(part, 'scenario', 2000);
-        if (round % 3 === 1 && cluster.has(leader)) void cluster.restart(leader, 300);
+        if (round % 3 === 1 && cluster.isUp(leader)) void cluster.restart(leader, 300);
         await cluster.advance(3000);
       }
       heal();
@@ -443,23 +443,23 @@
 
   it('rent no machine twice and leave no rental record', async () => {
     await startCluster(0);
-    for (const zone of ['a', 'b', 'c']) cluster.cloud.full.add(zone);
-    const heal = cluster.network.fault({
+    for (const zone of ['a', 'b', 'c']) cluster.cloud.fullZones.add(zone);
+    const heal = cluster.network.addFault({
       path: /^\/txn/,
-      where: (transact) => JSON.stringify(transact).includes('live/hire/'),
+      matchesBody: (transact) => JSON.stringify(transact).includes('live/hire/'),
       kind: 'late',
       share: 0.5,
     });
     await cluster.submit({ taskCount: 8 });
     await cluster.advance(20_000);
     heal();
-    cluster.cloud.full.clear();
+    cluster.cloud.fullZones.clear();
     await cluster.advance(12_000);
     cluster.crash(leaderOf('leader'));
     await cluster.advance(10_000);
     const machineIds = [...cluster.cloud.rentals.values()].flat();
     assert.equal(machineIds.length, 2, '8 tasks of 2 CPUs on machines of 8');
-    for (const zone of ['a', 'b', 'c']) cluster.cloud.full.add(zone);
+    for (const zone of ['a', 'b', 'c']) cluster.cloud.fullZones.add(zone);
     for (const machineId of machineIds) cluster.addWorker({ machineId, runMs: 5000 });
     await cluster.advance(25_000);
     assert.deepEqual(
--- a/test/scenarios/combined-faults-workers.test.ts
+++ b/test/scenarios/combined-faults-workers.test.ts
@@ -7,7 +7,7 @@
 
 let cluster: Cluster;
 /** Every scenario ends with the result of the invariant checker. */
-afterEach(() => assert.deepEqual(cluster.verdict(), []));
+afterEach(() => assert.deepEqual(cluster.stopAndCheck(), []));
 
 async function startCluster(machines: number, options: ClusterOptions = { nodes: 3 }, runMs = 5000): Promise<Cluster> {
   cluster = new Cluster(options);
@@ -45,12 +45,12 @@
       [],
     );
     assert.equal(isSchedulable(0, machineId), false);
-    assert.ok(cluster.cloud.returned.includes(machineId), 'returned');
+    assert.ok(cluster.cloud.returnedMachineIds.includes(machineId), 'returned');
     const runs = cluster.runs('j-svc/0');
     assert.equal(runs.length, 2);
     assert.ok(runs[1]!.from - since < 16_000, `${runs[1]!.from - since} ms`);
     for (let second = 0; second < 30; second++) {
-      assert.equal(cluster.overlaps(`j-${second}/0`), 0);
+      assert.equal(cluster.countOverlaps(`j-${second}/0`), 0);
       assert.equal(stateOf(await cluster.poll(`j-${second}`)), 'done');
     }
   });
@@ -76,11 +76,11 @@
     await cluster.submit(service);
     const machineId = currentMachine('j-svc/0');
     cluster.rememberWorkers();
-    cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
+    cluster.network.addFault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
     const since = cluster.clock.now();
     cluster.outboundLoss.add(machineId);
     // The kill arrives but its answer is lost: no controller knows that the task has ended.
-    cluster.network.fault({ to: `${machineId}:9000`, kind: 'answerLost' });
+    cluster.network.addFault({ to: `${machineId}:9000`, kind: 'answerLost' });
     await cluster.advance(1000);
     await cluster.submit({ ...service, id: 'j-svc2' });
     assert.equal(stateOf(await cluster.cancelJob('j-svc', 1)), 'cancelled');
@@ -117,9 +117,9 @@
   it('is refused by a worker that has seen the new token, and its placement is released only then', async () => {
     await startCluster(1);
     const host = 'i-000000';
-    cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
+    cluster.network.addFault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
     cluster.outboundLoss.add(host);
-    const deliver = cluster.network.cut({ to: `${host}:9000` });
+    const deliver = cluster.network.holdMessages({ to: `${host}:9000` });
     void cluster.post(jobOf(service));
     await cluster.advance(600);
     assert.equal(stateOf(await cluster.cancelJob('j-svc', 1)), 'cancelled');
@@ -136,7 +136,7 @@
     const workers = { report_s: 1, lease_s: 10, gang_wait_s: 30, gang_peer_s: 4, cancel_s: 16 };
     await startCluster(1, { nodes: 3, cluster: { workers } });
     await cluster.submit({ ...service, id: 'j-svc-old' });
-    cluster.network.fault({ to: 'i-000000:9000', kind: 'hold' });
+    cluster.network.addFault({ to: 'i-000000:9000', kind: 'hold' });
     void cluster.post(jobOf(service));
     await cluster.advance(200);
     assert.equal(stateOf(await cluster.cancelJob('j-svc', 1)), 'cancelled');
@@ -149,12 +149,12 @@
     await startCluster(1);
     const host = 'i-000000';
     cluster.outboundLoss.add(host);
-    const deliver = cluster.network.cut({ to: `${host}:9000` });
+    const deliver = cluster.network.holdMessages({ to: `${host}:9000` });
     void cluster.post(jobOf(service));
     await cluster.advance(600);
     void cluster.requestCancellation('j-svc', 1);
     await cluster.advance(300);
-    cluster.store.out = true;
+    cluster.store.isUnavailable = true;
     cluster.outboundLoss.delete(host);
     await cluster.advance(60_000);
     deliver();
@@ -167,7 +167,7 @@
 
   it('is not executed after the lease has expired, and a cancelled task does not continue after its machine hung', async () => {
     await startCluster(2);
-    cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
+    cluster.network.addFault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
     for (const hangMs of [8000, 14_000]) {
       const jobId = `j-svc-${hangMs}`;
       await cluster.submit({ ...service, id: jobId });
@@ -195,7 +195,7 @@
 describe('a machine that returns just when its lease is proved to have expired', () => {
   it('keeps the task that was placed there again, though the proof is recorded twice', async () => {
     await startCluster(3);
-    cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
+    cluster.network.addFault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
     // The job is placed by another node than the machine's partition leader.
     const leader = cluster.node(0).leadership.leaderOf('leader');
     const machineIds = [...cluster.workers.keys()];
@@ -212,7 +212,13 @@
     await cluster.advance(8500);
     const partitionLeader = partitionOf(machineId);
     // The proof is recorded, but the answer is lost: the partition leader tries again later.
-    cluster.network.fault({ from: `n${partitionLeader}`, to: 'store:1', path: /^\/txn/, kind: 'answerLost', times: 1 });
+    cluster.network.addFault({
+      from: `n${partitionLeader}`,
+      to: 'store:1',
+      path: /^\/txn/,
+      kind: 'answerLost',
+      times: 1,
+    });
     await until(() => !placementsJson(jobId).includes(machineId));
     cluster.outboundLoss.delete(machineId);
     // In the meantime the machine has returned with a new agent epoch.
@@ -222,14 +228,19 @@
       await cluster.advance(report === 0 ? 490 : 0);
     }
     // The partition leader learns late what has become of the placement.
-    const heal = cluster.network.fault({ from: `n${partitionLeader}`, to: 'store:1', path: /^\/watch/, kind: 'lose' });
+    const heal = cluster.network.addFault({
+      from: `n${partitionLeader}`,
+      to: 'store:1',
+      path: /^\/watch/,
+      kind: 'lose',
+    });
     await until(() => cluster.runs(`${jobId}/0`).length === 2, 1500);
     heal();
     for (const other of others) cluster.workers.get(other)!.spotNoticeS = null;
     await cluster.advance(12_000);
     const runs = cluster.runs(`${jobId}/0`);
     assert.equal(runs.length, 2);
-    assert.equal(cluster.overlaps(`${jobId}/0`), 0);
+    assert.equal(cluster.countOverlaps(`${jobId}/0`), 0);
     assert.equal(runs[1]!.machineId, machineId);
   });
 });
@@ -261,7 +272,7 @@
     const leads = Number(cluster.node(former).leadership.leaderOf('leader')!.slice(1));
     await until(() => cluster.node(leads).inventory.get(machineId)!.spotTerminationAt !== null);
     // From here on it misses all changes: the task is stopped, forgotten, and starts on another machine.
-    const heal = cluster.network.fault({ from: `n${home}`, to: 'store:1', path: /^\/watch/, kind: 'lose' });
+    const heal = cluster.network.addFault({ from: `n${home}`, to: 'store:1', path: /^\/watch/, kind: 'lose' });
     for (const node of others) cluster.partitioned.add(`n${node}>n${home}`);
     await until(() => cluster.runs('j-svc/0').length === 2 && !cluster.workers.get(machineId)!.tasks.has('j-svc/0'));
     for (const node of others) cluster.partitioned.delete(`n${node}>n${home}`);
@@ -272,7 +283,7 @@
     heal();
     await cluster.advance(5000);
     assert.equal(cluster.runs('j-svc/0').length, 2);
-    assert.equal(cluster.overlaps('j-svc/0'), 0);
+    assert.equal(cluster.countOverlaps('j-svc/0'), 0);
   });
 });
 
@@ -280,13 +291,13 @@
   for (const restarts of [false, true]) {
     it(`from before a launch proves no exit, ${restarts ? 'even at a partition leader that has just restarted' : 'at whatever node it arrives'}`, async () => {
       await startCluster(2, { nodes: 3, teams: [{ name: 'red', cpus_max: 2 }] });
-      cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
+      cluster.network.addFault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
       const copies = new Map([...cluster.workers].map(([id, worker]) => [id, worker.composeHeartbeat()]));
       await cluster.submit(service);
       const machineId = currentMachine('j-svc/0');
       const partitionLeader = partitionOf(machineId);
       const copy = copies.get(machineId)!;
-      cluster.cut.add(machineId);
+      cluster.disconnected.add(machineId);
       void cluster.requestCancellation('j-svc', partitionLeader);
       await cluster.advance(50);
       void cluster.post(jobOf({ ...service, id: 'j-svc2' }), partitionLeader);
@@ -300,7 +311,7 @@
       cluster.node(partitionLeader).receive({ kind: 'forwarded_heartbeat', payload });
       await cluster.advance(5000);
       assert.equal(cluster.runs('j-svc2/0').length, 0, 'the team is at its limit');
-      cluster.cut.delete(machineId);
+      cluster.disconnected.delete(machineId);
       await cluster.advance(15_000);
       assert.notEqual(cluster.runs('j-svc/0')[0]!.to, undefined);
       assert.equal(cluster.runs('j-svc2/0').length, 1);
@@ -325,7 +336,7 @@
     cluster.addWorker({ machineId: 'i-000009' });
     await cluster.advance(2000);
     // A new leader receives the copy before any heartbeat of the machine, which no answer or command reaches for a while.
-    cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
+    cluster.network.addFault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
     const partitionLeader = partitionOf(machineId);
     cluster.inboundLoss.add(machineId);
     cluster.outboundLoss.add(machineId);
@@ -364,7 +375,7 @@
     await cluster.advance(30_000);
     for (let round = 0; round < 8; round++) {
       assert.equal(stateOf(await cluster.poll(`j-a${round}`)), 'done');
-      for (const taskIndex of [0, 1]) assert.equal(cluster.overlaps(`j-svc${round}/${taskIndex}`), 0);
+      for (const taskIndex of [0, 1]) assert.equal(cluster.countOverlaps(`j-svc${round}/${taskIndex}`), 0);
     }
     assert.equal(stateOf(await cluster.cancelJob('j-svc')), 'cancelled');
     const use = cluster.store.rows.get('live/team/red')!.value as { cpus: number };
@@ -382,7 +393,7 @@
     for (const jobId of jobIds) await cluster.submit({ ...service, id: jobId });
     const machineIds = [...new Set(jobIds.map((jobId) => currentMachine(`${jobId}/0`)))];
     cluster.rememberWorkers();
-    cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
+    cluster.network.addFault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
     const leader = Number(cluster.node(0).leadership.leaderOf('leader')!.slice(1));
     const partitionLeader = partitionOf(machineIds[0]!);
     for (const machineId of machineIds) cluster.inboundLoss.add(machineId);
@@ -393,7 +404,7 @@
     await cluster.advance(36_000);
     assert.notEqual(cluster.runs('j-svc0/0')[0]!.to, undefined);
     for (const jobId of jobIds.slice(1)) {
-      assert.equal(cluster.overlaps(`${jobId}/0`), 0);
+      assert.equal(cluster.countOverlaps(`${jobId}/0`), 0);
       assert.equal(cluster.runs(`${jobId}/0`).at(-1)!.to, undefined, `${jobId} runs again`);
       assert.equal(machineIds.includes(currentMachine(`${jobId}/0`)), false);
     }
@@ -410,12 +421,12 @@
     await startCluster(6);
     for (const jobId of jobIds) await cluster.submit({ ...service, id: jobId });
     const machineIds = [...new Set(jobIds.map((jobId) => currentMachine(`${jobId}/0`)))];
-    cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
+    cluster.network.addFault({ to: 'cloud:1', kind: 'status', status: 503, body: { error: 'trouble' } });
     const leader = Number(cluster.node(0).leadership.leaderOf('leader')!.slice(1));
     // Its last answers are still in flight when it crashes.
-    const held = cluster.network.cut({ to: `n${leader}:8080` });
+    const held = cluster.network.holdMessages({ to: `n${leader}:8080` });
     await cluster.advance(1500);
-    for (const machineId of machineIds) cluster.cut.add(machineId);
+    for (const machineId of machineIds) cluster.disconnected.add(machineId);
     held();
     await cluster.advance(20);
     cluster.crash(leader);
@@ -424,12 +435,12 @@
     void cluster.requestCancellation('j-svc0', other);
     // One machine is reached again within its lease, the others after it.
     await cluster.advance(3000);
-    cluster.cut.delete(machineIds[1]!);
+    cluster.disconnected.delete(machineIds[1]!);
     await cluster.advance(50_000);
-    for (const machineId of machineIds) cluster.cut.delete(machineId);
+    for (const machineId of machineIds) cluster.disconnected.delete(machineId);
     await cluster.advance(8000);
     for (const jobId of jobIds.slice(1)) {
-      assert.equal(cluster.overlaps(`${jobId}/0`), 0);
+      assert.equal(cluster.countOverlaps(`${jobId}/0`), 0);
       assert.equal(cluster.runs(`${jobId}/0`).at(-1)!.to, undefined, `${jobId} runs again`);
     }
     assert.ok(cluster.store.rows.has('ended/j-svc0'));
@@ -455,7 +466,7 @@
     const inside = [...cluster.workers.values()].filter((worker) => worker.options.zone === 'b');
     assert.ok(inside.length >= 4);
     const since = cluster.clock.now();
-    const heal = cluster.network.split(['n1', ...inside.map((worker) => worker.options.machineId)]);
+    const heal = cluster.network.partition(['n1', ...inside.map((worker) => worker.options.machineId)]);
     await cluster.advance(300);
     for (const jobId of jobIds.slice(0, 3)) void cluster.requestCancellation(jobId, 0);
     await cluster.advance(12_000);
@@ -467,7 +478,7 @@
     heal();
     await cluster.advance(20_000);
     for (const jobId of jobIds) {
-      for (const taskIndex of [0, 1]) assert.equal(cluster.overlaps(`${jobId}/${taskIndex}`), 0);
+      for (const taskIndex of [0, 1]) assert.equal(cluster.countOverlaps(`${jobId}/${taskIndex}`), 0);
     }
     for (const jobId of jobIds.slice(3)) {
       for (const taskIndex of [0, 1])
