--- a/test/scenarios/disagreement.test.ts
+++ b/test/scenarios/disagreement.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test';
 
 import type { Schedule } from '../../testing/random-schedule.js';
-import { play } from '../../testing/randomized-scenario.js';
+import { playRandomized } from '../../testing/randomized-scenario.js';
 
 describe('two jobs of a team whose limit has room for only one of them', () => {
   // Generated from seed 4074. Each node leaves the team's room to the other node's job, since their queue orders differ.
@@ -18,6 +18,6 @@
         { fault: 0, afterMs: 4736 },
       ],
     } as Schedule;
-    assert.deepEqual(await play(schedule), []);
+    assert.deepEqual(await playRandomized(schedule), []);
   });
 });
--- a/test/scenarios/large-clusters.test.ts
+++ b/test/scenarios/large-clusters.test.ts
@@ -22,7 +22,7 @@
 
 let cluster: Cluster | undefined;
 afterEach(() => {
-  const violations = cluster?.verdict() ?? [];
+  const violations = cluster?.stopAndCheck() ?? [];
   cluster = undefined;
   assert.deepEqual(violations, []);
 });
@@ -202,7 +202,7 @@
       prefix: 'live/',
       clock,
       random: new Random(1),
-      gatherMs: 200,
+      batchingMs: 200,
     });
     const put = (key: string, priority: Priority) =>
       void transactions.commit(key, priority, (draft) => {
@@ -251,7 +251,7 @@
         return true;
       };
       void transactions.commit('free', Priority.record, decide, {
-        batchingHint: { key, shared: `team/${n % 3}` },
+        batchingHint: { key, sharedRecord: `team/${n % 3}` },
       });
     }
     await clock.advance(20_000);
@@ -288,7 +288,7 @@
     await cluster!.advance(8000);
     const commandCount = () =>
       cluster!.network.log.filter(({ from, path }) => from === 'n0' && path === '/commands').length;
-    for (const machineId of cluster!.workers.keys()) cluster!.cut.add(machineId);
+    for (const machineId of cluster!.workers.keys()) cluster!.disconnected.add(machineId);
     cluster!.crash(1);
     const start = commandCount();
     let before = start;
@@ -327,9 +327,10 @@
     let most = 0;
     const sampleUsage = () => {
       const { clusterState } = cluster!.node(1);
-      for (const machineId of cluster!.workers.keys()) most = Math.max(most, clusterState.usedOn(machineId)?.cpus ?? 0);
+      for (const machineId of cluster!.workers.keys())
+        most = Math.max(most, clusterState.usedResourcesOn(machineId)?.cpus ?? 0);
     };
-    const endRefusal = cluster!.network.fault({ from: 'n0', path: /txn/, kind: 'status', status: 429 });
+    const endRefusal = cluster!.network.addFault({ from: 'n0', path: /txn/, kind: 'status', status: 429 });
     const jobs = Array.from({ length: 12 }, (_, n) =>
       cluster!.post(jobOf({ id: `j-wait${n}`, taskCount: 12, estimatedRunS: 5 }), 1),
     );
--- a/test/scenarios/limits.test.ts
+++ b/test/scenarios/limits.test.ts
@@ -13,7 +13,7 @@
 
 let cluster: Cluster | undefined;
 afterEach(() => {
-  const violations = cluster?.verdict() ?? [];
+  const violations = cluster?.stopAndCheck() ?? [];
   cluster = undefined;
   assert.deepEqual(violations, []);
 });
@@ -72,7 +72,7 @@
   it('the largest array and a job of the lowest priority start within four minutes', async () => {
     cluster = new Cluster({ nodes: 1, teams: [{ name: 'red' }] });
     cluster.addWorker({ machineId: 'i-000001', runMs: 4000 });
-    cluster.cloud.full.add('a').add('b').add('c');
+    cluster.cloud.fullZones.add('a').add('b').add('c');
     await cluster.advance(4000);
     const small = (n: number) => cluster!.submit({ id: `j-small${n}`, taskCount: 6, estimatedRunS: 4 });
     for (let n = 0; n < 4; n++) await small(n);
@@ -90,7 +90,7 @@
 describe('a node', () => {
   it('learns of a change from the node that made it, before its own watch delivers it', async () => {
     await startCluster(3, 3);
-    cluster!.network.fault({ path: /^\/watch/, kind: 'lose' });
+    cluster!.network.addFault({ path: /^\/watch/, kind: 'lose' });
     const answer = cluster!.post(
       jobOf({
         id: 'j-svc',
--- a/test/scenarios/randomized.test.ts
+++ b/test/scenarios/randomized.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test';
 
 import { largeScheduleOf, type Schedule, scheduleOf } from '../../testing/random-schedule.js';
-import { play } from '../../testing/randomized-scenario.js';
+import { playRandomized } from '../../testing/randomized-scenario.js';
 
 /**
  * A few of the hundreds of scenarios that `npm run randomized` runs. With seed 5039, and with seed 197 of the large scenarios,
@@ -25,20 +25,20 @@
       ],
       cancels: [300, 600, 700, 900, 1200, 1500].map((afterMs) => ({ fault: 0, afterMs })),
     };
-    assert.deepEqual(await play(schedule), []);
+    assert.deepEqual(await playRandomized(schedule), []);
   });
 
   for (const seed of SEEDS) {
     it(`breaks no invariant: seed ${seed}`, async () => {
       const schedule = scheduleOf(seed);
-      assert.deepEqual(await play(schedule), [], JSON.stringify(schedule));
+      assert.deepEqual(await playRandomized(schedule), [], JSON.stringify(schedule));
     });
   }
 
   for (const seed of SEEDS_OF_LARGE) {
     it(`breaks no invariant with tens of machines and long-running controllers: seed ${seed}`, async () => {
       const schedule = largeScheduleOf(seed);
-      assert.deepEqual(await play(schedule), [], JSON.stringify(schedule));
+      assert.deepEqual(await playRandomized(schedule), [], JSON.stringify(schedule));
     });
   }
 });
--- a/test/scenarios/single-execution.test.ts
+++ b/test/scenarios/single-execution.test.ts
@@ -11,7 +11,7 @@
 
 let cluster: Cluster;
 /** Every scenario ends with the result of the invariant checker. */
-afterEach(() => assert.deepEqual(cluster.verdict(), []));
+afterEach(() => assert.deepEqual(cluster.stopAndCheck(), []));
 
 /** Longer than a lease plus the degraded serving of a former leader: lease expiry is no longer counted from the acquisition. */
 const SETTLED_MS = 45_000;
@@ -39,7 +39,7 @@
     cluster.addWorker({ machineId: `i-0000${String(index).padStart(2, '0')}`, zone: ['a', 'b', 'c'][index % 3]! });
   }
   await cluster.advance(READY_MS);
-  cluster.network.fault(CLOUD_OUTAGE);
+  cluster.network.addFault(CLOUD_OUTAGE);
   await cluster.advance(SETTLED_MS);
 }
 
@@ -71,12 +71,12 @@
     const others = machineIds.filter(isBusy);
     // A launch on one machine gets no answer, and its job is cancelled: the token is advanced so that the launch is refused.
     cluster.outboundLoss.add(commanded);
-    cluster.network.fault({ to: `${commanded}:9000`, kind: 'hold' });
-    cluster.network.fault({
+    cluster.network.addFault({ to: `${commanded}:9000`, kind: 'hold' });
+    cluster.network.addFault({
       from: `n${leader}`,
       to: 'store:1',
       path: /^\/txn/,
-      where: (body) => writesClaim(body, 'put', role),
+      matchesBody: (body) => writesClaim(body, 'put', role),
       kind: 'answerLost',
       times: 1,
     });
@@ -95,11 +95,11 @@
   it('releases no task whose worker sends its heartbeat late, when it keeps a partition that it could not hand over', async () => {
     const { role, machineIds, leader } = await startLongTasks();
     await closeToNewWork(machineIds);
-    const heal = cluster.network.fault({
+    const heal = cluster.network.addFault({
       from: `n${leader}`,
       to: 'store:1',
       path: /^\/txn/,
-      where: (body) => writesClaim(body, 'delete', role),
+      matchesBody: (body) => writesClaim(body, 'delete', role),
       kind: 'status',
       status: 429,
     });
@@ -124,14 +124,14 @@
     assert.equal(leaderOf('part-0'), 0);
     // Neither of the two workers reaches its leader or is reached by it; the first one is assigned a task.
     for (const machineId of machineIds) {
-      cluster.network.fault({ from: machineId, to: 'n0:8080', kind: 'refuse' });
-      cluster.network.fault({ from: 'n0', to: `${machineId}:9000`, kind: 'refuse' });
+      cluster.network.addFault({ from: machineId, to: 'n0:8080', kind: 'refuse' });
+      cluster.network.addFault({ from: 'n0', to: `${machineId}:9000`, kind: 'refuse' });
     }
     await closeToNewWork([second]);
-    const release = cluster.network.cut({ from: 'n1', to: 'n0' });
+    const release = cluster.network.holdMessages({ from: 'n1', to: 'n0' });
     void cluster.post(jobOf({ id: 'j-svc-0' }), 0);
     await cluster.advance(1500);
-    const unblock = cluster.network.fault({ from: first, to: 'n1:8080', kind: 'refuse' });
+    const unblock = cluster.network.addFault({ from: first, to: 'n1:8080', kind: 'refuse' });
     cluster.crash(1);
     cluster.start(1);
     const before = reportsTo('n1:8080', second);
--- a/test/scenarios/store-outage.test.ts
+++ b/test/scenarios/store-outage.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import { afterEach, describe, it } from 'node:test';
 
-import type { HttpAnswer } from '../../src/net/http-answer.js';
+import type { JsonResponse } from '../../src/net/http-answer.js';
 import { Cluster } from '../../testing/cluster.js';
 import { type ClusterOptions } from '../../testing/fixtures.js';
 import { encodeJobState } from '../../testing/job-status-wire-codec.js';
 
 let cluster: Cluster;
-afterEach(() => assert.deepEqual(cluster.verdict(), []));
+afterEach(() => assert.deepEqual(cluster.stopAndCheck(), []));
 
 const CANCEL_DEADLINE_MS = 36_000;
 const NODES = [0, 1, 2];
@@ -57,7 +57,7 @@
 async function isolatePartitionLeader(): Promise<{ jobId: string; reconnect: () => void }> {
   await startCluster();
   const jobId = await runOnNode0();
-  cluster.store.refused.add('n0');
+  cluster.store.refusedNodes.add('n0');
   return { jobId, reconnect: isolateFromPeers('n0') };
 }
 
@@ -66,7 +66,7 @@
   let at = NaN;
   const asked = cluster.requestCancellation(jobId, node);
   void asked.then(() => (at = cluster.clock.now()));
-  const answer: HttpAnswer = await cluster.during(asked, 300);
+  const answer: JsonResponse = await cluster.advanceUntilSettled(asked, 300);
   assert.deepEqual(answer.body, encodeJobState(jobId, 'cancelled'));
   return at;
 }
@@ -86,7 +86,7 @@
       await cluster.advance(refusedMs / 2);
       const at = await cancelThrough(jobId, 1);
       await cluster.advance(Math.max(0, refusedMs / 2 - 300));
-      cluster.store.out = true;
+      cluster.store.isUnavailable = true;
       reconnect();
       await cluster.advance(64_000);
       assertEndedInTime(jobId, at);
@@ -96,7 +96,7 @@
   it('the tasks end in time while the leader stays cut off from its peers, by its clock alone', async () => {
     const { jobId } = await isolatePartitionLeader();
     const at = await cancelThrough(jobId, 1);
-    cluster.store.out = true;
+    cluster.store.isUnavailable = true;
     await cluster.advance(64_000);
     assertEndedInTime(jobId, at);
   });
@@ -105,9 +105,9 @@
     const { jobId, reconnect } = await isolatePartitionLeader();
     // No node but n1 learns of the cancellation.
     const reconnectNode1 = isolateFromPeers('n1');
-    const restoreWatch = cluster.network.fault({ from: 'n2', path: /^\/watch/, kind: 'lose' });
+    const restoreWatch = cluster.network.addFault({ from: 'n2', path: /^\/watch/, kind: 'lose' });
     const at = await cancelThrough(jobId, 1);
-    cluster.store.out = true;
+    cluster.store.isUnavailable = true;
     cluster.crash(1);
     restoreWatch();
     cluster.start(1);
@@ -120,11 +120,11 @@
   it('tasks that nobody cancelled survive the outage, though the replicas differed by seconds', async () => {
     await startCluster();
     const jobId = await runOnNode0();
-    cluster.store.refused.add('n0');
+    cluster.store.refusedNodes.add('n0');
     await cluster.advance(2700);
-    cluster.store.out = true;
+    cluster.store.isUnavailable = true;
     await cluster.advance(64_000);
-    cluster.store.refused.clear();
+    cluster.store.refusedNodes.clear();
     cluster.store.endOutage();
     await cluster.advance(8000);
     assert.equal(endedAt(jobId), Infinity);
@@ -134,7 +134,7 @@
   it('cancelled tasks are stopped by any node that reaches the machine, without waiting for the partition leader', async () => {
     const { jobId } = await isolatePartitionLeader();
     const at = await cancelThrough(jobId, 1);
-    cluster.store.out = true;
+    cluster.store.isUnavailable = true;
     await cluster.advance(8000);
     assert.ok(endedAt(jobId) - at < 8000, 'within seconds');
   });
--- a/test/store/store-client.test.ts
+++ b/test/store/store-client.test.ts
@@ -2,14 +2,14 @@
 import { describe, it } from 'node:test';
 
 import { decodeStoreSettings } from '../../src/config/settings-file-codec.js';
-import { NoResponseError, type Reply } from '../../src/net/http-client.js';
+import { type HttpResponse, NoResponseError } from '../../src/net/http-client.js';
 import { Random } from '../../src/net/random.js';
 import { Priority } from '../../src/net/token-bucket.js';
 import { StoreClient, StoreError } from '../../src/store/store-client.js';
 import { answering } from '../../testing/answering-http-client.js';
 import { FakeClock } from '../../testing/fake-clock.js';
 
-const clientWithReply = (reply: Reply | NoResponseError) =>
+const clientWithReply = (reply: HttpResponse | NoResponseError) =>
   new StoreClient({
     http: answering(reply),
     address: 'x:1',
@@ -18,7 +18,7 @@
     clock: new FakeClock(),
     random: new Random(1),
   });
-const transact = (reply: Reply | NoResponseError) =>
+const transact = (reply: HttpResponse | NoResponseError) =>
   clientWithReply(reply).transact([], [{ key: 'a', value: 1 }], Priority.record);
 
 describe('the store client', () => {
--- a/test/store/transaction-batcher.test.ts
+++ b/test/store/transaction-batcher.test.ts
@@ -58,7 +58,7 @@
       return Promise.resolve(isRejected ? { kind: 'malformed', reason: 'too large' } : { kind: 'done', revision: 1 });
     };
     const client = { transact } as unknown as StoreClient;
-    const limits = anyTransactionLimits({ valueBytes: 4096, lastingValueBytes: 2048 });
+    const limits = anyTransactionLimits({ valueBytes: 4096, strictestValueBytes: 2048 });
     const rejected: string[] = [];
     const transactions = new TransactionBatcher({
       client,
@@ -98,7 +98,7 @@
       return { kind: 'done', revision: 1 };
     };
     const client = { transact } as unknown as StoreClient;
-    const limits = anyTransactionLimits({ writes: 1, batchWrites: 1, valueBytes: 4096, lastingValueBytes: 4096 });
+    const limits = anyTransactionLimits({ writes: 1, batchWrites: 1, valueBytes: 4096, strictestValueBytes: 4096 });
     const transactions = new TransactionBatcher({
       client,
       replica: new Replica(client, 'live/', clock),
@@ -114,7 +114,7 @@
       };
       void transactions.commit('start', Priority.background, decide, {
         timeoutMs: 5000,
-        batchingHint: { key, shared: undefined },
+        batchingHint: { key, sharedRecord: undefined },
       });
     }
     await clock.advance(20);
--- a/test/testing/invariant-checker.test.ts
+++ b/test/testing/invariant-checker.test.ts
@@ -446,6 +446,6 @@
       cluster.checker.violations.map((each) => each.rule),
       ['ran_twice', 'started_cancelled'],
     );
-    assert.equal(cluster.verdict().length, 2);
+    assert.equal(cluster.stopAndCheck().length, 2);
   });
 });
--- a/test/testing/stand-ins.test.ts
+++ b/test/testing/stand-ins.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { afterEach, describe, it } from 'node:test';
 
-import { NoResponseError, type Reply } from '../../src/net/http-client.js';
+import { type HttpResponse, NoResponseError } from '../../src/net/http-client.js';
 import { decodeWorkerStatus, type WorkerStatus } from '../../src/workers/worker-wire-codec.js';
 import { Cluster } from '../../testing/cluster.js';
 import { FakeClock } from '../../testing/fake-clock.js';
@@ -114,7 +114,7 @@
     startCluster();
     await cluster.advance(3000);
     cluster.inboundLoss.add('i-0');
-    assert.equal(await cluster.during(launch(0, 'j-000001/0')), undefined);
+    assert.equal(await cluster.advanceUntilSettled(launch(0, 'j-000001/0')), undefined);
     const agentEpochs = () =>
       cluster.network.log
         .filter((each) => each.from === 'i-0')
@@ -138,7 +138,7 @@
       return answerHeartbeat(body);
     };
     await cluster.advance(3000);
-    cluster.network.fault({ to: 'cloud:1', kind: 'status', status: 503 });
+    cluster.network.addFault({ to: 'cloud:1', kind: 'status', status: 503 });
     cluster.unreachable.add('i-0>n0');
     await cluster.advance(11_000);
     cluster.unreachable.clear();
@@ -164,7 +164,7 @@
     );
     const put = (value: number) =>
       network.client('n0').call('store:1', 'POST', '/txn', putBody(value), { timeoutMs: 1500 });
-    network.fault({ path: /^\/txn/, kind: 'late', lateMs: [2000, 12_000], times: 1 });
+    network.addFault({ path: /^\/txn/, kind: 'late', lateMs: [2000, 12_000], times: 1 });
     const first = put(1).then(
       () => 'answered',
       (error: unknown) => (error as NoResponseError).wasSent,
@@ -174,7 +174,7 @@
     assert.equal(await first, true);
     assert.equal((await second).status, 200);
     assert.equal(store.rows.get('k')!.value, 2);
-    store.refused.add('n0');
+    store.refusedNodes.add('n0');
     await clock.advance(11_000);
     assert.equal(store.rows.get('k')!.value, 1);
   });
@@ -185,7 +185,7 @@
     const clock = new FakeClock();
     const store = new FakeStore(clock);
     store.slowMs = 800;
-    let answer: Reply | undefined;
+    let answer: HttpResponse | undefined;
     void store.handle('POST', '/txn', putBody(1)).then((reply) => (answer = reply));
     await clock.advance(390);
     assert.equal(store.rows.size, 0);
@@ -206,7 +206,7 @@
       received.push(body);
       return { status: 200, body: {} };
     });
-    const heal = network.split(['a']);
+    const heal = network.partition(['a']);
     const call = (n: number) =>
       network
         .client('a')
@@ -309,7 +309,7 @@
       assert.equal(taskOutcome(1, first), 'running');
       if (attempt === 2) void kill(2, second, attempt);
       if (attempt === 3) worker(2).suspend();
-      if (attempt === 4) cluster.kill('i-2');
+      if (attempt === 4) cluster.killMachine('i-2');
       await cluster.advance(4100);
       assert.equal(taskOutcome(1, first), 'peer_lost');
       if (attempt === 3) worker(2).resume();
@@ -368,10 +368,10 @@
     startWorkersOnly();
     void cluster.post(jobOf({}));
     const gone = worker(0);
-    const deliver = cluster.network.cut({ to: 'i-0:9000' });
+    const deliver = cluster.network.holdMessages({ to: 'i-0:9000' });
     const answer = launch(0, 'j-000001/0');
     await cluster.advance(100);
-    cluster.kill('i-0');
+    cluster.killMachine('i-0');
     deliver();
     await cluster.advance(2000);
     assert.equal(await answer, undefined);
@@ -383,21 +383,21 @@
   it('retry failed requests, keep polling, and get correct answers to unusual requests', async () => {
     startCluster({ nodes: 2 }, 2);
     await cluster.advance(4000);
-    cluster.store.out = true;
+    cluster.store.isUnavailable = true;
     const answer = cluster.users.submit(jobOf({ id: 'j-000001' }));
     await cluster.advance(8000);
     cluster.store.endOutage();
-    assert.equal((await cluster.during(answer)).status, 201);
+    assert.equal((await cluster.advanceUntilSettled(answer)).status, 201);
     void cluster.users.submit(jobOf({ id: 'j-svc', kind: 'service', estimatedRunS: 0 }));
     await cluster.advance(16_000);
     assert.equal(cluster.users.jobs.get('j-000001')!.state, 'done');
     assert.equal(cluster.users.jobs.get('j-svc')!.state, 'running');
-    const answers = await cluster.during(cluster.users.sendUnusualRequests());
+    const answers = await cluster.advanceUntilSettled(cluster.users.sendUnusualRequests());
     assert.deepEqual(
       answers.map((each) => each.status),
       [200, 200, 200, 422, 422, 400, 400, 400, 400, 404],
     );
     assert.equal(decodeJobState(answers[0]!.body), 'done');
-    assert.deepEqual(cluster.verdict(), []);
+    assert.deepEqual(cluster.stopAndCheck(), []);
   });
 });
--- a/test/wire-format.test.ts
+++ b/test/wire-format.test.ts
@@ -64,7 +64,7 @@
 
 const answerText = ({ status, body }: { status: number; body: unknown }): string => `${status} ${JSON.stringify(body)}`;
 const submit = async (json: string, node = 0): Promise<string> =>
-  answerText(await cluster.during(cluster.post(JSON.parse(json), node)));
+  answerText(await cluster.advanceUntilSettled(cluster.post(JSON.parse(json), node)));
 const submitArray = (ref: string, node = 0): Promise<string> => submit(submission(ref, ARRAY) + END, node);
 const poll = async (ref: string, node = 0): Promise<string> => answerText(await cluster.poll(ref, node));
 const withdraw = async (ref: string): Promise<string> => answerText(await cluster.cancelJob(ref));
@@ -233,7 +233,10 @@
   const client = cluster.network.client('elsewhere');
   const limits = { timeoutMs: 4000 };
   return answerText(
-    await cluster.during(client.call(`n${node}:8080`, 'POST', '/hello', JSON.parse(heartbeat), limits), 10),
+    await cluster.advanceUntilSettled(
+      client.call(`n${node}:8080`, 'POST', '/hello', JSON.parse(heartbeat), limits),
+      10,
+    ),
   );
 }
 
@@ -276,7 +279,7 @@
     startCluster({ nodes: 2 });
     await cluster.advance(6000);
     cluster.partitioned.add('n0>n1');
-    cluster.network.fault({ from: 'n1', to: 'store:1', path: /^\/watch/, kind: 'lose' });
+    cluster.network.addFault({ from: 'n1', to: 'store:1', path: /^\/watch/, kind: 'lose' });
     assert.equal(await submitArray('j-a'), '201 {"Ref":"j-a","Phase":"queued"}');
     assert.equal(await poll('j-a', 1), '200 {"Ref":"j-a","Phase":"queued","done":0,"running":0}');
     const sent = requests('store:1', /^\/(store\/|txn)/);
@@ -293,7 +296,7 @@
   it('carries launch, kill and forget commands', async () => {
     startCluster();
     cluster.addWorker({ machineId: 'i-000001', runMs: 4000 });
-    cluster.network.fault({ path: /^\/commands/, kind: 'refuse' });
+    cluster.network.addFault({ path: /^\/commands/, kind: 'refuse' });
     await cluster.advance(5000);
     await submitArray('j-a');
     await cluster.advance(8000);
@@ -361,10 +364,10 @@
 
   it('is 503 while the store is out, and to a health check before the node is healthy', async () => {
     startCluster();
-    assert.equal(answerText(cluster.node(0).up()), '503 {"up":false}');
+    assert.equal(answerText(cluster.node(0).answerHealthCheck()), '503 {"up":false}');
     await cluster.advance(5000);
-    assert.equal(answerText(cluster.node(0).up()), '200 {"up":true}');
-    cluster.store.out = true;
+    assert.equal(answerText(cluster.node(0).answerHealthCheck()), '200 {"up":true}');
+    cluster.store.isUnavailable = true;
     await cluster.advance(9000);
     const out = '503 {"error":"the state service does not answer"}';
     assert.equal(await submitArray('j-z'), out);
--- a/test/workers/heartbeats.test.ts
+++ b/test/workers/heartbeats.test.ts
@@ -7,7 +7,7 @@
 import { jobOf } from '../../testing/fixtures.js';
 
 let cluster: Cluster;
-afterEach(() => assert.deepEqual(cluster.verdict(), []));
+afterEach(() => assert.deepEqual(cluster.stopAndCheck(), []));
 
 async function startCluster(nodes: number, machines: number): Promise<Cluster> {
   cluster = new Cluster({ nodes });
@@ -38,11 +38,11 @@
     await cluster.advance(12_000);
     for (const node of [0, 1, 2]) assert.equal(isSchedulable(node, machineId), false);
     await cluster.advance(8000);
-    assert.ok(cluster.cloud.returned.includes(machineId));
+    assert.ok(cluster.cloud.returnedMachineIds.includes(machineId));
     const runs = cluster.runs('j-svc/0');
     assert.equal(runs.length, 2);
     assert.ok(runs[1]!.from - since < 16_000, `${runs[1]!.from - since} ms`);
-    assert.equal(cluster.overlaps('j-svc/0'), 0);
+    assert.equal(cluster.countOverlaps('j-svc/0'), 0);
   });
 
   it('is schedulable again as soon as responses reach it', async () => {
@@ -52,7 +52,7 @@
     cluster.inboundLoss.delete('i-000000');
     await cluster.advance(7000);
     assert.ok(isSchedulable(leaderOf('i-000000'), 'i-000000'));
-    assert.deepEqual(cluster.cloud.returned, []);
+    assert.deepEqual(cluster.cloud.returnedMachineIds, []);
   });
 });
 
@@ -112,23 +112,23 @@
     const copy = cluster.workers.get(machineId)!.composeHeartbeat();
     await cluster.advance(2000);
     cluster.rememberWorkers();
-    cluster.cut.add(machineId);
+    cluster.disconnected.add(machineId);
     for (let second = 0; second < 12; second++) {
       // The copy arrives at the leader, and at nodes that would otherwise consider its worker cut off from the leader.
       for (const node of [0, 1, 2]) void cluster.node(node).answerHeartbeat(JSON.parse(JSON.stringify(copy)));
       await cluster.advance(1000);
     }
-    assert.ok(cluster.cloud.returned.includes(machineId));
+    assert.ok(cluster.cloud.returnedMachineIds.includes(machineId));
     assert.equal(cluster.runs('j-svc/0').length, 2);
-    assert.equal(cluster.overlaps('j-svc/0'), 0);
+    assert.equal(cluster.countOverlaps('j-svc/0'), 0);
   });
 
   it('does not register a terminated machine again', async () => {
     await startCluster(3, 3);
     const copy = cluster.workers.get('i-000001')!.composeHeartbeat();
-    cluster.cut.add('i-000001');
+    cluster.disconnected.add('i-000001');
     await cluster.advance(12_000);
-    assert.ok(cluster.cloud.returned.includes('i-000001'));
+    assert.ok(cluster.cloud.returnedMachineIds.includes('i-000001'));
     for (const node of [0, 1, 2]) {
       void cluster.node(node).answerHeartbeat(JSON.parse(JSON.stringify(copy)));
       assert.equal(isSchedulable(node, 'i-000001'), false);
@@ -139,7 +139,7 @@
   it('does not make its machine schedulable if it is the first heartbeat at a restarted node', async () => {
     await startCluster(1, 2);
     const copy = cluster.workers.get('i-000000')!.composeHeartbeat();
-    cluster.cut.add('i-000000');
+    cluster.disconnected.add('i-000000');
     cluster.crash(0);
     cluster.start(0);
     await cluster.advance(1500);
@@ -154,10 +154,10 @@
   it('redirects the workers to the new leader as soon as they report its token, and no task ends', async () => {
     await startCluster(3, 6);
     for (let n = 0; n < 6; n++) await cluster.submit({ ...service, id: `j-svc${n}` });
-    cluster.network.fault({ from: 'n0', to: 'store:1', kind: 'lose' });
+    cluster.network.addFault({ from: 'n0', to: 'store:1', kind: 'lose' });
     for (const pair of ['n0>n1', 'n0>n2', 'n1>n0', 'n2>n0']) cluster.partitioned.add(pair);
     await cluster.advance(25_000);
-    assert.equal(cluster.node(0).up().status, 503);
+    assert.equal(cluster.node(0).answerHealthCheck().status, 503);
     for (let n = 0; n < 6; n++) {
       const runs = cluster.runs(`j-svc${n}/0`);
       assert.equal(runs.length, 1);
@@ -170,7 +170,7 @@
   it('responds to submissions, polls and cancellations with 503 at once, not only after a timeout', async () => {
     await startCluster(1, 1);
     await cluster.submit(service);
-    cluster.store.out = true;
+    cluster.store.isUnavailable = true;
     const jobs = cluster.node(0).jobs;
     const spec = jobOf({ ...service, id: 'j-later' });
     // At first the store's own refusal is passed on; later the outage is already known when a request arrives.
@@ -195,14 +195,14 @@
     await startCluster(3, 9);
     const inZone = [...cluster.workers.values()].filter((worker) => worker.options.zone === 'b');
     await cluster.submit({ ...service, taskCount: 4, spreadAcrossZones: true });
-    for (const { options } of inZone) cluster.cut.add(options.machineId);
+    for (const { options } of inZone) cluster.disconnected.add(options.machineId);
     await cluster.advance(14_000);
     const cutOff = [0, 1, 2, 3].filter((n) => cluster.runs(`j-svc/${n}`).length > 1);
     for (const n of cutOff) assert.notEqual(cluster.workers.get(machineOf(`j-svc/${n}`))!.options.zone, 'b');
     assert.ok(cutOff.length > 0);
-    for (let n = 0; n < 4; n++) assert.equal(cluster.overlaps(`j-svc/${n}`), 0);
-    assert.deepEqual(cluster.cloud.returned, []);
-    for (const { options } of inZone) cluster.cut.delete(options.machineId);
+    for (let n = 0; n < 4; n++) assert.equal(cluster.countOverlaps(`j-svc/${n}`), 0);
+    assert.deepEqual(cluster.cloud.returnedMachineIds, []);
+    for (const { options } of inZone) cluster.disconnected.delete(options.machineId);
     await cluster.advance(5000);
     for (const { options } of inZone) assert.ok(isSchedulable(leaderOf(options.machineId), options.machineId));
   });
--- a/testing/cluster-nodes.ts
+++ b/testing/cluster-nodes.ts
@@ -8,7 +8,7 @@
 import type { FakeClock } from './fake-clock.js';
 import type { FakeNetwork } from './fake-network.js';
 import { type ClusterOptions, settingsFileOf } from './fixtures.js';
-import { Freezer, type Trap } from './freezer.js';
+import { Freezer, type FreezeTrigger } from './freezer.js';
 import { CURRENT_VERSION, type OpaqueMessage, type ProgramVersion, type TestedController } from './program-version.js';
 
 /** A running controller. */
@@ -70,7 +70,7 @@
       return answer;
     });
     controller.connect((to, message) => !stop.signal.aborted && this.deliver(settings.node, to, message));
-    void controller.runDuties(stop.signal);
+    void controller.runBackgroundLoops(stop.signal);
   }
 
   /** From its next start on, the node runs the current version. */
@@ -91,7 +91,7 @@
   }
 
   async restart(index: number, sendingMs: number, lateMs: [number, number]): Promise<void> {
-    const endFault = this.network.fault({ from: `n${index}`, path: /^\/(txn|commands)/, kind: 'late', lateMs });
+    const endFault = this.network.addFault({ from: `n${index}`, path: /^\/(txn|commands)/, kind: 'late', lateMs });
     await this.clock.sleep(sendingMs);
     endFault();
     this.crash(index);
@@ -102,7 +102,7 @@
     this.nodes.get(`n${index}`)?.freezer.freeze(forMs);
   }
 
-  freezeAt(index: number, trigger: Trap): () => void {
+  freezeAt(index: number, trigger: FreezeTrigger): () => void {
     const triggers = this.nodes.get(`n${index}`)?.freezer.triggers;
     triggers?.add(trigger);
     return () => triggers?.delete(trigger);
--- a/testing/cluster-workers.ts
+++ b/testing/cluster-workers.ts
@@ -1,6 +1,6 @@
 /** The machines of a cluster: adds and removes them, sends their heartbeats, and keeps the history of their tasks. */
 import type { Resources } from '../src/domain/resources.js';
-import type { Reply } from '../src/net/http-client.js';
+import type { HttpResponse } from '../src/net/http-client.js';
 import type { Random } from '../src/net/random.js';
 import type { FakeClock } from './fake-clock.js';
 import type { FakeCloud } from './fake-cloud.js';
@@ -87,7 +87,7 @@
     this.workers.get(machineId)?.terminate();
     checker.machineGone(clock.now(), machineId);
     this.workers.delete(machineId);
-    links.cut.add(machineId);
+    links.disconnected.add(machineId);
   }
 
   /** Reports to the checker which machines could start a task now. */
@@ -106,7 +106,11 @@
     }
   }
 
-  private async deliverHeartbeat(machineId: string, node: string, heartbeat: object): Promise<Reply | undefined> {
+  private async deliverHeartbeat(
+    machineId: string,
+    node: string,
+    heartbeat: object,
+  ): Promise<HttpResponse | undefined> {
     const { clock, network, random } = this.dependencies;
     const sendFrom = (from: string) =>
       network
--- a/testing/cluster.ts
+++ b/testing/cluster.ts
@@ -1,7 +1,7 @@
 /** A complete cluster in one process, for scenarios. */
 import type { Controller } from '../src/controller/controller.js';
 import type { MachineType } from '../src/domain/machine-type.js';
-import type { HttpAnswer } from '../src/net/http-answer.js';
+import type { JsonResponse } from '../src/net/http-answer.js';
 import { Random } from '../src/net/random.js';
 import type { UserAnswer } from './answer-checker.js';
 import { ClusterNodes } from './cluster-nodes.js';
@@ -14,7 +14,7 @@
 import { FakeUsers } from './fake-users.js';
 import type { FakeWorker } from './fake-worker.js';
 import { C8, type ClusterOptions, jobOf, settingsFileOf } from './fixtures.js';
-import type { Trap } from './freezer.js';
+import type { FreezeTrigger } from './freezer.js';
 import { InvariantChecker } from './invariant-checker.js';
 import { LinkFaults } from './link-faults.js';
 import { currentController, type TestedController } from './program-version.js';
@@ -38,7 +38,7 @@
   /** Observes what workers run and what users are told. */
   readonly checker: InvariantChecker;
   private readonly links = new LinkFaults();
-  readonly cut = this.links.cut;
+  readonly disconnected = this.links.disconnected;
   readonly inboundLoss = this.links.inboundLoss;
   readonly outboundLoss = this.links.outboundLoss;
   readonly unreachable = this.links.unreachable;
@@ -144,7 +144,7 @@
    * Freezes the node the next time it is about to send a request or answer that matches the trigger, or has just
    * received the answer to such a request. Returns a function that disarms the trigger.
    */
-  freezeAt(index: number, trigger: Trap): () => void {
+  freezeAt(index: number, trigger: FreezeTrigger): () => void {
     return this.nodes.freezeAt(index, trigger);
   }
 
@@ -154,7 +154,7 @@
   }
 
   /** Is the node up? */
-  has(index: number): boolean {
+  isUp(index: number): boolean {
     return this.nodes.get(index) !== undefined;
   }
 
@@ -167,7 +167,7 @@
   }
 
   /** Removes the machine, with all its tasks. */
-  kill(machineId: string): void {
+  killMachine(machineId: string): void {
     this.machines.kill(machineId);
   }
 
@@ -186,7 +186,7 @@
   }
 
   /** Advances the time by at least `ms`, until the promise is settled. */
-  async during<T>(promise: Promise<T>, ms = 3000): Promise<T> {
+  async advanceUntilSettled<T>(promise: Promise<T>, ms = 3000): Promise<T> {
     let settled = false;
     void promise.finally(() => (settled = true));
     await this.advance(ms);
@@ -195,7 +195,7 @@
   }
 
   /** A user submits a job; the answer arrives as time advances. */
-  post(body: unknown, node = 0): Promise<HttpAnswer> {
+  post(body: unknown, node = 0): Promise<JsonResponse> {
     this.checker.submitted(body);
     const jobId = String(decodeSubmittedId(body));
     // The user also uploads the job for the workers.
@@ -203,11 +203,11 @@
     return this.asUser('submit', jobId, node, (controller) => controller.submit(body));
   }
 
-  requestStatus(jobId: string, node = 0): Promise<HttpAnswer> {
+  requestStatus(jobId: string, node = 0): Promise<JsonResponse> {
     return this.asUser('poll', jobId, node, (controller) => controller.poll(jobId));
   }
 
-  requestCancellation(jobId: string, node = 0): Promise<HttpAnswer> {
+  requestCancellation(jobId: string, node = 0): Promise<JsonResponse> {
     this.checker.cancelRequested(this.clock.now(), jobId);
     return this.asUser('cancel', jobId, node, (controller) => controller.cancel(jobId));
   }
@@ -216,14 +216,14 @@
     kind: UserAnswer['kind'],
     jobId: string,
     index: number,
-    call: (controller: TestedController) => Promise<HttpAnswer>,
-  ): Promise<HttpAnswer> {
+    call: (controller: TestedController) => Promise<JsonResponse>,
+  ): Promise<JsonResponse> {
     const requestedAt = this.clock.now();
     const node = this.nodes.get(index);
     const timeoutMs = kind === 'poll' ? POLL_TIMEOUT_MS : REQUEST_TIMEOUT_MS;
     const { freezer, stop, controller } = node ?? {};
-    const answer = await new Promise<HttpAnswer>((resolve) => {
-      const noAnswer: HttpAnswer = { status: 0, body: undefined };
+    const answer = await new Promise<JsonResponse>((resolve) => {
+      const noAnswer: JsonResponse = { status: 0, body: undefined };
       // A node that is down, or ends in the meantime, sends no answer.
       if (controller === undefined) return resolve(noAnswer);
       stop!.signal.addEventListener('abort', () => resolve(noAnswer));
@@ -241,16 +241,16 @@
     return answer;
   }
 
-  submit(fields: Partial<Submission>, node = 0): Promise<HttpAnswer> {
-    return this.during(this.post(jobOf(fields), node));
+  submit(fields: Partial<Submission>, node = 0): Promise<JsonResponse> {
+    return this.advanceUntilSettled(this.post(jobOf(fields), node));
   }
 
-  poll(jobId: string, node = 0): Promise<HttpAnswer> {
-    return this.during(this.requestStatus(jobId, node));
+  poll(jobId: string, node = 0): Promise<JsonResponse> {
+    return this.advanceUntilSettled(this.requestStatus(jobId, node));
   }
 
-  cancelJob(jobId: string, node = 0): Promise<HttpAnswer> {
-    return this.during(this.requestCancellation(jobId, node));
+  cancelJob(jobId: string, node = 0): Promise<JsonResponse> {
+    return this.advanceUntilSettled(this.requestCancellation(jobId, node));
   }
 
   /** All runs of a task on any machine, in the order of their starts. */
@@ -272,13 +272,13 @@
   }
 
   /** How many runs of a task started while an earlier one was still running. */
-  overlaps(taskId: string): number {
+  countOverlaps(taskId: string): number {
     const runs = this.runs(taskId);
     return runs.filter((run, index) => runs.some((other, i) => i < index && (other.to ?? Infinity) > run.from)).length;
   }
 
   /** Ends the scenario and describes the violated rules, if any. */
-  verdict(): string[] {
+  stopAndCheck(): string[] {
     this.stop();
     return this.checker.verdict(this.clock.now());
   }
--- a/testing/fake-cloud.ts
+++ b/testing/fake-cloud.ts
@@ -1,6 +1,6 @@
 /** An in-memory fake of the cloud. */
 import type { ListedMachine, ScaleOutRequest } from '../src/cloud/cloud-wire-codec.js';
-import type { Reply } from '../src/net/http-client.js';
+import type { HttpResponse } from '../src/net/http-client.js';
 import {
   type CatalogEntry,
   decodeScaleInRequest,
@@ -18,10 +18,10 @@
   /** Machines by the idempotency key of the scale-out request that they were rented with. */
   readonly rentals = new Map<string, string[]>();
   /** Machines that were returned, oldest first. */
-  readonly returned: string[] = [];
+  readonly returnedMachineIds: string[] = [];
   readonly machines = new Map<string, CloudMachine>();
   /** Zones without capacity. */
-  readonly full = new Set<string>();
+  readonly fullZones = new Set<string>();
   private nextMachine = 100;
   /** Called when a machine has been rented. */
   onRent: (machineId: string) => void = () => undefined;
@@ -35,33 +35,33 @@
   }
 
   /** Answers a request. */
-  handle(method: string, path: string, body: unknown): Reply {
+  handle(method: string, path: string, body: unknown): HttpResponse {
     if (path === '/machine_types') return { status: 200, body: encodeCatalog(this.machineTypes) };
     if (path === '/rentals/return') return this.scaleIn(decodeScaleInRequest(body));
     if (method === 'GET') return this.listMachines();
     return this.scaleOut(decodeScaleOutRequest(body));
   }
 
-  private scaleIn(machineIds: readonly string[]): Reply {
+  private scaleIn(machineIds: readonly string[]): HttpResponse {
     for (const machineId of machineIds) {
       this.machines.delete(machineId);
-      this.returned.push(machineId);
+      this.returnedMachineIds.push(machineId);
       this.onReturn(machineId);
     }
     return { status: 200, body: {} };
   }
 
-  private listMachines(): Reply {
+  private listMachines(): HttpResponse {
     const machines = [...this.machines]
       .sort(([a], [b]) => (a < b ? -1 : 1))
       .map(([machineId, machine]) => ({ machineId, endpoint: `${machineId}:9000`, ...machine }));
     return { status: 200, body: encodeMachineList(machines) };
   }
 
-  private scaleOut({ rentalId, machineType, zone, isSpot, count }: ScaleOutRequest): Reply {
+  private scaleOut({ rentalId, machineType, zone, isSpot, count }: ScaleOutRequest): HttpResponse {
     const rented = this.rentals.get(rentalId);
     if (rented !== undefined) return { status: 200, body: encodeRentedMachines(rented) };
-    if (this.full.has(zone)) return { status: 503, body: { error: 'no capacity' } };
+    if (this.fullZones.has(zone)) return { status: 503, body: { error: 'no capacity' } };
     const machineIds = Array.from({ length: count }, () => `i-${String(this.nextMachine++).padStart(6, '0')}`);
     this.rentals.set(rentalId, machineIds);
     for (const machineId of machineIds) {
--- a/testing/fake-network.ts
+++ b/testing/fake-network.ts
@@ -1,5 +1,5 @@
 /** An in-memory fake of the network between all hosts of a cluster. */
-import { type CallOptions, type HttpClient, NoResponseError, type Reply } from '../src/net/http-client.js';
+import { type CallOptions, type HttpClient, type HttpResponse, NoResponseError } from '../src/net/http-client.js';
 import { Random } from '../src/net/random.js';
 import type { FakeClock } from './fake-clock.js';
 
@@ -13,7 +13,12 @@
 }
 
 /** Handles the requests to an address. */
-export type RequestHandler = (method: string, path: string, body: unknown, sender: Sender) => Promise<Reply> | Reply;
+export type RequestHandler = (
+  method: string,
+  path: string,
+  body: unknown,
+  sender: Sender,
+) => Promise<HttpResponse> | HttpResponse;
 
 /** A fault of the messages that match all its fields; of several faults, the first that matches applies. */
 export interface NetworkFault {
@@ -21,7 +26,7 @@
   to?: string;
   path?: RegExp;
   /** Selects requests by their body. */
-  where?: (body: unknown) => boolean;
+  matchesBody?: (body: unknown) => boolean;
   /**
    * refuse: the connection is refused. lose: the message does not arrive. answerLost: it arrives, its answer is lost.
    * hold: it is delivered on release, in order, and its answer too if the sender still waits for it.
@@ -70,40 +75,40 @@
   }
 
   /** Adds a fault. Returns a function that ends it; messages that it holds stay held until they are delivered. */
-  fault(fault: NetworkFault): () => void {
+  addFault(fault: NetworkFault): () => void {
     this.faults.push(fault);
     return () => (this.faults = this.faults.filter((each) => each !== fault));
   }
 
   /** Ends all faults; held messages stay held. */
-  heal(): void {
+  clearFaults(): void {
     this.faults = [];
   }
 
   /** Holds the messages that match. Returns a function that ends this and delivers them. */
-  cut(where: { from?: string; to?: string; path?: RegExp }): () => void {
+  holdMessages(where: { from?: string; to?: string; path?: RegExp }): () => void {
     const fault: NetworkFault = { ...where, kind: 'hold' };
-    const endFault = this.fault(fault);
+    const endFault = this.addFault(fault);
     return () => {
       endFault();
-      this.release(fault);
+      this.deliverHeld(fault);
     };
   }
 
   /**
    * Partitions these hosts from all others. Returns a function that ends the partition and delivers the held messages.
    */
-  split(inside: Iterable<string>): () => void {
+  partition(inside: Iterable<string>): () => void {
     const fault: NetworkFault = { kind: 'hold' };
     this.partitions.set(fault, new Set(inside));
     return () => {
       this.partitions.delete(fault);
-      this.release(fault);
+      this.deliverHeld(fault);
     };
   }
 
   /** Delivers the held messages in order, or only those that the given fault holds. */
-  release(by?: NetworkFault): void {
+  deliverHeld(by?: NetworkFault): void {
     const released = this.held.filter(({ fault }) => by === undefined || fault === by);
     this.held = this.held.filter((each) => !released.includes(each));
     for (const { resume } of released) resume();
@@ -134,7 +139,7 @@
         (fault.from === undefined || fault.from === from) &&
         (fault.to === undefined || fault.to === to) &&
         (fault.path === undefined || fault.path.test(path)) &&
-        (fault.where === undefined || fault.where(body)) &&
+        (fault.matchesBody === undefined || fault.matchesBody(body)) &&
         (fault.share === undefined || this.random.float() < fault.share),
     );
     if (found?.times !== undefined && --found.times === 0) this.faults = this.faults.filter((each) => each !== found);
@@ -154,7 +159,7 @@
       (fault) =>
         (fault.kind === 'lose' || fault.kind === 'hold') &&
         fault.share === undefined &&
-        fault.where === undefined &&
+        fault.matchesBody === undefined &&
         (fault.from === undefined || fault.from === from) &&
         (fault.to === undefined || fault.to === to) &&
         (fault.path === undefined || fault.path.test(path)),
@@ -167,8 +172,8 @@
   }
 
   /** Does the fault lose the answer? If so, also delivers the request itself at once, late or never. */
-  private losesAnswer(fault: NetworkFault, deliver: (isLate?: boolean) => Promise<Reply>): boolean {
-    const ignore = (arrived: Promise<Reply>) => void arrived.catch(() => undefined);
+  private losesAnswer(fault: NetworkFault, deliver: (isLate?: boolean) => Promise<HttpResponse>): boolean {
+    const ignore = (arrived: Promise<HttpResponse>) => void arrived.catch(() => undefined);
     if (fault.kind === 'answerLost') ignore(deliver());
     if (fault.kind === 'late') ignore(this.clock.sleep(this.delayMs(fault)).then(() => deliver(true)));
     return fault.kind === 'answerLost' || fault.kind === 'late' || fault.kind === 'lose';
@@ -182,7 +187,7 @@
     path: string,
     body: unknown,
     options: CallOptions,
-  ): Promise<Reply> {
+  ): Promise<HttpResponse> {
     const sender: Sender = { from, sentAt: this.clock.now() };
     const copy: unknown = body === undefined ? undefined : JSON.parse(JSON.stringify(body));
     const fault = this.matchFault(from, to, path, copy);
@@ -190,17 +195,17 @@
     if (!this.handlers.has(to) || fault?.kind === 'refuse') throw new NoResponseError(`${description}: refused`, false);
     if (fault?.kind === 'status') return { status: fault.status!, body: fault.body ?? {} };
     this.log.push({ from, to, method, path, body: copy });
-    const deliver = async (isLate = false): Promise<Reply> => {
+    const deliver = async (isLate = false): Promise<HttpResponse> => {
       const handler = this.handlers.get(to);
       if (handler === undefined) throw new NoResponseError(`${description}: refused`, false);
       return handler(method, path, copy, isLate ? { ...sender, isLate } : sender);
     };
     let cancel: () => void = () => undefined;
-    const timedOut = new Promise<Reply>((_, reject) => {
+    const timedOut = new Promise<HttpResponse>((_, reject) => {
       cancel = this.clock.after(options.timeoutMs, () => reject(new NoResponseError(`${description}: timeout`, true)));
     });
     if (fault !== undefined && this.losesAnswer(fault, deliver)) return timedOut;
-    const answer = async (): Promise<Reply> => {
+    const answer = async (): Promise<HttpResponse> => {
       if (fault === undefined) await this.clock.sleep(1);
       else await this.untilReleased(fault);
       const reply = await deliver(this.clock.now() - sender.sentAt >= options.timeoutMs);
@@ -213,7 +218,7 @@
     timedOut.catch(() => undefined);
     reply.catch(() => undefined);
     try {
-      return JSON.parse(JSON.stringify(await Promise.race([reply, timedOut]))) as Reply;
+      return JSON.parse(JSON.stringify(await Promise.race([reply, timedOut]))) as HttpResponse;
     } finally {
       cancel();
     }
--- a/testing/fake-store.ts
+++ b/testing/fake-store.ts
@@ -1,6 +1,6 @@
 /** An in-memory fake of the key-value store. */
 import type { Clock } from '../src/net/clock.js';
-import type { Reply } from '../src/net/http-client.js';
+import type { HttpResponse } from '../src/net/http-client.js';
 import {
   decodeStoreRequest,
   encodeChanges,
@@ -48,7 +48,7 @@
   private nextLeaseId = 1;
   revision = 0;
   /** While set, every request gets 503. */
-  out = false;
+  isUnavailable = false;
   /** Duration of every request, also of watches and leases: half of it before the request is executed, half after. */
   slowMs = 0;
   /** Undefined: no limits. May change at any time. */
@@ -56,24 +56,24 @@
   /** Operations that the rate limit still allows, as of the time `at`. */
   private writeAllowance = { count: Infinity, at: 0 };
   /** Number of transactions that were rejected for their size. */
-  tooLarge = 0;
+  tooLargeCount = 0;
   /** Nodes that get 503 to every request while others are served; their open watches wait, as in an outage. */
-  readonly refused = new Set<string>();
+  readonly refusedNodes = new Set<string>();
 
   constructor(private readonly clock: Clock) {}
 
   /** Ends the outage, and renews all leases for their full TTL. */
   endOutage(): void {
-    this.out = false;
+    this.isUnavailable = false;
     for (const lease of this.leases.values()) lease.until = this.clock.now() + lease.ttlMs;
   }
 
   private isUnavailableTo(from: string | undefined): boolean {
-    return this.out || (from !== undefined && this.refused.has(from));
+    return this.isUnavailable || (from !== undefined && this.refusedNodes.has(from));
   }
 
   /** Handles a request. `from`: the node that sent it; undefined if the request must not be refused for its sender. */
-  async handle(method: string, path: string, body: unknown, from?: string): Promise<Reply> {
+  async handle(method: string, path: string, body: unknown, from?: string): Promise<HttpResponse> {
     if (this.slowMs === 0) return this.execute(method, path, body, from);
     await this.clock.sleep(this.slowMs / 2);
     const reply = await this.execute(method, path, body, from);
@@ -81,7 +81,7 @@
     return reply;
   }
 
-  private async execute(method: string, path: string, body: unknown, from: string | undefined): Promise<Reply> {
+  private async execute(method: string, path: string, body: unknown, from: string | undefined): Promise<HttpResponse> {
     if (this.isUnavailableTo(from)) return { status: 503, body: { error: 'unavailable' } };
     this.expireLeases();
     const request = decodeStoreRequest(method, path, body);
@@ -102,19 +102,19 @@
     }
   }
 
-  private get(key: string): Reply {
+  private get(key: string): HttpResponse {
     const row = this.rows.get(key);
     if (row === undefined) return { status: 404, body: encodeRevision(this.revision) };
     return { status: 200, body: encodeRow({ key, ...row }) };
   }
 
-  private grantLease(ttlMs: number): Reply {
+  private grantLease(ttlMs: number): HttpResponse {
     const leaseId = this.nextLeaseId++;
     this.leases.set(leaseId, { ttlMs, until: this.clock.now() + ttlMs });
     return { status: 200, body: encodeLease(leaseId) };
   }
 
-  private updateLease({ kind, leaseId }: RequestOf<'renewLease' | 'revokeLease'>): Reply {
+  private updateLease({ kind, leaseId }: RequestOf<'renewLease' | 'revokeLease'>): HttpResponse {
     const lease = this.leases.get(leaseId);
     if (lease === undefined) return { status: 404, body: {} };
     lease.until = kind === 'revokeLease' ? this.clock.now() : this.clock.now() + lease.ttlMs;
@@ -132,7 +132,7 @@
     }
   }
 
-  private transact(transaction: StoreTransaction): Reply {
+  private transact(transaction: StoreTransaction): HttpResponse {
     const { conditions, operations } = transaction;
     const refusal = this.refusalByLimits(transaction);
     if (refusal !== undefined) return refusal;
@@ -149,14 +149,14 @@
   }
 
   /** The refusal of a transaction above the limits; one within them is counted against the write rate. */
-  private refusalByLimits({ conditions, operations }: StoreTransaction): Reply | undefined {
+  private refusalByLimits({ conditions, operations }: StoreTransaction): HttpResponse | undefined {
     if (this.limits === undefined) return undefined;
     const { valueBytes, transactionWrites, writesPerSecond } = this.limits;
     const bytes = Math.max(0, ...operations.map(bytesOf));
     const isTooMuch =
       operations.length > transactionWrites || conditions.length > transactionWrites * CONDITIONS_PER_WRITE;
     if (isTooMuch || bytes > valueBytes) {
-      this.tooLarge++;
+      this.tooLargeCount++;
       return { status: 400, body: { error: `too large: ${operations.length} changes, ${bytes} bytes` } };
     }
     const now = this.clock.now();
@@ -180,13 +180,16 @@
     for (const wake of this.watchWaiters.splice(0)) wake();
   }
 
-  private list({ prefix, after, limit }: RequestOf<'list'>): Reply {
+  private list({ prefix, after, limit }: RequestOf<'list'>): HttpResponse {
     const keys = [...this.rows.keys()].filter((key) => key.startsWith(prefix) && key > after).sort();
     const rows = keys.slice(0, limit).map((key) => ({ key, ...this.rows.get(key)! }));
     return { status: 200, body: encodePage(rows, keys.length > limit, this.revision) };
   }
 
-  private async watch({ prefix, fromRevision, waitMs }: RequestOf<'watch'>, node: string | undefined): Promise<Reply> {
+  private async watch(
+    { prefix, fromRevision, waitMs }: RequestOf<'watch'>,
+    node: string | undefined,
+  ): Promise<HttpResponse> {
     const end = this.clock.now() + waitMs;
     const newChanges = () =>
       this.changes.filter((each) => each.modRevision > fromRevision && each.key.startsWith(prefix));
--- a/testing/fake-users.ts
+++ b/testing/fake-users.ts
@@ -1,5 +1,5 @@
 /** Fake users of a cluster. */
-import type { HttpAnswer } from '../src/net/http-answer.js';
+import type { JsonResponse } from '../src/net/http-answer.js';
 import type { Random } from '../src/net/random.js';
 import type { FakeClock } from './fake-clock.js';
 import { decodeJobState, type JobState } from './job-status-wire-codec.js';
@@ -24,9 +24,9 @@
 export interface Service {
   nodes: number;
   isHealthy(node: number): boolean;
-  post(body: unknown, node: number): Promise<HttpAnswer>;
-  requestStatus(jobId: string, node: number): Promise<HttpAnswer>;
-  requestCancellation(jobId: string, node: number): Promise<HttpAnswer>;
+  post(body: unknown, node: number): Promise<JsonResponse>;
+  requestStatus(jobId: string, node: number): Promise<JsonResponse>;
+  requestCancellation(jobId: string, node: number): Promise<JsonResponse>;
 }
 
 /** Users as the protocol describes them: they retry failed requests, keep polling, and send some unusual requests. */
@@ -45,10 +45,10 @@
     const all = Array.from({ length: this.service.nodes }, (_, node) => node);
     const healthy = all.filter((node) => this.service.isHealthy(node));
     const candidates = healthy.length > 0 ? healthy : all;
-    return candidates[this.random.below(candidates.length)]!;
+    return candidates[this.random.intBelow(candidates.length)]!;
   }
 
-  private async retry(request: (node: number) => Promise<HttpAnswer>): Promise<HttpAnswer> {
+  private async retry(request: (node: number) => Promise<JsonResponse>): Promise<JsonResponse> {
     const end = this.clock.now() + RETRY_LIMIT_MS;
     for (;;) {
       const answer = await request(this.anyNode());
@@ -58,7 +58,7 @@
   }
 
   /** Submits a job with retries and, once it is accepted, polls it for ever. */
-  async submit(body: object): Promise<HttpAnswer> {
+  async submit(body: object): Promise<JsonResponse> {
     const answer = await this.retry((node) => this.service.post(body, node));
     const { id } = decodeSubmission(body);
     if (answer.status > 201 || answer.status === 0 || this.jobs.has(id)) return answer;
@@ -67,13 +67,13 @@
     return answer;
   }
 
-  async cancelJob(jobId: string): Promise<HttpAnswer> {
+  async cancelJob(jobId: string): Promise<JsonResponse> {
     const answer = await this.retry((node) => this.service.requestCancellation(jobId, node));
     this.recordState(jobId, answer);
     return answer;
   }
 
-  private recordState(jobId: string, answer: HttpAnswer): void {
+  private recordState(jobId: string, answer: JsonResponse): void {
     const job = this.jobs.get(jobId);
     if (job !== undefined && answer.status === 200) job.state = decodeJobState(answer.body)!;
   }
@@ -92,9 +92,10 @@
    * cancellations of jobs that are done; submissions that fit no machine or have a missing or invalid field; and a poll
    * of an unknown job.
    */
-  async sendUnusualRequests(): Promise<HttpAnswer[]> {
-    const answers: HttpAnswer[] = [];
-    const send = async (request: (node: number) => Promise<HttpAnswer>) => answers.push(await request(this.anyNode()));
+  async sendUnusualRequests(): Promise<JsonResponse[]> {
+    const answers: JsonResponse[] = [];
+    const send = async (request: (node: number) => Promise<JsonResponse>) =>
+      answers.push(await request(this.anyNode()));
     for (const [jobId, { body, state }] of this.jobs) {
       if (state === 'done') await send((node) => this.service.requestCancellation(jobId, node));
       if (state === 'done' || state === 'cancelled') continue;
--- a/testing/fake-worker.ts
+++ b/testing/fake-worker.ts
@@ -1,7 +1,7 @@
 /** A fake worker: it executes commands, keeps a lease, and sends heartbeats. */
 import { type Resources, subtractResources } from '../src/domain/resources.js';
 import type { Clock } from '../src/net/clock.js';
-import type { Reply } from '../src/net/http-client.js';
+import type { HttpResponse } from '../src/net/http-client.js';
 import {
   type CommandBatch,
   decodeCommandBatch,
@@ -273,10 +273,10 @@
   }
 
   /** Handles the requests `/commands` and `/show`. */
-  async handle(path: string, body: unknown, sentAt = this.clock.now()): Promise<Reply> {
+  async handle(path: string, body: unknown, sentAt = this.clock.now()): Promise<HttpResponse> {
     await this.untilResumed();
     // The machine is gone: a held message that is delivered only now gets no answer.
-    if (this.isDead) return new Promise<Reply>(() => undefined);
+    if (this.isDead) return new Promise<HttpResponse>(() => undefined);
     this.processDue();
     if (path === '/show') return { status: 200, body: this.composeHeartbeat() };
     const batch = decodeCommandBatch(body);
--- a/testing/fault-injector.ts
+++ b/testing/fault-injector.ts
@@ -40,13 +40,14 @@
       this.withFault(forMs, { to: STORE, path: WRITES, kind: 'late', lateMs: TRANSACTION_DELAY_MS, share }),
     lateHeartbeats: ({ forMs, share = 1 }) => this.lateHeartbeats(forMs, share),
     messageLoss: ({ forMs, share }) => this.messageLoss(forMs, share),
-    delayedCommands: ({ forMs }) => this.endAfter(forMs, this.cluster.network.cut({ path: COMMANDS })),
+    delayedCommands: ({ forMs }) => this.endAfter(forMs, this.cluster.network.holdMessages({ path: COMMANDS })),
     inboundLoss: ({ forMs, machines }) =>
       this.addTemporarily(this.cluster.inboundLoss, this.machineIds(machines), forMs),
     outboundLoss: ({ forMs, machines }) =>
       this.addTemporarily(this.cluster.outboundLoss, this.machineIds(machines), forMs),
     suspension: ({ forMs, machines }) => this.suspend(this.machineIds(machines), forMs),
-    machineLoss: ({ machines }) => this.machineIds(machines).forEach((machineId) => this.cluster.kill(machineId)),
+    machineLoss: ({ machines }) =>
+      this.machineIds(machines).forEach((machineId) => this.cluster.killMachine(machineId)),
     crash: ({ forMs, node = 0 }) => this.takeDown([node], forMs),
     restart: ({ forMs, node = 0 }) => this.cluster.restart(node, forMs),
     allNodesDown: ({ forMs }) => this.takeDown(ALL_NODES, forMs),
@@ -104,7 +105,7 @@
   }
 
   private withFault(forMs: number, fault: NetworkFault): Promise<void> {
-    return this.endAfter(forMs, this.cluster.network.fault(fault));
+    return this.endAfter(forMs, this.cluster.network.addFault(fault));
   }
 
   private addTemporarily(set: Set<string>, members: readonly string[], forMs: number): Promise<void> {
@@ -116,13 +117,13 @@
     const { cluster } = this;
     nodes.forEach((node) => cluster.crash(node));
     return this.endAfter(forMs, () =>
-      nodes.filter((node) => !cluster.has(node)).forEach((node) => cluster.start(node)),
+      nodes.filter((node) => !cluster.isUp(node)).forEach((node) => cluster.start(node)),
     );
   }
 
   private storeOutage(forMs: number): Promise<void> {
     const { store } = this.cluster;
-    store.out = true;
+    store.isUnavailable = true;
     return this.endAfter(forMs, () => store.endOutage());
   }
 
@@ -133,17 +134,17 @@
   }
 
   private refuse({ node = 0, forMs }: ScheduledFault): Promise<void> {
-    return this.addTemporarily(this.cluster.store.refused, [nodeName(node)], forMs);
+    return this.addTemporarily(this.cluster.store.refusedNodes, [nodeName(node)], forMs);
   }
 
   private async refuseThenOutage({ node = 0, refusedMs = 0, forMs, withoutPeers }: ScheduledFault): Promise<void> {
     const { clock, partitioned, store } = this.cluster;
-    store.refused.add(nodeName(node));
+    store.refusedNodes.add(nodeName(node));
     if (withoutPeers === 'alone') void this.addTemporarily(partitioned, this.gossipLinks(node), refusedMs);
     if (withoutPeers === 'throughout') void this.addTemporarily(partitioned, this.gossipLinks(node), refusedMs + forMs);
     await clock.sleep(refusedMs);
     await this.storeOutage(forMs);
-    store.refused.delete(nodeName(node));
+    store.refusedNodes.delete(nodeName(node));
   }
 
   private lateHeartbeats(forMs: number, share: number): Promise<void> {
@@ -177,11 +178,11 @@
     const { workers, network } = this.cluster;
     const zone = ZONES[node]!;
     const inside = [...workers].filter(([, worker]) => worker.options.zone === zone);
-    return this.endAfter(forMs, network.split([nodeName(node), ...inside.map(([machineId]) => machineId)]));
+    return this.endAfter(forMs, network.partition([nodeName(node), ...inside.map(([machineId]) => machineId)]));
   }
 
   private async delayGossip(node: number, forMs: number): Promise<void> {
-    const holdGossipTo = (peer: string) => this.cluster.network.cut({ from: nodeName(node), to: peer });
+    const holdGossipTo = (peer: string) => this.cluster.network.holdMessages({ from: nodeName(node), to: peer });
     await Promise.all(this.peersOf(node).map((peer) => this.endAfter(forMs, holdGossipTo(peer))));
   }
 
--- a/testing/fixtures.ts
+++ b/testing/fixtures.ts
@@ -124,6 +124,6 @@
   conditions: 48,
   bytes: 60_000,
   valueBytes: 65_536,
-  lastingValueBytes: 65_536,
+  strictestValueBytes: 65_536,
   ...fields,
 });
--- a/testing/freezer.ts
+++ b/testing/freezer.ts
@@ -1,22 +1,22 @@
 /** Freezes a controller at any point of its work, like a process that gets no CPU time. */
 import type { Clock } from '../src/net/clock.js';
-import type { HttpClient, Reply } from '../src/net/http-client.js';
+import type { HttpClient, HttpResponse } from '../src/net/http-client.js';
 import type { FakeClock } from './fake-clock.js';
 
 /** When and for how long a node freezes. */
-export interface Trap {
+export interface FreezeTrigger {
   /** Path of a request that it sends or answers; for requests of users: submit, poll or cancel. */
   path: RegExp;
   /** Before it sends a request, before it processes the answer, or before it sends its own answer. */
   when: 'sending' | 'answered' | 'answering';
   forMs: number;
   /** Selects requests by their body; all if absent. */
-  where?: (body: unknown) => boolean;
+  matchesBody?: (body: unknown) => boolean;
 }
 
 /** Sits between a controller and its clock, clients and callers, and holds all of them up while it is frozen. */
 export class Freezer {
-  readonly triggers = new Set<Trap>();
+  readonly triggers = new Set<FreezeTrigger>();
   /** The clock of the controller's process: no sleep ends while the process is frozen. */
   readonly processClock: Clock;
   private frozenUntil = -Infinity;
@@ -44,9 +44,10 @@
     while (this.isFrozen) await this.clock.sleep(this.frozenUntil - this.clock.now());
   }
 
-  private async pauseAt(when: Trap['when'], path: string, body?: unknown): Promise<void> {
+  private async pauseAt(when: FreezeTrigger['when'], path: string, body?: unknown): Promise<void> {
     const trigger = [...this.triggers].find(
-      (each) => each.when === when && each.path.test(path) && (each.where === undefined || each.where(body)),
+      (each) =>
+        each.when === when && each.path.test(path) && (each.matchesBody === undefined || each.matchesBody(body)),
     );
     if (trigger !== undefined) this.freeze(trigger.forMs);
     this.triggers.delete(trigger!);
@@ -55,7 +56,7 @@
 
   /** Wraps a client. After the process has ended, it sends no request and receives no answer. */
   wrapClient(client: HttpClient, ended: AbortSignal): HttpClient {
-    const never = new Promise<Reply>(() => undefined);
+    const never = new Promise<HttpResponse>(() => undefined);
     return {
       // eslint-disable-next-line max-params -- the signature of HttpClient
       call: async (address, method, path, body, options) => {
--- a/testing/heartbeat-sender.ts
+++ b/testing/heartbeat-sender.ts
@@ -1,6 +1,6 @@
 /** Sends the heartbeats of a fake worker: when, to which node, and what becomes of the answers. */
 import type { Clock } from '../src/net/clock.js';
-import type { Reply } from '../src/net/http-client.js';
+import type { HttpResponse } from '../src/net/http-client.js';
 import { type CommandBatch, decodeCommandBatch, decodeRedirect } from './fake-worker-wire-codec.js';
 
 /** How long a worker waits for an answer to its heartbeat, and how long it then waits before it tries the next node. */
@@ -8,7 +8,7 @@
 const NEXT_NODE_DELAY_MS = 1000;
 
 /** Sends a heartbeat to a node and returns its answer; undefined if there is none. */
-export type SendHeartbeat = (node: string, heartbeat: object) => Promise<Reply | undefined>;
+export type SendHeartbeat = (node: string, heartbeat: object) => Promise<HttpResponse | undefined>;
 
 /** The worker whose heartbeats are sent. */
 export interface HeartbeatSource {
@@ -56,7 +56,7 @@
     else this.chooseNode(nodes, node, reply);
   }
 
-  private chooseNode(nodes: readonly string[], failed: string, reply: Reply | undefined): void {
+  private chooseNode(nodes: readonly string[], failed: string, reply: HttpResponse | undefined): void {
     const redirect = reply?.status === 421 ? decodeRedirect(reply.body) : undefined;
     if (redirect !== undefined && redirect !== failed && nodes.includes(redirect)) {
       this.node = redirect;
--- a/testing/link-faults.ts
+++ b/testing/link-faults.ts
@@ -4,7 +4,7 @@
 /** Which hosts cannot reach which others. */
 export class LinkFaults {
   /** Workers that are dead or disconnected from all other hosts. */
-  readonly cut = new Set<string>();
+  readonly disconnected = new Set<string>();
   /** Workers whose heartbeats arrive, but which receive neither answers nor commands. */
   readonly inboundLoss = new Set<string>();
   /** Workers whose heartbeats reach no node, but which receive and answer direct commands. */
@@ -17,7 +17,7 @@
   /** The kind of fault between two hosts; undefined if messages get through. */
   faultBetween(from: string, to: string): NetworkFault['kind'] | undefined {
     const isLost =
-      [from, to].some((machineId) => this.cut.has(machineId)) ||
+      [from, to].some((machineId) => this.disconnected.has(machineId)) ||
       this.inboundLoss.has(to) ||
       this.outboundLoss.has(from) ||
       [this.unreachable, this.partitioned].some((pairs) => pairs.has(`${from}>${to}`));
@@ -27,6 +27,6 @@
 
   /** Do commands reach the worker, and can its heartbeats reach nodes? */
   isReachable(machineId: string): boolean {
-    return ![this.cut, this.inboundLoss, this.outboundLoss].some((machineIds) => machineIds.has(machineId));
+    return ![this.disconnected, this.inboundLoss, this.outboundLoss].some((machineIds) => machineIds.has(machineId));
   }
 }
--- a/testing/loopback-cluster.ts
+++ b/testing/loopback-cluster.ts
@@ -11,7 +11,7 @@
 import { parse } from 'smol-toml';
 
 import { type Clock, systemClock } from '../src/net/clock.js';
-import { NodeHttpClient, type Reply } from '../src/net/http-client.js';
+import { type HttpResponse, NodeHttpClient } from '../src/net/http-client.js';
 import { FakeCloud } from './fake-cloud.js';
 import { FakeGangs } from './fake-gangs.js';
 import { FakeStore } from './fake-store.js';
@@ -93,7 +93,7 @@
     return server.listen();
   }
 
-  private async handleStore(method: string, path: string, body: unknown): Promise<Reply> {
+  private async handleStore(method: string, path: string, body: unknown): Promise<HttpResponse> {
     const reply = await this.store.handle(method, path, body);
     if (path === '/txn' && reply.status === 200) {
       this.onTransaction(decodeTransaction(body));
--- a/testing/loopback-server.ts
+++ b/testing/loopback-server.ts
@@ -2,9 +2,9 @@
 import { createServer, type IncomingMessage } from 'node:http';
 import type { AddressInfo } from 'node:net';
 
-import type { Reply } from '../src/net/http-client.js';
+import type { HttpResponse } from '../src/net/http-client.js';
 
-export type LoopbackHandler = (method: string, path: string, body: unknown) => Promise<Reply> | Reply;
+export type LoopbackHandler = (method: string, path: string, body: unknown) => Promise<HttpResponse> | HttpResponse;
 
 async function readBody(request: IncomingMessage): Promise<unknown> {
   const chunks: Buffer[] = [];
--- a/testing/play-large.ts
+++ b/testing/play-large.ts
@@ -18,7 +18,7 @@
 }
 
 function printMachineCounts(moment: string): void {
-  const descriptions = NODES.filter((node) => cluster.has(node)).map((node) => {
+  const descriptions = NODES.filter((node) => cluster.isUp(node)).map((node) => {
     const { inventory, workerManager } = cluster.node(node);
     return `n${node} knows ${inventory.machines().size}, owns ${workerManager.workers.size}, may use ${inventory.schedulableMachines().length}`;
   });
@@ -52,6 +52,6 @@
 for (const node of NODES.slice(1)) cluster.start(node);
 await cluster.advance(15_000);
 printMachineCounts('all back');
-const violations = cluster.verdict();
+const violations = cluster.stopAndCheck();
 console.log(violations.length === 0 ? 'no rule was broken' : violations.join('\n'));
 process.exitCode = violations.length === 0 ? 0 : 1;
--- a/testing/play-randomized.ts
+++ b/testing/play-randomized.ts
@@ -4,14 +4,14 @@
  * is printed.
  */
 import { largeScheduleOf, type Schedule, scheduleOf } from './random-schedule.js';
-import { play } from './randomized-scenario.js';
+import { playRandomized } from './randomized-scenario.js';
 
 const [countOrSchedule = '20', first = '1', size] = process.argv.slice(2);
 const createSchedule = size === 'large' ? largeScheduleOf : scheduleOf;
 
 /** Plays a schedule and prints it with the violated rules; returns whether no rule was violated. */
 async function playAndPrint(name: string, schedule: Schedule): Promise<boolean> {
-  const violations = await play(schedule);
+  const violations = await playRandomized(schedule);
   if (violations.length > 0) console.log(`${name} ${JSON.stringify(schedule)}\n  ${violations.join('\n  ')}`);
   return violations.length === 0;
 }
--- a/testing/production-version.ts
+++ b/testing/production-version.ts
@@ -3,7 +3,7 @@
 import { pathToFileURL } from 'node:url';
 
 import type { Clock } from '../src/net/clock.js';
-import type { HttpAnswer } from '../src/net/http-answer.js';
+import type { JsonResponse } from '../src/net/http-answer.js';
 import type { HttpClient } from '../src/net/http-client.js';
 import { noLog } from './fixtures.js';
 import type { OpaqueMessage, ProgramVersion, TestedController } from './program-version.js';
@@ -11,14 +11,14 @@
 interface ProductionController {
   send: (node: string, message: OpaqueMessage) => boolean;
   duties(signal: AbortSignal): Promise<void>;
-  up(): HttpAnswer;
+  up(): JsonResponse;
   readonly claims: { holding(role: string): unknown };
   readonly jobs: {
-    submit(body: unknown): Promise<HttpAnswer>;
-    poll(jobId: string): Promise<HttpAnswer>;
-    withdraw(jobId: string): Promise<HttpAnswer>;
+    submit(body: unknown): Promise<JsonResponse>;
+    poll(jobId: string): Promise<JsonResponse>;
+    withdraw(jobId: string): Promise<JsonResponse>;
   };
-  hello(body: unknown): HttpAnswer | Promise<HttpAnswer>;
+  hello(body: unknown): JsonResponse | Promise<JsonResponse>;
   gossip(to: string): object;
   receive(message: OpaqueMessage): void;
 }
@@ -39,7 +39,7 @@
     this.controller.send = send;
   }
 
-  runDuties(signal: AbortSignal): Promise<void> {
+  runBackgroundLoops(signal: AbortSignal): Promise<void> {
     return this.controller.duties(signal);
   }
 
@@ -56,19 +56,19 @@
     return this.controller.claims.holding('leader') !== undefined;
   }
 
-  submit(body: unknown): Promise<HttpAnswer> {
+  submit(body: unknown): Promise<JsonResponse> {
     return this.controller.jobs.submit(body);
   }
 
-  poll(jobId: string): Promise<HttpAnswer> {
+  poll(jobId: string): Promise<JsonResponse> {
     return this.controller.jobs.poll(jobId);
   }
 
-  cancel(jobId: string): Promise<HttpAnswer> {
+  cancel(jobId: string): Promise<JsonResponse> {
     return this.controller.jobs.withdraw(jobId);
   }
 
-  answerHeartbeat(body: unknown): HttpAnswer | Promise<HttpAnswer> {
+  answerHeartbeat(body: unknown): JsonResponse | Promise<JsonResponse> {
     return this.controller.hello(body);
   }
 
--- a/testing/program-version.ts
+++ b/testing/program-version.ts
@@ -4,7 +4,7 @@
 import { decodeMessage, encodeMessage } from '../src/gossip/message-codec.js';
 import type { Message } from '../src/gossip/messages.js';
 import type { Clock } from '../src/net/clock.js';
-import type { HttpAnswer } from '../src/net/http-answer.js';
+import type { JsonResponse } from '../src/net/http-answer.js';
 import type { HttpClient } from '../src/net/http-client.js';
 import { noLog } from './fixtures.js';
 
@@ -15,14 +15,14 @@
 export interface TestedController {
   /** Sets the function that sends a message to another node; it returns false if there is no connection. */
   connect(send: (node: string, message: OpaqueMessage) => boolean): void;
-  runDuties(signal: AbortSignal): Promise<void>;
+  runBackgroundLoops(signal: AbortSignal): Promise<void>;
   handOver(): Promise<void>;
   isHealthy(): boolean;
   isLeader(): boolean;
-  submit(body: unknown): Promise<HttpAnswer>;
-  poll(jobId: string): Promise<HttpAnswer>;
-  cancel(jobId: string): Promise<HttpAnswer>;
-  answerHeartbeat(body: unknown): HttpAnswer | Promise<HttpAnswer>;
+  submit(body: unknown): Promise<JsonResponse>;
+  poll(jobId: string): Promise<JsonResponse>;
+  cancel(jobId: string): Promise<JsonResponse>;
+  answerHeartbeat(body: unknown): JsonResponse | Promise<JsonResponse>;
   composeGossip(to: string): OpaqueMessage;
   receive(message: OpaqueMessage): void;
 }
@@ -48,8 +48,8 @@
     this.controller.send = send;
   }
 
-  runDuties(signal: AbortSignal): Promise<void> {
-    return this.controller.runDuties(signal);
+  runBackgroundLoops(signal: AbortSignal): Promise<void> {
+    return this.controller.runBackgroundLoops(signal);
   }
 
   handOver(): Promise<void> {
@@ -57,26 +57,26 @@
   }
 
   isHealthy(): boolean {
-    return this.controller.up().status === 200;
+    return this.controller.answerHealthCheck().status === 200;
   }
 
   isLeader(): boolean {
     return this.controller.leadership.leadershipOf('leader') !== undefined;
   }
 
-  submit(body: unknown): Promise<HttpAnswer> {
+  submit(body: unknown): Promise<JsonResponse> {
     return this.controller.jobs.submit(body);
   }
 
-  poll(jobId: string): Promise<HttpAnswer> {
+  poll(jobId: string): Promise<JsonResponse> {
     return this.controller.jobs.poll(jobId);
   }
 
-  cancel(jobId: string): Promise<HttpAnswer> {
+  cancel(jobId: string): Promise<JsonResponse> {
     return this.controller.jobs.cancel(jobId);
   }
 
-  answerHeartbeat(body: unknown): HttpAnswer | Promise<HttpAnswer> {
+  answerHeartbeat(body: unknown): JsonResponse | Promise<JsonResponse> {
     return this.controller.answerHeartbeat(body);
   }
 
--- a/testing/randomized-scenario.ts
+++ b/testing/randomized-scenario.ts
@@ -40,7 +40,7 @@
     const { clock } = cluster;
     const { machines = MACHINES, settleMs = READY_MS } = schedule;
     for (let n = 0; n < machines; n++) {
-      const runMs = Math.round(this.random.jitter(TASK_RUN_MS[this.random.below(TASK_RUN_MS.length)]!));
+      const runMs = Math.round(this.random.jitter(TASK_RUN_MS[this.random.intBelow(TASK_RUN_MS.length)]!));
       cluster.addWorker({ machineId: `i-${String(n).padStart(6, '0')}`, zone: ZONES[n % 3]!, runMs });
     }
     await cluster.advance(settleMs);
@@ -58,7 +58,7 @@
     await cluster.advance(lastMs + 1);
     cluster.checker.faultsEnded(clock.now());
     await cluster.advance(OBSERVATION_MS);
-    const violations = cluster.verdict();
+    const violations = cluster.stopAndCheck();
     return cluster.users.jobs.size > 0 ? violations : [...violations, 'no job was accepted'];
   }
 
@@ -71,10 +71,10 @@
     const team = this.submitted === 0 ? 'red' : 'blue';
     submit({ kind: 'service', priority: 'prod', estimatedRunS: 0, taskCount: 3, spreadAcrossZones: true, team });
     submit({ kind: 'gang', priority: 'high', taskCount: 3, cpus: 3, singleZone: this.random.float() < 0.5 });
-    submit({ taskCount: 1 + this.random.below(4), singleZone: this.random.float() < 0.3 });
-    submit({ taskCount: 2, zone: ZONES[this.random.below(3)], priority: 'low' });
+    submit({ taskCount: 1 + this.random.intBelow(4), singleZone: this.random.float() < 0.3 });
+    submit({ taskCount: 2, zone: ZONES[this.random.intBelow(3)], priority: 'low' });
     // Several jobs of a team at its limit, submitted to all nodes at once.
-    for (let n = 0; n < 3; n++) submit({ taskCount: 1 + this.random.below(3), team: 'red' });
+    for (let n = 0; n < 3; n++) submit({ taskCount: 1 + this.random.intBelow(3), team: 'red' });
   }
 
   /** Users cancel some jobs that, to their knowledge, have not ended. */
@@ -85,4 +85,4 @@
 }
 
 /** Plays a randomized scenario and describes the violated rules, if any. */
-export const play = (schedule: Schedule): Promise<string[]> => new RandomizedScenario(schedule).play();
+export const playRandomized = (schedule: Schedule): Promise<string[]> => new RandomizedScenario(schedule).play();
--- a/testing/takeover-measurement.ts
+++ b/testing/takeover-measurement.ts
@@ -70,7 +70,7 @@
   load.abort();
   await submitting;
   await cluster.advance(15_000);
-  return { times, violations: cluster.verdict() };
+  return { times, violations: cluster.stopAndCheck() };
 }
 
 async function startCluster(options: ClusterOptions): Promise<Cluster> {
@@ -139,7 +139,7 @@
   record('detected', claim?.modRevision !== claimRevision);
   if (claim === undefined) return;
   const owner = Number((claim.value as { node: string }).node.slice(1));
-  if (owner === lostNode || !cluster.has(owner)) return;
+  if (owner === lostNode || !cluster.isUp(owner)) return;
   record('claimed', true);
   record('copied', cluster.node(owner).replica.revision >= claim.modRevision);
   record('answered', hasAnswered(cluster, role, claim.modRevision));
@@ -176,7 +176,7 @@
     case 'freeze':
       return cluster.freeze(node, TAKEOVER_LIMIT_MS / 2);
     case 'store partition':
-      cluster.network.fault({ from: `n${node}`, to: 'store:1', kind: 'lose' });
+      cluster.network.addFault({ from: `n${node}`, to: 'store:1', kind: 'lose' });
       return;
     case 'terminate':
       void cluster.terminate(node);
--- a/testing/upgrade-scenario.ts
+++ b/testing/upgrade-scenario.ts
@@ -81,7 +81,7 @@
   async play(): Promise<string[]> {
     const { cluster, schedule } = this;
     for (let n = 0; n < MACHINES; n++) {
-      const runMs = Math.round(this.random.jitter(TASK_RUN_MS[this.random.below(TASK_RUN_MS.length)]!));
+      const runMs = Math.round(this.random.jitter(TASK_RUN_MS[this.random.intBelow(TASK_RUN_MS.length)]!));
       cluster.addWorker({ machineId: `i-${String(n).padStart(6, '0')}`, zone: ZONES[n % 3]!, runMs });
     }
     await cluster.advance(READY_MS);
@@ -100,11 +100,11 @@
   private verdict(): string[] {
     const { cluster } = this;
     const hasNoJobs = cluster.users.jobs.size === 0;
-    const { tooLarge } = cluster.store;
+    const { tooLargeCount } = cluster.store;
     return [
-      ...cluster.verdict(),
+      ...cluster.stopAndCheck(),
       ...(hasNoJobs ? ['no job was accepted'] : []),
-      ...(tooLarge > 0 ? [`${tooLarge} transactions were too large for the store`] : []),
+      ...(tooLargeCount > 0 ? [`${tooLargeCount} transactions were too large for the store`] : []),
     ];
   }
 
@@ -113,7 +113,7 @@
     const upgraded = this.upgradeNodes();
     await this.injectFaults(this.schedule.during);
     // The fake clock has to be advanced until the upgrade is complete.
-    await this.cluster.during(upgraded, 0);
+    await this.cluster.advanceUntilSettled(upgraded, 0);
   }
 
   private async upgradeNodes(): Promise<void> {
@@ -121,9 +121,9 @@
     for (const [turn, node] of schedule.order.entries()) {
       await cluster.clock.sleep(schedule.gapsMs[turn]!);
       cluster.upgrade(node);
-      if (cluster.has(node)) cluster.crash(node);
+      if (cluster.isUp(node)) cluster.crash(node);
       await cluster.clock.sleep(this.random.jitter(1500));
-      if (!cluster.has(node)) cluster.start(node);
+      if (!cluster.isUp(node)) cluster.start(node);
     }
   }
 
@@ -162,7 +162,7 @@
     void this.submit({ kind: 'gang', priority: 'high', taskCount: 2, singleZone: true });
     // Its placement record is larger than the store's later limits allow.
     void this.submit({ taskCount: 64, cpus: 0.1, memoryGb: 0.1, machineTypes: ['c8'], image: 'i'.repeat(100) });
-    void this.submit({ taskCount: 1 + this.random.below(4), priority: 'low' });
+    void this.submit({ taskCount: 1 + this.random.intBelow(4), priority: 'low' });
   }
 
   private submitPipelines(): void {
