--- a/packages/standby/src/stream-sender.ts
+++ b/packages/standby/src/stream-sender.ts
@@ -1,6 +1,6 @@
 /** The leader's side of the stream: sends changes or snapshots to each follower within the limits. */
 import type { AdvisoryLog } from './advisory-log.js';
-import { ByteRateLimiter } from './byte-allowance.js';
+import { ByteRateLimiter } from './byte-rate-limiter.js';
 import { batchBytes, entryBytes, type FollowRequest, type SentEntry, type StreamBatch } from './stream-messages.js';
 
 /** Resource limits of the stream. */
--- a/src/api/api-server.ts
+++ b/src/api/api-server.ts
@@ -4,7 +4,7 @@
 
 import { KEEP_ALIVE_MS, MAX_OPEN_REQUESTS, REQUEST_TIMEOUT_MS, RETRY_AFTER_S } from '../constants/api.js';
 import type { Log } from '../logging/log.js';
-import type { JsonResponse } from '../net/http-answer.js';
+import type { JsonResponse } from '../net/json-response.js';
 import { readBody } from './request-body.js';
 import { type Handlers, type Route, Routes } from './routes.js';
 
--- a/src/api/job-admission.ts
+++ b/src/api/job-admission.ts
@@ -5,14 +5,14 @@
 import type { Settings } from '../domain/settings.js';
 import type { Team } from '../domain/team.js';
 import type { DependencyStates } from '../jobs/dependency-states.js';
-import type { JsonResponse } from '../net/http-answer.js';
+import type { JsonResponse } from '../net/json-response.js';
 import { Priority } from '../net/token-bucket.js';
 import type { ClusterState } from '../records/cluster-state.js';
 import type { Replica } from '../store/replica.js';
 import type { TransactionBatcher } from '../store/transaction-batcher.js';
 import type { TransactionLimits } from '../store/transaction-draft.js';
-import { rejectPermanently, retryLater, storeUnavailable } from './job-answers.js';
 import type { JobLookup } from './job-lookup.js';
+import { rejectPermanently, retryLater, storeUnavailable } from './job-responses.js';
 import { checkRecordSize } from './record-size-check.js';
 import { checkRunnable } from './runnable-check.js';
 
--- a/src/api/job-answers.ts
+++ b/src/api/job-responses.ts
@@ -1,6 +1,6 @@
 /** Responses that several kinds of users' requests about jobs share. */
 import { RETRY_AFTER_S } from '../constants/api.js';
-import type { JsonResponse } from '../net/http-answer.js';
+import type { JsonResponse } from '../net/json-response.js';
 import { encodeJobState, encodeJobStatus, type JobStatus } from './job-wire-codec.js';
 
 /** The response to a request that may succeed later. */
--- a/src/api/job-service.ts
+++ b/src/api/job-service.ts
@@ -1,10 +1,10 @@
 /** Handles users' requests about jobs (submission, status, cancellation) and encodes the responses. */
 import type { JobSpec } from '../domain/job.js';
-import type { JsonResponse } from '../net/http-answer.js';
+import type { JsonResponse } from '../net/json-response.js';
 import { JobAcceptance, type JobAcceptanceDependencies } from './job-acceptance.js';
 import { JobAdmission, type JobAdmissionDependencies } from './job-admission.js';
-import { noSuchJob, stateResponse, statusResponse, storeUnavailable } from './job-answers.js';
 import { JobCancellation, type JobCancellationDependencies } from './job-cancellation.js';
+import { noSuchJob, stateResponse, statusResponse, storeUnavailable } from './job-responses.js';
 import { encodeJobState, type ParsedSubmission, parseSubmission } from './job-wire-codec.js';
 
 /** The combined dependencies of the service's parts. */
--- a/src/api/routes.ts
+++ b/src/api/routes.ts
@@ -1,5 +1,5 @@
 /** Maps the path of a request to its method and handler. */
-import type { JsonResponse } from '../net/http-answer.js';
+import type { JsonResponse } from '../net/json-response.js';
 
 /** The handlers of requests from users, workers and health checks. */
 export interface Handlers {
--- a/src/autoscaling/cluster-leader.ts
+++ b/src/autoscaling/cluster-leader.ts
@@ -2,7 +2,7 @@
 import { LIST_PERIOD_MS, SCALE_OUT_PERIOD_MS, SCALE_OUT_ROUNDS, STATUS_PERIOD_MS } from '../constants/autoscaling.js';
 import { PREEMPT_PERIOD_MS } from '../constants/scheduling.js';
 import type { PeerDirectory } from '../gossip/peer-directory.js';
-import type { LeaderAdvisoryState } from '../leadership/advisory-memory.js';
+import type { LeaderAdvisoryState } from '../leadership/advisory-state.js';
 import type { TeamAccounting } from '../records/team-accounting.js';
 import { EvictionMarker } from '../scheduling/eviction-marker.js';
 import { Preemptor } from '../scheduling/preemptor.js';
--- a/src/autoscaling/unresponsive-machine-detector.ts
+++ b/src/autoscaling/unresponsive-machine-detector.ts
@@ -9,7 +9,7 @@
 import type { RoleLeadership } from '../leadership/role-leadership.js';
 import type { Clock } from '../net/clock.js';
 import type { ClusterState } from '../records/cluster-state.js';
-import { findIsolatedZones, findMachinesToReplace, type MonitoredMachine } from './unresponsive-machines.js';
+import { findIsolatedZones, findMachinesToReplace, type MonitoredMachine } from './replacement-decision.js';
 
 /** Sources of heartbeats, leaders and placements. */
 export interface UnresponsiveMachineDetectorDependencies {
--- a/src/config/load-settings.ts
+++ b/src/config/load-settings.ts
@@ -8,7 +8,7 @@
 import { MAX_GOSSIP_BYTES } from '../constants/gossip.js';
 import { STORE_LEASE_TTL_MS } from '../constants/leadership.js';
 import type { Settings } from '../domain/settings.js';
-import { findLimitTooSmall } from './least-limits.js';
+import { findLimitTooSmall } from './minimum-limits.js';
 import {
   decodeSettings,
   decodeTuning,
--- a/src/controller/duties.ts
+++ b/src/controller/background-loops.ts
@@ -8,8 +8,8 @@
 } from '../constants/records.js';
 import { SWEEP_PERIOD_MS, TOKEN_ANNOUNCE_PERIOD_MS } from '../constants/workers.js';
 import type { MachineInventory } from '../inventory/machine-inventory.js';
-import type { WaitingJobAdvancer } from '../jobs/dependency-progress.js';
 import type { JobCompletion } from '../jobs/job-completion.js';
+import type { WaitingJobAdvancer } from '../jobs/waiting-job-advancer.js';
 import type { RoleLeadership } from '../leadership/role-leadership.js';
 import type { RoleRebalancer } from '../leadership/role-rebalancer.js';
 import type { Standby } from '../leadership/standby.js';
--- a/src/controller/job-duties.ts
+++ b/src/controller/job-parts.ts
@@ -1,10 +1,10 @@
 /** Builds the parts that handle the life cycle of jobs: users' requests, completion, and the release of dependents. */
 import { JobLookup, type JobLookupDependencies } from '../api/job-lookup.js';
 import { JobService, type JobServiceDependencies } from '../api/job-service.js';
-import { WaitingJobAdvancer } from '../jobs/dependency-progress.js';
 import { DependencyStates, type DependencyStatesDependencies } from '../jobs/dependency-states.js';
+import { JobChangeHandler, type JobChangeHandlerDependencies } from '../jobs/job-change-handler.js';
 import { JobCompletion, type JobCompletionDependencies } from '../jobs/job-completion.js';
-import { JobChangeHandler, type JobChangeHandlerDependencies } from '../jobs/job-reactions.js';
+import { WaitingJobAdvancer } from '../jobs/waiting-job-advancer.js';
 
 type BuiltHere = 'states' | 'completion' | 'waitingJobAdvancer' | 'lookup' | 'cancelDeadlineMs';
 
--- a/src/jobs/job-reactions.ts
+++ b/src/jobs/job-change-handler.ts
@@ -6,8 +6,8 @@
 import { isResponsibleFor } from '../leadership/responsibility.js';
 import type { RoleLeadership } from '../leadership/role-leadership.js';
 import type { ClusterState, JobView } from '../records/cluster-state.js';
-import type { WaitingJobAdvancer } from './dependency-progress.js';
 import { hasJobEnded, type JobCompletion } from './job-completion.js';
+import type { WaitingJobAdvancer } from './waiting-job-advancer.js';
 
 /** The workers of this node's partitions, and how to send them commands. */
 export interface WorkerCommandPusher {
--- a/src/leadership/advisory-collector.ts
+++ b/src/leadership/advisory-collector.ts
@@ -2,7 +2,7 @@
 import type { AdvisoryKind, AdvisoryLog } from '@dewlatch/standby';
 
 import type { Clock } from '../net/clock.js';
-import type { HealthAdvisoryState, LeaderAdvisoryState } from './advisory-memory.js';
+import type { HealthAdvisoryState, LeaderAdvisoryState } from './advisory-state.js';
 import type { RoleLeadership } from './role-leadership.js';
 
 /** Sources of the advisory state, and the log that it is written to. */
--- a/src/leadership/advisory-restorer.ts
+++ b/src/leadership/advisory-restorer.ts
@@ -6,7 +6,7 @@
 import type { Log } from '../logging/log.js';
 import type { Clock } from '../net/clock.js';
 import type { ClusterState } from '../records/cluster-state.js';
-import type { HealthAdvisoryState, LeaderAdvisoryState } from './advisory-memory.js';
+import type { HealthAdvisoryState, LeaderAdvisoryState } from './advisory-state.js';
 import type { AdvisoryStream } from './advisory-stream.js';
 import type { LeadershipHistory } from './leadership-history.js';
 
--- a/src/scheduling/plan-timer.ts
+++ b/src/scheduling/plan-timer.ts
@@ -6,7 +6,7 @@
   URGENT_PLANNING_TIME_SHARE,
 } from '../constants/scheduling.js';
 import type { Clock } from '../net/clock.js';
-import { planPauseMs } from './decisions/plan-rest.js';
+import { planPauseMs } from './decisions/plan-pause.js';
 
 /** The clock, and the function that makes a plan; it runs synchronously. */
 export interface PlanTimerDependencies {
--- a/src/workers/heartbeat-service.ts
+++ b/src/workers/heartbeat-service.ts
@@ -1,7 +1,7 @@
 import type { HeartbeatForwarder } from '../gossip/heartbeat-forwarder.js';
 import type { ForwardedHeartbeat, ForwardedHeartbeatAnswer } from '../gossip/messages.js';
 import type { Log } from '../logging/log.js';
-import type { JsonResponse } from '../net/http-answer.js';
+import type { JsonResponse } from '../net/json-response.js';
 import type { WorkerManager } from './worker-manager.js';
 import type { HeartbeatOutcome } from './worker-manager-dependencies.js';
 import { decodeWorkerStatus, encodeHeartbeatResponse, encodeRedirect } from './worker-wire-codec.js';
--- a/test/api/api-server.test.ts
+++ b/test/api/api-server.test.ts
@@ -6,7 +6,7 @@
 import { ApiServer } from '../../src/api/api-server.js';
 import type { Handlers } from '../../src/api/routes.js';
 import { MAX_BODY_BYTES, MAX_OPEN_REQUESTS } from '../../src/constants/api.js';
-import type { JsonResponse } from '../../src/net/http-answer.js';
+import type { JsonResponse } from '../../src/net/json-response.js';
 import { noLog } from '../../testing/fixtures.js';
 
 function createTestServer(handlers: Partial<Handlers>): { open: () => Duplex; openBoth: () => [Duplex, Duplex] } {
--- a/test/records/job-dependencies.test.ts
+++ b/test/records/job-dependencies.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test';
 
 import { JOB_PRIORITIES } from '../../src/domain/job.js';
-import { WaitingJobAdvancer, type WaitingJobAdvancerDependencies } from '../../src/jobs/dependency-progress.js';
+import { WaitingJobAdvancer, type WaitingJobAdvancerDependencies } from '../../src/jobs/waiting-job-advancer.js';
 import { JobDependencies } from '../../src/records/job-dependencies.js';
 import type { JobRecord } from '../../src/records/records.js';
 import { noLog, specOf } from '../../testing/fixtures.js';
--- a/test/scenarios/combined-faults-jobs.test.ts
+++ b/test/scenarios/combined-faults-jobs.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { afterEach, describe, it } from 'node:test';
 
-import type { JsonResponse } from '../../src/net/http-answer.js';
+import type { JsonResponse } from '../../src/net/json-response.js';
 import { Cluster } from '../../testing/cluster.js';
 import { encodeTransaction, type StoreOperation } from '../../testing/fake-store-wire-codec.js';
 import { type ClusterOptions, jobOf } from '../../testing/fixtures.js';
--- a/test/scenarios/store-outage.test.ts
+++ b/test/scenarios/store-outage.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { afterEach, describe, it } from 'node:test';
 
-import type { JsonResponse } from '../../src/net/http-answer.js';
+import type { JsonResponse } from '../../src/net/json-response.js';
 import { Cluster } from '../../testing/cluster.js';
 import { type ClusterOptions } from '../../testing/fixtures.js';
 import { encodeJobState } from '../../testing/job-status-wire-codec.js';
--- a/test/scheduling/decisions/plan-rest.test.ts
+++ b/test/scheduling/decisions/plan-pause.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test';
 
 import { MAX_PLAN_PAUSE_MS, MIN_PLAN_PAUSE_FACTOR, PLANNING_TIME_SHARE } from '../../../src/constants/scheduling.js';
-import { planPauseMs } from '../../../src/scheduling/decisions/plan-rest.js';
+import { planPauseMs } from '../../../src/scheduling/decisions/plan-pause.js';
 
 describe('pause after a plan', () => {
   it('keeps plans within their share of the time, up to a maximum pause, and is longer than a long plan', () => {
--- a/testing/cluster.ts
+++ b/testing/cluster.ts
@@ -1,7 +1,7 @@
 /** A complete cluster in one process, for scenarios. */
 import type { Controller } from '../src/controller/controller.js';
 import type { MachineType } from '../src/domain/machine-type.js';
-import type { JsonResponse } from '../src/net/http-answer.js';
+import type { JsonResponse } from '../src/net/json-response.js';
 import { Random } from '../src/net/random.js';
 import type { UserAnswer } from './answer-checker.js';
 import { ClusterNodes } from './cluster-nodes.js';
--- a/testing/fake-users.ts
+++ b/testing/fake-users.ts
@@ -1,5 +1,5 @@
 /** Fake users of a cluster. */
-import type { JsonResponse } from '../src/net/http-answer.js';
+import type { JsonResponse } from '../src/net/json-response.js';
 import type { Random } from '../src/net/random.js';
 import type { FakeClock } from './fake-clock.js';
 import { decodeJobState, type JobState } from './job-status-wire-codec.js';
--- a/testing/production-version.ts
+++ b/testing/production-version.ts
@@ -3,8 +3,8 @@
 import { pathToFileURL } from 'node:url';
 
 import type { Clock } from '../src/net/clock.js';
-import type { JsonResponse } from '../src/net/http-answer.js';
 import type { HttpClient } from '../src/net/http-client.js';
+import type { JsonResponse } from '../src/net/json-response.js';
 import { noLog } from './fixtures.js';
 import type { OpaqueMessage, ProgramVersion, TestedController } from './program-version.js';
 
--- a/testing/program-version.ts
+++ b/testing/program-version.ts
@@ -4,8 +4,8 @@
 import { decodeMessage, encodeMessage } from '../src/gossip/message-codec.js';
 import type { Message } from '../src/gossip/messages.js';
 import type { Clock } from '../src/net/clock.js';
-import type { JsonResponse } from '../src/net/http-answer.js';
 import type { HttpClient } from '../src/net/http-client.js';
+import type { JsonResponse } from '../src/net/json-response.js';
 import { noLog } from './fixtures.js';
 
 /** A message between controllers, in the representation of the version that sends or receives it. */
