--- a/test/scheduling/rescheduler.test.ts
+++ b/test/scheduling/rescheduler.test.ts
@@ -20,10 +20,10 @@
   it('skips re-matching while more service tasks are unplaced than one round moves', async () => {
     const clock = new FakeClock();
     const stop = new AbortController();
-    let placed = 1;
+    let placedCount = 1;
     let inventoryReadCount = 0;
     const record = { spec: { kind: 'service', taskCount: 5 }, state: 'active' };
-    const jobs = { values: () => [{ record, placed }] };
+    const jobs = { values: () => [{ record, placedCount }] };
     const readMachines = () => {
       inventoryReadCount++;
       return new Map();
@@ -48,7 +48,7 @@
     void rescheduler.run(stop.signal);
     await clock.advance(60_000);
     assert.equal(inventoryReadCount, 0);
-    placed = 4;
+    placedCount = 4;
     await clock.advance(60_000);
     assert.ok(inventoryReadCount >= 4, `${inventoryReadCount} inventory reads with at most two unplaced`);
     stop.abort();
